--- a/bench/replication.py
+++ b/bench/replication.py
@@ -23,7 +23,7 @@
 from wigeonscale.ports import SystemClock
 from wigeonscale.replication import (
     DiskFolder,
-    GrpcLinks,
+    GrpcTransport,
     Member,
     NotLeaderError,
     Replica,
@@ -73,7 +73,7 @@
     """
 
     def __init__(self):
-        self._links = GrpcLinks()
+        self._links = GrpcTransport()
         self.appends = 0
 
     def connect(self, address):
@@ -151,7 +151,7 @@
                 voters=members,
                 folder=DiskFolder(path=f"{root}/{name}"),
                 machine=NullMachine(),
-                links=links,
+                transport=links,
                 clock=SystemClock(),
                 options=options,
                 rng=random.Random(seed),
--- a/wigeonscale/control/backend_checks.py
+++ b/wigeonscale/control/backend_checks.py
@@ -163,7 +163,7 @@
             for name in self._state.members.replicas()
             if name != self._node_id
             and self._replica.role is Role.LEADER
-            and self._replica.peer_silence(name) > self._silent_after_s
+            and self._replica.seconds_since_peer_contact(name) > self._silent_after_s
         }
         self._lost_since = {name: self._lost_since.get(name, now) for name in lost}
 
--- a/wigeonscale/control/entry_count.py
+++ b/wigeonscale/control/entry_count.py
@@ -120,7 +120,7 @@
         if self._replica.role is not Role.LEADER:
             return
         for replica in self._state.entries.replicas():
-            is_lost = self._replica.peer_silence(replica) >= self._grace_s
+            is_lost = self._replica.seconds_since_peer_contact(replica) >= self._grace_s
             if replica != self._node_id and is_lost:
                 gone = sorted(self._state.entries.attached_to(replica))
                 yield wire.CountEntries(replica=replica, gone=gone)
--- a/wigeonscale/control/joining.py
+++ b/wigeonscale/control/joining.py
@@ -159,7 +159,7 @@
         return list(dict.fromkeys([*known, *self._told, *self._seeds]))
 
     def _is_lonely(self) -> bool:
-        return self._replica.leader_silence() > LONELY_S
+        return self._replica.seconds_since_leader_contact() > LONELY_S
 
     async def _ask_to_join(self) -> None:
         for address in self._addresses():
@@ -211,13 +211,16 @@
         # One that this leader leads for a moment only may well be about to answer.
         self._led_since = {name: self._led_since.get(name, now) for name in others}
         return {
-            name: min(self._replica.peer_silence(name), now - self._led_since[name])
+            name: min(
+                self._replica.seconds_since_peer_contact(name),
+                now - self._led_since[name],
+            )
             for name in others
         }
 
     async def _change(self, **change: object) -> bool:
         try:
-            await self._replica.change_voters(**change)
+            await self._replica.change_members(**change)
         except WigeonscaleError as exc:
             logger.info("members not changed: %s", exc.message)
             return False
--- a/wigeonscale/control/liveness.py
+++ b/wigeonscale/control/liveness.py
@@ -229,7 +229,7 @@
         for replica in self._state.members.replicas():
             if replica == self._node_id:
                 continue
-            if self._replica.peer_silence(replica) >= self._grace_s:
+            if self._replica.seconds_since_peer_contact(replica) >= self._grace_s:
                 for member in self._state.members.attached_to(replica):
                     yield member, "replica-lost"
 
--- a/wigeonscale/control/tests/support.py
+++ b/wigeonscale/control/tests/support.py
@@ -67,7 +67,7 @@
     def members(self):
         return tuple(self.peers)
 
-    def peer_silence(self, node_id):
+    def seconds_since_peer_contact(self, node_id):
         return self.silences.get(node_id, float("inf"))
 
     async def propose(self, data):
--- a/wigeonscale/control/tests/test_joining.py
+++ b/wigeonscale/control/tests/test_joining.py
@@ -54,10 +54,10 @@
         self.silence_of_leader = 0.0
         self.changes = []
 
-    def leader_silence(self):
+    def seconds_since_leader_contact(self):
         return self.silence_of_leader
 
-    async def change_voters(self, *, add=None, remove=None):
+    async def change_members(self, *, add=None, remove=None):
         self.changes.append(add.node_id if add else f"-{remove}")
         self.peers = [peer for peer in self.peers if peer.node_id != remove]
         if add:
--- a/wigeonscale/daemons/control.py
+++ b/wigeonscale/daemons/control.py
@@ -28,13 +28,13 @@
 from wigeonscale.ports import Clock, SystemClock
 from wigeonscale.replication import (
     DiskFolder,
-    GrpcLinks,
-    Links,
+    GrpcTransport,
     Member,
     Replica,
     ReplicaOptions,
     ReplicationServicer,
     Role,
+    Transport,
 )
 from wigeonscale.state import ControlState
 from wigeonscale.wire import wire_pb2_grpc
@@ -61,13 +61,13 @@
         *,
         cfg: ControlSettings,
         clock: Clock,
-        links: Links | None = None,
+        links: Transport | None = None,
         addresses: Sequence[str] | None = None,
     ):
         self._cfg = cfg
         self._clock = clock
         dial = functools.partial(open_channel, tls=cfg.tls)
-        self._links = links or GrpcLinks(channel=dial)
+        self._links = links or GrpcTransport(channel=dial)
         self._stopping = False
         self._server = None
         self._http = None
@@ -186,7 +186,7 @@
         Watchers move to other replicas.
         """
         self._stopping = True
-        await self.replica.hand_over()
+        await self.replica.transfer_leadership()
         # Streams that this replica closes itself are no sign of a failure.
         if self._liveness_task is not None:
             self._liveness_task.cancel()
@@ -205,7 +205,7 @@
             voters=[Member(peer.name, peer.address) for peer in cfg.peers],
             folder=DiskFolder(path=cfg.data),
             machine=self.state,
-            links=self._links,
+            transport=self._links,
             clock=self._clock,
             options=ReplicaOptions(
                 election_timeout_s=cfg.election_timeout_s,
--- a/wigeonscale/daemons/direct_control.py
+++ b/wigeonscale/daemons/direct_control.py
@@ -35,7 +35,7 @@
 from wigeonscale.ports import Clock, SystemClock
 from wigeonscale.replication import (
     DiskFolder,
-    GrpcLinks,
+    GrpcTransport,
     Member,
     Replica,
     ReplicaOptions,
@@ -81,14 +81,16 @@
             voters=[Member(seed, seed) for seed in seeds],
             folder=DiskFolder(path=cfg.data),
             machine=self.state,
-            links=GrpcLinks(channel=functools.partial(open_channel, tls=cfg.tls)),
+            transport=GrpcTransport(
+                channel=functools.partial(open_channel, tls=cfg.tls)
+            ),
             clock=clock,
             options=ReplicaOptions(
                 election_timeout_s=cfg.election_timeout_s,
                 heartbeat_s=cfg.heartbeat_s,
                 snapshot_entries=cfg.snapshot_entries,
             ),
-            may_begin=cfg.first_start,
+            allow_bootstrap=cfg.first_start,
             shared=self,
         )
         self.commands = Commands(
@@ -220,7 +222,7 @@
     async def stop(self) -> None:
         """Hand over leadership, then stop serving; watchers move elsewhere."""
         self._stopping = True
-        await self.replica.hand_over()
+        await self.replica.transfer_leadership()
         if self._server is not None:
             await self._server.stop(SERVER_GRACE_S)
         if self._pages is not None:
--- a/wigeonscale/replication/__init__.py
+++ b/wigeonscale/replication/__init__.py
@@ -3,26 +3,20 @@
 __all__ = [
     "DiskFolder",
     "Folder",
-    "GrpcLinks",
-    "Link",
-    "Links",
+    "GrpcTransport",
     "Member",
     "NotLeaderError",
+    "PeerClient",
     "Replica",
     "ReplicaOptions",
     "ReplicationServicer",
     "Role",
     "SharedState",
     "StateMachine",
+    "Transport",
 ]
 
 from wigeonscale.replication.folder import DiskFolder, Folder
-from wigeonscale.replication.links import (
-    GrpcLinks,
-    Link,
-    Links,
-    ReplicationServicer,
-)
 from wigeonscale.replication.model import (
     Member,
     NotLeaderError,
@@ -32,3 +26,9 @@
     StateMachine,
 )
 from wigeonscale.replication.replica import Replica
+from wigeonscale.replication.transport import (
+    GrpcTransport,
+    PeerClient,
+    ReplicationServicer,
+    Transport,
+)
--- a/wigeonscale/replication/admission.py
+++ b/wigeonscale/replication/admission.py
@@ -189,9 +189,9 @@
 async def _ask_for_log(core: ReplicaState, peer: PeerState) -> wire.VoteReply | None:
     req = wire.VoteRequest(node_id=core.node_id, pre_vote=True)
     try:
-        return await within(core.clock, core.append_timeout_s, peer.link.vote(req))
+        return await within(core.clock, core.append_timeout_s, peer.client.vote(req))
     except (TimeoutError, ConnectionError):
-        await peer.link.reset()
+        await peer.client.reset()
         return None
 
 
@@ -201,7 +201,7 @@
         return
     is_voter = any(member.node_id == core.node_id for member in core.members)
     had_log = any(reply is not None and reply.had_log for reply in replies)
-    if had_log or not is_voter or not core.may_begin:
+    if had_log or not is_voter or not core.allow_bootstrap:
         logger.warning("replica %s has an empty disk and no vote", core.node_id)
         await core.storage.save_vote(replace(vote, admission=Admission.AWAITING))
         return
--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -254,9 +254,9 @@
 
 async def _ask(core: ReplicaState, peer: PeerState, req: wire.VoteRequest) -> bool:
     try:
-        reply = await within(core.clock, core.append_timeout_s, peer.link.vote(req))
+        reply = await within(core.clock, core.append_timeout_s, peer.client.vote(req))
     except (TimeoutError, ConnectionError):
-        await peer.link.reset()
+        await peer.client.reset()
         return False
     peer.heard_at = core.clock.now()
     await adopt_term_of_reply(core, reply.term)
--- a/wigeonscale/replication/replica.py
+++ b/wigeonscale/replication/replica.py
@@ -26,7 +26,6 @@
 from wigeonscale.replication.election import handle_vote, run_elections, step_down
 from wigeonscale.replication.folder import Folder
 from wigeonscale.replication.follower import handle_append
-from wigeonscale.replication.links import Links
 from wigeonscale.replication.model import (
     EntryKind,
     Member,
@@ -40,7 +39,8 @@
 from wigeonscale.replication.snapshots import run_snapshots
 from wigeonscale.replication.state import ReplicaState
 from wigeonscale.replication.storage import LogStorage
-from wigeonscale.replication.transfer import hand_over, handle_campaign
+from wigeonscale.replication.transfer import handle_campaign, transfer_leadership
+from wigeonscale.replication.transport import Transport
 from wigeonscale.replication.waiting import run_to_end
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -62,11 +62,11 @@
         voters: All replicas of the first start, this one included.
         folder: Data folder port, for example ``DiskFolder(path=...)``.
         machine: State machine that committed entries are applied to.
-        links: Way to the peers, for example ``GrpcLinks()``.
+        links: Way to the peers, for example ``GrpcTransport()``.
         clock: Clock port.
         options: Times and sizes.
         rng: Source of jitter and identities; tests pass a seeded one.
-        may_begin: Whether an empty folder may be a first start. If not, it is a
+        allow_bootstrap: Whether an empty folder may be a first start. If not, it is a
             lost disk or a new replica, which waits to be admitted.
         shared: Soft state to pass on with the messages of the log; None for none.
 
@@ -94,11 +94,11 @@
         voters: Sequence[Member],
         folder: Folder,
         machine: StateMachine,
-        links: Links,
+        transport: Transport,
         clock: Clock,
         options: ReplicaOptions | None = None,
         rng: random.Random | None = None,
-        may_begin: bool = True,
+        allow_bootstrap: bool = True,
         shared: SharedState | None = None,
     ):
         self._core = ReplicaState(
@@ -107,11 +107,11 @@
             voters=voters,
             storage=LogStorage(folder=folder),
             machine=machine,
-            links=links,
+            transport=transport,
             clock=clock,
             options=options or ReplicaOptions(),
             rng=rng or random.SystemRandom(),
-            may_begin=may_begin,
+            allow_bootstrap=allow_bootstrap,
             shared=shared,
         )
         self.on_applied = self._core.on_applied
@@ -163,7 +163,7 @@
         index = append_as_leader(core, EntryKind.COMMAND, data)
         return await core.proposals.outcome(index, core.term)
 
-    async def change_voters(
+    async def change_members(
         self, *, add: Member | None = None, remove: str | None = None
     ) -> None:
         """Commit one change of the members.
@@ -193,7 +193,7 @@
         members = changed_members(core.members, add=add, remove=remove)
         await core.proposals.outcome(append_members(core, members), core.term)
 
-    async def hand_over(self) -> bool:
+    async def transfer_leadership(self) -> bool:
         """Give up leading for good, before a planned stop.
 
         Proposals in flight are committed first and new ones refused as not run.
@@ -203,7 +203,7 @@
         Returns:
             Whether another replica leads instead of this one.
         """
-        return await hand_over(self._core)
+        return await transfer_leadership(self._core)
 
     # ------------------------------------------------------------- what is known
 
@@ -268,17 +268,17 @@
         return self._core.members
 
     @property
-    def has_begun(self) -> bool:
+    def cluster_has_log(self) -> bool:
         """Whether this replica knows that its cluster ever had a log."""
         return self._core.storage.last_index > 0 or self._core.may_vote
 
-    def leader_silence(self) -> float:
+    def seconds_since_leader_contact(self) -> float:
         """Return the seconds since a leader was heard; 0 while leading."""
         if self._core.leading:
             return 0.0
         return self._core.clock.now() - self._core.leader_heard_at
 
-    def peer_silence(self, node_id: str) -> float:
+    def seconds_since_peer_contact(self, node_id: str) -> float:
         """Return the seconds since the last message of a peer; inf if none came."""
         peer = self._core.peers.get(node_id)
         return self._core.clock.now() - peer.heard_at if peer else math.inf
@@ -341,5 +341,5 @@
             task.cancel()
         await asyncio.gather(*running, return_exceptions=True)
         for peer in core.peers.values():
-            await peer.link.reset()
+            await peer.client.reset()
         await core.storage.close()
--- a/wigeonscale/replication/replicate.py
+++ b/wigeonscale/replication/replicate.py
@@ -37,7 +37,7 @@
             else:
                 await core.clock.sleep(core.options.heartbeat_s / 2)
     finally:
-        await peer.link.reset()
+        await peer.client.reset()
 
 
 async def _try_exchange(core: ReplicaState, peer: PeerState) -> bool:
@@ -56,11 +56,11 @@
     req = _next_request(core, peer)
     sent_at = core.clock.now()
     try:
-        reply = await within(core.clock, core.append_timeout_s, peer.link.append(req))
+        reply = await within(core.clock, core.append_timeout_s, peer.client.append(req))
     except (TimeoutError, ConnectionError) as exc:
         logger.debug("append to %s failed: %s", peer.member.node_id, exc)
         # A connection that went silent stays so; a new one may work.
-        await peer.link.reset()
+        await peer.client.reset()
         peer.echo_us = 0
         peer.sending = None
         return False
--- a/wigeonscale/replication/state.py
+++ b/wigeonscale/replication/state.py
@@ -13,7 +13,6 @@
 from wigeonscale.ports import Clock
 from wigeonscale.replication.echo import EchoClock
 from wigeonscale.replication.files import Admission, Snapshot
-from wigeonscale.replication.links import Link, Links
 from wigeonscale.replication.member_log import MemberLog
 from wigeonscale.replication.model import (
     Member,
@@ -24,6 +23,7 @@
 )
 from wigeonscale.replication.proposals import Proposals
 from wigeonscale.replication.storage import LogStorage
+from wigeonscale.replication.transport import PeerClient, Transport
 from wigeonscale.wire import wire_pb2 as wire
 
 logger = logging.getLogger(__name__)
@@ -50,9 +50,9 @@
         wake: Set when there is something to send.
     """
 
-    def __init__(self, *, member: Member, link: Link):
+    def __init__(self, *, member: Member, client: PeerClient):
         self.member = member
-        self.link = link
+        self.client = client
         self.heard_at = -math.inf
         self.wake = asyncio.Event()
         self.task: asyncio.Task | None = None
@@ -86,7 +86,7 @@
         clock: Clock port.
         options: Times and sizes.
         rng: Source of randomness.
-        may_begin: Whether an empty folder may be a first start.
+        allow_bootstrap: Whether an empty folder may be a first start.
         shared: Soft state to pass on; None for none.
     """
 
@@ -98,22 +98,22 @@
         voters: Sequence[Member],
         storage: LogStorage,
         machine: StateMachine,
-        links: Links,
+        transport: Transport,
         clock: Clock,
         options: ReplicaOptions,
         rng: random.Random,
-        may_begin: bool = True,
+        allow_bootstrap: bool = True,
         shared: SharedState | None = None,
     ):
         self.node_id = node_id
         self.address = address
         self.storage = storage
         self.machine = machine
-        self.links = links
+        self.transport = transport
         self.clock = clock
         self.options = options
         self.rng = rng
-        self.may_begin = may_begin
+        self.allow_bootstrap = allow_bootstrap
         self.shared = shared
         self.echo = EchoClock(clock=clock, rng=rng)
         self.lock = asyncio.Lock()
@@ -218,8 +218,8 @@
                     peer.task.cancel()
         for node_id, member in wanted.items():
             if node_id not in self.peers:
-                link = self.links.connect(member.address)
-                self.peers[node_id] = PeerState(member=member, link=link)
+                client = self.transport.connect(member.address)
+                self.peers[node_id] = PeerState(member=member, client=client)
                 self.peers[node_id].begin_term(last_index=self.storage.last_index)
             peer = self.peers[node_id]
             peer.member = member
--- a/wigeonscale/replication/tests/memory_network.py
+++ b/wigeonscale/replication/tests/memory_network.py
@@ -17,8 +17,8 @@
         self.before_vote = None
         self.before_campaign = None
 
-    def links(self, sender):
-        return MemoryLinks(network=self, sender=sender)
+    def transport(self, sender):
+        return MemoryTransport(network=self, sender=sender)
 
     def isolate(self, node, *, both=True):
         for other in self.replicas:
@@ -47,16 +47,18 @@
         return reply
 
 
-class MemoryLinks:
+class MemoryTransport:
     def __init__(self, *, network, sender):
         self._network = network
         self._sender = sender
 
     def connect(self, address):
-        return MemoryLink(network=self._network, sender=self._sender, peer=address)
+        return MemoryPeerClient(
+            network=self._network, sender=self._sender, peer=address
+        )
 
 
-class MemoryLink:
+class MemoryPeerClient:
     def __init__(self, *, network, sender, peer):
         self._network = network
         self._sender = sender
--- a/wigeonscale/replication/tests/support.py
+++ b/wigeonscale/replication/tests/support.py
@@ -60,7 +60,7 @@
                 voters=members or self.members,
                 folder=self.folders[name],
                 machine=self.machines[name],
-                links=self.network.links(name),
+                transport=self.network.transport(name),
                 clock=self.clock,
                 options=self.options,
                 rng=random.Random(self._rng.random()),
--- a/wigeonscale/replication/tests/test_admission.py
+++ b/wigeonscale/replication/tests/test_admission.py
@@ -168,7 +168,7 @@
 class ChangeVotersTest(ClusterCase):
     async def change(self, **kwargs):
         leader = self.cluster.replicas[await self.cluster.leader()]
-        change = leader.change_voters(**kwargs)
+        change = leader.change_members(**kwargs)
         task = self.cluster.spawn(change)
         await self.cluster.finish(task)
 
@@ -217,10 +217,10 @@
     async def test_one_change_at_a_time(self):
         leader = self.cluster.replicas[self.leader]
         self.cluster.network.isolate(self.leader)
-        first = self.cluster.spawn(leader.change_voters(add=Member("d", "d")))
+        first = self.cluster.spawn(leader.change_members(add=Member("d", "d")))
         await self.cluster.clock.advance(0)
         with self.assertRaises(WigeonscaleError) as caught:
-            await leader.change_voters(add=Member("e", "e"))
+            await leader.change_members(add=Member("e", "e"))
         self.assertEqual(ErrorKind.IN_PROGRESS, caught.exception.kind)
         self.cluster.network.heal()
         await self.cluster.until(first.done)
@@ -228,7 +228,7 @@
     async def test_change_that_was_never_committed_is_forgotten(self):
         old = self.cluster.replicas[self.leader]
         self.cluster.network.isolate(self.leader)
-        self.cluster.spawn(old.change_voters(add=Member("d", "d")))
+        self.cluster.spawn(old.change_members(add=Member("d", "d")))
         await self.cluster.clock.advance(0)
         self.assertEqual(4, len(old.members()))
         await self.cluster.leader(among=self.followers)
@@ -267,7 +267,7 @@
         leader = self.cluster.replicas[self.leader]
         for kwargs in ({}, {"remove": "x"}, {"add": Member("a", "a")}):
             with self.assertRaises(WigeonscaleError) as caught:
-                await leader.change_voters(**kwargs)
+                await leader.change_members(**kwargs)
             self.assertEqual(ErrorKind.BAD_REQUEST, caught.exception.kind)
 
 
@@ -277,7 +277,7 @@
     async def add_fourth(self):
         self.cluster.folders["d"] = MemoryFolder()
         leader = self.cluster.replicas[self.leader]
-        change = leader.change_voters(add=Member("d", "d"))
+        change = leader.change_members(add=Member("d", "d"))
         await self.cluster.finish(self.cluster.spawn(change))
         self.cluster.start("d")
 
@@ -293,7 +293,7 @@
         self.assertTrue(self.cluster.replicas["d"].may_vote)
 
         leader = self.cluster.replicas[self.leader]
-        change = leader.change_voters(remove=gone)
+        change = leader.change_members(remove=gone)
         await self.cluster.finish(self.cluster.spawn(change))
         await self.cluster.stop(self.followers[1])
         await self.cluster.propose(b"2")
--- a/wigeonscale/replication/tests/test_follower.py
+++ b/wigeonscale/replication/tests/test_follower.py
@@ -154,13 +154,13 @@
             await cluster.until_equal([b"1", b"2"])
             replica = cluster.replicas["c"]
             for message in messages:
-                await self.hand_over(replica, message)
+                await self.deliver(replica, message)
             self.assertEqual([b"1", b"2"], cluster.machines["c"].commands[:2])
             self.assertFalse(cluster.tasks["c"].done())
         finally:
             await cluster.stop()
 
-    async def hand_over(self, replica, message):
+    async def deliver(self, replica, message):
         is_vote = isinstance(message, wire.VoteRequest)
         handle = replica.handle_vote if is_vote else replica.handle_append
         try:
--- a/wigeonscale/replication/tests/test_freshness.py
+++ b/wigeonscale/replication/tests/test_freshness.py
@@ -40,7 +40,7 @@
         self.assertTrue(self.old.fresh_at() > committed_at)
 
     async def test_planned_stop_waits_for_it(self):
-        handing_over = self.cluster.spawn(self.old.hand_over())
+        handing_over = self.cluster.spawn(self.old.transfer_leadership())
         await self.cluster.clock.advance(0.1)
         self.assertFalse(handing_over.done())
         began = self.cluster.clock.now()
--- a/wigeonscale/replication/tests/test_schedules.py
+++ b/wigeonscale/replication/tests/test_schedules.py
@@ -81,7 +81,7 @@
         names = sorted(self.cluster.replicas)
         names = self.rng.sample(names, min(len(names), self.rng.choice([1, 2])))
         for name in names:
-            self.cluster.spawn(self.cluster.replicas[name].hand_over())
+            self.cluster.spawn(self.cluster.replicas[name].transfer_leadership())
         await self.cluster.clock.advance(self.rng.choice([0, 0.1, 0.6, 1.2]))
         if names:
             await self.cluster.stop(*names)
--- a/wigeonscale/replication/tests/test_transfer.py
+++ b/wigeonscale/replication/tests/test_transfer.py
@@ -19,8 +19,8 @@
     async def note_campaign(self, sender, receiver, req):
         self.asked.append(receiver)
 
-    async def hand_over(self, name):
-        return self.cluster.spawn(self.cluster.replicas[name].hand_over())
+    async def transfer_leadership(self, name):
+        return self.cluster.spawn(self.cluster.replicas[name].transfer_leadership())
 
 
 class TransferTest(TransferCase):
@@ -34,7 +34,7 @@
         self.cluster.network.before_append = hold
         tasks = [await self.cluster.propose_at(self.leader, n) for n in numbers(1, 9)]
         began = self.cluster.clock.now()
-        handing_over = await self.hand_over(self.leader)
+        handing_over = await self.transfer_leadership(self.leader)
         late = await self.cluster.propose_at(self.leader, b"late")
         refusal = late.exception()
         self.assertIsInstance(refusal, NotLeaderError)
@@ -67,12 +67,12 @@
         self.cluster.network.cut.add((self.leader, behind))
         await self.cluster.propose(b"1")
         self.cluster.network.heal()
-        await self.cluster.finish(await self.hand_over(self.leader))
+        await self.cluster.finish(await self.transfer_leadership(self.leader))
         self.assertEqual([level], self.asked)
         self.assertEqual([level], self.cluster.leaders())
 
     async def test_replica_that_leaves_does_not_campaign_again(self):
-        await self.cluster.finish(await self.hand_over(self.leader))
+        await self.cluster.finish(await self.transfer_leadership(self.leader))
         await self.cluster.stop(*self.cluster.leaders())
         candidates = set()
 
@@ -84,7 +84,7 @@
         self.assertEqual(set(self.cluster.replicas) - {self.leader}, candidates)
 
     async def test_all_stop_together(self):
-        tasks = [await self.hand_over(name) for name in "abc"]
+        tasks = [await self.transfer_leadership(name) for name in "abc"]
         await self.cluster.clock.advance(0)
         self.assertEqual([False] * 3, [task.result() for task in tasks])
         self.assertEqual([], self.cluster.leaders())
@@ -110,7 +110,7 @@
             self.cluster.network.isolate(self.leader)
         old = self.cluster.replicas[self.leader]
         early = await self.cluster.propose_at(self.leader, b"early")
-        handing_over = await self.hand_over(self.leader)
+        handing_over = await self.transfer_leadership(self.leader)
         await self.cluster.clock.advance(0)
         if self.cause == "another leads":
             ahead = wire.AppendRequest(leader_id="x", term=old.term + 1)
@@ -149,7 +149,7 @@
             self.cluster.network.isolate(receiver)
             self.cluster.network.cut.discard((sender, receiver))
         if self.fault == "stopping":
-            await self.cluster.replicas[receiver].hand_over()
+            await self.cluster.replicas[receiver].transfer_leadership()
         if self.fault == "asked for another term":
             req.term -= 1
         if self.fault == "asked by another leader":
@@ -159,7 +159,7 @@
 
     async def test_other_voter_succeeds(self):
         await self.cluster.propose(b"1")
-        handing_over = await self.hand_over(self.leader)
+        handing_over = await self.transfer_leadership(self.leader)
         began = self.cluster.clock.now()
         self.assertTrue(await self.cluster.finish(handing_over))
         self.assertTrue(self.cluster.clock.now() - began <= ELECTION_TIMEOUT_S)
@@ -181,12 +181,14 @@
         began = self.cluster.clock.now()
         self.stops = []
         self.cluster.network.before_vote = self.note_vote
-        handing_over = await self.hand_over(self.leader)
+        handing_over = await self.transfer_leadership(self.leader)
         if self.at == "together":
-            self.stops += [await self.hand_over(name) for name in self.followers[:1]]
+            self.stops += [
+                await self.transfer_leadership(name) for name in self.followers[:1]
+            ]
         await self.settle()
         if self.at == "leader":
-            self.stops.append(await self.hand_over(self.asked[0]))
+            self.stops.append(await self.transfer_leadership(self.asked[0]))
             await self.settle()
         self.assertTrue(handing_over.done())
         self.assertEqual([True], [task.done() for task in self.stops])
@@ -202,12 +204,12 @@
     async def note_campaign(self, sender, receiver, req):
         await super().note_campaign(sender, receiver, req)
         if self.at == "asked" and not self.stops:
-            self.stops.append(await self.hand_over(receiver))
+            self.stops.append(await self.transfer_leadership(receiver))
             await asyncio.sleep(0)
 
     async def note_vote(self, sender, receiver, req):
         if self.at == "candidate" and not self.stops:
-            self.stops.append(await self.hand_over(sender))
+            self.stops.append(await self.transfer_leadership(sender))
 
 
 class CandidateStopTest(WithScenarios, TransferCase):
@@ -222,7 +224,7 @@
             if req.pre_vote == self.pre_vote:
                 if not stops:
                     self.began = self.cluster.clock.now()
-                    stops.append((sender, await self.hand_over(sender)))
+                    stops.append((sender, await self.transfer_leadership(sender)))
                 await asyncio.sleep(0)
                 if not self.pre_vote:
                     raise ConnectionError("planted")
--- a/wigeonscale/replication/tests/test_links.py
+++ b/wigeonscale/replication/tests/test_transport.py
@@ -7,7 +7,7 @@
 from wigeonscale.ports import SystemClock
 from wigeonscale.replication import (
     DiskFolder,
-    GrpcLinks,
+    GrpcTransport,
     Member,
     Replica,
     ReplicationServicer,
@@ -102,7 +102,7 @@
                 voters=members,
                 folder=DiskFolder(path=f"{self.root}/{name}"),
                 machine=self.machines[name],
-                links=GrpcLinks(),
+                transport=GrpcTransport(),
                 clock=SystemClock(),
                 rng=random.Random(seed),
             )
@@ -152,9 +152,9 @@
     async def test_request_to_campaign_is_answered(self):
         async with asyncio.timeout(LIMIT_S):
             await self.propose(b"1")
-            link = GrpcLinks().connect(self.addresses["a"])
-            self.addCleanup(link.reset)
-            reply = await link.campaign(wire.CampaignRequest(leader_id="x", term=99))
+            client = GrpcTransport().connect(self.addresses["a"])
+            self.addCleanup(client.reset)
+            reply = await client.campaign(wire.CampaignRequest(leader_id="x", term=99))
             self.assertEqual(("a", False), (reply.node_id, reply.won))
 
     async def test_silent_connections_are_replaced(self):
--- a/wigeonscale/replication/transfer.py
+++ b/wigeonscale/replication/transfer.py
@@ -6,7 +6,7 @@
 the leader itself asked. After section 3.10 of the Raft dissertation (Ongaro, 2014).
 """
 
-__all__ = ["handle_campaign", "hand_over"]
+__all__ = ["handle_campaign", "transfer_leadership"]
 
 import logging
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 logger = logging.getLogger(__name__)
 
 
-async def hand_over(core: ReplicaState) -> bool:
+async def transfer_leadership(core: ReplicaState) -> bool:
     """Give up leading for good, to another voter where one can take over.
 
     Takes at most an election timeout; then this replica just steps down, and the
@@ -115,7 +115,7 @@
         last_index=core.storage.last_index,
         last_term=core.storage.last_term,
     )
-    call = peer.link.campaign(req)
+    call = peer.client.campaign(req)
     try:
         reply = await within(core.clock, core.append_timeout_s, call)
     except (TimeoutError, ConnectionError) as exc:
--- a/wigeonscale/replication/links.py
+++ b/wigeonscale/replication/transport.py
@@ -1,6 +1,6 @@
 """The port to the other replicas, and its adapter for gRPC."""
 
-__all__ = ["GrpcLinks", "Link", "Links", "ReplicationServicer"]
+__all__ = ["GrpcTransport", "PeerClient", "ReplicationServicer", "Transport"]
 
 import asyncio
 import logging
@@ -19,7 +19,7 @@
 Reply = TypeVar("Reply")
 
 
-class Link(Protocol):
+class PeerClient(Protocol):
     """A link to one peer. Each call may hang; the caller limits it."""
 
     async def append(self, req: wire.AppendRequest) -> wire.AppendReply:
@@ -47,14 +47,14 @@
         """Drop the connection; the next call makes a new one."""
 
 
-class Links(Protocol):
+class Transport(Protocol):
     """Makes links."""
 
-    def connect(self, address: str) -> Link:
+    def connect(self, address: str) -> PeerClient:
         """Return a link to the replica at ip:port; it connects on first use."""
 
 
-class GrpcLinks:
+class GrpcTransport:
     """Links over gRPC.
 
     Args:
@@ -64,12 +64,12 @@
     def __init__(self, *, channel: Callable[[str], grpc.aio.Channel] = open_channel):
         self._open_channel = channel
 
-    def connect(self, address: str) -> Link:
+    def connect(self, address: str) -> PeerClient:
         """Return a link to the replica at ip:port; it connects on first use."""
-        return GrpcLink(address=address, channel=self._open_channel)
+        return GrpcPeerClient(address=address, channel=self._open_channel)
 
 
-class GrpcLink:
+class GrpcPeerClient:
     """One Append stream, and calls for votes beside it.
 
     Args:
--- a/wigeonscale/testing/matrix/nodes.py
+++ b/wigeonscale/testing/matrix/nodes.py
@@ -17,7 +17,7 @@
 from wigeonscale.entry import CallerServer
 from wigeonscale.membership import Change, ControlClient
 from wigeonscale.ports import Engine, SystemClock
-from wigeonscale.replication import GrpcLinks
+from wigeonscale.replication import GrpcTransport
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
@@ -64,7 +64,7 @@
         self.daemon = ControlDaemon(
             cfg=self.cfg,
             clock=SystemClock(),
-            links=GrpcLinks(channel=lambda address: open_channel(view[address])),
+            links=GrpcTransport(channel=lambda address: open_channel(view[address])),
             addresses=list(view.values()),
         )
         await self.daemon.start()
