--- a/wigeonscale/replication/commit.py
+++ b/wigeonscale/replication/commit.py
@@ -8,10 +8,10 @@
 
 __all__ = [
     "advance_commit",
-    "advance_round",
+    "update_lease",
     "append_as_leader",
     "apply_up_to",
-    "require_majority",
+    "check_can_propose",
     "run_sync",
 ]
 
@@ -20,17 +20,17 @@
 
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.replication.model import EntryKind, NotLeaderError, Role
-from wigeonscale.replication.preparation import is_in_preparation
+from wigeonscale.replication.preparation import prepare_if_needed
 from wigeonscale.replication.state import ReplicaState
 from wigeonscale.replication.voters import majority_value
 from wigeonscale.wire import wire_pb2 as wire
 
-MAX_WAITING = 4096  # proposals without an outcome
+MAX_PENDING_PROPOSALS = 4096  # proposals without an outcome
 
 logger = logging.getLogger(__name__)
 
 
-def require_majority(core: ReplicaState) -> None:
+def check_can_propose(state: ReplicaState) -> None:
     """Refuse a proposal that this replica could not commit.
 
     Raises:
@@ -38,54 +38,55 @@
         WigeonscaleError: ``NO_QUORUM`` with run state ``NOT_RUN`` when no majority
             answered lately, ``OVERLOADED`` when too many proposals wait.
     """
-    if not core.leading or core.leaving:
-        leader = "" if core.leading else core.leader_address
-        raise NotLeaderError(node_id=core.node_id, leader=leader)
-    advance_round(core)
-    silence = core.clock.now() - core.majority_at
-    if silence > core.options.election_timeout_s / 2:
+    if not state.leading or state.stopping:
+        leader = "" if state.leading else state.leader_address
+        raise NotLeaderError(node_id=state.node_id, leader=leader)
+    update_lease(state)
+    silence = state.clock.now() - state.majority_acked_at
+    if silence > state.options.election_timeout_s / 2:
         raise WigeonscaleError(
             ErrorKind.NO_QUORUM,
-            f"no majority has answered {core.node_id} for {silence:.3f} s",
+            f"no majority has answered {state.node_id} for {silence:.3f} s",
             run_state=RunState.NOT_RUN,
-            retry_after=core.options.election_timeout_s,
+            retry_after=state.options.election_timeout_s,
         )
-    if len(core.proposals) >= MAX_WAITING:
+    if len(state.proposals) >= MAX_PENDING_PROPOSALS:
         raise WigeonscaleError(
             ErrorKind.OVERLOADED,
-            f"{len(core.proposals)} proposals wait, at most {MAX_WAITING} may",
-            retry_after=core.options.election_timeout_s,
+            f"{len(state.proposals)} proposals wait, at most {MAX_PENDING_PROPOSALS}"
+            " may",
+            retry_after=state.options.election_timeout_s,
         )
 
 
-def append_as_leader(core: ReplicaState, kind: EntryKind, data: bytes) -> int:
+def append_as_leader(state: ReplicaState, kind: EntryKind, data: bytes) -> int:
     """Append one entry in memory and let it be synced and sent.
 
     Returns:
         Index of the entry.
     """
-    index = core.storage.last_index + 1
-    entry = wire.LogEntry(index=index, term=core.term, kind=kind, data=data)
-    core.storage.append([entry])
-    core.note_members([entry])
-    core.unsynced.set()
-    if not core.options.sync_before_send:
-        core.wake_peers()
+    index = state.storage.last_index + 1
+    entry = wire.LogEntry(index=index, term=state.term, kind=kind, data=data)
+    state.storage.append([entry])
+    state.add_member_changes([entry])
+    state.sync_requested.set()
+    if not state.options.sync_before_send:
+        state.wake_peers()
     return index
 
 
-async def run_sync(core: ReplicaState) -> None:
+async def run_sync(state: ReplicaState) -> None:
     """Sync what this replica appends as leader; runs beside replication."""
     while True:
-        await core.unsynced.wait()
-        core.unsynced.clear()
-        await core.storage.sync()
-        if core.leading:
-            advance_commit(core)
-            core.wake_peers()
+        await state.sync_requested.wait()
+        state.sync_requested.clear()
+        await state.storage.sync()
+        if state.leading:
+            advance_commit(state)
+            state.wake_peers()
 
 
-def advance_commit(core: ReplicaState) -> None:
+def advance_commit(state: ReplicaState) -> None:
     """Commit and apply what a majority has made durable.
 
     Notes:
@@ -93,69 +94,71 @@
         committed by them.
     """
 
-    def durable_at(node_id: str) -> int:
-        if node_id == core.node_id:
-            return core.storage.synced_index
-        peer = core.peers.get(node_id)
+    def durable_index(node_id: str) -> int:
+        if node_id == state.node_id:
+            return state.storage.synced_index
+        peer = state.peers.get(node_id)
         return peer.match_index if peer and peer.admitted else 0
 
-    core.progress.set()
-    index = int(majority_value(core.members, durable_at))
-    if index <= core.commit_index or core.storage.term_at(index) != core.term:
+    state.progress.set()
+    index = int(majority_value(state.members, durable_index))
+    if index <= state.commit_index or state.storage.term_at(index) != state.term:
         return
-    apply_up_to(core, index)
-    core.wake_peers()
-    if all(member.node_id != core.node_id for member in core.member_log.at(index)):
-        logger.info("replica %s was removed and steps down", core.node_id)
-        core.role = Role.FOLLOWER
-        core.proposals.fail_all(f"replica {core.node_id} was removed")
+    apply_up_to(state, index)
+    state.wake_peers()
+    if all(member.node_id != state.node_id for member in state.member_log.at(index)):
+        logger.info("replica %s was removed and steps down", state.node_id)
+        state.role = Role.FOLLOWER
+        state.proposals.fail_all(f"replica {state.node_id} was removed")
 
 
-def advance_round(core: ReplicaState) -> None:
+def update_lease(state: ReplicaState) -> None:
     """Note the newest instant at which a majority still followed this leader."""
 
-    def followed_at(node_id: str) -> float:
-        if node_id == core.node_id:
-            return core.clock.now()
-        peer = core.peers.get(node_id)
+    def last_acked_at(node_id: str) -> float:
+        if node_id == state.node_id:
+            return state.clock.now()
+        peer = state.peers.get(node_id)
         return peer.acked_at if peer and peer.admitted else -math.inf
 
-    core.majority_at = max(core.majority_at, majority_value(core.members, followed_at))
+    state.majority_acked_at = max(
+        state.majority_acked_at, majority_value(state.members, last_acked_at)
+    )
     # Before its first own commit a leader may not know all that was committed.
-    all_applied = core.applied_index == core.commit_index
-    if all_applied and core.applied_index >= core.term_start_index:
-        core.note_fresh(core.majority_at)
+    all_applied = state.applied_index == state.commit_index
+    if all_applied and state.applied_index >= state.term_start_index:
+        state.advance_fresh_at(state.majority_acked_at)
 
 
-def apply_up_to(core: ReplicaState, commit_index: int) -> None:
+def apply_up_to(state: ReplicaState, commit_index: int) -> None:
     """Advance the commit index and apply what it covers.
 
     An entry that is prepared in a thread first holds up those after it; they are
     applied when it is done.
     """
-    core.commit_index = max(core.commit_index, commit_index)
-    before = core.applied_index
-    while core.applied_index < core.commit_index:
-        entry = core.storage.entry(core.applied_index + 1)
-        if is_in_preparation(core, entry, lambda: apply_up_to(core, 0)):
+    state.commit_index = max(state.commit_index, commit_index)
+    before = state.applied_index
+    while state.applied_index < state.commit_index:
+        entry = state.storage.entry(state.applied_index + 1)
+        if prepare_if_needed(state, entry, lambda: apply_up_to(state, 0)):
             break
-        result = _apply(core, entry)
-        core.applied_index = entry.index
-        core.applied_term = entry.term
-        core.proposals.answer(entry, result)
-    if core.applied_index > before:
-        core.progress.set()
-        _publish(core)
-    covered = core.storage.snapshot.index if core.storage.snapshot else 0
-    if core.applied_index - covered >= core.options.snapshot_entries:
-        core.snapshot_due.set()
-
-
-def _apply(core: ReplicaState, entry: wire.LogEntry) -> object:
+        result = _apply(state, entry)
+        state.applied_index = entry.index
+        state.applied_term = entry.term
+        state.proposals.resolve(entry, result)
+    if state.applied_index > before:
+        state.progress.set()
+        _notify_subscribers(state)
+    snapshot_index = state.storage.snapshot.index if state.storage.snapshot else 0
+    if state.applied_index - snapshot_index >= state.options.snapshot_entries:
+        state.snapshot_due.set()
+
+
+def _apply(state: ReplicaState, entry: wire.LogEntry) -> object:
     if entry.kind != EntryKind.COMMAND:
         return None
     try:
-        return core.machine.apply(entry.index, entry.term, entry.data)
+        return state.machine.apply(entry.index, entry.term, entry.data)
     except Exception as exc:
         # Every replica fails alike, so going on keeps them equal.
         logger.exception("entry %d could not be applied", entry.index)
@@ -166,8 +169,8 @@
         )
 
 
-def _publish(core: ReplicaState) -> None:
+def _notify_subscribers(state: ReplicaState) -> None:
     try:
-        core.on_applied.on_next(core.applied_index)
+        state.on_applied.on_next(state.applied_index)
     except Exception:
         logger.exception("a subscriber to applied entries failed")
--- a/wigeonscale/replication/echo.py
+++ b/wigeonscale/replication/echo.py
@@ -1,12 +1,12 @@
 """Times that a peer echoes, so that only the own clock is ever compared."""
 
-__all__ = ["MICROSECONDS", "EchoClock"]
+__all__ = ["MICROSECONDS_PER_S", "EchoClock"]
 
 import random
 
 from wigeonscale.ports import Clock
 
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_S = 1_000_000
 OFFSET_BITS = 52
 
 
@@ -28,10 +28,10 @@
 
     def now(self) -> int:
         """Return the reading to send, in microseconds."""
-        return self._offset + int(self._clock.now() * MICROSECONDS)
+        return self._offset + int(self._clock.now() * MICROSECONDS_PER_S)
 
-    def time_of(self, echo_us: int) -> float | None:
+    def local_time_of(self, echo_us: int) -> float | None:
         """Return the local time of an echoed reading, or None when it is not ours."""
         if not self._started_us <= echo_us <= self.now():
             return None
-        return (echo_us - self._offset) / MICROSECONDS
+        return (echo_us - self._offset) / MICROSECONDS_PER_S
--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -16,63 +16,65 @@
 from dataclasses import replace
 
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.replication.commit import advance_round, append_as_leader
+from wigeonscale.replication.commit import append_as_leader, update_lease
 from wigeonscale.replication.files import Admission
 from wigeonscale.replication.model import EntryKind, Role
 from wigeonscale.replication.state import PeerState, ReplicaState
 from wigeonscale.replication.voters import quorum_size
-from wigeonscale.replication.waiting import run_to_end, within
+from wigeonscale.replication.waiting import run_shielded, with_timeout
 from wigeonscale.wire import wire_pb2 as wire
 
-JITTER = 0.5  # share of the election timeout added at random
+JITTER_SHARE = 0.5  # share of the election timeout added at random
 MAX_TERM = 1 << 53
-RETRY_SHARE = 0.25  # of the election timeout, between two tries without a winner
+RETRY_TIMEOUT_SHARE = (
+    0.25  # of the election timeout, between two tries without a winner
+)
 
 logger = logging.getLogger(__name__)
 
 
-async def run_elections(core: ReplicaState) -> None:
+async def run_elections(state: ReplicaState) -> None:
     """Campaign when no leader is heard; step down when no majority is."""
-    timeout = _draw(core, core.options.election_timeout_s)
+    timeout = _add_jitter(state, state.options.election_timeout_s)
     while True:
-        if core.leading:
-            await _check_lease(core)
-            await core.clock.sleep(core.options.heartbeat_s)
+        if state.leading:
+            await _check_lease(state)
+            await state.clock.sleep(state.options.heartbeat_s)
             continue
-        left = core.timer_from + timeout - core.clock.now()
-        if left > 0 or not core.may_campaign:
-            await core.clock.sleep(max(left, core.options.heartbeat_s))
+        left = state.election_timer_start + timeout - state.clock.now()
+        if left > 0 or not state.may_campaign:
+            await state.clock.sleep(max(left, state.options.heartbeat_s))
             continue
-        await _campaign(core)
-        core.timer_from = core.clock.now()
-        retry_s = core.options.election_timeout_s * RETRY_SHARE
-        timeout = _draw(core, core.options.election_timeout_s)
-        if not core.leading and not core.heard_leader_lately:
-            timeout = _draw(core, retry_s)
+        await _campaign(state)
+        state.election_timer_start = state.clock.now()
+        retry_s = state.options.election_timeout_s * RETRY_TIMEOUT_SHARE
+        timeout = _add_jitter(state, state.options.election_timeout_s)
+        if not state.leading and not state.heard_leader_recently:
+            timeout = _add_jitter(state, retry_s)
 
 
-async def adopt_term(core: ReplicaState, term: int) -> None:
+async def adopt_term(state: ReplicaState, term: int) -> None:
     """Follow a higher term; the caller holds the lock."""
-    if term <= core.term:
+    if term <= state.term:
         return
-    step_down(core, f"term {term} began")
-    await core.storage.save_vote(replace(core.storage.vote, term=term, voted_for=""))
+    step_down(state, f"term {term} began")
+    await state.storage.save_vote(replace(state.storage.vote, term=term, voted_for=""))
 
 
-async def adopt_term_of_reply(core: ReplicaState, term: int) -> None:
+async def adopt_term_of_reply(state: ReplicaState, term: int) -> None:
     """Follow the term of a peer's reply when it is higher.
 
     Notes:
         Goes on when the caller is cancelled: the lock must be held until the term
         is durable, or another task would begin from the term before.
     """
-    if core.term < term <= MAX_TERM:
-        await run_to_end(core.running, _adopt_with_lock(core, term))
+    if state.term < term <= MAX_TERM:
+        await run_shielded(state.shielded_tasks, _lock_and_adopt_term(state, term))
 
 
-async def _adopt_with_lock(core: ReplicaState, term: int) -> None:
-    async with core.lock:
-        await adopt_term(core, term)
+async def _lock_and_adopt_term(state: ReplicaState, term: int) -> None:
+    async with state.lock:
+        await adopt_term(state, term)
 
 
 def check_term(term: int) -> None:
@@ -87,157 +89,161 @@
         )
 
 
-def step_down(core: ReplicaState, reason: str) -> None:
+def step_down(state: ReplicaState, reason: str) -> None:
     """Stop leading or campaigning, at once."""
-    if core.role is Role.FOLLOWER:
+    if state.role is Role.FOLLOWER:
         return
-    logger.info("replica %s steps down: %s", core.node_id, reason)
-    core.role = Role.FOLLOWER
-    core.leader_id = ""
-    core.leader_address = ""
-    core.timer_from = core.clock.now()
-    core.proposals.fail_all(f"replica {core.node_id} stopped leading: {reason}")
-    core.progress.set()
+    logger.info("replica %s steps down: %s", state.node_id, reason)
+    state.role = Role.FOLLOWER
+    state.leader_id = ""
+    state.leader_address = ""
+    state.election_timer_start = state.clock.now()
+    state.proposals.fail_all(f"replica {state.node_id} stopped leading: {reason}")
+    state.progress.set()
 
 
-async def handle_vote(core: ReplicaState, req: wire.VoteRequest) -> wire.VoteReply:
+async def handle_vote(state: ReplicaState, req: wire.VoteRequest) -> wire.VoteReply:
     """Answer a candidate, or a replica that asks whether the log ever began."""
     check_term(req.term)
-    async with core.lock:
-        if req.node_id in core.peers:
-            core.peers[req.node_id].heard_at = core.clock.now()
-        granted = await _grant(core, req)
+    async with state.lock:
+        if req.node_id in state.peers:
+            state.peers[req.node_id].heard_at = state.clock.now()
+        granted = await _decide_vote(state, req)
         return wire.VoteReply(
-            node_id=core.node_id,
-            term=core.term,
+            node_id=state.node_id,
+            term=state.term,
             granted=granted,
-            had_log=_had_log(core),
+            had_log=_had_log(state),
         )
 
 
-async def _grant(core: ReplicaState, req: wire.VoteRequest) -> bool:
-    if not core.may_vote:
+async def _decide_vote(state: ReplicaState, req: wire.VoteRequest) -> bool:
+    if not state.may_vote:
         return False
     # A leader in reach is not unseated, neither by a returning replica nor by one
     # that was removed, unless it asked for that itself.
-    if core.heard_leader_lately and not req.transfer:
+    if state.heard_leader_recently and not req.transfer:
         return False
     if req.pre_vote:
-        return req.term > core.term and _is_up_to_date(core, req)
-    await adopt_term(core, req.term)
-    vote = core.storage.vote
-    if req.term < vote.term or not _is_up_to_date(core, req):
+        return req.term > state.term and _is_up_to_date(state, req)
+    await adopt_term(state, req.term)
+    vote = state.storage.vote
+    if req.term < vote.term or not _is_up_to_date(state, req):
         return False
     if vote.voted_for not in ("", req.node_id):
         return False
     if vote.voted_for == "":
-        await core.storage.save_vote(replace(vote, voted_for=req.node_id))
-    core.timer_from = core.clock.now()
+        await state.storage.save_vote(replace(vote, voted_for=req.node_id))
+    state.election_timer_start = state.clock.now()
     return True
 
 
-def _is_up_to_date(core: ReplicaState, req: wire.VoteRequest) -> bool:
-    storage = core.storage
+def _is_up_to_date(state: ReplicaState, req: wire.VoteRequest) -> bool:
+    storage = state.storage
     theirs = (req.last_term, req.last_index)
     return theirs >= (storage.last_term, storage.last_index)
 
 
-def _had_log(core: ReplicaState) -> bool:
-    awaiting = core.storage.vote.admission is Admission.AWAITING
-    return awaiting or core.storage.last_index > 0
+def _had_log(state: ReplicaState) -> bool:
+    awaiting = state.storage.vote.admission is Admission.AWAITING
+    return awaiting or state.storage.last_index > 0
 
 
-async def _check_lease(core: ReplicaState) -> None:
-    advance_round(core)
-    silence = core.clock.now() - core.majority_at
-    if silence > core.options.election_timeout_s:
-        step_down(core, f"no majority answered for {silence:.3f} s")
+async def _check_lease(state: ReplicaState) -> None:
+    update_lease(state)
+    silence = state.clock.now() - state.majority_acked_at
+    if silence > state.options.election_timeout_s:
+        step_down(state, f"no majority answered for {silence:.3f} s")
 
 
-async def _campaign(core: ReplicaState) -> None:
-    timer_from = core.timer_from
-    term = core.term + 1
-    core.leader_id = ""
-    core.leader_address = ""
-    if not await _gather_votes(core, _vote_request(core, term, pre_vote=True)):
+async def _campaign(state: ReplicaState) -> None:
+    election_timer_start = state.election_timer_start
+    term = state.term + 1
+    state.leader_id = ""
+    state.leader_address = ""
+    if not await _gather_votes(state, _vote_request(state, term, pre_vote=True)):
         return
-    async with core.lock:
+    async with state.lock:
         # A leader was heard, or a vote given, since this began; or it stops.
-        began_anew = core.timer_from != timer_from or core.term + 1 != term
-        if began_anew or not core.may_campaign:
+        superseded = (
+            state.election_timer_start != election_timer_start or state.term + 1 != term
+        )
+        if superseded or not state.may_campaign:
             return
-        await begin_candidacy(core)
-    await run_candidacy(core, term)
+        await begin_candidacy(state)
+    await run_candidacy(state, term)
 
 
-async def begin_candidacy(core: ReplicaState) -> None:
+async def begin_candidacy(state: ReplicaState) -> None:
     """Begin the next term with the own vote; holds the lock."""
-    core.role = Role.CANDIDATE
-    vote = core.storage.vote
-    await core.storage.save_vote(
-        replace(vote, term=vote.term + 1, voted_for=core.node_id)
+    state.role = Role.CANDIDATE
+    vote = state.storage.vote
+    await state.storage.save_vote(
+        replace(vote, term=vote.term + 1, voted_for=state.node_id)
     )
 
 
 async def run_candidacy(
-    core: ReplicaState, term: int, *, transfer: bool = False
+    state: ReplicaState, term: int, *, transfer: bool = False
 ) -> bool:
     """Ask for votes and lead if a majority grants its own.
 
     Args:
-        core: State of the candidate.
+        state: State of the candidate.
         term: Term that its candidacy began.
         transfer: Whether the leader of the term before asked for it.
 
     Returns:
         Whether this replica leads the term.
     """
-    asked_at = core.clock.now()
-    req = _vote_request(core, term, transfer=transfer)
-    won = await _gather_votes(core, req)
-    async with core.lock:
-        if core.role is not Role.CANDIDATE or core.term != term:
+    requested_at = state.clock.now()
+    req = _vote_request(state, term, transfer=transfer)
+    won = await _gather_votes(state, req)
+    async with state.lock:
+        if state.role is not Role.CANDIDATE or state.term != term:
             return False
-        core.role = Role.FOLLOWER
+        state.role = Role.FOLLOWER
         if won:
-            _begin_leading(core, asked_at)
-        core.progress.set()
+            _become_leader(state, requested_at)
+        state.progress.set()
     return won
 
 
-def _begin_leading(core: ReplicaState, asked_at: float) -> None:
-    logger.info("replica %s leads term %d", core.node_id, core.term)
-    core.role = Role.LEADER
-    core.leader_id = core.node_id
-    core.leader_address = core.address
-    core.majority_at = asked_at
-    for peer in core.peers.values():
-        peer.begin_term(last_index=core.storage.last_index)
-    core.term_start_index = core.storage.last_index + 1
-    append_as_leader(core, EntryKind.NO_OP, b"")
+def _become_leader(state: ReplicaState, requested_at: float) -> None:
+    logger.info("replica %s leads term %d", state.node_id, state.term)
+    state.role = Role.LEADER
+    state.leader_id = state.node_id
+    state.leader_address = state.address
+    state.majority_acked_at = requested_at
+    for peer in state.peers.values():
+        peer.reset_progress(last_index=state.storage.last_index)
+    state.term_start_index = state.storage.last_index + 1
+    append_as_leader(state, EntryKind.NO_OP, b"")
 
 
 def _vote_request(
-    core: ReplicaState, term: int, *, pre_vote: bool = False, transfer: bool = False
+    state: ReplicaState, term: int, *, pre_vote: bool = False, transfer: bool = False
 ) -> wire.VoteRequest:
     return wire.VoteRequest(
-        node_id=core.node_id,
+        node_id=state.node_id,
         term=term,
-        last_index=core.storage.last_index,
-        last_term=core.storage.last_term,
+        last_index=state.storage.last_index,
+        last_term=state.storage.last_term,
         pre_vote=pre_vote,
         transfer=transfer,
     )
 
 
-async def _gather_votes(core: ReplicaState, req: wire.VoteRequest) -> bool:
+async def _gather_votes(state: ReplicaState, req: wire.VoteRequest) -> bool:
     """Return whether a majority, this replica included, grants its vote."""
-    members = core.members
-    if all(m.node_id != core.node_id or not m.voting for m in members):
+    members = state.members
+    if all(m.node_id != state.node_id or not m.voting for m in members):
         return False
     missing = quorum_size(members) - 1
-    voters = [peer for peer in core.peers.values() if peer.member.voting]
-    tasks = {asyncio.create_task(_ask(core, peer, req)) for peer in voters}
+    voters = [peer for peer in state.peers.values() if peer.member.voting]
+    tasks = {
+        asyncio.create_task(_send_vote_request(state, peer, req)) for peer in voters
+    }
     pending = tasks
     try:
         while 0 < missing <= len(pending):
@@ -252,16 +258,20 @@
     return missing <= 0
 
 
-async def _ask(core: ReplicaState, peer: PeerState, req: wire.VoteRequest) -> bool:
+async def _send_vote_request(
+    state: ReplicaState, peer: PeerState, req: wire.VoteRequest
+) -> bool:
     try:
-        reply = await within(core.clock, core.append_timeout_s, peer.client.vote(req))
+        reply = await with_timeout(
+            state.clock, state.append_timeout_s, peer.client.vote(req)
+        )
     except (TimeoutError, ConnectionError):
         await peer.client.reset()
         return False
-    peer.heard_at = core.clock.now()
-    await adopt_term_of_reply(core, reply.term)
+    peer.heard_at = state.clock.now()
+    await adopt_term_of_reply(state, reply.term)
     return reply.granted and (req.pre_vote or reply.term == req.term)
 
 
-def _draw(core: ReplicaState, seconds: float) -> float:
-    return seconds * (1 + JITTER * core.rng.random())
+def _add_jitter(state: ReplicaState, seconds: float) -> float:
+    return seconds * (1 + JITTER_SHARE * state.rng.random())
--- a/wigeonscale/replication/files.py
+++ b/wigeonscale/replication/files.py
@@ -23,7 +23,7 @@
 from wigeonscale.replication.folder import Folder
 from wigeonscale.replication.model import EntryKind, Member
 from wigeonscale.replication.records import (
-    Fault,
+    ScanFault,
     decode_single,
     encode_record,
     scan_records,
@@ -91,7 +91,7 @@
     entries: list[wire.LogEntry] = field(default_factory=list)
     damage: str = ""
 
-    def note_damage(self, text: str) -> None:
+    def add_damage(self, text: str) -> None:
         """Add one finding to :attr:`damage`."""
         self.damage = f"{self.damage}; {text}" if self.damage else text
 
@@ -129,20 +129,20 @@
         return None
     loaded = LoadedFiles(vote=_decode_vote(vote_file))
     if loaded.vote is None:
-        loaded.note_damage(f"{VOTE_NAME}: {_missing_or_broken(vote_file)}")
+        loaded.add_damage(f"{VOTE_NAME}: {_describe_damage(vote_file)}")
     elif loaded.vote.admission is Admission.NEW:
         return None
     if snapshot_file is not None:
         _load_snapshot(loaded, snapshot_file)
     _load_log(loaded, log_file)
-    _join_snapshot(loaded)
+    _reconcile_snapshot(loaded)
     return loaded
 
 
 def _load_snapshot(loaded: LoadedFiles, data: bytes) -> None:
     snapshot = _decode_snapshot(data)
     if snapshot is None:
-        loaded.note_damage(f"{SNAPSHOT_NAME}: {_missing_or_broken(data)}")
+        loaded.add_damage(f"{SNAPSHOT_NAME}: {_describe_damage(data)}")
     elif snapshot.index > 0:
         loaded.snapshot = snapshot
 
@@ -151,22 +151,22 @@
     scan = scan_records(data or b"")
     entries = _decode_entries(scan.payloads)
     if not entries:
-        loaded.note_damage(f"{LOG_NAME}: {_missing_or_broken(data)}")
+        loaded.add_damage(f"{LOG_NAME}: {_describe_damage(data)}")
         return
     base, *loaded.entries = entries
     loaded.base_index = base.index
     loaded.base_term = base.term
-    if scan.fault is Fault.CORRUPT or len(entries) < len(scan.payloads):
+    if scan.fault is ScanFault.CORRUPT or len(entries) < len(scan.payloads):
         at = entries[-1].index + 1
-        offset = (*scan.offsets, scan.good_bytes)[len(entries)]
-        loaded.note_damage(f"{LOG_NAME}: entry {at} at byte {offset} is corrupt")
+        offset = (*scan.offsets, scan.valid_bytes)[len(entries)]
+        loaded.add_damage(f"{LOG_NAME}: entry {at} at byte {offset} is corrupt")
 
 
-def _join_snapshot(loaded: LoadedFiles) -> None:
+def _reconcile_snapshot(loaded: LoadedFiles) -> None:
     """Make log and snapshot meet; a crash between their two writes is no damage."""
     snapshot = loaded.snapshot or Snapshot()
     if loaded.base_index > snapshot.index:
-        loaded.note_damage(
+        loaded.add_damage(
             f"{LOG_NAME}: begins after entry {loaded.base_index}, but the snapshot"
             f" ends at entry {snapshot.index}"
         )
@@ -186,7 +186,7 @@
     return loaded.entries[position - 1].term
 
 
-def _missing_or_broken(data: bytes | None) -> str:
+def _describe_damage(data: bytes | None) -> str:
     return "missing" if data is None else "checksum does not match"
 
 
--- a/wigeonscale/replication/folder.py
+++ b/wigeonscale/replication/folder.py
@@ -16,9 +16,9 @@
 
 LOCK_NAME = "lock"
 TEMPORARY_SUFFIX = ".new"
-FULL_ERRORS = frozenset({errno.ENOSPC, errno.EDQUOT})
+DISK_FULL_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT})
 # Room comes back when somebody makes some; an attempt costs one refused write.
-FULL_RETRY_S = 0.25
+DISK_FULL_RETRY_S = 0.25
 
 logger = logging.getLogger(__name__)
 
@@ -73,24 +73,24 @@
     def read(self, name: str) -> bytes | None:
         """Return the content of a file, or None when there is none."""
         try:
-            with self._naming(name):
+            with self._set_error_filename(name):
                 return (self._path / name).read_bytes()
         except FileNotFoundError:
             return None
 
     async def append(self, name: str, data: bytes) -> None:
         """Add ``data`` at the end of a file and sync it."""
-        with self._naming(name):
-            await self._until_room(self._append, name, data)
+        with self._set_error_filename(name):
+            await self._retry_while_full(self._append, name, data)
 
     async def replace(self, name: str, data: bytes) -> None:
         """Put a whole file in place by a synced temporary file and a rename."""
-        with self._naming(name):
-            await self._until_room(self._replace, name, data)
+        with self._set_error_filename(name):
+            await self._retry_while_full(self._replace, name, data)
 
     async def truncate(self, name: str, size: int) -> None:
         """Cut a file to ``size`` bytes and sync it."""
-        with self._naming(name):
+        with self._set_error_filename(name):
             await asyncio.to_thread(self._truncate, name, size)
 
     def close(self) -> None:
@@ -102,7 +102,7 @@
             os.close(self._lock_fd)
             self._lock_fd = -1
 
-    async def _until_room(
+    async def _retry_while_full(
         self, write: Callable[[str, bytes], None], name: str, data: bytes
     ) -> None:
         """Write in a thread, waiting while the disk is full.
@@ -115,19 +115,19 @@
             try:
                 await asyncio.to_thread(write, name, data)
             except OSError as exc:
-                if exc.errno not in FULL_ERRORS:
+                if exc.errno not in DISK_FULL_ERRNOS:
                     raise
                 if not was_full:
                     logger.error("%s waits: the disk is full: %s", name, exc)
                 was_full = True
-                await asyncio.sleep(FULL_RETRY_S)
+                await asyncio.sleep(DISK_FULL_RETRY_S)
             else:
                 if was_full:
                     logger.warning("%s is written: the disk has room again", name)
                 return
 
     @contextlib.contextmanager
-    def _naming(self, name: str) -> Iterator[None]:
+    def _set_error_filename(self, name: str) -> Iterator[None]:
         try:
             yield
         except OSError as exc:
@@ -153,7 +153,7 @@
             os.fsync(fd)
         finally:
             os.close(fd)
-        self._forget(name)
+        self._close_file(name)
         os.replace(temporary, self._path / name)
         self._sync_directory()
 
@@ -169,7 +169,7 @@
             self._sync_directory()
         return self._fds[name]
 
-    def _forget(self, name: str) -> None:
+    def _close_file(self, name: str) -> None:
         if name in self._fds:
             os.close(self._fds.pop(name))
 
--- a/wigeonscale/replication/proposals.py
+++ b/wigeonscale/replication/proposals.py
@@ -17,13 +17,13 @@
 
     def __init__(self, *, retry_after_s: float):
         self._retry_after_s = retry_after_s
-        self._waiting: dict[int, tuple[int, asyncio.Future]] = {}
+        self._pending: dict[int, tuple[int, asyncio.Future]] = {}
 
     def __len__(self) -> int:
         """Return how many wait."""
-        return len(self._waiting)
+        return len(self._pending)
 
-    async def outcome(self, index: int, term: int) -> object:
+    async def wait_for_result(self, index: int, term: int) -> object:
         """Wait for what became of an entry.
 
         Args:
@@ -37,12 +37,12 @@
             WigeonscaleError: The error that :meth:`answer` or :meth:`fail_all` gave.
         """
         fut = asyncio.get_running_loop().create_future()
-        self._waiting[index] = (term, fut)
+        self._pending[index] = (term, fut)
         return await fut
 
-    def answer(self, entry: wire.LogEntry, result: object) -> None:
+    def resolve(self, entry: wire.LogEntry, result: object) -> None:
         """Give the result of a committed entry to its proposer, if one waits."""
-        term, fut = self._waiting.pop(entry.index, (None, None))
+        term, fut = self._pending.pop(entry.index, (None, None))
         if fut is None or fut.done() or term != entry.term:
             return
         if isinstance(result, WigeonscaleError):
@@ -52,9 +52,9 @@
 
     def fail_all(self, message: str) -> None:
         """Tell every waiting proposer that its outcome is not known."""
-        waiting = [fut for _, fut in self._waiting.values()]
-        self._waiting.clear()
-        for fut in waiting:
+        pending = [fut for _, fut in self._pending.values()]
+        self._pending.clear()
+        for fut in pending:
             if not fut.done():
                 fut.set_exception(
                     WigeonscaleError(
--- a/wigeonscale/replication/records.py
+++ b/wigeonscale/replication/records.py
@@ -7,8 +7,8 @@
 
 __all__ = [
     "HEADER_BYTES",
-    "Fault",
-    "Scan",
+    "ScanFault",
+    "ScanResult",
     "decode_single",
     "encode_record",
     "scan_records",
@@ -19,12 +19,12 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-_LENGTHS = struct.Struct("<II")
-_CHECK = struct.Struct("<I")
-HEADER_BYTES = _LENGTHS.size + _CHECK.size
+_LENGTH_AND_CHECKSUM = struct.Struct("<II")
+_HEADER_CHECKSUM = struct.Struct("<I")
+HEADER_BYTES = _LENGTH_AND_CHECKSUM.size + _HEADER_CHECKSUM.size
 
 
-class Fault(StrEnum):
+class ScanFault(StrEnum):
     """Why the reading of a file of records ended early.
 
     Attributes:
@@ -39,29 +39,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scan:
+class ScanResult:
     """What was read from a file of records.
 
     Attributes:
         payloads: Payloads of the whole records, in order.
         offsets: Offset of each record in bytes.
-        good_bytes: Length of the part that holds whole records.
+        valid_bytes: Length of the part that holds whole records.
         fault: What follows that part.
     """
 
     payloads: tuple[bytes, ...]
     offsets: tuple[int, ...]
-    good_bytes: int
-    fault: Fault
+    valid_bytes: int
+    fault: ScanFault
 
 
 def encode_record(payload: bytes) -> bytes:
     """Return the record that holds ``payload``."""
-    lengths = _LENGTHS.pack(len(payload), zlib.crc32(payload))
-    return lengths + _CHECK.pack(zlib.crc32(lengths)) + payload
+    lengths = _LENGTH_AND_CHECKSUM.pack(len(payload), zlib.crc32(payload))
+    return lengths + _HEADER_CHECKSUM.pack(zlib.crc32(lengths)) + payload
 
 
-def scan_records(data: bytes) -> Scan:
+def scan_records(data: bytes) -> ScanResult:
     """Read records up to the end or the first fault.
 
     Notes:
@@ -74,16 +74,16 @@
     payloads = []
     offsets = []
     offset = 0
-    fault = Fault.NONE
+    fault = ScanFault.NONE
     while offset < len(data):
         payload = _payload_at(data, offset)
         if payload is None:
-            fault = Fault.TORN if _is_torn(data, offset) else Fault.CORRUPT
+            fault = ScanFault.TORN if _is_torn(data, offset) else ScanFault.CORRUPT
             break
         payloads.append(payload)
         offsets.append(offset)
         offset += HEADER_BYTES + len(payload)
-    return Scan(tuple(payloads), tuple(offsets), offset, fault)
+    return ScanResult(tuple(payloads), tuple(offsets), offset, fault)
 
 
 def decode_single(data: bytes) -> bytes | None:
@@ -109,11 +109,11 @@
 def _header_at(data: bytes, offset: int) -> tuple[int, int] | None:
     if offset + HEADER_BYTES > len(data):
         return None
-    lengths = data[offset : offset + _LENGTHS.size]
-    (check,) = _CHECK.unpack_from(data, offset + _LENGTHS.size)
+    lengths = data[offset : offset + _LENGTH_AND_CHECKSUM.size]
+    (check,) = _HEADER_CHECKSUM.unpack_from(data, offset + _LENGTH_AND_CHECKSUM.size)
     if zlib.crc32(lengths) != check:
         return None
-    return _LENGTHS.unpack(lengths)
+    return _LENGTH_AND_CHECKSUM.unpack(lengths)
 
 
 def _is_torn(data: bytes, offset: int) -> bool:
--- a/wigeonscale/replication/replica.py
+++ b/wigeonscale/replication/replica.py
@@ -13,15 +13,15 @@
 from wigeonscale.ports import Clock
 from wigeonscale.replication.admission import (
     append_members,
+    can_change_members,
     changed_members,
-    members_settled,
-    run_first_start,
+    run_bootstrap,
 )
 from wigeonscale.replication.commit import (
-    advance_round,
     append_as_leader,
-    require_majority,
+    check_can_propose,
     run_sync,
+    update_lease,
 )
 from wigeonscale.replication.election import handle_vote, run_elections, step_down
 from wigeonscale.replication.folder import Folder
@@ -41,14 +41,14 @@
 from wigeonscale.replication.storage import LogStorage
 from wigeonscale.replication.transfer import handle_campaign, transfer_leadership
 from wigeonscale.replication.transport import Transport
-from wigeonscale.replication.waiting import run_to_end
+from wigeonscale.replication.waiting import run_shielded
 from wigeonscale.wire import wire_pb2 as wire
 
 STORAGE_ID_BITS = 128
 # Share of the election timeout that a replica that just started does not wait. Where
 # all start at once nobody leads, and callers wait for an election; where others run, a
 # leader is heard or, by their answers to the vote asked for in advance, there is one.
-START_SHARE = 0.75
+STARTUP_TIMEOUT_REDUCTION = 0.75
 
 Handler = Callable[[ReplicaState, Message], Awaitable[Message]]
 
@@ -62,7 +62,7 @@
         voters: All replicas of the first start, this one included.
         folder: Data folder port, for example ``DiskFolder(path=...)``.
         machine: State machine that committed entries are applied to.
-        links: Way to the peers, for example ``GrpcTransport()``.
+        transport: Transport to the peers, for example ``GrpcTransport()``.
         clock: Clock port.
         options: Times and sizes.
         rng: Source of jitter and identities; tests pass a seeded one.
@@ -101,7 +101,7 @@
         allow_bootstrap: bool = True,
         shared: SharedState | None = None,
     ):
-        self._core = ReplicaState(
+        self._state = ReplicaState(
             node_id=node_id,
             address=address,
             voters=voters,
@@ -114,7 +114,7 @@
             allow_bootstrap=allow_bootstrap,
             shared=shared,
         )
-        self.on_applied = self._core.on_applied
+        self.on_applied = self._state.on_applied
         self._loaded = asyncio.Event()
         self._stopped = False
         self._failure: asyncio.Future | None = None
@@ -125,18 +125,18 @@
         Raises:
             OSError: The data folder failed; the replica has stopped.
         """
-        core = self._core
+        state = self._state
         self._failure = asyncio.get_running_loop().create_future()
         try:
             await self._load()
             async with asyncio.TaskGroup() as group:
-                core.start_peer = lambda peer: group.create_task(run_peer(core, peer))
-                core.update_peers()
+                state.start_peer = lambda peer: group.create_task(run_peer(state, peer))
+                state.update_peers()
                 self._loaded.set()
-                group.create_task(run_first_start(core))
-                group.create_task(run_elections(core))
-                group.create_task(run_sync(core))
-                group.create_task(run_snapshots(core))
+                group.create_task(run_bootstrap(state))
+                group.create_task(run_elections(state))
+                group.create_task(run_sync(state))
+                group.create_task(run_snapshots(state))
                 await self._failure
         except BaseExceptionGroup as exc:
             raise exc.exceptions[0] from exc
@@ -158,10 +158,10 @@
                 nothing was appended, else ``UNKNOWN``; ``OVERLOADED`` when too
                 many proposals wait.
         """
-        core = self._core
-        require_majority(core)
-        index = append_as_leader(core, EntryKind.COMMAND, data)
-        return await core.proposals.outcome(index, core.term)
+        state = self._state
+        check_can_propose(state)
+        index = append_as_leader(state, EntryKind.COMMAND, data)
+        return await state.proposals.wait_for_result(index, state.term)
 
     async def change_members(
         self, *, add: Member | None = None, remove: str | None = None
@@ -181,17 +181,19 @@
                 ``BAD_REQUEST`` for a change that cannot be made, or as
                 :meth:`propose`.
         """
-        core = self._core
-        require_majority(core)
-        if not members_settled(core):
+        state = self._state
+        check_can_propose(state)
+        if not can_change_members(state):
             raise WigeonscaleError(
                 ErrorKind.IN_PROGRESS,
-                f"the change of members at entry {core.member_log.index} is not"
+                f"the change of members at entry {state.member_log.index} is not"
                 " committed yet",
                 retry_after=1.0,
             )
-        members = changed_members(core.members, add=add, remove=remove)
-        await core.proposals.outcome(append_members(core, members), core.term)
+        members = changed_members(state.members, add=add, remove=remove)
+        await state.proposals.wait_for_result(
+            append_members(state, members), state.term
+        )
 
     async def transfer_leadership(self) -> bool:
         """Give up leading for good, before a planned stop.
@@ -203,53 +205,53 @@
         Returns:
             Whether another replica leads instead of this one.
         """
-        return await transfer_leadership(self._core)
+        return await transfer_leadership(self._state)
 
     # ------------------------------------------------------------- what is known
 
     @property
     def role(self) -> Role:
         """Part that this replica plays."""
-        return self._core.role
+        return self._state.role
 
     @property
     def term(self) -> int:
         """Highest term seen."""
-        return self._core.term
+        return self._state.term
 
     @property
     def leader_address(self) -> str:
         """Address of the leader as far as known, else empty."""
-        return self._core.leader_address
+        return self._state.leader_address
 
     @property
     def commit_index(self) -> int:
         """Index of the last entry known to be committed."""
-        return self._core.commit_index
+        return self._state.commit_index
 
     @property
     def applied_index(self) -> int:
         """Index of the last entry applied."""
-        return self._core.applied_index
+        return self._state.applied_index
 
     @property
     def applied_term(self) -> int:
         """Term of the last entry applied."""
-        return self._core.applied_term
+        return self._state.applied_term
 
     @property
     def may_vote(self) -> bool:
         """Whether this replica has a vote; false after a lost disk."""
-        return self._core.may_vote
+        return self._state.may_vote
 
     @property
     def syncs(self) -> int:
         """Syncs of log entries so far."""
-        return self._core.storage.syncs
+        return self._state.storage.syncs
 
     def last_position(self) -> tuple[int, int]:
         """Return (term, index) of the last entry, committed or not."""
-        storage = self._core.storage
+        storage = self._state.storage
         return storage.last_term, storage.last_index
 
     def fresh_at(self) -> float | None:
@@ -259,29 +261,29 @@
             A local instant of the clock port: every entry that was committed
             before it is applied here. None when nothing is known yet.
         """
-        if self._core.leading:
-            advance_round(self._core)
-        return self._core.fresh_at
+        if self._state.leading:
+            update_lease(self._state)
+        return self._state.fresh_at
 
     def members(self) -> tuple[Member, ...]:
         """Return the members by the latest change in the log."""
-        return self._core.members
+        return self._state.members
 
     @property
     def cluster_has_log(self) -> bool:
         """Whether this replica knows that its cluster ever had a log."""
-        return self._core.storage.last_index > 0 or self._core.may_vote
+        return self._state.storage.last_index > 0 or self._state.may_vote
 
     def seconds_since_leader_contact(self) -> float:
         """Return the seconds since a leader was heard; 0 while leading."""
-        if self._core.leading:
+        if self._state.leading:
             return 0.0
-        return self._core.clock.now() - self._core.leader_heard_at
+        return self._state.clock.now() - self._state.leader_heard_at
 
     def seconds_since_peer_contact(self, node_id: str) -> float:
         """Return the seconds since the last message of a peer; inf if none came."""
-        peer = self._core.peers.get(node_id)
-        return self._core.clock.now() - peer.heard_at if peer else math.inf
+        peer = self._state.peers.get(node_id)
+        return self._state.clock.now() - peer.heard_at if peer else math.inf
 
     # ------------------------------------------------------------- peers
 
@@ -301,45 +303,48 @@
         """Run a handler to its end, also when the peer's stream breaks."""
         if self._stopped:
             raise WigeonscaleError(
-                ErrorKind.STOPPING, f"replica {self._core.node_id} has stopped"
+                ErrorKind.STOPPING, f"replica {self._state.node_id} has stopped"
             )
-        return await run_to_end(self._core.running, self._when_loaded(handler, req))
+        return await run_shielded(
+            self._state.shielded_tasks, self._handle_when_loaded(handler, req)
+        )
 
-    async def _when_loaded(self, handler: Handler, req: Message) -> Message:
+    async def _handle_when_loaded(self, handler: Handler, req: Message) -> Message:
         await self._loaded.wait()
         try:
-            return await handler(self._core, req)
+            return await handler(self._state, req)
         except OSError as exc:
             if not self._failure.done():
                 self._failure.set_exception(exc)
             raise WigeonscaleError(
-                ErrorKind.INTERNAL, f"storage of {self._core.node_id} failed: {exc}"
+                ErrorKind.INTERNAL, f"storage of {self._state.node_id} failed: {exc}"
             ) from exc
 
     # ------------------------------------------------------------- inside
 
     async def _load(self) -> None:
-        core = self._core
-        await core.storage.load(f"{core.rng.getrandbits(STORAGE_ID_BITS):032x}")
-        snapshot = core.storage.snapshot
+        state = self._state
+        await state.storage.load(f"{state.rng.getrandbits(STORAGE_ID_BITS):032x}")
+        snapshot = state.storage.snapshot
         if snapshot is not None:
-            await restore_machine(core, snapshot.data)
-            core.commit_index = snapshot.index
-            core.applied_index = snapshot.index
-            core.applied_term = snapshot.term
-        core.load_members()
-        core.timer_from = (
-            core.clock.now() - START_SHARE * core.options.election_timeout_s
+            await restore_machine(state, snapshot.data)
+            state.commit_index = snapshot.index
+            state.applied_index = snapshot.index
+            state.applied_term = snapshot.term
+        state.load_members()
+        state.election_timer_start = (
+            state.clock.now()
+            - STARTUP_TIMEOUT_REDUCTION * state.options.election_timeout_s
         )
 
     async def _close(self) -> None:
-        core = self._core
+        state = self._state
         self._stopped = True
-        step_down(core, "it stops")
-        running = list(core.running)
-        for task in running:
+        step_down(state, "it stops")
+        tasks = list(state.shielded_tasks)
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*running, return_exceptions=True)
-        for peer in core.peers.values():
+        await asyncio.gather(*tasks, return_exceptions=True)
+        for peer in state.peers.values():
             await peer.client.reset()
-        await core.storage.close()
+        await state.storage.close()
--- a/wigeonscale/replication/snapshots.py
+++ b/wigeonscale/replication/snapshots.py
@@ -1,6 +1,6 @@
 """Snapshots: taken when due, sent in chunks, installed at a follower."""
 
-__all__ = ["next_chunk", "run_snapshots", "take_chunk"]
+__all__ = ["next_chunk", "run_snapshots", "receive_chunk"]
 
 import logging
 import zlib
@@ -11,48 +11,50 @@
 from wigeonscale.replication.voters import members_from_wire, members_to_wire
 from wigeonscale.wire import wire_pb2 as wire
 
-KEPT_SHARE = 4  # a quarter of a snapshot's entries stay for followers that lag
+RETAINED_DIVISOR = 4  # a quarter of a snapshot's entries stay for followers that lag
 CHUNK_BYTES = 256 * 1024
 
 logger = logging.getLogger(__name__)
 
 
-async def run_snapshots(core: ReplicaState) -> None:
+async def run_snapshots(state: ReplicaState) -> None:
     """Take a snapshot and drop old entries whenever one is due."""
     while True:
-        await core.snapshot_due.wait()
-        core.snapshot_due.clear()
-        async with core.lock:  # not while one of the leader is being installed
-            snapshot = _take_snapshot(core)
+        await state.snapshot_due.wait()
+        state.snapshot_due.clear()
+        async with state.lock:  # not while one of the leader is being installed
+            snapshot = _take_snapshot(state)
         if snapshot is not None:
-            kept = core.options.snapshot_entries // KEPT_SHARE
-            await core.storage.save_snapshot(snapshot, snapshot.index + 1 - kept)
+            retained = state.options.snapshot_entries // RETAINED_DIVISOR
+            await state.storage.save_snapshot(snapshot, snapshot.index + 1 - retained)
 
 
-def _take_snapshot(core: ReplicaState) -> Snapshot | None:
-    index = core.applied_index
+def _take_snapshot(state: ReplicaState) -> Snapshot | None:
+    index = state.applied_index
     try:
-        data = core.machine.snapshot()
+        data = state.machine.snapshot()
     except Exception:
         logger.exception("no snapshot could be taken at entry %d", index)
         return None
     return Snapshot(
         index=index,
-        term=core.applied_term,
-        members=core.member_log.at(index),
+        term=state.applied_term,
+        members=state.member_log.at(index),
         data=data,
     )
 
 
 def next_chunk(peer: PeerState) -> wire.SnapshotChunk:
     """Return the next chunk of the snapshot that is being sent to a peer."""
-    snapshot = peer.sending
-    data = snapshot.data[peer.sent_bytes : peer.sent_bytes + CHUNK_BYTES]
-    final = peer.sent_bytes + len(data) >= len(snapshot.data)
+    snapshot = peer.outgoing_snapshot
+    data = snapshot.data[
+        peer.snapshot_bytes_sent : peer.snapshot_bytes_sent + CHUNK_BYTES
+    ]
+    final = peer.snapshot_bytes_sent + len(data) >= len(snapshot.data)
     chunk = wire.SnapshotChunk(
         last_index=snapshot.index,
         last_term=snapshot.term,
-        offset=peer.sent_bytes,
+        offset=peer.snapshot_bytes_sent,
         data=data,
         final=final,
     )
@@ -62,47 +64,49 @@
     return chunk
 
 
-async def take_chunk(core: ReplicaState, chunk: wire.SnapshotChunk) -> tuple[bool, int]:
+async def receive_chunk(
+    state: ReplicaState, chunk: wire.SnapshotChunk
+) -> tuple[bool, int]:
     """Take one chunk of the leader's snapshot; install it with the last one.
 
     Args:
-        core: State of the follower.
+        state: State of the follower.
         chunk: The chunk.
 
     Returns:
         Whether to go on (else the leader begins anew), and the index up to which
         this replica now holds the leader's log; 0 while that is not known.
     """
-    if chunk.last_index <= core.commit_index:
+    if chunk.last_index <= state.commit_index:
         return True, chunk.last_index
-    data = _collect(core, chunk)
+    data = _append_chunk(state, chunk)
     if data is None:
         return False, 0
     if not chunk.final:
         return True, 0
-    core.incoming = None
+    state.incoming_snapshot = None
     if zlib.crc32(data) != chunk.crc:
         logger.warning("snapshot at entry %d came broken", chunk.last_index)
         return False, 0
-    await _install(core, chunk, bytes(data))
+    await _install(state, chunk, bytes(data))
     return True, chunk.last_index
 
 
-def _collect(core: ReplicaState, chunk: wire.SnapshotChunk) -> bytearray | None:
+def _append_chunk(state: ReplicaState, chunk: wire.SnapshotChunk) -> bytearray | None:
     """Return the bytes so far, or None when the chunk does not follow them."""
     position = (chunk.last_index, chunk.last_term)
     if chunk.offset == 0:
-        core.incoming = (*position, bytearray())
-    if core.incoming is None or core.incoming[:2] != position:
+        state.incoming_snapshot = (*position, bytearray())
+    if state.incoming_snapshot is None or state.incoming_snapshot[:2] != position:
         return None
-    data = core.incoming[2]
+    data = state.incoming_snapshot[2]
     if chunk.offset != len(data):
         return None
     data += chunk.data
     return data
 
 
-async def _install(core: ReplicaState, chunk: wire.SnapshotChunk, data: bytes) -> None:
+async def _install(state: ReplicaState, chunk: wire.SnapshotChunk, data: bytes) -> None:
     snapshot = Snapshot(
         index=chunk.last_index,
         term=chunk.last_term,
@@ -110,10 +114,10 @@
         data=data,
     )
     # Restored first: a state that cannot be read must not become durable.
-    await restore_machine(core, data)
-    core.commit_index = snapshot.index
-    core.applied_index = snapshot.index
-    core.applied_term = snapshot.term
-    await core.storage.save_snapshot(snapshot, snapshot.index + 1)
-    core.load_members()
-    core.on_applied.on_next(core.applied_index)
+    await restore_machine(state, data)
+    state.commit_index = snapshot.index
+    state.applied_index = snapshot.index
+    state.applied_term = snapshot.term
+    await state.storage.save_snapshot(snapshot, snapshot.index + 1)
+    state.load_members()
+    state.on_applied.on_next(state.applied_index)
--- a/wigeonscale/replication/state.py
+++ b/wigeonscale/replication/state.py
@@ -34,7 +34,7 @@
 
     Args:
         member: The peer.
-        link: Link to it.
+        client: Client of it.
 
     Attributes:
         next_index: Next entry to send.
@@ -44,9 +44,9 @@
         admitted: Whether its acknowledgements count for a majority.
         storage_id: Identity of its disk by its last reply.
         echo_us: Its own time in its last reply.
-        sent_commit: Commit index that it was last sent.
-        sending: Snapshot being sent, or None.
-        sent_bytes: Bytes of that snapshot sent so far.
+        sent_commit_index: Commit index that it was last sent.
+        outgoing_snapshot: Snapshot being sent, or None.
+        snapshot_bytes_sent: Bytes of that snapshot sent so far.
         wake: Set when there is something to send.
     """
 
@@ -56,9 +56,9 @@
         self.heard_at = -math.inf
         self.wake = asyncio.Event()
         self.task: asyncio.Task | None = None
-        self.begin_term(last_index=0)
+        self.reset_progress(last_index=0)
 
-    def begin_term(self, *, last_index: int) -> None:
+    def reset_progress(self, *, last_index: int) -> None:
         """Forget what was known when this replica begins to lead."""
         self.next_index = last_index + 1
         self.match_index = 0
@@ -66,9 +66,9 @@
         self.admitted = False
         self.storage_id = ""
         self.echo_us = 0
-        self.sent_commit = 0
-        self.sending: Snapshot | None = None
-        self.sent_bytes = 0
+        self.sent_commit_index = 0
+        self.outgoing_snapshot: Snapshot | None = None
+        self.snapshot_bytes_sent = 0
 
 
 class ReplicaState:
@@ -82,7 +82,7 @@
         voters: Members of the first start.
         storage: Durable side.
         machine: State machine.
-        links: Links port.
+        transport: Transport port.
         clock: Clock port.
         options: Times and sizes.
         rng: Source of randomness.
@@ -121,8 +121,8 @@
         self.leader_id = ""
         self.leader_address = ""
         self.leader_heard_at = -math.inf
-        self.timer_from = clock.now()
-        self.majority_at = -math.inf
+        self.election_timer_start = clock.now()
+        self.majority_acked_at = -math.inf
         self.term_start_index = 0
         self.commit_index = 0
         self.applied_index = 0
@@ -132,11 +132,11 @@
         self.fresh_at: float | None = None
         self.peers: dict[str, PeerState] = {}
         self.proposals = Proposals(retry_after_s=options.election_timeout_s)
-        self.incoming: tuple[int, int, bytearray] | None = None
-        self.running: set[asyncio.Task] = set()  # what no cancel cuts short
-        self.leaving = False  # stops as planned: leads no more
+        self.incoming_snapshot: tuple[int, int, bytearray] | None = None
+        self.shielded_tasks: set[asyncio.Task] = set()  # what no cancel cuts short
+        self.stopping = False  # stops as planned: leads no more
         self.progress = asyncio.Event()  # a match, what is applied or the role moved
-        self.unsynced = asyncio.Event()
+        self.sync_requested = asyncio.Event()
         self.snapshot_due = asyncio.Event()
         self.on_applied: Subject = Subject()
         self.start_peer: Callable[[PeerState], asyncio.Task] | None = None
@@ -162,12 +162,12 @@
     @property
     def may_campaign(self) -> bool:
         """Whether this replica may be elected."""
-        return self.may_vote and not self.leaving
+        return self.may_vote and not self.stopping
 
     @property
-    def heard_leader_lately(self) -> bool:
+    def heard_leader_recently(self) -> bool:
         """Whether a leader was heard within the shortest election timeout."""
-        at = self.majority_at if self.leading else self.leader_heard_at
+        at = self.majority_acked_at if self.leading else self.leader_heard_at
         return self.clock.now() - at < self.options.election_timeout_s
 
     @property
@@ -175,7 +175,7 @@
         """Silence after which a link is dropped and opened anew, in seconds."""
         return max(2 * self.options.heartbeat_s, self.options.election_timeout_s / 2)
 
-    def note_fresh(self, at: float) -> None:
+    def advance_fresh_at(self, at: float) -> None:
         """Record that the applied state was current at a local time."""
         if at > (self.fresh_at if self.fresh_at is not None else -math.inf):
             self.fresh_at = at
@@ -197,12 +197,12 @@
         self.member_log.load(self.storage)
         self.update_peers()
 
-    def note_members(self, entries: Sequence[wire.LogEntry]) -> None:
+    def add_member_changes(self, entries: Sequence[wire.LogEntry]) -> None:
         """Take up the member changes among entries just appended."""
         self.member_log.add(entries)
         self.update_peers()
 
-    def forget_members_from(self, index: int) -> None:
+    def drop_member_changes_from(self, index: int) -> None:
         """Drop the member changes from ``index`` on, which was truncated."""
         self.member_log.drop_from(index)
         self.update_peers()
@@ -220,7 +220,7 @@
             if node_id not in self.peers:
                 client = self.transport.connect(member.address)
                 self.peers[node_id] = PeerState(member=member, client=client)
-                self.peers[node_id].begin_term(last_index=self.storage.last_index)
+                self.peers[node_id].reset_progress(last_index=self.storage.last_index)
             peer = self.peers[node_id]
             peer.member = member
             if peer.task is None and self.start_peer is not None:
--- a/wigeonscale/replication/storage.py
+++ b/wigeonscale/replication/storage.py
@@ -30,7 +30,7 @@
 from wigeonscale.replication.folder import Folder
 from wigeonscale.replication.model import EntryKind
 from wigeonscale.replication.records import encode_record
-from wigeonscale.replication.waiting import run_to_end
+from wigeonscale.replication.waiting import run_shielded
 from wigeonscale.wire import wire_pb2 as wire
 
 DAMAGED_SUFFIX = ".damaged"
@@ -80,11 +80,11 @@
         Returns:
             What was found broken; empty for nothing.
         """
-        with self._noting_failure():
+        with self._recording_failure():
             loaded = load_files(self._folder)
         if loaded is None:
             await self.save_vote(VoteState(storage_id=new_storage_id))
-            await self._finish(self._rewrite())
+            await self._run_write(self._rewrite())
             return ""
         self._entries = loaded.entries
         self.base_index = loaded.base_index
@@ -97,8 +97,8 @@
             # The vote goes first: a crash in between must not bring a replica
             # back that votes on what is left.
             await self.save_vote(self._vote_after_damage(loaded.vote, new_storage_id))
-            await self._finish(self._set_aside_damaged())
-        await self._finish(self._rewrite())
+            await self._run_write(self._back_up_damaged_files())
+        await self._run_write(self._rewrite())
         return loaded.damage
 
     # ------------------------------------------------------------- reading
@@ -129,16 +129,18 @@
         """Return the entries ``first..last``, both inclusive and held."""
         return self._entries[first - self.base_index - 1 : last - self.base_index]
 
-    def batch(self, first: int, most: int, most_bytes: int) -> list[wire.LogEntry]:
+    def batch(
+        self, first: int, max_entries: int, max_bytes: int
+    ) -> list[wire.LogEntry]:
         """Return entries from ``first`` on within a count and a size in bytes."""
-        picked = []
+        selected = []
         size = 0
-        for entry in self.entries(first, min(self.last_index, first + most - 1)):
+        for entry in self.entries(first, min(self.last_index, first + max_entries - 1)):
             size += len(entry.data)
-            if picked and size > most_bytes:
+            if selected and size > max_bytes:
                 break
-            picked.append(entry)
-        return picked
+            selected.append(entry)
+        return selected
 
     # ------------------------------------------------------------- writing
 
@@ -148,7 +150,7 @@
         Raises:
             ValueError: The term would fall.
         """
-        await self._finish(self._save_vote(vote))
+        await self._run_write(self._save_vote(vote))
 
     def append(self, entries: Sequence[wire.LogEntry]) -> None:
         """Add entries in memory; :meth:`sync` makes them durable."""
@@ -164,11 +166,11 @@
         """Wait until all entries appended so far are durable."""
         target = self.last_index
         if self.synced_index < target:
-            await self._finish(self._sync_to(target))
+            await self._run_write(self._sync_to(target))
 
     async def truncate_from(self, index: int) -> None:
         """Drop the entry at ``index`` and all after it, on disk too."""
-        await self._finish(self._truncate_from(index))
+        await self._run_write(self._truncate_from(index))
 
     async def save_snapshot(self, snapshot: Snapshot, keep_from: int) -> None:
         """Make a snapshot durable, then drop entries before ``keep_from``.
@@ -178,26 +180,26 @@
             keep_from: First entry to keep, at most ``snapshot.index + 1``. A log
                 that does not hold the snapshot's position is dropped whole.
         """
-        await self._finish(self._save_snapshot(snapshot, keep_from))
+        await self._run_write(self._save_snapshot(snapshot, keep_from))
 
     async def close(self) -> None:
         """Wait for the writes in progress and release the data folder."""
         await asyncio.gather(*self._writes, return_exceptions=True)
         self._folder.close()
 
-    async def _finish(self, write: Coroutine) -> None:
-        await run_to_end(self._writes, self._run_in_order(write))
+    async def _run_write(self, write: Coroutine) -> None:
+        await run_shielded(self._writes, self._run_exclusively(write))
 
-    async def _run_in_order(self, write: Coroutine) -> None:
+    async def _run_exclusively(self, write: Coroutine) -> None:
         async with self._write_lock:
             if self._failure is not None:
                 write.close()
                 raise self._failure
-            with self._noting_failure():
+            with self._recording_failure():
                 await write
 
     @contextlib.contextmanager
-    def _noting_failure(self) -> Iterator[None]:
+    def _recording_failure(self) -> Iterator[None]:
         try:
             yield
         except OSError as exc:
@@ -264,7 +266,7 @@
         await self._folder.replace(LOG_NAME, data)
         self.synced_index = last
 
-    async def _set_aside_damaged(self) -> None:
+    async def _back_up_damaged_files(self) -> None:
         for name in (LOG_NAME, SNAPSHOT_NAME):
             data = self._folder.read(name)
             if data is not None:
--- a/wigeonscale/replication/tests/memory_folder.py
+++ b/wigeonscale/replication/tests/memory_folder.py
@@ -45,7 +45,7 @@
         """Let all writes to one file fail."""
         self._failing = name
 
-    def flip(self, name, offset):
+    def flip_byte(self, name, offset):
         data = bytearray(self.durable[name])
         data[offset] ^= 0xFF
         self.durable[name] = bytes(data)
--- a/wigeonscale/replication/tests/memory_network.py
+++ b/wigeonscale/replication/tests/memory_network.py
@@ -29,7 +29,7 @@
     def heal(self):
         self.cut.clear()
 
-    async def carry(self, sender, receiver, method, req):
+    async def deliver(self, sender, receiver, method, req):
         if (sender, receiver) in self.cut:
             await asyncio.get_running_loop().create_future()
         replica = self.replicas.get(receiver)
@@ -69,18 +69,18 @@
         network.appends.append((self._sender, self._peer, req))
         if network.before_append is not None:
             await network.before_append(self._sender, self._peer, req)
-        return await network.carry(self._sender, self._peer, "handle_append", req)
+        return await network.deliver(self._sender, self._peer, "handle_append", req)
 
     async def vote(self, req):
         if self._network.before_vote is not None:
             await self._network.before_vote(self._sender, self._peer, req)
-        return await self._network.carry(self._sender, self._peer, "handle_vote", req)
+        return await self._network.deliver(self._sender, self._peer, "handle_vote", req)
 
     async def campaign(self, req):
         network = self._network
         if network.before_campaign is not None:
             await network.before_campaign(self._sender, self._peer, req)
-        return await network.carry(self._sender, self._peer, "handle_campaign", req)
+        return await network.deliver(self._sender, self._peer, "handle_campaign", req)
 
     async def reset(self):
         pass
--- a/wigeonscale/replication/tests/support.py
+++ b/wigeonscale/replication/tests/support.py
@@ -82,7 +82,7 @@
             folder.writable.set()
             await asyncio.gather(task, return_exceptions=True)
 
-    async def until(self, condition, limit_s=LIMIT_S):
+    async def wait_until(self, condition, limit_s=LIMIT_S):
         """Advance the clock until a condition holds."""
         for _ in range(int(limit_s / STEP_S)):
             result = condition()
@@ -91,9 +91,9 @@
             await self.clock.advance(STEP_S)
         raise AssertionError("the condition never held")
 
-    async def finish(self, task):
+    async def run_until_done(self, task):
         """Advance the clock until a task is done and return its result."""
-        await self.until(task.done)
+        await self.wait_until(task.done)
         return task.result()
 
     def leaders(self):
@@ -111,7 +111,7 @@
                     return name
             return None
 
-        return await self.until(ready)
+        return await self.wait_until(ready)
 
     async def propose(self, *commands, via=None):
         """Commit commands one after another and return the last result."""
@@ -119,7 +119,7 @@
         for data in commands:
             name = via or await self.leader()
             task = asyncio.create_task(self.replicas[name].propose(data))
-            result = await self.finish(task)
+            result = await self.run_until_done(task)
         return result
 
     def spawn(self, coro):
@@ -134,10 +134,10 @@
         await self.clock.advance(0)
         return task
 
-    async def until_equal(self, commands, names=None):
+    async def wait_for_commands(self, commands, names=None):
         """Advance until replicas hold exactly these commands."""
         wanted = list(commands)
-        await self.until(
+        await self.wait_until(
             lambda: all(
                 self.machines[name].commands == wanted
                 for name in names or self.replicas
@@ -145,7 +145,7 @@
         )
 
 
-def numbers(first, last):
+def numbered_commands(first, last):
     return [b"%d" % number for number in range(first, last + 1)]
 
 
@@ -161,5 +161,5 @@
 
     async def outcome(self, task):
         """Return the error of a proposal, or None when it was done."""
-        await self.cluster.until(task.done)
+        await self.cluster.wait_until(task.done)
         return task.exception()
--- a/wigeonscale/replication/tests/test_admission.py
+++ b/wigeonscale/replication/tests/test_admission.py
@@ -3,7 +3,11 @@
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.replication import Member, ReplicaOptions
 from wigeonscale.replication.tests.memory_folder import MemoryFolder
-from wigeonscale.replication.tests.support import Cluster, ClusterCase, numbers
+from wigeonscale.replication.tests.support import (
+    Cluster,
+    ClusterCase,
+    numbered_commands,
+)
 from wigeonscale.testing import AsyncTestCase
 
 
@@ -18,7 +22,7 @@
             self.cluster.start(name)
             await self.cluster.clock.advance(5)
         await self.cluster.propose(b"1")
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
         self.assertTrue(all(r.may_vote for r in self.cluster.replicas.values()))
 
     async def test_killed_before_the_first_commit(self):
@@ -28,12 +32,12 @@
             await self.cluster.stop(name)
         self.cluster.start()
         await self.cluster.propose(b"1")
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
 
     async def test_two_lost_disks_do_not_begin_an_empty_log(self):
         self.cluster.start()
         await self.cluster.propose(b"1")
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
         await self.cluster.stop()
         for name in "ab":
             self.cluster.folders[name] = MemoryFolder()
@@ -52,13 +56,13 @@
     def wipe(self, name):
         self.cluster.folders[name] = MemoryFolder()
 
-    async def until_admitted(self, name):
-        await self.cluster.until(lambda: self.cluster.replicas[name].may_vote)
+    async def wait_until_admitted(self, name):
+        await self.cluster.wait_until(lambda: self.cluster.replicas[name].may_vote)
 
     async def test_no_vote_until_admitted_by_the_others(self):
         lost, sound = self.followers
-        await self.cluster.propose(*numbers(1, 120))
-        await self.cluster.until_equal(numbers(1, 120))
+        await self.cluster.propose(*numbered_commands(1, 120))
+        await self.cluster.wait_for_commands(numbered_commands(1, 120))
         await self.cluster.stop(lost, self.leader)
         self.wipe(lost)
         self.cluster.start(lost)
@@ -66,11 +70,11 @@
         self.assertEqual([], self.cluster.leaders())
         self.assertFalse(self.cluster.replicas[lost].may_vote)
         self.cluster.start(self.leader)
-        await self.until_admitted(lost)
-        await self.cluster.until_equal(numbers(1, 120))
+        await self.wait_until_admitted(lost)
+        await self.cluster.wait_for_commands(numbered_commands(1, 120))
         await self.cluster.stop(sound)
         await self.cluster.propose(b"121")
-        await self.cluster.until_equal(numbers(1, 121))
+        await self.cluster.wait_for_commands(numbered_commands(1, 121))
 
     async def test_acknowledgement_of_a_lost_disk_commits_nothing(self):
         lost, sound = self.followers
@@ -79,7 +83,7 @@
         self.wipe(lost)
         self.cluster.start(lost)
         task = await self.cluster.propose_at(self.leader, b"2")
-        await self.cluster.until(task.done)
+        await self.cluster.wait_until(task.done)
         self.assertEqual(ErrorKind.NO_QUORUM, task.exception().kind)
         self.assertFalse(self.cluster.replicas[lost].may_vote)
         self.assertNotIn(b"2", self.cluster.machines[self.leader].commands)
@@ -87,7 +91,7 @@
     async def test_admitted_only_once_caught_up(self):
         lost = self.followers[0]
         await self.cluster.propose(b"1")
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
         await self.cluster.stop(lost)
         self.wipe(lost)
 
@@ -101,7 +105,7 @@
         members = self.cluster.replicas[self.leader].members()
         self.assertEqual({""}, {member.storage_id for member in members})
         self.cluster.network.before_append = None
-        await self.until_admitted(lost)
+        await self.wait_until_admitted(lost)
 
     async def test_second_loss_is_not_admitted_by_the_first_admission(self):
         lost, sound = self.followers
@@ -110,27 +114,27 @@
             await self.cluster.stop(lost)
             self.wipe(lost)
             self.cluster.start(lost)
-            await self.until_admitted(lost)
-        await self.cluster.until_equal([b"1"])
+            await self.wait_until_admitted(lost)
+        await self.cluster.wait_for_commands([b"1"])
         await self.cluster.stop(lost, sound)
         self.wipe(lost)
         self.cluster.start(lost)
         # The log with both old admissions reaches it, but no new commit can.
-        await self.cluster.until_equal([b"1"], names=[lost])
+        await self.cluster.wait_for_commands([b"1"], names=[lost])
         await self.cluster.clock.advance(10)
         self.assertFalse(self.cluster.replicas[lost].may_vote)
         self.cluster.start(sound)
-        await self.until_admitted(lost)
+        await self.wait_until_admitted(lost)
 
     async def test_lost_disks_of_all_one_after_another(self):
-        await self.cluster.propose(*numbers(1, 60))
+        await self.cluster.propose(*numbered_commands(1, 60))
         for name in "abc":
             await self.cluster.stop(name)
             await self.cluster.leader()
             self.wipe(name)
             self.cluster.start(name)
-            await self.until_admitted(name)
-        await self.cluster.until_equal(numbers(1, 60))
+            await self.wait_until_admitted(name)
+        await self.cluster.wait_for_commands(numbered_commands(1, 60))
 
 
 class DamageTest(WithScenarios, ClusterCase):
@@ -146,19 +150,19 @@
 
     async def test_healed_from_the_others(self):
         node = self.followers[0]
-        await self.cluster.propose(*numbers(1, 70))
-        await self.cluster.until_equal(numbers(1, 70))
+        await self.cluster.propose(*numbered_commands(1, 70))
+        await self.cluster.wait_for_commands(numbered_commands(1, 70))
         await self.cluster.stop(node)
         folder = self.cluster.folders[node]
         if self.how == "missing":
             del folder.durable[self.name]
         else:
-            folder.flip(self.name, len(folder.durable[self.name]) // 2)
+            folder.flip_byte(self.name, len(folder.durable[self.name]) // 2)
         self.cluster.start(node)
         await self.cluster.clock.advance(0)
         self.assertFalse(self.cluster.replicas[node].may_vote)
-        await self.cluster.until_equal(numbers(1, 70))
-        await self.cluster.until(lambda: self.cluster.replicas[node].may_vote)
+        await self.cluster.wait_for_commands(numbered_commands(1, 70))
+        await self.cluster.wait_until(lambda: self.cluster.replicas[node].may_vote)
         await self.cluster.stop(node)
         self.cluster.start(node)
         await self.cluster.clock.advance(0)
@@ -170,21 +174,21 @@
         leader = self.cluster.replicas[await self.cluster.leader()]
         change = leader.change_members(**kwargs)
         task = self.cluster.spawn(change)
-        await self.cluster.finish(task)
+        await self.cluster.run_until_done(task)
 
     def voters(self):
         leader = self.cluster.replicas[self.cluster.leaders()[0]]
         return {member.node_id for member in leader.members() if member.voting}
 
     async def test_add_then_remove_every_first_member(self):
-        await self.cluster.propose(*numbers(1, 10))
+        await self.cluster.propose(*numbered_commands(1, 10))
         for name in "def":
             member = Member(name, name)
             self.cluster.folders[name] = MemoryFolder()
             self.cluster.start(name, members=(*self.cluster.members, member))
             await self.change(add=member)
-            await self.cluster.until(lambda name=name: name in self.voters())
-            await self.cluster.until(
+            await self.cluster.wait_until(lambda name=name: name in self.voters())
+            await self.cluster.wait_until(
                 lambda name=name: self.cluster.replicas[name].may_vote
             )
         for name in "abc":
@@ -196,7 +200,7 @@
         await self.cluster.stop()
         self.cluster.start("d", "e", "f")
         await self.cluster.propose(b"12")
-        await self.cluster.until_equal(numbers(1, 12))
+        await self.cluster.wait_for_commands(numbered_commands(1, 12))
 
     async def test_removed_leader_steps_down(self):
         old = self.cluster.replicas[self.leader]
@@ -223,7 +227,7 @@
             await leader.change_members(add=Member("e", "e"))
         self.assertEqual(ErrorKind.IN_PROGRESS, caught.exception.kind)
         self.cluster.network.heal()
-        await self.cluster.until(first.done)
+        await self.cluster.wait_until(first.done)
 
     async def test_change_that_was_never_committed_is_forgotten(self):
         old = self.cluster.replicas[self.leader]
@@ -234,7 +238,7 @@
         await self.cluster.leader(among=self.followers)
         self.cluster.network.heal()
         await self.cluster.propose(b"1")
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
         self.assertEqual(self.cluster.members, old.members())
 
     async def test_single_voter_is_not_grown(self):
@@ -278,7 +282,7 @@
         self.cluster.folders["d"] = MemoryFolder()
         leader = self.cluster.replicas[self.leader]
         change = leader.change_members(add=Member("d", "d"))
-        await self.cluster.finish(self.cluster.spawn(change))
+        await self.cluster.run_until_done(self.cluster.spawn(change))
         self.cluster.start("d")
 
     async def test_fourth_beside_one_that_is_gone(self):
@@ -294,16 +298,16 @@
 
         leader = self.cluster.replicas[self.leader]
         change = leader.change_members(remove=gone)
-        await self.cluster.finish(self.cluster.spawn(change))
+        await self.cluster.run_until_done(self.cluster.spawn(change))
         await self.cluster.stop(self.followers[1])
         await self.cluster.propose(b"2")
-        await self.cluster.until_equal([b"1", b"2"], names=[self.leader, "d"])
+        await self.cluster.wait_for_commands([b"1", b"2"], names=[self.leader, "d"])
 
     async def test_lost_disk_of_one_added_before_counts_for_nothing(self):
         await self.add_fourth()
-        await self.cluster.until(lambda: self.cluster.replicas["d"].may_vote)
+        await self.cluster.wait_until(lambda: self.cluster.replicas["d"].may_vote)
         await self.cluster.propose(b"1")
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
         await self.cluster.stop("d", *self.followers)
         self.cluster.folders["d"] = MemoryFolder()
         self.cluster.start("d", self.followers[0])
@@ -314,6 +318,6 @@
 
     async def test_fourth_beside_three_sound_ones_votes(self):
         await self.add_fourth()
-        await self.cluster.until(lambda: self.cluster.replicas["d"].may_vote)
+        await self.cluster.wait_until(lambda: self.cluster.replicas["d"].may_vote)
         await self.cluster.propose(b"1")
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
--- a/wigeonscale/replication/tests/test_election.py
+++ b/wigeonscale/replication/tests/test_election.py
@@ -4,7 +4,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 
-class Replier:
+class StubPeer:
     """A peer of which only the term is known."""
 
     def __init__(self, *, term):
@@ -18,7 +18,7 @@
     async def prepare(self):
         await super().prepare()
         await self.cluster.propose(b"1")
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
         self.voter = self.cluster.replicas[self.followers[0]]
         self.last_term, self.last_index = self.voter.last_position()
 
@@ -90,7 +90,7 @@
                 await self.cluster.replicas[sender].handle_append(ahead)
 
         self.cluster.network.before_vote = raise_term
-        await self.cluster.until(lambda: heard)
+        await self.cluster.wait_until(lambda: heard)
         await self.cluster.clock.advance(0)
         self.assertTrue(self.cluster.replicas[heard[0]].term >= 50)
 
@@ -99,7 +99,7 @@
     async def test_higher_term_being_saved_when_the_pre_vote_is_won(self):
         ahead = self.leader
         await self.cluster.stop(ahead)
-        self.cluster.network.replicas[ahead] = Replier(term=50)
+        self.cluster.network.replicas[ahead] = StubPeer(term=50)
         candidates = []
 
         async def hang(sender, receiver, req):
@@ -109,7 +109,7 @@
                 await self.cluster.clock.sleep(0.01)
 
         self.cluster.network.before_vote = hang
-        await self.cluster.until(lambda: candidates)
+        await self.cluster.wait_until(lambda: candidates)
         name = candidates[0]
         await self.cluster.clock.advance(0.02)
         self.cluster.network.before_vote = None
@@ -137,7 +137,7 @@
             req.entries.extend(kept)
 
         self.cluster.network.before_append = strip
-        await self.cluster.until(self.cluster.leaders)
+        await self.cluster.wait_until(self.cluster.leaders)
         self.new = self.cluster.replicas[self.cluster.leaders()[0]]
         self.fresh_before = self.new.fresh_at()
         await self.cluster.clock.advance(2)
@@ -149,12 +149,12 @@
     async def test_commits_no_entry_of_an_earlier_term_by_count(self):
         self.assertEqual([], self.cluster.machines[self.new_name()].commands)
         self.cluster.network.before_append = None
-        await self.cluster.until_equal([b"old"])
+        await self.cluster.wait_for_commands([b"old"])
 
     async def test_is_not_fresh(self):
         self.assertEqual(self.fresh_before, self.new.fresh_at())
         self.cluster.network.before_append = None
-        await self.cluster.until_equal([b"old"])
+        await self.cluster.wait_for_commands([b"old"])
         self.assertTrue(self.new.fresh_at() > self.fresh_before)
 
     def new_name(self):
@@ -165,9 +165,9 @@
     async def test_term_of_a_vote_forgotten_at_first_start_is_passed_over(self):
         cluster = Cluster()
         self.addCleanup(cluster.stop)
-        cluster.network.replicas.update(b=Replier(term=3), c=Replier(term=3))
+        cluster.network.replicas.update(b=StubPeer(term=3), c=StubPeer(term=3))
         cluster.start("a")
-        await cluster.until(lambda: cluster.replicas["a"].may_vote)
+        await cluster.wait_until(lambda: cluster.replicas["a"].may_vote)
         reply = await cluster.replicas["a"].handle_vote(
             wire.VoteRequest(node_id="b", term=3, last_term=1, last_index=1)
         )
@@ -178,6 +178,6 @@
         self.addCleanup(cluster.stop)
         cluster.start()
         await cluster.propose(b"1")
-        storage = cluster.replicas["a"]._core.storage
+        storage = cluster.replicas["a"]._state.storage
         with self.assertRaises(ValueError):
             await storage.save_vote(VoteState(term=storage.vote.term - 1))
--- a/wigeonscale/replication/tests/test_folder.py
+++ b/wigeonscale/replication/tests/test_folder.py
@@ -55,7 +55,7 @@
         self.write = os.write
         patch = fixtures.MonkeyPatch
         self.useFixture(patch("os.write", self.write_or_refuse))
-        self.useFixture(patch("wigeonscale.replication.folder.FULL_RETRY_S", 0))
+        self.useFixture(patch("wigeonscale.replication.folder.DISK_FULL_RETRY_S", 0))
 
     def write_or_refuse(self, fd, data):
         if not self.refusals:
--- a/wigeonscale/replication/tests/test_follower.py
+++ b/wigeonscale/replication/tests/test_follower.py
@@ -59,7 +59,7 @@
     async def prepare(self):
         await super().prepare()
         await self.cluster.propose(b"1", b"2")
-        await self.cluster.until_equal([b"1", b"2"])
+        await self.cluster.wait_for_commands([b"1", b"2"])
         await self.cluster.clock.advance(1)
         self.name = self.followers[0]
         self.replica = self.cluster.replicas[self.name]
@@ -151,7 +151,7 @@
         cluster.start()
         try:
             await cluster.propose(b"1", b"2")
-            await cluster.until_equal([b"1", b"2"])
+            await cluster.wait_for_commands([b"1", b"2"])
             replica = cluster.replicas["c"]
             for message in messages:
                 await self.deliver(replica, message)
--- a/wigeonscale/replication/tests/test_freshness.py
+++ b/wigeonscale/replication/tests/test_freshness.py
@@ -12,21 +12,21 @@
     async def prepare(self):
         await super().prepare()
         self.old = self.cluster.replicas[self.leader]
-        self.leave = threading.Event()
-        self.addCleanup(self.leave.set)
+        self.release = threading.Event()
+        self.addCleanup(self.release.set)
         machine = self.cluster.machines[self.leader]
         machine.preparation = lambda data: self.wait
         self.task = await self.cluster.propose_at(self.leader, b"1")
         index = self.old.last_position()[1]
-        await self.cluster.until(lambda: self.old.commit_index == index)
+        await self.cluster.wait_until(lambda: self.old.commit_index == index)
 
     def wait(self):
-        self.leave.wait(LIMIT_S)
+        self.release.wait(LIMIT_S)
 
     async def apply(self):
         applied = asyncio.Event()
         self.old.on_applied.subscribe(lambda _: applied.set())
-        self.leave.set()
+        self.release.set()
         async with asyncio.timeout(LIMIT_S):
             await applied.wait()
 
@@ -40,14 +40,14 @@
         self.assertTrue(self.old.fresh_at() > committed_at)
 
     async def test_planned_stop_waits_for_it(self):
-        handing_over = self.cluster.spawn(self.old.transfer_leadership())
+        transfer = self.cluster.spawn(self.old.transfer_leadership())
         await self.cluster.clock.advance(0.1)
-        self.assertFalse(handing_over.done())
+        self.assertFalse(transfer.done())
         began = self.cluster.clock.now()
         await self.apply()
         for _ in range(10):
             await self.cluster.clock.advance(0)
-        self.assertTrue(handing_over.result())
+        self.assertTrue(transfer.result())
         self.assertEqual(began, self.cluster.clock.now())
         self.assertIsNone(self.task.exception())
 
@@ -76,7 +76,7 @@
             await self.cluster.clock.advance(5)
             self.assertTrue(self.cluster.replicas[name].fresh_at() <= cut_at)
             self.cluster.network.heal()
-            await self.cluster.until(lambda name=name: self.age(name) < ROUNDS_S)
+            await self.cluster.wait_until(lambda name=name: self.age(name) < ROUNDS_S)
 
     async def test_follower_that_cannot_apply_is_not_fresh(self):
         node = self.followers[0]
@@ -86,7 +86,7 @@
         await self.cluster.clock.advance(5)
         self.assertTrue(self.cluster.replicas[node].fresh_at() <= cut_at)
         self.cluster.folders[node].writable.set()
-        await self.cluster.until(lambda: self.age(node) < ROUNDS_S)
+        await self.cluster.wait_until(lambda: self.age(node) < ROUNDS_S)
 
     async def test_nothing_is_known_after_a_restart_alone(self):
         await self.cluster.stop()
--- a/wigeonscale/replication/tests/test_records.py
+++ b/wigeonscale/replication/tests/test_records.py
@@ -23,7 +23,7 @@
         for size in range(last + 1, len(self.data)):
             scan = scan_records(self.data[:size])
             self.assertEqual((PAYLOADS[:2], "torn"), (scan.payloads, scan.fault))
-            self.assertEqual(last, scan.good_bytes)
+            self.assertEqual(last, scan.valid_bytes)
 
     def test_flip_of_every_byte_is_corruption_and_never_torn(self):
         for offset in range(len(self.data)):
@@ -32,7 +32,7 @@
             scan = scan_records(bytes(broken))
             self.assertEqual("corrupt", scan.fault)
             self.assertEqual(PAYLOADS[: len(scan.payloads)], scan.payloads)
-            self.assertTrue(scan.good_bytes <= offset)
+            self.assertTrue(scan.valid_bytes <= offset)
 
     def test_tail_of_zeros_is_torn(self):
         scan = scan_records(self.data + bytes(64))
@@ -44,13 +44,13 @@
         data = b"".join(encode_record(payload) for payload in payloads)
         scan = scan_records(data + tail)
         self.assertEqual(tuple(payloads), scan.payloads[: len(payloads)])
-        self.assertTrue(scan.good_bytes >= len(data))
+        self.assertTrue(scan.valid_bytes >= len(data))
 
     @FUZZ
     @given(st.binary(max_size=200))
     def test_garbage_is_never_half_accepted(self, data):
         scan = scan_records(data)
         again = b"".join(encode_record(payload) for payload in scan.payloads)
-        self.assertEqual(data[: scan.good_bytes], again)
+        self.assertEqual(data[: scan.valid_bytes], again)
         single = decode_single(data)
         self.assertTrue(single is None or encode_record(single) == data)
--- a/wigeonscale/replication/tests/test_replica.py
+++ b/wigeonscale/replication/tests/test_replica.py
@@ -6,13 +6,17 @@
 
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.replication import NotLeaderError, ReplicaOptions
-from wigeonscale.replication.tests.support import LIMIT_S, ClusterCase, numbers
+from wigeonscale.replication.tests.support import (
+    LIMIT_S,
+    ClusterCase,
+    numbered_commands,
+)
 
 
 class ReplicaTest(ClusterCase):
     async def test_commit_reaches_all(self):
         index = await self.cluster.propose(b"1", b"2")
-        await self.cluster.until_equal([b"1", b"2"])
+        await self.cluster.wait_for_commands([b"1", b"2"])
         replica = self.cluster.replicas[self.leader]
         self.assertEqual((index, index), (replica.commit_index, replica.applied_index))
         self.assertEqual((replica.term, index), replica.last_position())
@@ -30,36 +34,36 @@
         exc = await self.outcome(task)
         self.assertEqual(ErrorKind.INTERNAL, exc.kind)
         await self.cluster.propose(b"1")
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
 
     async def test_entry_in_preparation_holds_up_those_after_it_only(self):
         follower = self.cluster.replicas[self.followers[0]]
-        machine, leave = follower._core.machine, threading.Event()
+        machine, release = follower._state.machine, threading.Event()
         begun = []
 
         def preparation(data):
             begun.append(data)
-            return (lambda: leave.wait(LIMIT_S)) if data == b"2" else None
+            return (lambda: release.wait(LIMIT_S)) if data == b"2" else None
 
         machine.preparation = preparation
         await self.cluster.propose(b"1", b"2", b"3")
-        await self.cluster.until(lambda: b"2" in begun)
+        await self.cluster.wait_until(lambda: b"2" in begun)
         term = follower.term
         await self.cluster.clock.advance(60)
         self.assertEqual([b"1"], machine.commands)
         self.assertLess(follower.applied_index, follower.commit_index)
         self.assertEqual(term, follower.term)
-        leave.set()
-        await self.cluster.until_equal(numbers(1, 3))
+        release.set()
+        await self.cluster.wait_for_commands(numbered_commands(1, 3))
         self.assertEqual(1, begun.count(b"2"))
 
     async def test_duplicated_messages_change_nothing(self):
         self.cluster.network.duplicate = True
-        await self.cluster.propose(*numbers(1, 20))
+        await self.cluster.propose(*numbered_commands(1, 20))
         await self.cluster.stop(self.leader)
-        await self.cluster.propose(*numbers(21, 25))
+        await self.cluster.propose(*numbered_commands(21, 25))
         self.cluster.start(self.leader)
-        await self.cluster.until_equal(numbers(1, 25))
+        await self.cluster.wait_for_commands(numbered_commands(1, 25))
 
     async def test_no_commit_is_lost_over_restarts_in_every_order(self):
         done = []
@@ -73,7 +77,7 @@
             for name in order:
                 self.cluster.start(name)
                 await self.cluster.clock.advance(0.7)
-            await self.cluster.until_equal(done)
+            await self.cluster.wait_for_commands(done)
 
     async def test_follower_killed_while_it_handles_an_append(self):
         node = self.followers[0]
@@ -81,7 +85,7 @@
         await self.cluster.propose(b"1")
         await self.cluster.stop(node)
         self.cluster.start(node)
-        await self.cluster.until_equal([b"1"])
+        await self.cluster.wait_for_commands([b"1"])
 
     async def test_unsynced_entry_of_the_leader_does_not_count(self):
         await self.cluster.stop(self.followers[0])
@@ -90,7 +94,7 @@
         await self.cluster.clock.advance(3)
         self.assertFalse(task.done())
         self.cluster.folders[self.leader].writable.set()
-        await self.cluster.finish(task)
+        await self.cluster.run_until_done(task)
 
     async def test_dead_leader_is_replaced_within_two_seconds(self):
         for _ in range(20):
@@ -124,18 +128,20 @@
         tasks = {
             data: await self.cluster.propose_at(name, data)
             for name in self.cluster.leaders()
-            for data in numbers(1, 30)
+            for data in numbered_commands(1, 30)
         }
-        await self.cluster.until(self.cluster.tasks[node].done)
+        await self.cluster.wait_until(self.cluster.tasks[node].done)
         exc = self.cluster.tasks[node].exception()
         self.assertIsInstance(exc, OSError)
         self.assertEqual(self.name, exc.filename)
-        await self.cluster.until(lambda: all(task.done() for task in tasks.values()))
+        await self.cluster.wait_until(
+            lambda: all(task.done() for task in tasks.values())
+        )
         await self.cluster.stop(node)
         await self.cluster.propose(b"last")
         self.cluster.start(node)
         held = list(self.cluster.machines[self.cluster.leaders()[0]].commands)
-        await self.cluster.until_equal(held)
+        await self.cluster.wait_for_commands(held)
         accepted = {data for data, task in tasks.items() if task.exception() is None}
         self.assertEqual(len(held), len(set(held)))
         self.assertEqual(set(), accepted - set(held))
@@ -168,7 +174,7 @@
         self.assertEqual([b"1"], self.cluster.machines[self.leader].commands)
         self.assertTrue(old.fresh_at() <= cut_at)
         self.cluster.network.heal()
-        await self.cluster.until_equal([b"1", b"2"])
+        await self.cluster.wait_for_commands([b"1", b"2"])
 
     async def test_returning_replica_does_not_unseat_the_leader(self):
         self.cluster.network.isolate(self.followers[0])
@@ -182,7 +188,7 @@
     async def test_two_followers_cut_off_leave_no_leader(self):
         for name in self.followers:
             self.cluster.network.isolate(name)
-        await self.cluster.until(lambda: not self.cluster.leaders())
+        await self.cluster.wait_until(lambda: not self.cluster.leaders())
         await self.cluster.clock.advance(20)
         self.assertEqual([], self.cluster.leaders())
 
@@ -203,10 +209,10 @@
         await self.cluster.clock.advance(3)
         leader = await self.cluster.leader(among=others)
         await self.cluster.propose(b"1", via=leader)
-        await self.cluster.until_equal([b"1"], names=others)
+        await self.cluster.wait_for_commands([b"1"], names=others)
         self.cluster.network.heal()
         await self.cluster.propose(b"2")
-        await self.cluster.until_equal([b"1", b"2"])
+        await self.cluster.wait_for_commands([b"1", b"2"])
 
 
 STEPS = (
@@ -242,7 +248,7 @@
         if self.loss == "killed":
             self.cluster.start(self.leader)
         held = list(self.cluster.machines[leader].commands)
-        await self.cluster.until_equal(held)
+        await self.cluster.wait_for_commands(held)
         result = (await asyncio.gather(task, return_exceptions=True))[0]
         if isinstance(result, WigeonscaleError):
             self.assertEqual(RunState.UNKNOWN, result.run_state)
--- a/wigeonscale/replication/tests/test_schedules.py
+++ b/wigeonscale/replication/tests/test_schedules.py
@@ -43,7 +43,7 @@
         leader = await self.cluster.leader()
         await self.cluster.propose(b"last", via=leader)
         held = list(self.cluster.machines[leader].commands)
-        await self.cluster.until_equal(held)
+        await self.cluster.wait_for_commands(held)
         self.check()
         self.assertTrue(len(self.accepted) >= 5)
 
--- a/wigeonscale/replication/tests/test_snapshots.py
+++ b/wigeonscale/replication/tests/test_snapshots.py
@@ -1,14 +1,14 @@
 from wigeonscale.replication import ReplicaOptions
-from wigeonscale.replication.tests.support import ClusterCase, numbers
+from wigeonscale.replication.tests.support import ClusterCase, numbered_commands
 
 
 class SnapshotTest(ClusterCase):
     options = ReplicaOptions(snapshot_entries=100)
 
     async def test_500_entries_restart_and_snapshot(self):
-        await self.cluster.propose(*numbers(1, 500))
+        await self.cluster.propose(*numbered_commands(1, 500))
         for name in "abc":
-            await self.cluster.until(
+            await self.cluster.wait_until(
                 lambda name=name: "snapshot" in self.cluster.folders[name].durable
             )
             log = self.cluster.folders[name].durable["log"]
@@ -18,14 +18,14 @@
             for name in order:
                 self.cluster.start(name)
                 await self.cluster.clock.advance(0.3)
-            await self.cluster.until_equal(numbers(1, 500))
+            await self.cluster.wait_for_commands(numbered_commands(1, 500))
 
     async def test_lagging_follower_gets_the_snapshot(self):
         lagging = self.followers[0]
         await self.cluster.stop(lagging)
-        await self.cluster.propose(*numbers(1, 400))
+        await self.cluster.propose(*numbered_commands(1, 400))
         self.cluster.start(lagging)
-        await self.cluster.until_equal(numbers(1, 400))
+        await self.cluster.wait_for_commands(numbered_commands(1, 400))
         appends = self.cluster.network.appends
         self.assertTrue(
             any(to == lagging and r.HasField("snapshot") for _, to, r in appends)
@@ -33,7 +33,7 @@
         await self.cluster.propose(b"401")
         await self.cluster.stop()
         self.cluster.start()
-        await self.cluster.until_equal(numbers(1, 401))
+        await self.cluster.wait_for_commands(numbered_commands(1, 401))
 
     async def test_snapshot_transfer_survives_a_new_leader(self):
         big = [b"%d" % n + b"x" * 10_000 for n in range(150)]
@@ -50,7 +50,7 @@
 
         self.cluster.network.before_append = cut_after_two
         self.cluster.start(lagging)
-        await self.cluster.until_equal(big, names=[lagging, self.followers[1]])
+        await self.cluster.wait_for_commands(big, names=[lagging, self.followers[1]])
         self.assertEqual(0, chunks[3])
 
     async def test_snapshot_that_came_broken_is_sent_again(self):
@@ -67,5 +67,5 @@
 
         self.cluster.network.before_append = break_one
         self.cluster.start(lagging)
-        await self.cluster.until_equal(big)
+        await self.cluster.wait_for_commands(big)
         self.assertEqual(1, len(broken))
--- a/wigeonscale/replication/tests/test_storage.py
+++ b/wigeonscale/replication/tests/test_storage.py
@@ -67,7 +67,7 @@
     async def test_flipped_byte_takes_the_vote_and_names_the_place(self):
         for offset in range(len(self.folder.durable["log"])):
             folder = self.folder.crash()
-            folder.flip("log", offset)
+            folder.flip_byte("log", offset)
             storage, damage = await self.reload(folder)
             self.assertIn("log: ", damage)
             self.assertEqual(Admission.AWAITING, storage.vote.admission)
@@ -80,7 +80,7 @@
             self.assertEqual(("", storage.vote), (damage, again.vote))
 
     async def test_crash_while_setting_damage_aside_leaves_no_vote(self):
-        self.folder.flip("log", 60)
+        self.folder.flip_byte("log", 60)
         folder = self.folder.crash()
         for stop_after in range(4):
             attempt = folder.crash()
@@ -132,7 +132,7 @@
 
     async def test_broken_snapshot_drops_a_log_that_needs_it(self):
         await self.storage.save_snapshot(Snapshot(6, 1, (), b"state"), keep_from=7)
-        self.folder.flip("snapshot", 20)
+        self.folder.flip_byte("snapshot", 20)
         storage, damage = await self.reload()
         self.assertIn("snapshot: checksum does not match", damage)
         self.assertEqual((0, None), (storage.last_index, storage.snapshot))
--- a/wigeonscale/replication/tests/test_transfer.py
+++ b/wigeonscale/replication/tests/test_transfer.py
@@ -4,7 +4,7 @@
 
 from wigeonscale.errors import RunState
 from wigeonscale.replication import NotLeaderError
-from wigeonscale.replication.tests.support import ClusterCase, numbers
+from wigeonscale.replication.tests.support import ClusterCase, numbered_commands
 from wigeonscale.wire import wire_pb2 as wire
 
 ELECTION_TIMEOUT_S = 1.0
@@ -32,9 +32,12 @@
             await gate.wait()
 
         self.cluster.network.before_append = hold
-        tasks = [await self.cluster.propose_at(self.leader, n) for n in numbers(1, 9)]
+        tasks = [
+            await self.cluster.propose_at(self.leader, n)
+            for n in numbered_commands(1, 9)
+        ]
         began = self.cluster.clock.now()
-        handing_over = await self.transfer_leadership(self.leader)
+        transfer = await self.transfer_leadership(self.leader)
         late = await self.cluster.propose_at(self.leader, b"late")
         refusal = late.exception()
         self.assertIsInstance(refusal, NotLeaderError)
@@ -50,7 +53,7 @@
         gate.set()
         for _ in range(10):
             await self.cluster.clock.advance(0)
-        self.assertTrue(handing_over.result())
+        self.assertTrue(transfer.result())
         self.assertEqual([None] * 9, [task.exception() for task in tasks])
         # One message to the successor and one to each voter, at the same instant.
         self.assertEqual(began, self.cluster.clock.now())
@@ -60,19 +63,19 @@
         self.assertEqual(self.asked, self.cluster.leaders())
         self.assertEqual(term + 1, old.term)
         await self.cluster.propose(b"after", via=self.asked[0])
-        await self.cluster.until_equal([*numbers(1, 9), b"after"])
+        await self.cluster.wait_for_commands([*numbered_commands(1, 9), b"after"])
 
     async def test_most_caught_up_voter_succeeds(self):
         behind, level = self.followers
         self.cluster.network.cut.add((self.leader, behind))
         await self.cluster.propose(b"1")
         self.cluster.network.heal()
-        await self.cluster.finish(await self.transfer_leadership(self.leader))
+        await self.cluster.run_until_done(await self.transfer_leadership(self.leader))
         self.assertEqual([level], self.asked)
         self.assertEqual([level], self.cluster.leaders())
 
     async def test_replica_that_leaves_does_not_campaign_again(self):
-        await self.cluster.finish(await self.transfer_leadership(self.leader))
+        await self.cluster.run_until_done(await self.transfer_leadership(self.leader))
         await self.cluster.stop(*self.cluster.leaders())
         candidates = set()
 
@@ -110,13 +113,13 @@
             self.cluster.network.isolate(self.leader)
         old = self.cluster.replicas[self.leader]
         early = await self.cluster.propose_at(self.leader, b"early")
-        handing_over = await self.transfer_leadership(self.leader)
+        transfer = await self.transfer_leadership(self.leader)
         await self.cluster.clock.advance(0)
         if self.cause == "another leads":
             ahead = wire.AppendRequest(leader_id="x", term=old.term + 1)
             await old.handle_append(ahead)
         await self.cluster.clock.advance(self.wait_s)
-        self.assertFalse(handing_over.result())
+        self.assertFalse(transfer.result())
         self.assertEqual(RunState.UNKNOWN, early.exception().run_state)
         self.assertEqual(("follower", []), (old.role, self.asked))
 
@@ -159,9 +162,9 @@
 
     async def test_other_voter_succeeds(self):
         await self.cluster.propose(b"1")
-        handing_over = await self.transfer_leadership(self.leader)
+        transfer = await self.transfer_leadership(self.leader)
         began = self.cluster.clock.now()
-        self.assertTrue(await self.cluster.finish(handing_over))
+        self.assertTrue(await self.cluster.run_until_done(transfer))
         self.assertTrue(self.cluster.clock.now() - began <= ELECTION_TIMEOUT_S)
         first, second = self.asked
         self.assertEqual([second], self.cluster.leaders())
@@ -181,7 +184,7 @@
         began = self.cluster.clock.now()
         self.stops = []
         self.cluster.network.before_vote = self.note_vote
-        handing_over = await self.transfer_leadership(self.leader)
+        transfer = await self.transfer_leadership(self.leader)
         if self.at == "together":
             self.stops += [
                 await self.transfer_leadership(name) for name in self.followers[:1]
@@ -190,7 +193,7 @@
         if self.at == "leader":
             self.stops.append(await self.transfer_leadership(self.asked[0]))
             await self.settle()
-        self.assertTrue(handing_over.done())
+        self.assertTrue(transfer.done())
         self.assertEqual([True], [task.done() for task in self.stops])
         self.assertEqual(began, self.cluster.clock.now())
         (third,) = self.cluster.leaders()
@@ -231,9 +234,9 @@
 
         self.cluster.network.before_vote = stop_sender
         await self.cluster.stop(self.leader)
-        await self.cluster.until(lambda: stops)
+        await self.cluster.wait_until(lambda: stops)
         ((name, task),) = stops
-        await self.cluster.until(task.done)
+        await self.cluster.wait_until(task.done)
         self.assertTrue(self.cluster.clock.now() - self.began < 0.1)
         await self.cluster.clock.advance(5)
         self.assertNotIn(name, self.cluster.leaders())
--- a/wigeonscale/replication/tests/test_transport.py
+++ b/wigeonscale/replication/tests/test_transport.py
@@ -21,13 +21,13 @@
 LIMIT_S = 30
 
 
-class Relay:
+class TcpRelay:
     """Passes TCP on, until the connections that stand are made silent."""
 
     def __init__(self, target):
         self._target = target.rsplit(":", 1)
         self._connections = 0
-        self._silent_up_to = 0
+        self._blackholed_up_to = 0
         self._tasks = set()
 
     async def start(self):
@@ -35,9 +35,9 @@
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
 
-    def silence(self):
+    def blackhole_open_connections(self):
         """Pass nothing more on, and close nothing, on the connections that stand."""
-        self._silent_up_to = self._connections
+        self._blackholed_up_to = self._connections
 
     async def stop(self):
         self._server.close()
@@ -54,17 +54,17 @@
             host, port = self._target
             far_reader, far_writer = await asyncio.open_connection(host, port)
             await asyncio.gather(
-                self._pass(reader, far_writer, number),
-                self._pass(far_reader, writer, number),
+                self._forward(reader, far_writer, number),
+                self._forward(far_reader, writer, number),
             )
         except (OSError, asyncio.CancelledError):
             return
         finally:
             writer.close()
 
-    async def _pass(self, reader, writer, number):
+    async def _forward(self, reader, writer, number):
         while data := await reader.read(65536):
-            if number > self._silent_up_to:
+            if number > self._blackholed_up_to:
                 writer.write(data)
         writer.close()
 
@@ -81,7 +81,7 @@
         self.servers = {}
         for name in NAMES:
             self.servers[name], self.addresses[name] = new_server("127.0.0.1:0")
-        self.relays = {name: Relay(self.addresses[name]) for name in NAMES}
+        self.relays = {name: TcpRelay(self.addresses[name]) for name in NAMES}
         for relay in self.relays.values():
             await relay.start()
             self.addCleanup(relay.stop)
@@ -132,7 +132,7 @@
                         raise
             await asyncio.sleep(0.01)
 
-    async def until_equal(self, commands):
+    async def wait_for_commands(self, commands):
         applied = asyncio.Event()
         for replica in self.replicas.values():
             replica.on_applied.subscribe(lambda _: applied.set())
@@ -143,11 +143,11 @@
     async def test_elect_commit_and_restart(self):
         async with asyncio.timeout(LIMIT_S):
             await self.propose(b"1")
-            await self.until_equal([b"1"])
+            await self.wait_for_commands([b"1"])
             await self.stop()
             await self.start()
             await self.propose(b"2")
-            await self.until_equal([b"1", b"2"])
+            await self.wait_for_commands([b"1", b"2"])
 
     async def test_request_to_campaign_is_answered(self):
         async with asyncio.timeout(LIMIT_S):
@@ -160,11 +160,11 @@
     async def test_silent_connections_are_replaced(self):
         async with asyncio.timeout(LIMIT_S):
             await self.propose(b"1")
-            await self.until_equal([b"1"])
+            await self.wait_for_commands([b"1"])
             for relay in self.relays.values():
-                relay.silence()
+                relay.blackhole_open_connections()
             await self.propose(b"2")
-            await self.until_equal([b"1", b"2"])
+            await self.wait_for_commands([b"1", b"2"])
 
     async def test_folder_is_held_by_one_process(self):
         self.assertRaises(SettingsError, DiskFolder, path=f"{self.root}/a")
--- a/wigeonscale/replication/transfer.py
+++ b/wigeonscale/replication/transfer.py
@@ -18,13 +18,13 @@
 )
 from wigeonscale.replication.model import Role
 from wigeonscale.replication.state import PeerState, ReplicaState
-from wigeonscale.replication.waiting import within
+from wigeonscale.replication.waiting import with_timeout
 from wigeonscale.wire import wire_pb2 as wire
 
 logger = logging.getLogger(__name__)
 
 
-async def transfer_leadership(core: ReplicaState) -> bool:
+async def transfer_leadership(state: ReplicaState) -> bool:
     """Give up leading for good, to another voter where one can take over.
 
     Takes at most an election timeout; then this replica just steps down, and the
@@ -33,91 +33,95 @@
     Returns:
         Whether another voter leads.
     """
-    core.leaving = True
-    limit_s = core.options.election_timeout_s
+    state.stopping = True
+    limit_s = state.options.election_timeout_s
     try:
-        handed_over = await within(core.clock, limit_s, _try_voters(core))
+        transferred = await with_timeout(
+            state.clock, limit_s, _transfer_to_any_peer(state)
+        )
     except TimeoutError:
-        handed_over = False
-    if core.leading and not handed_over:
-        logger.warning("replica %s found no successor", core.node_id)
-    step_down(core, "it stops")
-    return handed_over
+        transferred = False
+    if state.leading and not transferred:
+        logger.warning("replica %s found no successor", state.node_id)
+    step_down(state, "it stops")
+    return transferred
 
 
 async def handle_campaign(
-    core: ReplicaState, req: wire.CampaignRequest
+    state: ReplicaState, req: wire.CampaignRequest
 ) -> wire.CampaignReply:
     """Campaign at once, as the leader asks, and answer whether it was won."""
     won = False
-    async with core.lock:
-        willing = _can_succeed(core, req)
-        if willing:
-            await begin_candidacy(core)
-    if willing:
-        won = await run_candidacy(core, req.term + 1, transfer=True)
-    return wire.CampaignReply(node_id=core.node_id, term=core.term, won=won)
+    async with state.lock:
+        accepted = _can_take_over(state, req)
+        if accepted:
+            await begin_candidacy(state)
+    if accepted:
+        won = await run_candidacy(state, req.term + 1, transfer=True)
+    return wire.CampaignReply(node_id=state.node_id, term=state.term, won=won)
 
 
-def _can_succeed(core: ReplicaState, req: wire.CampaignRequest) -> bool:
-    position = (core.storage.last_term, core.storage.last_index)
+def _can_take_over(state: ReplicaState, req: wire.CampaignRequest) -> bool:
+    position = (state.storage.last_term, state.storage.last_index)
     return (
-        core.may_campaign
-        and (core.term, core.leader_id) == (req.term, req.leader_id)
+        state.may_campaign
+        and (state.term, state.leader_id) == (req.term, req.leader_id)
         and position >= (req.last_term, req.last_index)
     )
 
 
-async def _try_voters(core: ReplicaState) -> bool:
-    await _until(core, lambda: core.role is not Role.CANDIDATE)
-    if not core.leading:
+async def _transfer_to_any_peer(state: ReplicaState) -> bool:
+    await _wait_until(state, lambda: state.role is not Role.CANDIDATE)
+    if not state.leading:
         return False
-    await _until(core, lambda: not core.leading or _all_answered(core))
-    for peer in _by_progress(core):
-        await _until(core, lambda peer=peer: not core.leading or _is_level(core, peer))
-        if not core.leading:
+    await _wait_until(state, lambda: not state.leading or _all_applied(state))
+    for peer in _peers_by_progress(state):
+        await _wait_until(
+            state, lambda peer=peer: not state.leading or _is_caught_up(state, peer)
+        )
+        if not state.leading:
             return False
-        if await _ask_to_campaign(core, peer):
+        if await _ask_to_campaign(state, peer):
             logger.info(
-                "replica %s handed over to %s", core.node_id, peer.member.node_id
+                "replica %s handed over to %s", state.node_id, peer.member.node_id
             )
             return True
     return False
 
 
-async def _until(core: ReplicaState, condition: Callable[[], bool]) -> None:
+async def _wait_until(state: ReplicaState, condition: Callable[[], bool]) -> None:
     while not condition():
-        core.progress.clear()
-        await core.progress.wait()
+        state.progress.clear()
+        await state.progress.wait()
 
 
-def _all_answered(core: ReplicaState) -> bool:
-    return core.applied_index == core.storage.last_index
+def _all_applied(state: ReplicaState) -> bool:
+    return state.applied_index == state.storage.last_index
 
 
-def _is_level(core: ReplicaState, peer: PeerState) -> bool:
-    return peer.match_index == core.storage.last_index
+def _is_caught_up(state: ReplicaState, peer: PeerState) -> bool:
+    return peer.match_index == state.storage.last_index
 
 
-def _by_progress(core: ReplicaState) -> list[PeerState]:
+def _peers_by_progress(state: ReplicaState) -> list[PeerState]:
     """Return the peers, the most caught-up one first; one without a vote declines."""
 
     def progress(peer: PeerState) -> tuple[int, float]:
         return peer.match_index, peer.acked_at
 
-    return sorted(core.peers.values(), key=progress, reverse=True)
+    return sorted(state.peers.values(), key=progress, reverse=True)
 
 
-async def _ask_to_campaign(core: ReplicaState, peer: PeerState) -> bool:
+async def _ask_to_campaign(state: ReplicaState, peer: PeerState) -> bool:
     req = wire.CampaignRequest(
-        leader_id=core.node_id,
-        term=core.term,
-        last_index=core.storage.last_index,
-        last_term=core.storage.last_term,
+        leader_id=state.node_id,
+        term=state.term,
+        last_index=state.storage.last_index,
+        last_term=state.storage.last_term,
     )
     call = peer.client.campaign(req)
     try:
-        reply = await within(core.clock, core.append_timeout_s, call)
+        reply = await with_timeout(state.clock, state.append_timeout_s, call)
     except (TimeoutError, ConnectionError) as exc:
         logger.info("%s does not campaign: %s", peer.member.node_id, exc)
         return False
--- a/wigeonscale/replication/transport.py
+++ b/wigeonscale/replication/transport.py
@@ -87,15 +87,15 @@
         """Send one append on the open stream and return its reply."""
         if self._stream is None:
             self._stream = self._stub().Append()
-        return await self._guard(self._write_and_read(self._stream, req))
+        return await self._translate_errors(self._write_and_read(self._stream, req))
 
     async def vote(self, req: wire.VoteRequest) -> wire.VoteReply:
         """Ask for a vote."""
-        return await self._guard(self._stub().Vote(req))
+        return await self._translate_errors(self._stub().Vote(req))
 
     async def campaign(self, req: wire.CampaignRequest) -> wire.CampaignReply:
         """Ask the peer to succeed this leader."""
-        return await self._guard(self._stub().Campaign(req))
+        return await self._translate_errors(self._stub().Campaign(req))
 
     async def reset(self) -> None:
         """Drop the connection; the next call makes a new one."""
@@ -119,7 +119,7 @@
             raise ConnectionError(f"replica {self._address} ended the stream")
         return reply
 
-    async def _guard(self, call: Awaitable[Reply]) -> Reply:
+    async def _translate_errors(self, call: Awaitable[Reply]) -> Reply:
         try:
             return await call
         except (grpc.aio.AioRpcError, asyncio.InvalidStateError) as exc:
@@ -139,19 +139,21 @@
     async def Append(self, request_iterator, context):  # noqa: N802
         """Answer the appends of one leader, one after another."""
         async for req in request_iterator:
-            yield await self._answer(self._replica.handle_append(req), context)
+            yield await self._reply_or_abort(self._replica.handle_append(req), context)
 
     async def Vote(self, request, context):  # noqa: N802
         """Answer one request for a vote."""
-        return await self._answer(self._replica.handle_vote(request), context)
+        return await self._reply_or_abort(self._replica.handle_vote(request), context)
 
     async def Campaign(self, request, context):  # noqa: N802
         """Answer a leader that asks this replica to succeed it."""
-        return await self._answer(self._replica.handle_campaign(request), context)
+        return await self._reply_or_abort(
+            self._replica.handle_campaign(request), context
+        )
 
-    async def _answer(self, handling, context):
+    async def _reply_or_abort(self, coro, context):
         try:
-            return await handling
+            return await coro
         except WigeonscaleError as exc:
             logger.warning("message of a peer refused: %s", exc.message)
             code = grpc.StatusCode.FAILED_PRECONDITION
--- a/wigeonscale/replication/waiting.py
+++ b/wigeonscale/replication/waiting.py
@@ -1,6 +1,6 @@
 """Waiting with a limit, and work that a cancelled caller must not cut short."""
 
-__all__ = ["run_to_end", "within"]
+__all__ = ["run_shielded", "with_timeout"]
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,7 +8,7 @@
 from wigeonscale.ports import Clock
 
 
-async def within(clock: Clock, seconds: float, coro: Coroutine) -> object:
+async def with_timeout(clock: Clock, seconds: float, coro: Coroutine) -> object:
     """Await a coroutine for at most ``seconds`` of the clock port.
 
     Args:
@@ -39,17 +39,17 @@
         await asyncio.gather(task, timer, return_exceptions=True)
 
 
-async def run_to_end(running: set[asyncio.Task], coro: Coroutine) -> object:
+async def run_shielded(tasks: set[asyncio.Task], coro: Coroutine) -> object:
     """Await a coroutine that goes on when the caller is cancelled.
 
     Args:
-        running: Holds the task until it is done, so that its owner can wait.
+        tasks: Holds the task until it is done, so that its owner can wait.
         coro: What to run.
 
     Returns:
         The coroutine's result.
     """
     task = asyncio.create_task(coro)
-    running.add(task)
-    task.add_done_callback(running.discard)
+    tasks.add(task)
+    task.add_done_callback(tasks.discard)
     return await asyncio.shield(task)
