--- a/wigeonscale/replication/tests/test_follower.py
+++ b/wigeonscale/replication/tests/test_follower.py
@@ -59,7 +59,7 @@
     async def prepare(self):
         await super().prepare()
         await self.cluster.propose(b"1", b"2")
-        await self.cluster.until_equal([b"1", b"2"])
+        await self.cluster.wait_for_commands([b"1", b"2"])
         await self.cluster.clock.advance(1)
         self.name = self.followers[0]
         self.replica = self.cluster.replicas[self.name]
@@ -151,16 +151,16 @@
         cluster.start()
         try:
             await cluster.propose(b"1", b"2")
-            await cluster.until_equal([b"1", b"2"])
+            await cluster.wait_for_commands([b"1", b"2"])
             replica = cluster.replicas["c"]
             for message in messages:
-                await self.hand_over(replica, message)
+                await self.deliver(replica, message)
             self.assertEqual([b"1", b"2"], cluster.machines["c"].commands[:2])
             self.assertFalse(cluster.tasks["c"].done())
         finally:
             await cluster.stop()
 
-    async def hand_over(self, replica, message):
+    async def deliver(self, replica, message):
         is_vote = isinstance(message, wire.VoteRequest)
         handle = replica.handle_vote if is_vote else replica.handle_append
         try:
--- a/wigeonscale/replication/links.py
+++ b/wigeonscale/replication/transport.py
@@ -1,6 +1,6 @@
 """The port to the other replicas, and its adapter for gRPC."""
 
-__all__ = ["GrpcLinks", "Link", "Links", "ReplicationServicer"]
+__all__ = ["GrpcTransport", "PeerClient", "ReplicationServicer", "Transport"]
 
 import asyncio
 import logging
@@ -19,7 +19,7 @@
 Reply = TypeVar("Reply")
 
 
-class Link(Protocol):
+class PeerClient(Protocol):
     """A link to one peer. Each call may hang; the caller limits it."""
 
     async def append(self, req: wire.AppendRequest) -> wire.AppendReply:
@@ -47,14 +47,14 @@
         """Drop the connection; the next call makes a new one."""
 
 
-class Links(Protocol):
+class Transport(Protocol):
     """Makes links."""
 
-    def connect(self, address: str) -> Link:
+    def connect(self, address: str) -> PeerClient:
         """Return a link to the replica at ip:port; it connects on first use."""
 
 
-class GrpcLinks:
+class GrpcTransport:
     """Links over gRPC.
 
     Args:
@@ -64,12 +64,12 @@
     def __init__(self, *, channel: Callable[[str], grpc.aio.Channel] = open_channel):
         self._open_channel = channel
 
-    def connect(self, address: str) -> Link:
+    def connect(self, address: str) -> PeerClient:
         """Return a link to the replica at ip:port; it connects on first use."""
-        return GrpcLink(address=address, channel=self._open_channel)
+        return GrpcPeerClient(address=address, channel=self._open_channel)
 
 
-class GrpcLink:
+class GrpcPeerClient:
     """One Append stream, and calls for votes beside it.
 
     Args:
@@ -87,15 +87,15 @@
         """Send one append on the open stream and return its reply."""
         if self._stream is None:
             self._stream = self._stub().Append()
-        return await self._guard(self._write_and_read(self._stream, req))
+        return await self._translate_errors(self._write_and_read(self._stream, req))
 
     async def vote(self, req: wire.VoteRequest) -> wire.VoteReply:
         """Ask for a vote."""
-        return await self._guard(self._stub().Vote(req))
+        return await self._translate_errors(self._stub().Vote(req))
 
     async def campaign(self, req: wire.CampaignRequest) -> wire.CampaignReply:
         """Ask the peer to succeed this leader."""
-        return await self._guard(self._stub().Campaign(req))
+        return await self._translate_errors(self._stub().Campaign(req))
 
     async def reset(self) -> None:
         """Drop the connection; the next call makes a new one."""
@@ -119,7 +119,7 @@
             raise ConnectionError(f"replica {self._address} ended the stream")
         return reply
 
-    async def _guard(self, call: Awaitable[Reply]) -> Reply:
+    async def _translate_errors(self, call: Awaitable[Reply]) -> Reply:
         try:
             return await call
         except (grpc.aio.AioRpcError, asyncio.InvalidStateError) as exc:
@@ -139,19 +139,21 @@
     async def Append(self, request_iterator, context):  # noqa: N802
         """Answer the appends of one leader, one after another."""
         async for req in request_iterator:
-            yield await self._answer(self._replica.handle_append(req), context)
+            yield await self._reply_or_abort(self._replica.handle_append(req), context)
 
     async def Vote(self, request, context):  # noqa: N802
         """Answer one request for a vote."""
-        return await self._answer(self._replica.handle_vote(request), context)
+        return await self._reply_or_abort(self._replica.handle_vote(request), context)
 
     async def Campaign(self, request, context):  # noqa: N802
         """Answer a leader that asks this replica to succeed it."""
-        return await self._answer(self._replica.handle_campaign(request), context)
+        return await self._reply_or_abort(
+            self._replica.handle_campaign(request), context
+        )
 
-    async def _answer(self, handling, context):
+    async def _reply_or_abort(self, coro, context):
         try:
-            return await handling
+            return await coro
         except WigeonscaleError as exc:
             logger.warning("message of a peer refused: %s", exc.message)
             code = grpc.StatusCode.FAILED_PRECONDITION
