--- a/bench/choices.py
+++ b/bench/choices.py
@@ -189,7 +189,7 @@
         agent_id = f"agent{req.server}"
         table.finished(agent_id)
         word = self._servers[req.server].load(self._lag_s)
-        table.word(agent_id, word, age_s=self._lag_s)
+        table.update_load(agent_id, word, age_s=self._lag_s)
         if req.arrived >= WARM_UP_S:
             self._outcome.waits.append(req.wait_s)
             self._outcome.hits += req.hit
--- a/bench/overload_run.py
+++ b/bench/overload_run.py
@@ -233,7 +233,7 @@
     def _done(self, req: Request, *, whole: bool, expired: bool) -> None:
         self._release(req)
         agent_id = f"agent{req.server}"
-        self._table.word(agent_id, self._servers[req.server].load(0.0))
+        self._table.update_load(agent_id, self._servers[req.server].load(0.0))
         if req.ended:
             return
         if expired:
--- a/bench/prefixes.py
+++ b/bench/prefixes.py
@@ -82,7 +82,7 @@
         self.links = AgentLinks(
             entry_id=name,
             clock=clock,
-            on_word=self._table.word,
+            on_word=self._table.update_load,
             on_prefixes=view.take,
         )
 
--- a/wigeonscale/agent/admission.py
+++ b/wigeonscale/agent/admission.py
@@ -74,7 +74,7 @@
         ahead = self._queue.ahead(organisation, priority=priority, share=share)
         check_deadline(
             wait_s=self._estimator.wait(ahead + 1, self.slots),
-            service_s=self._estimator.admit_s(deadline_s),
+            service_s=self._estimator.admission_service_s(deadline_s),
             deadline_s=deadline_s,
             rng=self._rng,
         )
@@ -140,7 +140,7 @@
     def _latest_start(self, deadline: float | None) -> float | None:
         if deadline is None:
             return None
-        return deadline - self._estimator.start_s(deadline - self._clock.now())
+        return deadline - self._estimator.start_service_s(deadline - self._clock.now())
 
     def _start(self, dispatch: Dispatch) -> None:
         self.running += 1
--- a/wigeonscale/agent/prefixes.py
+++ b/wigeonscale/agent/prefixes.py
@@ -9,7 +9,7 @@
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.ports import CacheEvent, Clock, Engine
 from wigeonscale.routing import prefix_digest
-from wigeonscale.routing.prefixes import FORGET_GAP
+from wigeonscale.routing.prefixes import RESET_GAP_EVENTS
 from wigeonscale.wire import wire_pb2 as wire
 
 logger = logging.getLogger(__name__)
@@ -106,7 +106,7 @@
             return None
         lost = event.number - self._engine_number - 1
         # A larger gap tells the entries no more.
-        self._number += min(lost, FORGET_GAP)
+        self._number += min(lost, RESET_GAP_EVENTS)
         self._engine_number = event.number
         if event.held:
             dispatch_id = event.sequence_id.rpartition("#")[0]
--- a/wigeonscale/agent/tests/test_prefixes.py
+++ b/wigeonscale/agent/tests/test_prefixes.py
@@ -4,7 +4,7 @@
 from wigeonscale.agent.tests.support import connect, start_chain
 from wigeonscale.ports import CacheEvent, EngineInfo
 from wigeonscale.routing import PrefixView, prefix_digest
-from wigeonscale.routing.prefixes import FORGET_GAP
+from wigeonscale.routing.prefixes import RESET_GAP_EVENTS
 from wigeonscale.testing import AsyncTestCase, ManualClock
 from wigeonscale.testing.fake_engine import FakeEngine
 from wigeonscale.testing.prefix_cache import PrefixCache
@@ -93,7 +93,7 @@
         for _ in range(3):
             await feed.poll()
         numbers = [event.number for event in outbox.take().events]
-        self.assertEqual([2, 3 + FORGET_GAP], numbers)
+        self.assertEqual([2, 3 + RESET_GAP_EVENTS], numbers)
 
 
 class PrefixOutboxTest(AsyncTestCase):
--- a/wigeonscale/control/layer_keeper.py
+++ b/wigeonscale/control/layer_keeper.py
@@ -190,7 +190,7 @@
             size_mb=kind.size_mb,
             pace=kind.pace,
             held=planned or (given.layers if given else _held(backend)),
-            lasting=not (backend.silent or backend.draining),
+            is_available=not (backend.silent or backend.draining),
         )
 
     async def _give(
--- a/wigeonscale/control/load_board.py
+++ b/wigeonscale/control/load_board.py
@@ -15,7 +15,7 @@
 from google.protobuf.message import DecodeError
 
 from wigeonscale.control.watcher import Watcher
-from wigeonscale.limits import sharers
+from wigeonscale.limits import share_weights
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -140,7 +140,7 @@
     """Leave out the names that share nothing: hundreds would be told twice a second."""
     if limit.HasField("per_s"):
         demands = _demands(limit)
-        kept = sharers(limit.backend_id, limit.per_s, demands)
+        kept = share_weights(limit.backend_id, limit.per_s, demands)
         _set_demands(limit, {name: demands[name] for name in kept})
 
 
--- a/wigeonscale/crashes/__init__.py
+++ b/wigeonscale/crashes/__init__.py
@@ -1,33 +1,33 @@
 """Requests under which backend servers crash: what is known of them."""
 
 __all__ = [
-    "BEGINNING_S",
-    "CRASHES_REMEMBERED",
     "CRASHES_TO_REFUSE",
-    "MOST_REQUESTS",
-    "CrashBook",
+    "MAX_CRASHES_PER_REQUEST",
+    "MAX_TRACKED_REQUESTS",
+    "START_CRASH_WINDOW_S",
     "CrashReport",
+    "CrashTracker",
     "KnownCrashes",
-    "first_to_forget",
     "hold_among",
-    "hold_s",
-    "kept_s",
+    "next_to_evict",
     "refusal_of",
+    "refusal_s",
     "report_crashes",
     "request_fingerprint",
+    "retention_s",
 ]
 
-from wigeonscale.crashes.book import CrashBook
+from wigeonscale.crashes.book import CrashTracker
 from wigeonscale.crashes.fingerprint import request_fingerprint
 from wigeonscale.crashes.policy import (
-    BEGINNING_S,
-    CRASHES_REMEMBERED,
     CRASHES_TO_REFUSE,
-    MOST_REQUESTS,
-    first_to_forget,
+    MAX_CRASHES_PER_REQUEST,
+    MAX_TRACKED_REQUESTS,
+    START_CRASH_WINDOW_S,
     hold_among,
-    hold_s,
-    kept_s,
+    next_to_evict,
+    refusal_s,
+    retention_s,
 )
 from wigeonscale.crashes.records import CrashReport, KnownCrashes
 from wigeonscale.crashes.refusal import refusal_of
--- a/wigeonscale/crashes/book.py
+++ b/wigeonscale/crashes/book.py
@@ -1,6 +1,6 @@
 """What one entry knows of requests under which backend servers crash."""
 
-__all__ = ["CrashBook"]
+__all__ = ["CrashTracker"]
 
 import asyncio
 import logging
@@ -12,11 +12,11 @@
 from wigeonscale.crashes.policy import (
     CRASHES_TO_REFUSE,
     DOUBT_HOLD_S,
-    MOST_REQUESTS,
-    first_to_forget,
+    MAX_TRACKED_REQUESTS,
     hold_among,
-    hold_s,
-    kept_s,
+    next_to_evict,
+    refusal_s,
+    retention_s,
 )
 from wigeonscale.crashes.records import (
     CrashReport,
@@ -38,7 +38,7 @@
 logger = logging.getLogger(__name__)
 
 
-class CrashBook:
+class CrashTracker:
     """Decides which requests are refused since backend servers crash under them.
 
     Many requests run on a server that crashes. Those count that had just begun there,
@@ -53,7 +53,7 @@
             request again one after another, and the first one's word holds the others.
 
     Notes:
-        Bounded by :data:`~wigeonscale.crashes.MOST_REQUESTS`, and by time.
+        Bounded by :data:`~wigeonscale.crashes.MAX_TRACKED_REQUESTS`, and by time.
     """
 
     def __init__(
@@ -82,16 +82,17 @@
         """How many requests are refused just now by control's word."""
         now = self._clock.now()
         return sum(
-            now < told.last_at + hold_s(len(told.names)) for told in self._told.values()
+            now < told.last_at + refusal_s(len(told.names))
+            for told in self._told.values()
         )
 
     def is_suspect(self, fingerprint: bytes) -> bool:
         """Return whether a backend server was lost as it began to run a request."""
         if fingerprint in self._losses:
-            self.look()
+            self.confirm_crashes()
         return fingerprint in self._told or fingerprint in self._losses
 
-    def refused_for(self, fingerprint: bytes) -> float:
+    def refusal_remaining_s(self, fingerprint: bytes) -> float:
         """Return for how long a request is refused, in seconds; 0 if it is not.
 
         Args:
@@ -162,20 +163,20 @@
             return False
         if not self._is_serving(backend_id):
             return False
-        while len(self._losses) >= MOST_REQUESTS:
+        while len(self._losses) >= MAX_TRACKED_REQUESTS:
             del self._losses[next(iter(self._losses))]
         loss = Loss(self._clock.now())
         self._losses.setdefault(fingerprint, {})[backend_id] = loss
-        self.look()
+        self.confirm_crashes()
         return True
 
-    def note_broken(self, backend_id: str) -> None:
+    def note_abort(self, backend_id: str) -> None:
         """Take in that a backend server broke off a run."""
         self._breaks.note(backend_id)
 
-    def was_broken(self, backend_id: str, *, before: float) -> bool:
+    def was_aborting(self, backend_id: str, *, before: float) -> bool:
         """Return whether a server was breaking runs off before a local instant."""
-        return self._breaks.was_broken(backend_id, before=before)
+        return self._breaks.was_aborting(backend_id, before=before)
 
     def note_ran(self, fingerprint: bytes) -> None:
         """Take in that a request ran without a crash."""
@@ -220,7 +221,7 @@
                 extra=log_fields(outcome="known", refused=self.refused),
             )
 
-    def look(self) -> None:
+    def confirm_crashes(self) -> None:
         """See which of the servers that broke runs off are known to have ended."""
         now = self._clock.now()
         for fingerprint, losses in list(self._losses.items()):
@@ -278,11 +279,11 @@
         self._told = {
             fingerprint: told
             for fingerprint, told in self._told.items()
-            if now - told.last_at <= kept_s(len(told.names))
+            if now - told.last_at <= retention_s(len(told.names))
         }
-        while len(self._told) > MOST_REQUESTS:
+        while len(self._told) > MAX_TRACKED_REQUESTS:
             counts = {name: len(told.names) for name, told in self._told.items()}
-            del self._told[first_to_forget(counts)]
+            del self._told[next_to_evict(counts)]
         self._tried_at = {
             name: at for name, at in self._tried_at.items() if name in self._told
         }
--- a/wigeonscale/crashes/breaks.py
+++ b/wigeonscale/crashes/breaks.py
@@ -19,8 +19,10 @@
         >>> from wigeonscale.testing import ManualClock
         >>> breaks = Breaks(clock=ManualClock(start=5.0))
         >>> breaks.note("i-1")
-        >>> breaks.was_broken("i-1", before=4.0), breaks.was_broken("i-1", before=6.0)
-        (False, True)
+        >>> breaks.was_aborting("i-1", before=4.0)
+        False
+        >>> breaks.was_aborting("i-1", before=6.0)
+        True
     """
 
     def __init__(self, *, clock: Clock):
@@ -35,7 +37,7 @@
         }
         self._began_at.setdefault(backend_id, now)
 
-    def was_broken(self, backend_id: str, *, before: float) -> bool:
+    def was_aborting(self, backend_id: str, *, before: float) -> bool:
         """Return whether a server was breaking runs off before a local instant."""
         began_at = self._began_at.get(backend_id)
         return began_at is not None and began_at <= before
--- a/wigeonscale/crashes/policy.py
+++ b/wigeonscale/crashes/policy.py
@@ -6,15 +6,15 @@
 """
 
 __all__ = [
-    "BEGINNING_S",
-    "CRASHES_REMEMBERED",
     "CRASHES_TO_REFUSE",
-    "MOST_REQUESTS",
+    "MAX_CRASHES_PER_REQUEST",
+    "MAX_TRACKED_REQUESTS",
+    "START_CRASH_WINDOW_S",
     "SUSPECT_KEPT_S",
-    "first_to_forget",
     "hold_among",
-    "hold_s",
-    "kept_s",
+    "next_to_evict",
+    "refusal_s",
+    "retention_s",
 ]
 
 from collections.abc import Iterable, Mapping, Set
@@ -24,7 +24,7 @@
 CRASHES_TO_REFUSE = 3
 # A refused request is tried again once its time is over, since weights or a server may
 # have been mended: by the users' rule three times at most after the third crash.
-CRASHES_REMEMBERED = 6
+MAX_CRASHES_PER_REQUEST = 6
 # Engines are mended by people: the shortest time in which one reacts, in seconds, and
 # the factor by which each further crash prolongs it, up to three and a half days.
 FIRST_HOLD_S = 600.0
@@ -41,14 +41,14 @@
 # as many as begin in some 0.15 s there, whatever the size of the fleet: one to four of
 # 27 a second over six first engines. With three servers one takes 65 bytes of control's
 # snapshot, 250 of its memory and 720 at each entry (traced allocations).
-MOST_REQUESTS = 1024
+MAX_TRACKED_REQUESTS = 1024
 # A run whose events came over so long a time has not crashed its server by beginning.
 # Servers that crashed did so within 0.1 s of the run that they began last; a pass of an
 # engine under load takes as long again.
-BEGINNING_S = 0.25
+START_CRASH_WINDOW_S = 0.25
 
 
-def hold_s(crashes: int) -> float:
+def refusal_s(crashes: int) -> float:
     """Return for how long a request is refused after its last crash, in seconds.
 
     Args:
@@ -58,10 +58,10 @@
         0 while it is not refused.
 
     Example:
-        >>> [hold_s(crashes) for crashes in (2, 3, 4)]
+        >>> [refusal_s(crashes) for crashes in (2, 3, 4)]
         [0.0, 600.0, 4800.0]
     """
-    beyond = min(crashes, CRASHES_REMEMBERED) - CRASHES_TO_REFUSE
+    beyond = min(crashes, MAX_CRASHES_PER_REQUEST) - CRASHES_TO_REFUSE
     return FIRST_HOLD_S * HOLD_FACTOR**beyond if beyond >= 0 else 0.0
 
 
@@ -110,19 +110,19 @@
     is_tied = len(unexplained & unshared) < CRASHES_TO_REFUSE
     if is_tied or span_s < ONE_EVENT_S:
         return doubt_s
-    return hold_s(len(ended))
+    return refusal_s(len(ended))
 
 
-def kept_s(crashes: int) -> float:
+def retention_s(crashes: int) -> float:
     """Return for how long the crashes of a request are remembered, in seconds.
 
     Args:
         crashes: Backend servers that ended under it.
     """
-    return max(SUSPECT_KEPT_S, 2 * hold_s(crashes))
+    return max(SUSPECT_KEPT_S, 2 * refusal_s(crashes))
 
 
-def first_to_forget(crashes: Mapping[bytes, int]) -> bytes:
+def next_to_evict(crashes: Mapping[bytes, int]) -> bytes:
     """Return the request to forget where more are known than may be.
 
     Args:
--- a/wigeonscale/crashes/refusal.py
+++ b/wigeonscale/crashes/refusal.py
@@ -2,12 +2,12 @@
 
 __all__ = ["refusal_of"]
 
-from wigeonscale.crashes.book import CrashBook
+from wigeonscale.crashes.book import CrashTracker
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
 
 def refusal_of(
-    book: CrashBook, fingerprint: bytes, *, run_state: RunState = RunState.NOT_RUN
+    book: CrashTracker, fingerprint: bytes, *, run_state: RunState = RunState.NOT_RUN
 ) -> WigeonscaleError | None:
     """Return why a request must not be sent to a backend server, or None.
 
@@ -19,7 +19,7 @@
     Returns:
         An error with word when it may be tried again.
     """
-    refused_s = book.refused_for(fingerprint)
+    refused_s = book.refusal_remaining_s(fingerprint)
     if refused_s <= 0:
         return None
     return WigeonscaleError(
--- a/wigeonscale/crashes/reporter.py
+++ b/wigeonscale/crashes/reporter.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.crashes.book import CrashBook
+from wigeonscale.crashes.book import CrashTracker
 from wigeonscale.crashes.records import CrashReport
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.ports import Clock
@@ -20,7 +20,10 @@
 
 
 async def report_crashes(
-    book: CrashBook, *, submit: Callable[[CrashReport], Awaitable[None]], clock: Clock
+    book: CrashTracker,
+    *,
+    submit: Callable[[CrashReport], Awaitable[None]],
+    clock: Clock,
 ) -> None:
     """Tell control what is found until cancelled.
 
--- a/wigeonscale/crashes/tests/test_book.py
+++ b/wigeonscale/crashes/tests/test_book.py
@@ -2,12 +2,12 @@
 from types import SimpleNamespace
 
 from wigeonscale.crashes import (
-    MOST_REQUESTS,
-    CrashBook,
+    MAX_TRACKED_REQUESTS,
     CrashReport,
+    CrashTracker,
     KnownCrashes,
-    first_to_forget,
-    hold_s,
+    next_to_evict,
+    refusal_s,
     report_crashes,
 )
 from wigeonscale.errors import ErrorKind, WigeonscaleError
@@ -25,7 +25,7 @@
         self.book = self.new_book()
 
     def new_book(self):
-        return CrashBook(
+        return CrashTracker(
             clock=self.clock,
             is_serving=self.serving.__contains__,
             has_ended=self.ended.__contains__,
@@ -36,7 +36,7 @@
         for name in names:
             self.book.note_lost(fingerprint, name)
         self.ended.update(names)
-        self.book.look()
+        self.book.confirm_crashes()
 
     def told(self, *names, fingerprint=IT, age_s=0.0, span_s=9.0):
         return KnownCrashes(
@@ -48,42 +48,42 @@
     async def test_two_crashes_make_a_suspect_and_the_third_refuses(self):
         self.crash("s1", "s2")
         self.assertTrue(self.book.is_suspect(IT))
-        self.assertEqual(0.0, self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(IT))
         await self.clock.advance(1.0)
         self.crash("s3")
-        self.assertEqual(hold_s(3), self.book.refused_for(IT))
-        self.assertEqual(0.0, self.book.refused_for(OTHER))
+        self.assertEqual(refusal_s(3), self.book.refusal_remaining_s(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(OTHER))
 
     async def test_servers_that_end_at_once_may_have_ended_by_one_cause(self):
         """A request that many ask for runs on all servers of a rack without power."""
         self.crash("s1", "s2", "s3")
-        self.assertEqual(5.0, self.book.refused_for(IT))
+        self.assertEqual(5.0, self.book.refusal_remaining_s(IT))
         await self.clock.advance(5.0)
-        self.assertEqual(0.0, self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(IT))
         self.crash("s4")
-        self.assertEqual(hold_s(4), self.book.refused_for(IT))
+        self.assertEqual(refusal_s(4), self.book.refusal_remaining_s(IT))
 
     async def test_the_same_by_word_of_control(self):
         self.book.take([self.told("s1", "s2", "s3", span_s=0.2)])
-        self.assertEqual(5.0, self.book.refused_for(IT))
+        self.assertEqual(5.0, self.book.refusal_remaining_s(IT))
 
     async def test_one_server_counts_once(self):
         self.crash("s1", "s1", "s2", "s2")
         self.book.take([self.told("s1", "s2")])
-        self.assertEqual(0.0, self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(IT))
 
     async def test_what_others_saw_counts_with_what_this_entry_saw(self):
         self.book.take([self.told("s1", "s2")])
         self.crash("s3")
-        self.assertEqual(hold_s(3), self.book.refused_for(IT))
+        self.assertEqual(refusal_s(3), self.book.refusal_remaining_s(IT))
 
     async def test_a_server_that_only_broke_off_does_not_count(self):
         for name in ("s1", "s2", "s3"):
             self.book.note_lost(IT, name)
         # For a moment it is not known whether they ended.
-        self.assertEqual(3.0, self.book.refused_for(IT))
+        self.assertEqual(3.0, self.book.refusal_remaining_s(IT))
         await self.clock.advance(3.1)
-        self.assertEqual(0.0, self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(IT))
         self.assertFalse(self.book.is_suspect(IT))
 
     async def test_a_server_that_leaves_ends_by_intent(self):
@@ -92,18 +92,18 @@
         self.assertFalse(self.book.is_suspect(IT))
 
     async def test_it_is_tried_again_when_its_time_is_over(self):
-        self.book.take([self.told("s1", "s2", "s3", age_s=hold_s(3) - 1.0)])
-        self.assertAlmostEqual(1.0, self.book.refused_for(IT))
+        self.book.take([self.told("s1", "s2", "s3", age_s=refusal_s(3) - 1.0)])
+        self.assertAlmostEqual(1.0, self.book.refusal_remaining_s(IT))
         await self.clock.advance(1.5)
-        self.assertEqual(0.0, self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(IT))
         self.crash("s4")
-        self.assertEqual(hold_s(4), self.book.refused_for(IT))
+        self.assertEqual(refusal_s(4), self.book.refusal_remaining_s(IT))
 
     async def test_a_run_that_went_well_clears(self):
         self.book.take([self.told("s1", "s2")])
         self.crash("s3")
         self.book.note_ran(IT)
-        self.assertEqual(0.0, self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(IT))
         self.assertEqual(CrashReport((), (IT,)), self.book.due())
 
     async def test_cleared_by_another_entry(self):
@@ -118,28 +118,28 @@
     async def prepare(self):
         await super().prepare()
         self.book.take([self.told("s1", "s2", "s3", span_s=0.2, age_s=5.0)])
-        self.assertEqual(0.0, self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(IT))
 
     async def test_one_send_at_a_time(self):
         self.book.note_sent(IT)
-        self.assertEqual(3.0, self.book.refused_for(IT))
+        self.assertEqual(3.0, self.book.refusal_remaining_s(IT))
         await self.clock.advance(3.0)
-        self.assertEqual(0.0, self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(IT))
 
     async def test_not_sent_again_before_its_fate_is_known(self):
         self.book.note_lost(IT, "s4")
-        self.assertEqual(3.0, self.book.refused_for(IT))
+        self.assertEqual(3.0, self.book.refusal_remaining_s(IT))
         self.ended.add("s4")
-        self.assertEqual(hold_s(4), self.book.refused_for(IT))
+        self.assertEqual(refusal_s(4), self.book.refusal_remaining_s(IT))
 
     async def test_free_once_it_ran_well(self):
         self.book.note_sent(IT)
         self.book.note_ran(IT)
-        self.assertEqual(0.0, self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(IT))
 
     async def test_others_are_sent_as_often_as_they_like(self):
         self.book.note_sent(OTHER)
-        self.assertEqual(0.0, self.book.refused_for(OTHER))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(OTHER))
 
 
 class TieTest(BookCase):
@@ -152,21 +152,21 @@
 
     async def test_both_are_held_for_a_moment_only(self):
         for fingerprint in (IT, OTHER):
-            self.assertEqual(5.0, self.book.refused_for(fingerprint))
+            self.assertEqual(5.0, self.book.refusal_remaining_s(fingerprint))
         await self.clock.advance(5.0)
-        self.assertEqual(0.0, self.book.refused_for(OTHER))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(OTHER))
 
     async def test_the_next_crash_tells_them_apart(self):
         self.book.take([self.told("s1", "s2", "s3", "s4")])
-        self.assertEqual(0.0, self.book.refused_for(OTHER))
-        self.assertEqual(hold_s(4), self.book.refused_for(IT))
+        self.assertEqual(0.0, self.book.refusal_remaining_s(OTHER))
+        self.assertEqual(refusal_s(4), self.book.refusal_remaining_s(IT))
 
     async def test_other_crashes_count_on(self):
         self.book.take([self.told("s1", "s2", "s3", "s4")])
         names = ("s3", "s5", "s6", "s7")
         self.book.take([self.told(*names, fingerprint=OTHER)])
-        self.assertEqual(hold_s(4), self.book.refused_for(OTHER))
-        self.assertEqual(hold_s(4), self.book.refused_for(IT))
+        self.assertEqual(refusal_s(4), self.book.refusal_remaining_s(OTHER))
+        self.assertEqual(refusal_s(4), self.book.refusal_remaining_s(IT))
 
 
 class TellingTest(BookCase):
@@ -199,19 +199,22 @@
     async def test_many_that_are_suspected_once_do_not_wash_out_the_refused(self):
         self.book.take([self.told("s1", "s2", "s3")])
         many = [
-            self.told("s1", fingerprint=b"%d" % n) for n in range(2 * MOST_REQUESTS)
+            self.told("s1", fingerprint=b"%d" % n)
+            for n in range(2 * MAX_TRACKED_REQUESTS)
         ]
         self.book.take(many)
-        self.assertTrue(self.book.refused_for(IT) > 0)
+        self.assertTrue(self.book.refusal_remaining_s(IT) > 0)
         known = sum(self.book.is_suspect(each.fingerprint) for each in many)
-        self.assertEqual(MOST_REQUESTS - 1, known)
+        self.assertEqual(MAX_TRACKED_REQUESTS - 1, known)
 
     async def test_own_losses_are_bounded_too(self):
-        for number in range(2 * MOST_REQUESTS):
+        for number in range(2 * MAX_TRACKED_REQUESTS):
             self.book.note_lost(b"%d" % number, "s1")
-        known = [self.book.is_suspect(b"%d" % n) for n in range(2 * MOST_REQUESTS)]
-        self.assertEqual(MOST_REQUESTS, sum(known))
+        known = [
+            self.book.is_suspect(b"%d" % n) for n in range(2 * MAX_TRACKED_REQUESTS)
+        ]
+        self.assertEqual(MAX_TRACKED_REQUESTS, sum(known))
 
     async def test_the_oldest_goes_where_all_are_refused(self):
-        self.assertEqual(b"a", first_to_forget({b"a": 3, b"b": 4}))
-        self.assertEqual(b"b", first_to_forget({b"a": 3, b"b": 2}))
+        self.assertEqual(b"a", next_to_evict({b"a": 3, b"b": 4}))
+        self.assertEqual(b"b", next_to_evict({b"a": 3, b"b": 2}))
--- a/wigeonscale/daemons/crashes.py
+++ b/wigeonscale/daemons/crashes.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from wigeonscale.adapters import METRICS
-from wigeonscale.crashes import CrashBook, CrashReport, report_crashes
+from wigeonscale.crashes import CrashReport, CrashTracker, report_crashes
 from wigeonscale.membership import ControlClient, command_of, known_crashes
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
 
-def take_from_control(book: CrashBook) -> Callable[[wire.CrashUpdate], None]:
+def take_from_control(book: CrashTracker) -> Callable[[wire.CrashUpdate], None]:
     """Return what takes control's records in, and counts what is refused by them.
 
     Args:
@@ -26,7 +26,7 @@
 
 
 async def report_to_control(
-    book: CrashBook, *, control: ControlClient, clock: Clock
+    book: CrashTracker, *, control: ControlClient, clock: Clock
 ) -> None:
     """Tell control what this entry finds, until cancelled.
 
@@ -39,5 +39,5 @@
     async def submit(report: CrashReport) -> None:
         await control.submit(command_of(report))
 
-    with control.changes.subscribe(lambda change: book.look()):
+    with control.changes.subscribe(lambda change: book.confirm_crashes()):
         await report_crashes(book, submit=submit, clock=clock)
--- a/wigeonscale/daemons/direct_entry.py
+++ b/wigeonscale/daemons/direct_entry.py
@@ -13,7 +13,7 @@
 from wigeonscale.adapters import setup_logging, start_http
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.config import DirectEntrySettings
-from wigeonscale.crashes import CrashBook
+from wigeonscale.crashes import CrashTracker
 from wigeonscale.daemons.crashes import report_to_control, take_from_control
 from wigeonscale.daemons.early_listener import EarlyListener
 from wigeonscale.daemons.load_words import take_totals, told_loads
@@ -160,7 +160,7 @@
         window_s=cfg.retry_window_s,
         entries=lambda: control.entries,
     )
-    crashes = CrashBook(
+    crashes = CrashTracker(
         clock=clock,
         is_serving=lambda backend_id: backend_id in known.fleet.by_id,
         has_ended=lambda backend_id: known.fleet.has_ended(backend_id),
@@ -271,7 +271,7 @@
 def _new_control(
     cfg: DirectEntrySettings,
     clock: Clock,
-    crashes: CrashBook,
+    crashes: CrashTracker,
     *,
     loads: Callable[[], wire.Loads],
     on_loads: Callable[[wire.Loads], None],
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -7,7 +7,7 @@
 
 from wigeonscale.adapters import open_channel, setup_logging, start_http
 from wigeonscale.config import EntrySettings
-from wigeonscale.crashes import CrashBook
+from wigeonscale.crashes import CrashTracker
 from wigeonscale.daemons.crashes import report_to_control, take_from_control
 from wigeonscale.daemons.runtime import StopStep, run_until_stopped
 from wigeonscale.dispatch import (
@@ -92,7 +92,7 @@
     control: ControlClient,
     clock: Clock,
     silence: SilenceLimits | None = None,
-    crashes: CrashBook | None = None,
+    crashes: CrashTracker | None = None,
 ) -> EntryService:
     """Return an entry's state, wired together.
 
@@ -117,7 +117,7 @@
     links = AgentLinks(
         entry_id=cfg.name,
         clock=clock,
-        on_word=table.word,
+        on_word=table.update_load,
         on_prefixes=view.take,
         on_gone=on_gone,
         limits=silence or looks,
@@ -156,14 +156,14 @@
     )
 
 
-def new_crash_book(names: ServerNames, *, clock: Clock) -> CrashBook:
+def new_crash_book(names: ServerNames, *, clock: Clock) -> CrashTracker:
     """Return a book of crashes of the servers behind agents.
 
     Args:
         names: Names of the servers.
         clock: Clock port.
     """
-    return CrashBook(
+    return CrashTracker(
         clock=clock,
         is_serving=names.is_serving,
         has_ended=names.has_ended,
--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.crashes import BEGINNING_S, refusal_of
+from wigeonscale.crashes import START_CRASH_WINDOW_S, refusal_of
 from wigeonscale.direct.job import Job, Surroundings
 from wigeonscale.direct.runs import Run
 from wigeonscale.errors import RunState
@@ -54,7 +54,7 @@
         run: The run.
     """
     first = run.backend_ids[0]
-    around.crashes.note_broken(first)
+    around.crashes.note_abort(first)
     if _note_lost(around, job, run, first):
         # Whether it has ended is known once control has asked it.
         around.suspect(first)
@@ -76,7 +76,7 @@
         backend_ids: Those servers.
     """
     for backend_id in backend_ids:
-        if not around.crashes.was_broken(backend_id, before=run.sent_at):
+        if not around.crashes.was_aborting(backend_id, before=run.sent_at):
             _note_lost(around, job, run, backend_id)
 
 
@@ -133,4 +133,4 @@
 
 
 def _is_beginning(run: Run) -> bool:
-    return run.went_on_s < BEGINNING_S
+    return run.went_on_s < START_CRASH_WINDOW_S
--- a/wigeonscale/direct/detour.py
+++ b/wigeonscale/direct/detour.py
@@ -42,7 +42,7 @@
     kept = {part.backend_id for part in detour}
     lost = [part.backend_id for part in path if part.backend_id not in kept]
     note_given_up_run(around, job, run, lost)
-    if around.crashes.refused_for(job.fingerprint):
+    if around.crashes.refusal_remaining_s(job.fingerprint):
         # Not handed to further engines; the flow refuses it.
         return False
     fleet = around.fleet()
--- a/wigeonscale/direct/job.py
+++ b/wigeonscale/direct/job.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wigeonscale.crashes import CrashBook, request_fingerprint
+from wigeonscale.crashes import CrashTracker, request_fingerprint
 from wigeonscale.direct.beliefs import Beliefs
 from wigeonscale.direct.budget import SendBudget
 from wigeonscale.direct.fleet import Fleet
@@ -54,7 +54,7 @@
     orders: EngineOrders
     stalls: StallWatch
     waiting: RoomQueue
-    crashes: CrashBook
+    crashes: CrashTracker
     notices: Notices
     limits: SendLimits
 
--- a/wigeonscale/direct/send_limits.py
+++ b/wigeonscale/direct/send_limits.py
@@ -10,7 +10,7 @@
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.beliefs import TOTALS_FRESH_S
-from wigeonscale.limits import sharers
+from wigeonscale.limits import share_weights
 from wigeonscale.ports import Clock
 
 # Share of a limit that is used: entries hear of each other late.
@@ -255,7 +255,7 @@
             limit.shares = {}
             return
         before_s = self._interval_s(limit)
-        limit.shares = sharers(backend_id, limit.per_s, demands)
+        limit.shares = share_weights(backend_id, limit.per_s, demands)
         interval_s = self._interval_s(limit)
         if math.isinf(interval_s):
             return
--- a/wigeonscale/direct/tests/support.py
+++ b/wigeonscale/direct/tests/support.py
@@ -2,7 +2,7 @@
 
 import random
 
-from wigeonscale.crashes import CrashBook
+from wigeonscale.crashes import CrashTracker
 from wigeonscale.direct import (
     BackendServer,
     Beliefs,
@@ -147,7 +147,7 @@
             orders=self.orders,
             stalls=self.stalls,
             waiting=RoomQueue(clock=self.clock),
-            crashes=CrashBook(
+            crashes=CrashTracker(
                 clock=self.clock,
                 is_serving=lambda name: name in self.fleet.by_id,
                 has_ended=lambda name: self.fleet.has_ended(name),
--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from wigeonscale.crashes import BEGINNING_S, KnownCrashes, hold_s
+from wigeonscale.crashes import START_CRASH_WINDOW_S, KnownCrashes, refusal_s
 from wigeonscale.direct.plain import call_plain
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.fakes import FakeExchange
@@ -36,7 +36,7 @@
             first, end = old.layers
             gone = engine(name, first, end, domain=old.domain, is_silent=True)
             self.parts.fleet.by_id[name] = gone
-        self.parts.around.crashes.look()
+        self.parts.around.crashes.confirm_crashes()
 
 
 class RefusedStreamTest(Ending, StreamCase):
@@ -48,7 +48,7 @@
         exc = await self.refused()
         self.assertEqual(ErrorKind.CRASHES_BACKENDS, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
-        self.assertEqual(hold_s(3), exc.retry_after)
+        self.assertEqual(refusal_s(3), exc.retry_after)
         self.assertEqual([], self.exchange.sent_to)
 
     async def test_another_body_is_another_request(self):
@@ -77,7 +77,7 @@
         self.exchange.script("a1", [event(1), future, event(2), unknown()], [event(3)])
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.got() == [1])
-        await self.parts.clock.advance(BEGINNING_S)
+        await self.parts.clock.advance(START_CRASH_WINDOW_S)
         future.set_result(None)
         await self.until(task.done)
         await task
@@ -85,7 +85,7 @@
 
     async def test_sent_to_an_engine_that_is_gone_already_it_is_not_to_blame(self):
         """Its connection is still being refused when it is taken off the engine."""
-        self.parts.around.crashes.note_broken("a1")
+        self.parts.around.crashes.note_abort("a1")
         await self.parts.clock.advance(0.01)
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
@@ -103,7 +103,7 @@
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.exchange.calls)
         await self.parts.clock.advance(0.01)
-        self.parts.around.crashes.note_broken("a1")
+        self.parts.around.crashes.note_abort("a1")
         self.end("a1")
         self.parts.beliefs.note_lost("a1")
         await self.until(lambda: len(self.exchange.calls) == 2)
@@ -118,8 +118,8 @@
         self.exchange.script("b1", [HANG])
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.got() == [1])
-        await self.parts.clock.advance(BEGINNING_S)
-        self.parts.stalls.note_late(BEGINNING_S)
+        await self.parts.clock.advance(START_CRASH_WINDOW_S)
+        self.parts.stalls.note_late(START_CRASH_WINDOW_S)
         future.set_result(None)
         await self.until(lambda: len(self.exchange.calls) == 2)
         self.assertTrue(self.parts.around.crashes.is_suspect(self.job().fingerprint))
@@ -178,7 +178,7 @@
         first = asyncio.create_task(self.relay(body=b"one"))
         await self.until(lambda: self.exchange.calls)
         second = asyncio.create_task(self.relay(body=b"two"))
-        await self.parts.clock.advance(BEGINNING_S / 2)
+        await self.parts.clock.advance(START_CRASH_WINDOW_S / 2)
         self.assertEqual(1, len(self.exchange.calls))
         await self.until(second.done)
         begun.set_result(None)
@@ -235,7 +235,7 @@
             self.exchange.script(name, answer(500, b"why"), unknown())
         book = self.parts.around.crashes
         # Control's word comes while the first server still works on it.
-        book.refused_for = lambda _: 5.0 if self.exchange.calls else 0.0
+        book.refusal_remaining_s = lambda _: 5.0 if self.exchange.calls else 0.0
         got = await call_plain(self.parts.around, job)
         self.assertEqual(answer(500, b"why"), got)
 
--- a/wigeonscale/dispatch/crashing.py
+++ b/wigeonscale/dispatch/crashing.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 
 from wigeonscale.adapters import log_fields
-from wigeonscale.crashes import CrashBook, refusal_of
+from wigeonscale.crashes import CrashTracker, refusal_of
 from wigeonscale.dispatch.targets import Target
 from wigeonscale.dispatch.work import Work
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
@@ -27,7 +27,7 @@
     def __init__(
         self,
         *,
-        book: CrashBook,
+        book: CrashTracker,
         servers: Callable[[Iterable[str]], tuple[str, ...]],
     ):
         self.book = book
--- a/wigeonscale/entry/places.py
+++ b/wigeonscale/entry/places.py
@@ -104,7 +104,7 @@
         for agent_id, state in states.items():
             # An agent's own word of leaving is void once it is back.
             if not state[1] and state != self._states.get(agent_id, state):
-                self._chooser.came_back(agent_id)
+                self._chooser.clear_leaving(agent_id)
         self._states = states
 
     def _avoided(self) -> frozenset[str]:
--- a/wigeonscale/entry/tests/test_places.py
+++ b/wigeonscale/entry/tests/test_places.py
@@ -49,7 +49,7 @@
     def test_what_was_known_of_agents_that_are_gone_is_forgotten(self):
         word = wire.LoadWord(running=9, slots=4)
         for agent_id in ("a", "gone", "gone but used"):
-            self.table.word(agent_id, word)
+            self.table.update_load(agent_id, word)
             self.view.event(agent_id, 1, b"x", held=True)
         self.table.started("gone but used")
         self.choose()
@@ -68,7 +68,7 @@
         restarted = wire.Backend(agent_id="a", incarnation=2)
         for back in (stays, restarted):
             self.see(stays)
-            self.table.word("a", wire.LoadWord(leaving=True))
+            self.table.update_load("a", wire.LoadWord(leaving=True))
             self.see(stays)  # of something else: the word is newer
             self.assertTrue(self.table.leaving("a"))
             self.see(leaves)
--- a/wigeonscale/layers/model.py
+++ b/wigeonscale/layers/model.py
@@ -38,7 +38,7 @@
     size_mb: float
     pace: float
     held: LayerRange = LayerRange(0, 0)
-    lasting: bool = True
+    is_available: bool = True
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/wigeonscale/layers/plan.py
+++ b/wigeonscale/layers/plan.py
@@ -52,7 +52,7 @@
     """
     wanted: dict[str, LayerRange] = {}
     lasting = sorted(
-        (holder for holder in holders if holder.lasting),
+        (holder for holder in holders if holder.is_available),
         key=lambda holder: holder.backend_id,
     )
     for group in _groups(lasting, model):
--- a/wigeonscale/layers/tests/test_plan.py
+++ b/wigeonscale/layers/tests/test_plan.py
@@ -65,7 +65,7 @@
 
 
 def covered(holders):
-    return {n for h in holders if h.lasting for n in range(*h.held)}
+    return {n for h in holders if h.is_available for n in range(*h.held)}
 
 
 class SplitTest(AsyncTestCase):
@@ -148,7 +148,9 @@
 
     def test_a_single_loss_needs_no_load(self):
         for lost in self.holders:
-            left = [replace(h, lasting=False) if h is lost else h for h in self.holders]
+            left = [
+                replace(h, is_available=False) if h is lost else h for h in self.holders
+            ]
             self.assertEqual({}, plan_grown(left), lost)
 
     def test_also_where_the_first_set_has_to_leave_less_room(self):
@@ -186,7 +188,7 @@
     def test_the_fastest_engine_is_not_moved_for_a_gap(self):
         lost = {h.backend_id for h in self.of("c") if 79 in range(*h.held)}
         holders = [
-            replace(h, lasting=False) if h.backend_id in lost else h
+            replace(h, is_available=False) if h.backend_id in lost else h
             for h in self.holders
         ]
         wanted = plan_grown(holders)
@@ -259,7 +261,7 @@
 
     def lose(self, name):
         return [
-            replace(h, lasting=False) if h.backend_id == name else h
+            replace(h, is_available=False) if h.backend_id == name else h
             for h in self.holders
         ]
 
@@ -276,7 +278,7 @@
     def test_two_neighbours_with_room_give_up_nothing(self):
         held = [(0, 5), (5, 9), (9, 14)]
         holders = [
-            holder(f"e{n}", "a", "l4", LayerRange(*each), lasting=n != 1)
+            holder(f"e{n}", "a", "l4", LayerRange(*each), is_available=n != 1)
             for n, each in enumerate(held)
         ]
         wanted = plan(holders, layers=14)
@@ -300,10 +302,11 @@
             holders = self.lose(first.backend_id)
             holders = carried_out(holders, plan(holders))
             for second in holders:
-                if second.domain != first.domain or not second.lasting:
+                if second.domain != first.domain or not second.is_available:
                     continue
                 left = [
-                    replace(h, lasting=False) if h is second else h for h in holders
+                    replace(h, is_available=False) if h is second else h
+                    for h in holders
                 ]
                 after = carried_out(left, plan(left))
                 mine = [h for h in after if h.domain == first.domain]
@@ -334,5 +337,5 @@
         self.assertEqual(8, wanted["new"].count)
 
     def test_all_but_one_domain_lost(self):
-        holders = [replace(h, lasting=h.domain == "c") for h in self.holders]
+        holders = [replace(h, is_available=h.domain == "c") for h in self.holders]
         self.assertEqual({}, plan(holders))
--- a/wigeonscale/limits/__init__.py
+++ b/wigeonscale/limits/__init__.py
@@ -7,7 +7,7 @@
     "Permit",
     "WaitEstimator",
     "check_deadline",
-    "sharers",
+    "share_weights",
 ]
 
 from wigeonscale.limits.deadline import check_deadline
@@ -15,4 +15,4 @@
 from wigeonscale.limits.fair_queue import FairQueue
 from wigeonscale.limits.guard import ConcurrencyGuard
 from wigeonscale.limits.organisations import OrganisationLimits, Permit
-from wigeonscale.limits.sharing import sharers
+from wigeonscale.limits.sharing import share_weights
--- a/wigeonscale/limits/estimate.py
+++ b/wigeonscale/limits/estimate.py
@@ -49,7 +49,7 @@
         self._service_s += weight * error_s
         self._deviation_s += weight * (abs(error_s) - self._deviation_s)
 
-    def admit_s(self, deadline_s: float | None) -> float:
+    def admission_service_s(self, deadline_s: float | None) -> float:
         """Return the seconds of service to reckon with when a request is let in.
 
         Args:
@@ -57,7 +57,7 @@
         """
         return self._cautious_s(ADMIT_DEVIATIONS, deadline_s)
 
-    def start_s(self, deadline_s: float | None) -> float:
+    def start_service_s(self, deadline_s: float | None) -> float:
         """Return the seconds of service to reckon with when a request starts.
 
         Args:
--- a/wigeonscale/limits/sharing.py
+++ b/wigeonscale/limits/sharing.py
@@ -1,6 +1,6 @@
 """Which processes share a limit that holds for all of them together, and how."""
 
-__all__ = ["sharers"]
+__all__ = ["share_weights"]
 
 import hashlib
 import math
@@ -14,7 +14,9 @@
 FAR_LESS = 8
 
 
-def sharers(subject: str, per_s: float, demands: Mapping[str, int]) -> dict[str, int]:
+def share_weights(
+    subject: str, per_s: float, demands: Mapping[str, int]
+) -> dict[str, int]:
     """Return those that share a limit with their weights, the same for all that ask.
 
     Load pattern: one process has most of the requests, many others one now and then.
--- a/wigeonscale/limits/tests/test_estimate.py
+++ b/wigeonscale/limits/tests/test_estimate.py
@@ -26,15 +26,15 @@
         for number in range(200):
             even.finished(2.0)
             uneven.finished(1.0 if number % 2 else 3.0)
-        self.assertAlmostEqual(2.0, even.admit_s(60.0), places=1)
-        self.assertAlmostEqual(5.0, uneven.admit_s(60.0), delta=0.3)
-        self.assertAlmostEqual(4.0, uneven.start_s(60.0), delta=0.3)
+        self.assertAlmostEqual(2.0, even.admission_service_s(60.0), places=1)
+        self.assertAlmostEqual(5.0, uneven.admission_service_s(60.0), delta=0.3)
+        self.assertAlmostEqual(4.0, uneven.start_service_s(60.0), delta=0.3)
 
     def test_short_deadline_is_not_refused_for_spread_alone(self):
         estimator = WaitEstimator(clock=ManualClock())
         for number in range(200):
             estimator.finished(1.0 if number % 2 else 3.0)
-        self.assertAlmostEqual(2.5, estimator.admit_s(5.0))
+        self.assertAlmostEqual(2.5, estimator.admission_service_s(5.0))
 
 
 class CheckDeadlineTest(AsyncTestCase):
--- a/wigeonscale/routing/chooser.py
+++ b/wigeonscale/routing/chooser.py
@@ -104,9 +104,9 @@
         if self._view is not None:
             self._view.forget_absent(known)
 
-    def came_back(self, agent_id: str) -> None:
+    def clear_leaving(self, agent_id: str) -> None:
         """Offer work again to an agent that had said that it leaves."""
-        self._table.came_back(agent_id)
+        self._table.clear_leaving(agent_id)
 
     def _usable(self, candidates, avoid: frozenset[str]) -> list[Candidate]:
         if len(candidates) <= self._size and not isinstance(candidates, CandidatePool):
--- a/wigeonscale/routing/load.py
+++ b/wigeonscale/routing/load.py
@@ -106,7 +106,9 @@
         age_s = self._clock.now() - load.failed_at
         return load.failures * math.exp(-age_s / FAILURE_DECAY_S)
 
-    def word(self, agent_id: str, word: LoadWordLike, *, age_s: float = 0.0) -> None:
+    def update_load(
+        self, agent_id: str, word: LoadWordLike, *, age_s: float = 0.0
+    ) -> None:
         """Take in a load word.
 
         Args:
@@ -153,7 +155,7 @@
         load = self._loads.get(agent_id)
         return load is not None and self._clock.now() < load.leaving_until
 
-    def came_back(self, agent_id: str) -> None:
+    def clear_leaving(self, agent_id: str) -> None:
         """Take back the agent's word that it takes no new work."""
         load = self._loads.get(agent_id)
         if load is not None:
--- a/wigeonscale/routing/prefixes.py
+++ b/wigeonscale/routing/prefixes.py
@@ -11,7 +11,7 @@
 AFFINITY_BYTES = 256
 DIGEST_BYTES = 16
 PREFIXES_PER_AGENT = 1024
-FORGET_GAP = 256
+RESET_GAP_EVENTS = 256
 
 
 def prefix_digest(prompt: bytes) -> bytes:
@@ -46,8 +46,8 @@
 
     Events are numbered per agent. They come late, crossed and with gaps. A prefix
     whose eviction was lost in a gap stays believed until a request for it has found
-    out, since that costs one miss; a gap of ``FORGET_GAP`` events or more forgets
-    all of the agent's prefixes.
+    out, since that costs one miss; a gap of ``RESET_GAP_EVENTS`` events or more
+    forgets all of the agent's prefixes.
 
     Notes:
         Constant time per event and per question. At most ``PREFIXES_PER_AGENT``
@@ -68,7 +68,7 @@
         """
         cache = self._caches.setdefault(agent_id, _Cache())
         last = number if cache.last_number is None else cache.last_number
-        if number - last >= FORGET_GAP:
+        if number - last >= RESET_GAP_EVENTS:
             cache.held.clear()
             cache.dropped.clear()
         cache.last_number = max(number, last)
--- a/wigeonscale/routing/tests/test_chooser.py
+++ b/wigeonscale/routing/tests/test_chooser.py
@@ -82,7 +82,7 @@
         word = SimpleNamespace(
             running=running, queued=0, slots=8, wait_s=0.0, leaving=False
         )
-        self.table.word(agent_id, word)
+        self.table.update_load(agent_id, word)
 
     def test_no_candidate_gives_none(self):
         self.assertIsNone(self.chooser.choose(()))
@@ -127,7 +127,7 @@
 
     def test_leaving_agent_is_not_chosen(self):
         word = SimpleNamespace(running=0, queued=0, slots=4, wait_s=0.0, leaving=True)
-        self.table.word("agent0", word)
+        self.table.update_load("agent0", word)
         self.assertEqual({"agent1"}, set(self.choices(candidates_of(2))))
 
     def test_lost_subset_is_replaced_by_others(self):
--- a/wigeonscale/routing/tests/test_load.py
+++ b/wigeonscale/routing/tests/test_load.py
@@ -34,13 +34,13 @@
         self.assertEqual(0, self.table.in_flight_of("a", "other"))
 
     def test_word_holds_the_load_of_all_entries(self):
-        self.table.word("a", load_word(running=4, queued=4, wait_s=2.0))
+        self.table.update_load("a", load_word(running=4, queued=4, wait_s=2.0))
         self.assertEqual(8, self.table.backlog("a"))
         self.assertAlmostEqual(2.5, self.table.score("a"))
 
     def test_starts_since_the_word_are_added(self):
         self.table.started("a")
-        self.table.word("a", load_word(running=3))
+        self.table.update_load("a", load_word(running=3))
         self.table.started("a")
         self.assertEqual(4, self.table.backlog("a"))
         self.table.finished("a")
@@ -51,22 +51,22 @@
         self.table.started("a")
         await self.clock.advance(1.0)
         self.table.started("a")
-        self.table.word("a", load_word(running=5), age_s=0.5)
+        self.table.update_load("a", load_word(running=5), age_s=0.5)
         others = self.table.backlog("a") - self.table.in_flight("a")
         # 4 from the others were told; 4 a request of the own make 8 by now.
         self.assertTrue(4 < others < 8, others)
 
     async def test_old_word_gives_way_to_own_load_times_the_usual_ratio(self):
         self.table.started("a")
-        self.table.word("a", load_word(running=4))
+        self.table.update_load("a", load_word(running=4))
         await self.clock.advance(60.0)
         self.assertAlmostEqual(4.0, self.table.backlog("a"), places=3)
         self.table.finished("a")
         self.assertAlmostEqual(0.0, self.table.backlog("a"), places=3)
 
     async def test_word_overtaken_by_a_newer_one_is_ignored(self):
-        self.table.word("a", load_word(running=3))
-        self.table.word("a", load_word(running=9), age_s=2.0)
+        self.table.update_load("a", load_word(running=3))
+        self.table.update_load("a", load_word(running=9), age_s=2.0)
         self.assertEqual(3, self.table.backlog("a"))
 
     async def test_failures_fade_with_time_and_with_success(self):
@@ -83,14 +83,14 @@
 
     async def test_leaving_is_believed_for_a_while_only(self):
         # A restarted agent tells otherwise only once it is used again.
-        self.table.word("a", load_word(leaving=True))
+        self.table.update_load("a", load_word(leaving=True))
         await self.clock.advance(5.0)
         self.assertTrue(self.table.leaving("a"))
         await self.clock.advance(6.0)
         self.assertFalse(self.table.leaving("a"))
 
     def test_leaving_and_forget(self):
-        self.table.word("a", load_word(leaving=True))
+        self.table.update_load("a", load_word(leaving=True))
         self.assertTrue(self.table.leaving("a"))
         self.table.forget("a")
         self.assertFalse(self.table.leaving("a"))
--- a/wigeonscale/state/crash_records.py
+++ b/wigeonscale/state/crash_records.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 
 from wigeonscale.crashes import (
-    CRASHES_REMEMBERED,
-    MOST_REQUESTS,
-    first_to_forget,
-    kept_s,
+    MAX_CRASHES_PER_REQUEST,
+    MAX_TRACKED_REQUESTS,
+    next_to_evict,
+    retention_s,
 )
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -76,7 +76,7 @@
             return False
         record = self._put(
             crash.fingerprint,
-            [*backends, crash.backend][-CRASHES_REMEMBERED:],
+            [*backends, crash.backend][-MAX_CRASHES_PER_REQUEST:],
             index,
             now_ms,
         )
@@ -108,13 +108,14 @@
         old = [
             fingerprint
             for fingerprint, record in self._records.items()
-            if now_ms - record.wall_ms > MILLISECONDS * kept_s(len(record.backends))
+            if now_ms - record.wall_ms
+            > MILLISECONDS * retention_s(len(record.backends))
         ]
         for fingerprint in old:
             del self._records[fingerprint]
-        while len(self._records) > MOST_REQUESTS:
+        while len(self._records) > MAX_TRACKED_REQUESTS:
             counts = {name: len(r.backends) for name, r in self._records.items()}
-            del self._records[first_to_forget(counts)]
+            del self._records[next_to_evict(counts)]
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
         """Write everything into a snapshot.
--- a/wigeonscale/state/tests/test_crash_records.py
+++ b/wigeonscale/state/tests/test_crash_records.py
@@ -1,4 +1,8 @@
-from wigeonscale.crashes import CRASHES_REMEMBERED, MOST_REQUESTS, kept_s
+from wigeonscale.crashes import (
+    MAX_CRASHES_PER_REQUEST,
+    MAX_TRACKED_REQUESTS,
+    retention_s,
+)
 from wigeonscale.state import ControlState
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.wire import wire_pb2 as wire
@@ -72,15 +76,15 @@
     def test_forgotten_by_age(self):
         self.record(crash(b"a", "s1"))
         self.record(*[crash(b"c", f"s{n}") for n in range(3)])
-        self.wall_ms += int(1000 * kept_s(1)) + 1
+        self.wall_ms += int(1000 * retention_s(1)) + 1
         self.record(crash(b"b", "s2"))
         self.assertEqual({b"b", b"c"}, set(self.known()))
 
     def test_bounded_in_requests_and_in_servers(self):
-        self.record(*[crash(b"c", f"s{n}") for n in range(2 * CRASHES_REMEMBERED)])
-        self.record(*[crash(b"%d" % n, "s1") for n in range(2 * MOST_REQUESTS)])
-        self.assertEqual(MOST_REQUESTS, len(self.state.crashes))
-        self.assertEqual(CRASHES_REMEMBERED, len(self.known()[b"c"]))
+        self.record(*[crash(b"c", f"s{n}") for n in range(2 * MAX_CRASHES_PER_REQUEST)])
+        self.record(*[crash(b"%d" % n, "s1") for n in range(2 * MAX_TRACKED_REQUESTS)])
+        self.assertEqual(MAX_TRACKED_REQUESTS, len(self.state.crashes))
+        self.assertEqual(MAX_CRASHES_PER_REQUEST, len(self.known()[b"c"]))
 
     def test_without_a_fingerprint_nothing_is_recorded(self):
         self.record(crash(b"", "s1"))
