--- a/wigeonscale/crashes/__init__.py
+++ b/wigeonscale/crashes/__init__.py
@@ -8,7 +8,7 @@
     "CrashReport",
     "CrashTracker",
     "KnownCrashes",
-    "hold_among",
+    "refusal_s_among",
     "next_to_evict",
     "refusal_of",
     "refusal_s",
@@ -17,18 +17,18 @@
     "retention_s",
 ]
 
-from wigeonscale.crashes.book import CrashTracker
 from wigeonscale.crashes.fingerprint import request_fingerprint
 from wigeonscale.crashes.policy import (
     CRASHES_TO_REFUSE,
     MAX_CRASHES_PER_REQUEST,
     MAX_TRACKED_REQUESTS,
     START_CRASH_WINDOW_S,
-    hold_among,
     next_to_evict,
     refusal_s,
+    refusal_s_among,
     retention_s,
 )
 from wigeonscale.crashes.records import CrashReport, KnownCrashes
 from wigeonscale.crashes.refusal import refusal_of
 from wigeonscale.crashes.reporter import report_crashes
+from wigeonscale.crashes.tracker import CrashTracker
--- a/wigeonscale/crashes/breaks.py
+++ b/wigeonscale/crashes/aborts.py
@@ -1,15 +1,15 @@
 """When backend servers began to break off what runs on them."""
 
-__all__ = ["Breaks"]
+__all__ = ["AbortTimes"]
 
 from wigeonscale.ports import Clock
 
 # Breaks of one server within this time are of one event: streams of one connection each
 # end within some 10 ms.
-EVENT_S = 1.0
+SAME_FAILURE_S = 1.0
 
 
-class Breaks:
+class AbortTimes:
     """The first break of the newest event at each server.
 
     Args:
@@ -27,17 +27,19 @@
 
     def __init__(self, *, clock: Clock):
         self._clock = clock
-        self._began_at: dict[str, float] = {}
+        self._first_abort_at: dict[str, float] = {}
 
     def note(self, backend_id: str) -> None:
         """Take in that a backend server broke off a run."""
         now = self._clock.now()
-        self._began_at = {
-            name: at for name, at in self._began_at.items() if now - at <= EVENT_S
+        self._first_abort_at = {
+            name: at
+            for name, at in self._first_abort_at.items()
+            if now - at <= SAME_FAILURE_S
         }
-        self._began_at.setdefault(backend_id, now)
+        self._first_abort_at.setdefault(backend_id, now)
 
     def was_aborting(self, backend_id: str, *, before: float) -> bool:
         """Return whether a server was breaking runs off before a local instant."""
-        began_at = self._began_at.get(backend_id)
-        return began_at is not None and began_at <= before
+        first_abort_at = self._first_abort_at.get(backend_id)
+        return first_abort_at is not None and first_abort_at <= before
--- a/wigeonscale/crashes/policy.py
+++ b/wigeonscale/crashes/policy.py
@@ -10,8 +10,8 @@
     "MAX_CRASHES_PER_REQUEST",
     "MAX_TRACKED_REQUESTS",
     "START_CRASH_WINDOW_S",
-    "SUSPECT_KEPT_S",
-    "hold_among",
+    "SUSPECT_RETENTION_S",
+    "refusal_s_among",
     "next_to_evict",
     "refusal_s",
     "retention_s",
@@ -27,16 +27,16 @@
 MAX_CRASHES_PER_REQUEST = 6
 # Engines are mended by people: the shortest time in which one reacts, in seconds, and
 # the factor by which each further crash prolongs it, up to three and a half days.
-FIRST_HOLD_S = 600.0
-HOLD_FACTOR = 8.0
+INITIAL_REFUSAL_S = 600.0
+REFUSAL_GROWTH_FACTOR = 8.0
 # A refusal that may hit the wrong request, in seconds: it is tried again once the fate
 # of the last runs is known, and the next crash settles it.
-DOUBT_HOLD_S = 5.0
+UNCERTAIN_REFUSAL_S = 5.0
 # Servers that end within this time may have ended by one cause, such as the power of a
 # rack, under a request that many ask for: its copies run on several at once.
-ONE_EVENT_S = 1.0
+COMMON_CAUSE_S = 1.0
 # A request that is suspected only is forgotten after this long without another crash.
-SUSPECT_KEPT_S = 600.0
+SUSPECT_RETENTION_S = 600.0
 # Requests remembered. A crash adds those that had just begun at one engine, which are
 # as many as begin in some 0.15 s there, whatever the size of the fleet: one to four of
 # 27 a second over six first engines. With three servers one takes 65 bytes of control's
@@ -62,15 +62,15 @@
         [0.0, 600.0, 4800.0]
     """
     beyond = min(crashes, MAX_CRASHES_PER_REQUEST) - CRASHES_TO_REFUSE
-    return FIRST_HOLD_S * HOLD_FACTOR**beyond if beyond >= 0 else 0.0
+    return INITIAL_REFUSAL_S * REFUSAL_GROWTH_FACTOR**beyond if beyond >= 0 else 0.0
 
 
-def hold_among(
+def refusal_s_among(
     ended: Set[str],
     rivals: Iterable[Set[str]],
     *,
     span_s: float,
-    doubt_s: float = DOUBT_HOLD_S,
+    uncertain_s: float = UNCERTAIN_REFUSAL_S,
 ) -> float:
     """Return for how long a request is refused, given what ended under others.
 
@@ -82,19 +82,19 @@
         ended: Backend servers that ended under the request.
         rivals: The same for each other request that may be refused.
         span_s: Time from the first of its crashes to the last, in seconds.
-        doubt_s: Time of a refusal that may be wrong, in seconds.
+        uncertain_s: Time of a refusal that may be wrong, in seconds.
 
     Returns:
         Seconds after its last crash; 0 while it is not refused.
 
     Example:
-        >>> hold_among({"a", "b", "c"}, [{"a", "b", "c", "d"}], span_s=9.0)
+        >>> refusal_s_among({"a", "b", "c"}, [{"a", "b", "c", "d"}], span_s=9.0)
         0.0
-        >>> hold_among({"a", "b", "c"}, [{"a", "b", "c"}], span_s=9.0)
+        >>> refusal_s_among({"a", "b", "c"}, [{"a", "b", "c"}], span_s=9.0)
         5.0
-        >>> hold_among({"a", "b", "c"}, [], span_s=0.1)
+        >>> refusal_s_among({"a", "b", "c"}, [], span_s=0.1)
         5.0
-        >>> hold_among({"a", "b", "c"}, [], span_s=9.0)
+        >>> refusal_s_among({"a", "b", "c"}, [], span_s=9.0)
         600.0
     """
     if len(ended) < CRASHES_TO_REFUSE:
@@ -108,8 +108,8 @@
     if len(unexplained) < CRASHES_TO_REFUSE:
         return 0.0
     is_tied = len(unexplained & unshared) < CRASHES_TO_REFUSE
-    if is_tied or span_s < ONE_EVENT_S:
-        return doubt_s
+    if is_tied or span_s < COMMON_CAUSE_S:
+        return uncertain_s
     return refusal_s(len(ended))
 
 
@@ -119,7 +119,7 @@
     Args:
         crashes: Backend servers that ended under it.
     """
-    return max(SUSPECT_KEPT_S, 2 * refusal_s(crashes))
+    return max(SUSPECT_RETENTION_S, 2 * refusal_s(crashes))
 
 
 def next_to_evict(crashes: Mapping[bytes, int]) -> bytes:
--- a/wigeonscale/crashes/records.py
+++ b/wigeonscale/crashes/records.py
@@ -1,6 +1,12 @@
 """What is known of one request under which backend servers crash, as plain data."""
 
-__all__ = ["CrashReport", "KnownCrashes", "Loss", "Told", "log_record"]
+__all__ = [
+    "CrashReport",
+    "KnownCrashes",
+    "AbortedStart",
+    "ConfirmedCrashes",
+    "log_record",
+]
 
 import logging
 from dataclasses import dataclass
@@ -29,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ConfirmedCrashes:
     """What control told of one request.
 
     Attributes:
@@ -38,7 +44,7 @@
         last_at: Local instant of the last one.
     """
 
-    names: frozenset[str]
+    backends: frozenset[str]
     first_at: float
     last_at: float
 
@@ -57,18 +63,18 @@
 
 
 @dataclass(slots=True)
-class Loss:
+class AbortedStart:
     """An incarnation that this entry saw break off a run that had just begun.
 
     Attributes:
         at: Local instant of it.
         has_ended: Whether the incarnation is known to have ended.
-        told_at: Local instant at which it was handed out to be told; None before.
+        reported_at: Local instant at which it was handed out to be told; None before.
     """
 
     at: float
     has_ended: bool = False
-    told_at: float | None = None
+    reported_at: float | None = None
 
 
 def log_record(record: KnownCrashes) -> None:
--- a/wigeonscale/crashes/refusal.py
+++ b/wigeonscale/crashes/refusal.py
@@ -2,24 +2,24 @@
 
 __all__ = ["refusal_of"]
 
-from wigeonscale.crashes.book import CrashTracker
+from wigeonscale.crashes.tracker import CrashTracker
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
 
 def refusal_of(
-    book: CrashTracker, fingerprint: bytes, *, run_state: RunState = RunState.NOT_RUN
+    tracker: CrashTracker, fingerprint: bytes, *, run_state: RunState = RunState.NOT_RUN
 ) -> WigeonscaleError | None:
     """Return why a request must not be sent to a backend server, or None.
 
     Args:
-        book: What this entry knows.
+        tracker: What this entry knows.
         fingerprint: The request's.
         run_state: What became of its earlier sends.
 
     Returns:
         An error with word when it may be tried again.
     """
-    refused_s = book.refusal_remaining_s(fingerprint)
+    refused_s = tracker.refusal_remaining_s(fingerprint)
     if refused_s <= 0:
         return None
     return WigeonscaleError(
--- a/wigeonscale/crashes/reporter.py
+++ b/wigeonscale/crashes/reporter.py
@@ -6,21 +6,21 @@
 from collections.abc import Awaitable, Callable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.crashes.book import CrashTracker
 from wigeonscale.crashes.records import CrashReport
+from wigeonscale.crashes.tracker import CrashTracker
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.ports import Clock
 
 # Crashes become known for several requests at once, in one change of the members.
-GATHER_S = 0.02
+BATCH_DELAY_S = 0.02
 # Control gave no answer for three seconds already.
-AGAIN_S = 0.5
+RETRY_DELAY_S = 0.5
 
 logger = logging.getLogger(__name__)
 
 
 async def report_crashes(
-    book: CrashTracker,
+    tracker: CrashTracker,
     *,
     submit: Callable[[CrashReport], Awaitable[None]],
     clock: Clock,
@@ -28,15 +28,15 @@
     """Tell control what is found until cancelled.
 
     Args:
-        book: What this entry knows.
+        tracker: What this entry knows.
         submit: Commits a report at control; raises :class:`WigeonscaleError` if that
             fails.
         clock: Clock port.
     """
     while True:
-        await book.until_due()
-        await clock.sleep(GATHER_S)
-        report = book.due()
+        await tracker.wait_for_report()
+        await clock.sleep(BATCH_DELAY_S)
+        report = tracker.take_report()
         if not report.crashes and not report.cleared:
             continue
         try:
@@ -47,5 +47,5 @@
                 exc.message,
                 extra=log_fields(kind=exc.kind, crashes=len(report.crashes)),
             )
-            book.not_told(report)
-            await clock.sleep(AGAIN_S)
+            tracker.restore_report(report)
+            await clock.sleep(RETRY_DELAY_S)
--- a/wigeonscale/crashes/book.py
+++ b/wigeonscale/crashes/tracker.py
@@ -8,32 +8,32 @@
 from collections.abc import Callable, Iterable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.crashes.breaks import Breaks
+from wigeonscale.crashes.aborts import AbortTimes
 from wigeonscale.crashes.policy import (
     CRASHES_TO_REFUSE,
-    DOUBT_HOLD_S,
     MAX_TRACKED_REQUESTS,
-    hold_among,
+    UNCERTAIN_REFUSAL_S,
     next_to_evict,
     refusal_s,
+    refusal_s_among,
     retention_s,
 )
 from wigeonscale.crashes.records import (
+    AbortedStart,
+    ConfirmedCrashes,
     CrashReport,
     KnownCrashes,
-    Loss,
-    Told,
     log_record,
 )
 from wigeonscale.ports import Clock
 
 # A backend server that broke off a run counts as crashed if control finds it gone
 # within this time: a refused probe says so in 0.02 to 0.3 s, two unanswered ones later.
-CONFIRM_S = 3.0
+CONFIRMATION_TIMEOUT_S = 3.0
 # What was told to control is remembered here until control's word of it is back.
-TOLD_KEPT_S = 5.0
+REPORTED_RETENTION_S = 5.0
 # Records of one update that get a line each; an entry that starts may be told them all.
-LOGGED_RECORDS = 16
+MAX_LOGGED_RECORDS = 16
 
 logger = logging.getLogger(__name__)
 
@@ -65,32 +65,32 @@
         rng: random.Random,
     ):
         self._clock = clock
-        self._doubt_s = DOUBT_HOLD_S * (1.0 + rng.random())
+        self._uncertain_refusal_s = UNCERTAIN_REFUSAL_S * (1.0 + rng.random())
         self._is_serving = is_serving
         self._has_ended = has_ended
-        self._due = asyncio.Event()
+        self._report_ready = asyncio.Event()
         # In the order of the last change.
-        self._told: dict[bytes, Told] = {}
-        self._losses: dict[bytes, dict[str, Loss]] = {}
+        self._confirmed: dict[bytes, ConfirmedCrashes] = {}
+        self._aborted_starts: dict[bytes, dict[str, AbortedStart]] = {}
         self._cleared: set[bytes] = set()
         # Last send of each request that was refused before.
-        self._tried_at: dict[bytes, float] = {}
-        self._breaks = Breaks(clock=clock)
+        self._retried_at: dict[bytes, float] = {}
+        self._abort_times = AbortTimes(clock=clock)
 
     @property
     def refused(self) -> int:
         """How many requests are refused just now by control's word."""
         now = self._clock.now()
         return sum(
-            now < told.last_at + refusal_s(len(told.names))
-            for told in self._told.values()
+            now < confirmed.last_at + refusal_s(len(confirmed.backends))
+            for confirmed in self._confirmed.values()
         )
 
     def is_suspect(self, fingerprint: bytes) -> bool:
         """Return whether a backend server was lost as it began to run a request."""
-        if fingerprint in self._losses:
+        if fingerprint in self._aborted_starts:
             self.confirm_crashes()
-        return fingerprint in self._told or fingerprint in self._losses
+        return fingerprint in self._confirmed or fingerprint in self._aborted_starts
 
     def refusal_remaining_s(self, fingerprint: bytes) -> float:
         """Return for how long a request is refused, in seconds; 0 if it is not.
@@ -101,39 +101,39 @@
         if not self.is_suspect(fingerprint):
             return 0.0
         now = self._clock.now()
-        told = self._told.get(fingerprint)
-        losses = self._losses.get(fingerprint, {})
-        names = told.names if told is not None else frozenset()
-        new = {n: loss for n, loss in losses.items() if loss.has_ended}
-        is_open = len(new) < len(losses)
-        if is_open and len(names | losses.keys()) >= CRASHES_TO_REFUSE:
+        confirmed = self._confirmed.get(fingerprint)
+        aborts = self._aborted_starts.get(fingerprint, {})
+        backends = confirmed.backends if confirmed is not None else frozenset()
+        new = {n: abort for n, abort in aborts.items() if abort.has_ended}
+        is_unconfirmed = len(new) < len(aborts)
+        if is_unconfirmed and len(backends | aborts.keys()) >= CRASHES_TO_REFUSE:
             # It is not known yet whether the last one ended or only broke off.
-            return CONFIRM_S
-        if len(names | new.keys()) < CRASHES_TO_REFUSE:
+            return CONFIRMATION_TIMEOUT_S
+        if len(backends | new.keys()) < CRASHES_TO_REFUSE:
             return 0.0
-        instants = [loss.at for loss in new.values()]
-        if told is not None:
-            instants += [told.first_at, told.last_at]
-        hold = hold_among(
-            names | new.keys(),
+        instants = [abort.at for abort in new.values()]
+        if confirmed is not None:
+            instants += [confirmed.first_at, confirmed.last_at]
+        refused_s = refusal_s_among(
+            backends | new.keys(),
             self._rivals(fingerprint),
             span_s=max(instants) - min(instants),
-            doubt_s=self._doubt_s,
+            uncertain_s=self._uncertain_refusal_s,
         )
-        tried_at = self._tried_at.get(fingerprint, float("-inf"))
-        free_at = max(max(instants) + hold, tried_at + CONFIRM_S)
-        return max(0.0, free_at - now)
+        retried_at = self._retried_at.get(fingerprint, float("-inf"))
+        allowed_at = max(max(instants) + refused_s, retried_at + CONFIRMATION_TIMEOUT_S)
+        return max(0.0, allowed_at - now)
 
     def _rivals(self, fingerprint: bytes) -> list[frozenset[str]]:
         return [
-            told.names
-            for other, told in self._told.items()
-            if other != fingerprint and len(told.names) >= CRASHES_TO_REFUSE
+            confirmed.backends
+            for other, confirmed in self._confirmed.items()
+            if other != fingerprint and len(confirmed.backends) >= CRASHES_TO_REFUSE
         ]
 
-    def _names_told(self, fingerprint: bytes) -> frozenset[str]:
-        told = self._told.get(fingerprint)
-        return told.names if told is not None else frozenset()
+    def _confirmed_backends(self, fingerprint: bytes) -> frozenset[str]:
+        confirmed = self._confirmed.get(fingerprint)
+        return confirmed.backends if confirmed is not None else frozenset()
 
     def note_sent(self, fingerprint: bytes) -> None:
         """Take in that a request is sent; one that was refused goes alone.
@@ -144,8 +144,8 @@
         Args:
             fingerprint: The request's.
         """
-        if len(self._names_told(fingerprint)) >= CRASHES_TO_REFUSE:
-            self._tried_at[fingerprint] = self._clock.now()
+        if len(self._confirmed_backends(fingerprint)) >= CRASHES_TO_REFUSE:
+            self._retried_at[fingerprint] = self._clock.now()
 
     def note_lost(self, fingerprint: bytes, backend_id: str) -> bool:
         """Take in that a backend server broke off a run that had just begun.
@@ -158,41 +158,42 @@
             Whether this is news of a server that may have crashed: one that is
             leaving, or is not known any more, ends by intent.
         """
-        losses = self._losses.get(fingerprint, {})
-        if backend_id in losses or backend_id in self._names_told(fingerprint):
+        aborts = self._aborted_starts.get(fingerprint, {})
+        if backend_id in aborts or backend_id in self._confirmed_backends(fingerprint):
             return False
         if not self._is_serving(backend_id):
             return False
-        while len(self._losses) >= MAX_TRACKED_REQUESTS:
-            del self._losses[next(iter(self._losses))]
-        loss = Loss(self._clock.now())
-        self._losses.setdefault(fingerprint, {})[backend_id] = loss
+        while len(self._aborted_starts) >= MAX_TRACKED_REQUESTS:
+            del self._aborted_starts[next(iter(self._aborted_starts))]
+        abort = AbortedStart(self._clock.now())
+        self._aborted_starts.setdefault(fingerprint, {})[backend_id] = abort
         self.confirm_crashes()
         return True
 
     def note_abort(self, backend_id: str) -> None:
         """Take in that a backend server broke off a run."""
-        self._breaks.note(backend_id)
+        self._abort_times.note(backend_id)
 
     def was_aborting(self, backend_id: str, *, before: float) -> bool:
         """Return whether a server was breaking runs off before a local instant."""
-        return self._breaks.was_aborting(backend_id, before=before)
+        return self._abort_times.was_aborting(backend_id, before=before)
 
     def note_ran(self, fingerprint: bytes) -> None:
         """Take in that a request ran without a crash."""
         if not self.is_suspect(fingerprint):
             return
-        names = self._names_told(fingerprint)
-        self._told.pop(fingerprint, None)
-        self._tried_at.pop(fingerprint, None)
-        losses = self._losses.pop(fingerprint, {})
-        if names or any(loss.told_at is not None for loss in losses.values()):
+        backends = self._confirmed_backends(fingerprint)
+        self._confirmed.pop(fingerprint, None)
+        self._retried_at.pop(fingerprint, None)
+        aborts = self._aborted_starts.pop(fingerprint, {})
+        if backends or any(abort.reported_at is not None for abort in aborts.values()):
             self._cleared.add(fingerprint)
-            self._due.set()
+            self._report_ready.set()
         logger.info(
             "request is cleared of crashes",
             extra=log_fields(
-                fingerprint=fingerprint.hex(), backends=sorted({*names, *losses})
+                fingerprint=fingerprint.hex(),
+                backends=sorted({*backends, *aborts}),
             ),
         )
 
@@ -205,16 +206,16 @@
         now = self._clock.now()
         records = list(records)
         for record in records:
-            self._told.pop(record.fingerprint, None)
+            self._confirmed.pop(record.fingerprint, None)
             if record.backends:
                 last_at = now - record.age_s
-                names = frozenset(record.backends)
-                told = Told(names, last_at - record.span_s, last_at)
-                self._told[record.fingerprint] = told
-        self._forget(now)
-        for record in records[:LOGGED_RECORDS]:
+                backends = frozenset(record.backends)
+                confirmed = ConfirmedCrashes(backends, last_at - record.span_s, last_at)
+                self._confirmed[record.fingerprint] = confirmed
+        self._evict(now)
+        for record in records[:MAX_LOGGED_RECORDS]:
             log_record(record)
-        if len(records) > LOGGED_RECORDS:
+        if len(records) > MAX_LOGGED_RECORDS:
             logger.info(
                 "%d records of crashes taken in",
                 len(records),
@@ -224,66 +225,74 @@
     def confirm_crashes(self) -> None:
         """See which of the servers that broke runs off are known to have ended."""
         now = self._clock.now()
-        for fingerprint, losses in list(self._losses.items()):
-            for backend_id, loss in list(losses.items()):
-                if not loss.has_ended and self._has_ended(backend_id):
-                    loss.has_ended = True
-                    self._due.set()
-                    self._log_loss(fingerprint, backend_id, "ended")
-                elif not loss.has_ended and now - loss.at > CONFIRM_S:
-                    del losses[backend_id]
-                    self._log_loss(fingerprint, backend_id, "not ended")
-                elif loss.told_at is not None and now - loss.told_at > TOLD_KEPT_S:
-                    del losses[backend_id]
-            if not losses:
-                del self._losses[fingerprint]
-
-    def _log_loss(self, fingerprint: bytes, backend_id: str, outcome: str) -> None:
+        for fingerprint, aborts in list(self._aborted_starts.items()):
+            for backend_id, abort in list(aborts.items()):
+                if not abort.has_ended and self._has_ended(backend_id):
+                    abort.has_ended = True
+                    self._report_ready.set()
+                    self._log_aborted_start(fingerprint, backend_id, "ended")
+                elif not abort.has_ended and now - abort.at > CONFIRMATION_TIMEOUT_S:
+                    del aborts[backend_id]
+                    self._log_aborted_start(fingerprint, backend_id, "not ended")
+                elif (
+                    abort.reported_at is not None
+                    and now - abort.reported_at > REPORTED_RETENTION_S
+                ):
+                    del aborts[backend_id]
+            if not aborts:
+                del self._aborted_starts[fingerprint]
+
+    def _log_aborted_start(
+        self, fingerprint: bytes, backend_id: str, outcome: str
+    ) -> None:
         logger.info(
             "%s broke off a request that had just begun",
             backend_id,
             extra=log_fields(fingerprint=fingerprint.hex(), outcome=outcome),
         )
 
-    async def until_due(self) -> None:
+    async def wait_for_report(self) -> None:
         """Wait until there is something to tell control."""
-        await self._due.wait()
+        await self._report_ready.wait()
 
-    def due(self) -> CrashReport:
+    def take_report(self) -> CrashReport:
         """Return what is to be told, and take it as told."""
-        self._due.clear()
+        self._report_ready.clear()
         now = self._clock.now()
         crashes = []
-        for fingerprint, losses in self._losses.items():
-            for backend_id, loss in losses.items():
-                if loss.has_ended and loss.told_at is None:
-                    loss.told_at = now
+        for fingerprint, aborts in self._aborted_starts.items():
+            for backend_id, abort in aborts.items():
+                if abort.has_ended and abort.reported_at is None:
+                    abort.reported_at = now
                     crashes.append((fingerprint, backend_id))
         cleared, self._cleared = tuple(self._cleared), set()
         return CrashReport(tuple(crashes), cleared)
 
-    def not_told(self, report: CrashReport) -> None:
+    def restore_report(self, report: CrashReport) -> None:
         """Take back that a report was told: control did not take it.
 
         Args:
-            report: As :meth:`due` returned it.
+            report: As :meth:`take_report` returned it.
         """
         for fingerprint, backend_id in report.crashes:
-            loss = self._losses.get(fingerprint, {}).get(backend_id)
-            if loss is not None:
-                loss.told_at = None
+            abort = self._aborted_starts.get(fingerprint, {}).get(backend_id)
+            if abort is not None:
+                abort.reported_at = None
         self._cleared.update(report.cleared)
-        self._due.set()
+        self._report_ready.set()
 
-    def _forget(self, now: float) -> None:
-        self._told = {
-            fingerprint: told
-            for fingerprint, told in self._told.items()
-            if now - told.last_at <= retention_s(len(told.names))
+    def _evict(self, now: float) -> None:
+        self._confirmed = {
+            fingerprint: confirmed
+            for fingerprint, confirmed in self._confirmed.items()
+            if now - confirmed.last_at <= retention_s(len(confirmed.backends))
         }
-        while len(self._told) > MAX_TRACKED_REQUESTS:
-            counts = {name: len(told.names) for name, told in self._told.items()}
-            del self._told[next_to_evict(counts)]
-        self._tried_at = {
-            name: at for name, at in self._tried_at.items() if name in self._told
+        while len(self._confirmed) > MAX_TRACKED_REQUESTS:
+            counts = {
+                name: len(confirmed.backends)
+                for name, confirmed in self._confirmed.items()
+            }
+            del self._confirmed[next_to_evict(counts)]
+        self._retried_at = {
+            name: at for name, at in self._retried_at.items() if name in self._confirmed
         }
--- a/wigeonscale/layers/model.py
+++ b/wigeonscale/layers/model.py
@@ -1,6 +1,6 @@
 """Plain data on which engine holds which layers of a model."""
 
-__all__ = ["Holder", "LayerRange", "ModelSize", "Part", "set_rate"]
+__all__ = ["Holder", "LayerRange", "ModelSize", "Part", "set_throughput"]
 
 import math
 from collections.abc import Iterable, Mapping
@@ -106,7 +106,7 @@
     layers: LayerRange
 
 
-def set_rate(
+def set_throughput(
     wanted: Mapping[str, LayerRange], holders: Iterable[Holder], model: ModelSize
 ) -> float:
     """Return the requests a second that a whole set serves, up to a constant factor.
--- a/wigeonscale/layers/path.py
+++ b/wigeonscale/layers/path.py
@@ -10,10 +10,10 @@
 from wigeonscale.layers.model import LayerRange, Part
 
 # The engines refuse longer paths.
-MOST_PARTS = 32
+MAX_PARTS = 32
 
 
-class HoldsLayers(Protocol):
+class LayerHolder(Protocol):
     """An engine that a path may use."""
 
     backend_id: str
@@ -22,10 +22,10 @@
 
 
 def find_path(
-    holders: Sequence[HoldsLayers],
+    holders: Sequence[LayerHolder],
     *,
     layers: int,
-    part_cost: Callable[[HoldsLayers, int], float],
+    part_cost: Callable[[LayerHolder, int], float],
     hop_cost: Callable[[str, str], float],
     start_cost: Callable[[str], float],
 ) -> list[Part] | None:
@@ -50,19 +50,19 @@
         A shortest path over the ends of the held ranges. Costs, for each domain,
         boundaries times engines at a boundary times boundaries inside a range.
     """
-    domains: dict[str, list[HoldsLayers]] = {}
+    domains: dict[str, list[LayerHolder]] = {}
     for holder in holders:
         domains.setdefault(holder.domain, []).append(holder)
     costs = _Costs(layers, part_cost, hop_cost, start_cost)
-    best: _Found | None = None
+    best: _CostedPath | None = None
     for domain in sorted(domains, key=lambda domain: (start_cost(domain), domain)):
         if best is not None and best.cost <= start_cost(domain):
             break
-        best = _cheaper(best, _cheapest(domains[domain], costs))
+        best = _cheaper(best, _cheapest_path(domains[domain], costs))
     if len(domains) > 1 and (
         best is None or best.cost > _least_crossing_cost(domains, costs)
     ):
-        best = _cheaper(best, _cheapest(holders, costs))
+        best = _cheaper(best, _cheapest_path(holders, costs))
     return best and best.parts
 
 
@@ -71,20 +71,20 @@
     """What a path costs; see :func:`find_path`."""
 
     layers: int
-    part: Callable[[HoldsLayers, int], float]
+    part: Callable[[LayerHolder, int], float]
     hop: Callable[[str, str], float]
     start: Callable[[str], float]
 
 
 @dataclass(frozen=True, slots=True)
-class _Found:
+class _CostedPath:
     """A path with its cost."""
 
     cost: float
     parts: list[Part]
 
 
-def _cheaper(one: _Found | None, other: _Found | None) -> _Found | None:
+def _cheaper(one: _CostedPath | None, other: _CostedPath | None) -> _CostedPath | None:
     """Return the cheaper of two paths, the first one if they cost the same."""
     if one is None or (other is not None and other.cost < one.cost):
         return other
@@ -98,25 +98,25 @@
     return hop + min(costs.start(domain) for domain in domains)
 
 
-def _cheapest(holders: Sequence[HoldsLayers], costs: _Costs) -> _Found | None:
+def _cheapest_path(holders: Sequence[LayerHolder], costs: _Costs) -> _CostedPath | None:
     usable = list(holders)
     while True:
-        found = _shortest(usable, costs)
-        if found is None or len(found.parts) > MOST_PARTS:
+        found = _shortest_path(usable, costs)
+        if found is None or len(found.parts) > MAX_PARTS:
             return None
-        twice = _between_same(found.parts)
-        if twice is None:
+        loop_engine = _first_engine_in_loop(found.parts)
+        if loop_engine is None:
             return found
         # It left an engine and came back to it: without what lies between it stays.
-        usable = [holder for holder in usable if holder.backend_id != twice]
+        usable = [holder for holder in usable if holder.backend_id != loop_engine]
 
 
 def find_detour(
     path: Sequence[Part],
-    holders: Sequence[HoldsLayers],
+    holders: Sequence[LayerHolder],
     *,
     lost: Container[str],
-    part_cost: Callable[[HoldsLayers, int], float],
+    part_cost: Callable[[LayerHolder, int], float],
 ) -> list[Part] | None:
     """Return a path with its lost engines replaced and all other parts unchanged.
 
@@ -149,14 +149,14 @@
             return None
         used.update(each.backend_id for each in parts)
         detour += parts
-    return detour if len(detour) <= MOST_PARTS else None
+    return detour if len(detour) <= MAX_PARTS else None
 
 
 @dataclass(frozen=True, slots=True)
-class _Window:
+class _ClippedHolder:
     """What an engine holds of a range of layers, counted from the range's first."""
 
-    holder: HoldsLayers
+    holder: LayerHolder
     layers: LayerRange
 
     @property
@@ -170,8 +170,8 @@
 
 def _cover(
     layers: LayerRange,
-    holders: Sequence[HoldsLayers],
-    part_cost: Callable[[HoldsLayers, int], float],
+    holders: Sequence[LayerHolder],
+    part_cost: Callable[[LayerHolder, int], float],
 ) -> list[Part] | None:
     """Return the cheapest parts that run a range of layers, or None."""
     windows = []
@@ -179,7 +179,7 @@
         first = max(holder.layers.first, layers.first) - layers.first
         end = min(holder.layers.end, layers.end) - layers.first
         if first < end:
-            windows.append(_Window(holder, LayerRange(first, end)))
+            windows.append(_ClippedHolder(holder, LayerRange(first, end)))
     parts = find_path(
         windows,
         layers=layers.count,
@@ -200,7 +200,7 @@
     ]
 
 
-def _between_same(path: Sequence[Part]) -> str | None:
+def _first_engine_in_loop(path: Sequence[Part]) -> str | None:
     seen: dict[str, int] = {}
     for position, part in enumerate(path):
         if part.backend_id in seen:
@@ -209,74 +209,77 @@
     return None
 
 
-def _shortest(holders: Sequence[HoldsLayers], costs: _Costs) -> _Found | None:
+def _shortest_path(holders: Sequence[LayerHolder], costs: _Costs) -> _CostedPath | None:
     """Return the cheapest way from the first layer to the last, or None."""
-    points = {0, costs.layers}
+    boundaries = {0, costs.layers}
     for holder in holders:
-        points.update(holder.layers)
-    order = sorted(point for point in points if 0 <= point <= costs.layers)
+        boundaries.update(holder.layers)
+    order = sorted(boundary for boundary in boundaries if 0 <= boundary <= costs.layers)
     # Cheapest known way to a boundary in a domain: cost, step before it, last part.
     best = {0: {h.domain: (costs.start(h.domain), None, None) for h in holders}}
     by_first = sorted(holders, key=lambda holder: holder.layers.first)
-    come = 0
-    at_point: list[HoldsLayers] = []
-    for position, point in enumerate(order):
-        while come < len(by_first) and by_first[come].layers.first <= point:
-            at_point.append(by_first[come])
-            come += 1
-        at_point = [holder for holder in at_point if holder.layers.end > point]
-        if point in best:
-            _extend(best, at_point, order[position:], costs)
+    next_index = 0
+    active: list[LayerHolder] = []
+    for position, boundary in enumerate(order):
+        while (
+            next_index < len(by_first) and by_first[next_index].layers.first <= boundary
+        ):
+            active.append(by_first[next_index])
+            next_index += 1
+        active = [holder for holder in active if holder.layers.end > boundary]
+        if boundary in best:
+            _relax(best, active, order[position:], costs)
     ends = best.get(costs.layers)
     if not ends:
         return None
     domain = min(ends, key=lambda domain: (ends[domain][0], domain))
-    parts = _walk_back(best, (costs.layers, domain))
-    return _Found(ends[domain][0], parts)
+    parts = _reconstruct_path(best, (costs.layers, domain))
+    return _CostedPath(ends[domain][0], parts)
 
 
-def _extend(best, holders, points, costs) -> None:
+def _relax(best, holders, boundaries, costs) -> None:
     """Take the ways that reach a boundary on along the engines that hold what follows.
 
     Args:
         best: Cheapest known ways by boundary and domain; changed in place.
         holders: Engines that hold the layer after the boundary.
-        points: The boundary, and those after it.
+        boundaries: The boundary, and those after it.
         costs: What a path costs.
     """
-    point, *stops = points
-    ways = {domain: way[0] for domain, way in best[point].items()}
-    came_from = {}
+    boundary, *stops = boundaries
+    costs_by_domain = {domain: way[0] for domain, way in best[boundary].items()}
+    cheapest_arrival = {}
     for there in {holder.domain for holder in holders}:
-        came_from[there] = min(
-            (cost + costs.hop(here, there), here) for here, cost in ways.items()
+        cheapest_arrival[there] = min(
+            (cost + costs.hop(here, there), here)
+            for here, cost in costs_by_domain.items()
         )
     for holder in holders:
-        base, here = came_from[holder.domain]
+        base, here = cheapest_arrival[holder.domain]
         for stop in stops:
             if stop > holder.layers.end:
                 break
-            total = base + costs.part(holder, stop - point)
+            total = base + costs.part(holder, stop - boundary)
             known = best.setdefault(stop, {})
             if holder.domain not in known or total < known[holder.domain][0]:
-                part = Part(holder.backend_id, LayerRange(point, stop))
-                known[holder.domain] = total, (point, here), part
+                part = Part(holder.backend_id, LayerRange(boundary, stop))
+                known[holder.domain] = total, (boundary, here), part
 
 
-def _walk_back(best, key):
+def _reconstruct_path(best, key):
     parts = []
     while True:
-        point, domain = key
-        _, before, part = best[point][domain]
+        boundary, domain = key
+        _, before, part = best[boundary][domain]
         if before is None:
             break
         parts.append(part)
         key = before
     parts.reverse()
-    return _merged(parts)
+    return _merge_adjacent(parts)
 
 
-def _merged(parts):
+def _merge_adjacent(parts):
     merged: list[Part] = []
     for part in parts:
         if merged and merged[-1].backend_id == part.backend_id:
--- a/wigeonscale/layers/plan.py
+++ b/wigeonscale/layers/plan.py
@@ -19,7 +19,7 @@
 import itertools
 from collections.abc import Callable, Iterable, Sequence
 
-from wigeonscale.layers.model import Holder, LayerRange, ModelSize, set_rate
+from wigeonscale.layers.model import Holder, LayerRange, ModelSize, set_throughput
 
 # Shares of the room for requests that engines are left with; the smaller ones only
 # where a set or a gap cannot be closed otherwise. With the last one an engine of 22 GB
@@ -30,10 +30,10 @@
 # more than 1 a set has more engines with fewer layers each: memory for requests grows
 # faster than the path gets slow, until the slots of its first engine bound it, at some
 # 1.9 with 96 slots and requests of 1,000 tokens.
-TWO_SETS_SHARES = (2.0, 1.75, 1.5, 1.25, 1.0, 0.75, 0.5)
+TWO_SET_ROOM_SHARES = (2.0, 1.75, 1.5, 1.25, 1.0, 0.75, 0.5)
 # One engine more on a path costs as much as this many layers more on an engine: the
 # hop of each token, and one more engine whose loss breaks the path.
-ENGINE_LAYERS = 2.0
+ENGINE_COST_LAYERS = 2.0
 
 
 def plan_layers(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
@@ -51,15 +51,15 @@
         Costs engines times gaps. The same input gives the same plan.
     """
     wanted: dict[str, LayerRange] = {}
-    lasting = sorted(
+    available = sorted(
         (holder for holder in holders if holder.is_available),
         key=lambda holder: holder.backend_id,
     )
-    for group in _groups(lasting, model):
+    for group in _groups(available, model):
         if any(holder.held.count for holder in group):
-            wanted |= _mend(group, model)
+            wanted |= _repair(group, model)
         else:
-            wanted |= _split(group, model)
+            wanted |= _initial_plan(group, model)
     return wanted
 
 
@@ -84,13 +84,13 @@
     return sum(model.capacity(h.size_mb, room) for h in holders) >= model.layers
 
 
-def _split(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
+def _initial_plan(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
     """Return whole sets, the first on the fastest engines, and copies on the others."""
     wanted = _two_sets(holders, model)
     for room in ROOM_SHARES:
         wanted = wanted or _whole_set(holders, model, room)
     spare = [holder for holder in holders if holder.backend_id not in wanted]
-    return wanted | _copies(spare, wanted, model)
+    return wanted | _extra_copies(spare, wanted, model)
 
 
 def _two_sets(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
@@ -101,13 +101,15 @@
     """
     best: dict[str, LayerRange] = {}
     best_rate = 0.0
-    for first_share, second_share in itertools.product(TWO_SETS_SHARES, repeat=2):
+    for first_share, second_share in itertools.product(TWO_SET_ROOM_SHARES, repeat=2):
         first = _whole_set(holders, model, first_share)
         rest = [holder for holder in holders if holder.backend_id not in first]
         second = _whole_set(rest, model, second_share)
         if not first or not second:
             continue
-        rate = set_rate(first, holders, model) + set_rate(second, holders, model)
+        rate = set_throughput(first, holders, model) + set_throughput(
+            second, holders, model
+        )
         if rate > best_rate:
             best, best_rate = first | second, rate
     return best
@@ -128,7 +130,7 @@
 
     def rank(holder: Holder) -> tuple[float, str]:
         capacity = max(1, model.capacity(holder.size_mb, room))
-        return holder.pace * (1 + ENGINE_LAYERS / capacity), holder.backend_id
+        return holder.pace * (1 + ENGINE_COST_LAYERS / capacity), holder.backend_id
 
     wanted: dict[str, LayerRange] = {}
     reached = 0
@@ -144,26 +146,28 @@
     return wanted
 
 
-def _mend(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
+def _repair(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
     """Return the ranges that close gaps, and copies on engines without layers."""
     empty = [holder for holder in holders if not holder.held.count]
     empty.sort(key=lambda h: (h.pace, h.backend_id))
     held = {h.backend_id: h.held for h in holders if h.held.count}
     wanted: dict[str, LayerRange] = {}
     for gap in _gaps(held.values(), model.layers):
-        left = gap
-        while left.count:
+        remaining = gap
+        while remaining.count:
             holder = (
                 empty.pop(0) if empty else _redundant(holders, held | wanted, model)
             )
             if holder is None:
                 break
-            end = left.first + max(1, model.capacity(holder.size_mb, 1.0))
-            wanted[holder.backend_id] = LayerRange(left.first, min(left.end, end))
-            left = LayerRange(wanted[holder.backend_id].end, left.end)
-        if left.count:
-            wanted |= _take_over(left, holders, model)
-    return wanted | _copies(empty, held | wanted, model)
+            end = remaining.first + max(1, model.capacity(holder.size_mb, 1.0))
+            wanted[holder.backend_id] = LayerRange(
+                remaining.first, min(remaining.end, end)
+            )
+            remaining = LayerRange(wanted[holder.backend_id].end, remaining.end)
+        if remaining.count:
+            wanted |= _close_gap(remaining, holders, model)
+    return wanted | _extra_copies(empty, held | wanted, model)
 
 
 def _redundant(
@@ -174,7 +178,7 @@
     The one whose layers are held most often, for requests go through it still, and it
     loads new layers only once they are done; of these the slowest, then the largest.
     """
-    counts = _counts(held.values(), model.layers)
+    counts = _copy_counts(held.values(), model.layers)
 
     def copies(holder: Holder) -> int:
         return min(counts[layer] for layer in range(*holder.held))
@@ -204,7 +208,7 @@
     return gaps
 
 
-def _take_over(
+def _close_gap(
     gap: LayerRange, holders: Sequence[Holder], model: ModelSize
 ) -> dict[str, LayerRange]:
     """Return the ranges with which the other engines of a domain close a gap."""
@@ -237,8 +241,8 @@
         return max(0, capacity(holder) - holder.held.count)
 
     first, end = gap
-    below = _with_most(holders, room, lambda held: held.end == first)
-    above = _with_most(holders, room, lambda held: held.first == end)
+    below = _largest_by(holders, room, lambda held: held.end == first)
+    above = _largest_by(holders, room, lambda held: held.first == end)
     room_below = room(below) if below else 0
     room_above = room(above) if above else 0
     if room_below + room_above < gap.count:
@@ -254,7 +258,7 @@
     return extended
 
 
-def _with_most(
+def _largest_by(
     holders: Sequence[Holder],
     measure: Callable[[Holder], int],
     fits: Callable[[LayerRange], bool],
@@ -270,7 +274,7 @@
     moved: dict[str, LayerRange] = {}
     first, end = gap
     while True:
-        holder = _with_most(holders, capacity, lambda held, at=first: held.end == at)
+        holder = _largest_by(holders, capacity, lambda held, at=first: held.end == at)
         if holder is None:
             return {}
         first = holder.held.first
@@ -288,7 +292,7 @@
     moved: dict[str, LayerRange] = {}
     first, end = gap
     while True:
-        holder = _with_most(holders, capacity, lambda held, at=end: held.first == at)
+        holder = _largest_by(holders, capacity, lambda held, at=end: held.first == at)
         if holder is None:
             return {}
         end = holder.held.end
@@ -299,12 +303,12 @@
         first = stop
 
 
-def _copies(
+def _extra_copies(
     spare: Iterable[Holder], held: dict[str, LayerRange], model: ModelSize
 ) -> dict[str, LayerRange]:
     """Return copies of ranges, so that each layer is held by as many as possible."""
     wanted: dict[str, LayerRange] = {}
-    counts = _counts(held.values(), model.layers)
+    counts = _copy_counts(held.values(), model.layers)
     # Where the ranges that are held begin and end: a path changes engines there.
     starts = sorted({bound for held_range in held.values() for bound in held_range})
     for holder in spare:
@@ -329,7 +333,7 @@
     return wanted
 
 
-def _counts(ranges: Iterable[LayerRange], layers: int) -> list[int]:
+def _copy_counts(ranges: Iterable[LayerRange], layers: int) -> list[int]:
     """Return how many of the ranges hold each layer."""
     counts = [0] * layers
     for held in ranges:
--- a/wigeonscale/limits/deadline.py
+++ b/wigeonscale/limits/deadline.py
@@ -1,6 +1,6 @@
 """Refusal at once of requests that cannot be answered in time."""
 
-__all__ = ["check_deadline", "spread_retry_after"]
+__all__ = ["check_deadline", "jitter_retry_after"]
 
 import random
 
@@ -37,11 +37,11 @@
         ErrorKind.OVERLOADED,
         f"estimated wait {wait_s:.2f} s and service {service_s:.2f} s "
         f"exceed the deadline of {deadline_s:.2f} s",
-        retry_after=spread_retry_after(drain_s, rng),
+        retry_after=jitter_retry_after(drain_s, rng),
     )
 
 
-def spread_retry_after(seconds: float, rng: random.Random | None = None) -> float:
+def jitter_retry_after(seconds: float, rng: random.Random | None = None) -> float:
     """Return a time to come back, spread so that not all come at once.
 
     Args:
--- a/wigeonscale/limits/estimate.py
+++ b/wigeonscale/limits/estimate.py
@@ -7,7 +7,7 @@
 SMOOTHING = 0.05
 # Mean deviations added to the mean service time: fewer at the start, since what
 # was let into the queue with room to spare shall also get its turn.
-ADMIT_DEVIATIONS = 3.0
+ADMISSION_DEVIATIONS = 3.0
 START_DEVIATIONS = 2.0
 
 
@@ -55,7 +55,7 @@
         Args:
             deadline_s: Seconds until its deadline; None for none.
         """
-        return self._cautious_s(ADMIT_DEVIATIONS, deadline_s)
+        return self._upper_estimate_s(ADMISSION_DEVIATIONS, deadline_s)
 
     def start_service_s(self, deadline_s: float | None) -> float:
         """Return the seconds of service to reckon with when a request starts.
@@ -63,7 +63,7 @@
         Args:
             deadline_s: Seconds from now until its deadline; None for none.
         """
-        return self._cautious_s(START_DEVIATIONS, deadline_s)
+        return self._upper_estimate_s(START_DEVIATIONS, deadline_s)
 
     def wait(self, queued: float, slots: int) -> float:
         """Return the estimated seconds until a new request starts.
@@ -76,9 +76,9 @@
             return 0.0
         return queued * self._service_s / max(1, slots)
 
-    def _cautious_s(self, deviations: float, deadline_s: float | None) -> float:
-        cautious_s = self._service_s + deviations * self._deviation_s
+    def _upper_estimate_s(self, deviations: float, deadline_s: float | None) -> float:
+        upper_s = self._service_s + deviations * self._deviation_s
         if deadline_s is None:
-            return cautious_s
+            return upper_s
         # Half of a short deadline stays for waiting, else it could never be met.
-        return min(cautious_s, max(self._service_s, deadline_s / 2))
+        return min(upper_s, max(self._service_s, deadline_s / 2))
--- a/wigeonscale/limits/fair_queue.py
+++ b/wigeonscale/limits/fair_queue.py
@@ -7,12 +7,12 @@
 from typing import Generic
 
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.limits.turns import FairTurns, Item, QueueEntry
+from wigeonscale.limits.fair_scheduler import FairScheduler, Item, QueueEntry
 from wigeonscale.ports import Clock, SystemClock
 
 # An organisation may hold at most this many times the room left, so that one
 # with a long backlog always leaves room for those that come later.
-HOLD_FACTOR = 8.0
+DYNAMIC_THRESHOLD_FACTOR = 8.0
 
 
 class FairQueue(Generic[Item]):
@@ -32,10 +32,10 @@
         ['a1', 'b1', 'a2', 'a3']
 
     Notes:
-        Push and remove take constant time; for pop see :class:`FairTurns`. The bound
-        per organisation follows Choudhury and Hahne, "Dynamic queue length thresholds
-        for shared-memory packet switches", IEEE/ACM Transactions on Networking,
-        1998.
+        Push and remove take constant time; for pop see :class:`FairScheduler`. The
+        bound per organisation follows Choudhury and Hahne, "Dynamic queue length
+        thresholds for shared-memory packet switches", IEEE/ACM Transactions on
+        Networking, 1998.
     """
 
     def __init__(self, *, limit: int, quantum: float = 1.0, clock: Clock | None = None):
@@ -43,7 +43,7 @@
         self._limit = limit
         self._clock = clock or SystemClock()
         self._entries: dict[Item, QueueEntry[Item]] = {}
-        self._levels: dict[int, FairTurns[Item]] = {}
+        self._schedulers: dict[int, FairScheduler[Item]] = {}
         self._held: dict[str, int] = {}
         self._deadlines: list[tuple[float, int, QueueEntry[Item]]] = []
         self._expired: list[Item] = []
@@ -81,9 +81,9 @@
         """
         self._check_room(organisation)
         entry = QueueEntry(item, organisation, priority, cost)
-        if priority not in self._levels:
-            self._levels[priority] = FairTurns(quantum=self._quantum)
-        self._levels[priority].add(entry, share)
+        if priority not in self._schedulers:
+            self._schedulers[priority] = FairScheduler(quantum=self._quantum)
+        self._schedulers[priority].add(entry, share)
         self._entries[item] = entry
         self._held[organisation] = self._held.get(organisation, 0) + 1
         if deadline is not None:
@@ -92,9 +92,9 @@
     def pop(self) -> Item | None:
         """Take the next item whose deadline has not passed; None for none."""
         self._drop_expired()
-        if not self._levels:
+        if not self._schedulers:
             return None
-        entry = self._levels[max(self._levels)].take()
+        entry = self._schedulers[max(self._schedulers)].pop()
         self._forget(entry)
         return entry.item
 
@@ -126,19 +126,19 @@
             Costs one step per priority, and per organisation at this one.
         """
         higher = sum(
-            len(turns)
-            for level_priority, turns in self._levels.items()
+            len(scheduler)
+            for level_priority, scheduler in self._schedulers.items()
             if level_priority > priority
         )
-        turns = self._levels.get(priority)
-        return higher + (turns.ahead(organisation, share) if turns else 0)
+        scheduler = self._schedulers.get(priority)
+        return higher + (scheduler.ahead(organisation, share) if scheduler else 0)
 
     def _check_room(self, organisation: str) -> None:
         room = self._limit - len(self._entries)
         held = self._held.get(organisation, 0)
         if room <= 0:
             reason = f"the queue is full with {self._limit} requests"
-        elif held >= HOLD_FACTOR * room:
+        elif held >= DYNAMIC_THRESHOLD_FACTOR * room:
             reason = (
                 f"organisation {organisation} holds {held} of the queue's "
                 f"{self._limit} places"
@@ -148,12 +148,12 @@
         raise WigeonscaleError(ErrorKind.OVERLOADED, reason)
 
     def _drop(self, entry: QueueEntry[Item]) -> None:
-        self._levels[entry.priority].discard(entry)
+        self._schedulers[entry.priority].discard(entry)
         self._forget(entry)
 
     def _forget(self, entry: QueueEntry[Item]) -> None:
-        if not self._levels[entry.priority]:
-            del self._levels[entry.priority]
+        if not self._schedulers[entry.priority]:
+            del self._schedulers[entry.priority]
         del self._entries[entry.item]
         self._held[entry.organisation] -= 1
         if not self._held[entry.organisation]:
--- a/wigeonscale/limits/turns.py
+++ b/wigeonscale/limits/fair_scheduler.py
@@ -1,6 +1,6 @@
 """The order of turns among the organisations that wait at one priority."""
 
-__all__ = ["FairTurns", "Item", "QueueEntry"]
+__all__ = ["FairScheduler", "Item", "QueueEntry"]
 
 import heapq
 import itertools
@@ -13,8 +13,8 @@
 
 MIN_SHARE = 1e-3
 # Turns that an organisation may save up while it asks for less than its share.
-CREDIT_TURNS = 4.0
-PRUNE_AT = 256
+MAX_CREDIT_TURNS = 4.0
+MIN_TAGS_TO_PRUNE = 256
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -34,12 +34,12 @@
     entries: OrderedDict = field(default_factory=OrderedDict)
 
 
-class FairTurns(Generic[Item]):
+class FairScheduler(Generic[Item]):
     """Serves the organisation that had the least so far, by share.
 
     Each organisation has a tag that grows by cost over share with each item served;
     the smallest tag is next. One that begins to wait starts from its old tag, but
-    at most ``CREDIT_TURNS`` behind the largest tag served: it is ahead of those
+    at most ``MAX_CREDIT_TURNS`` behind the largest tag served: it is ahead of those
     that take more than their share, and cannot save up more than that.
 
     Args:
@@ -52,13 +52,13 @@
     """
 
     def __init__(self, *, quantum: float):
-        self._credit = CREDIT_TURNS * quantum
-        self._now = 0.0
+        self._credit = MAX_CREDIT_TURNS * quantum
+        self._virtual_time = 0.0
         self._waiting: dict[str, _Backlog] = {}
         self._tags: dict[str, float] = {}
         self._heap: list[tuple[float, int, str]] = []
         self._order = itertools.count()
-        self._prune_at = PRUNE_AT
+        self._prune_at = MIN_TAGS_TO_PRUNE
         self._count = 0
 
     def __len__(self) -> int:
@@ -82,9 +82,9 @@
         self._count -= 1
         if not backlog.entries:
             del self._waiting[entry.organisation]
-            self._remember(entry.organisation, backlog.tag)
+            self._store_tag(entry.organisation, backlog.tag)
 
-    def take(self) -> QueueEntry[Item]:
+    def pop(self) -> QueueEntry[Item]:
         """Take out the entry whose turn it is; there must be one."""
         while True:
             tag, _, organisation = heapq.heappop(self._heap)
@@ -93,7 +93,7 @@
             if backlog is not None and backlog.tag == tag:
                 break
         entry = next(iter(backlog.entries.values()))
-        self._now = max(self._now, tag)
+        self._virtual_time = max(self._virtual_time, tag)
         backlog.tag = tag + entry.cost / backlog.share
         self.discard(entry)
         if backlog.entries:
@@ -117,16 +117,16 @@
         return count
 
     def _first_tag(self, organisation: str) -> float:
-        return max(self._now - self._credit, self._tags.get(organisation, 0.0))
+        return max(self._virtual_time - self._credit, self._tags.get(organisation, 0.0))
 
     def _schedule(self, organisation: str, backlog: _Backlog) -> None:
         place = (backlog.tag, next(self._order), organisation)
         heapq.heappush(self._heap, place)
 
-    def _remember(self, organisation: str, tag: float) -> None:
+    def _store_tag(self, organisation: str, tag: float) -> None:
         self._tags[organisation] = tag
         if len(self._tags) < self._prune_at:
             return
-        oldest = self._now - self._credit
+        oldest = self._virtual_time - self._credit
         self._tags = {name: tag for name, tag in self._tags.items() if tag > oldest}
-        self._prune_at = max(PRUNE_AT, 2 * len(self._tags))
+        self._prune_at = max(MIN_TAGS_TO_PRUNE, 2 * len(self._tags))
--- a/wigeonscale/limits/guard.py
+++ b/wigeonscale/limits/guard.py
@@ -8,11 +8,11 @@
 
 LEVEL_RATIO = 0.75
 MIN_SAMPLES = 200
-STALE_S = 300.0
+RETRY_LEVEL_AFTER_S = 300.0
 # A lower level must be better by this share, since a higher one queues less.
-MARGIN = 0.05
+MIN_THROUGHPUT_GAIN = 0.05
 # Keeps quotients finite for requests that took no time or no work.
-LEAST = 1e-9
+EPSILON = 1e-9
 
 
 @dataclass(slots=True)
@@ -31,11 +31,11 @@
         self.seconds_per_work += weight * error
         self.updated = now
 
-    def is_known(self) -> bool:
+    def has_enough_samples(self) -> bool:
         return self.count >= MIN_SAMPLES
 
     def throughput(self) -> float:
-        return self.running / max(self.seconds_per_work, LEAST)
+        return self.running / max(self.seconds_per_work, EPSILON)
 
 
 class ConcurrencyGuard:
@@ -46,7 +46,8 @@
     guard keeps the mean time per unit of work at levels of concurrency, each
     ``LEVEL_RATIO`` of the next, and allows the level of the largest throughput. It
     restricts only on evidence that a higher level is worse, and tries that again
-    after ``STALE_S`` seconds. A full server is tried at the next lower level once.
+    after ``RETRY_LEVEL_AFTER_S`` seconds. A full server is tried at the next lower
+    level once.
 
     Args:
         clock: Clock port.
@@ -62,7 +63,7 @@
         self._levels = [_Level(limit) for limit in _level_limits(high)]
         self._current = len(self._levels) - 1
         self._finished = 0
-        self._was_full = False
+        self._reached_limit = False
 
     @property
     def limit(self) -> int:
@@ -80,38 +81,42 @@
         level = next(
             lv for lv in self._levels if lv.limit >= running or lv is self._top
         )
-        level.add(running, service_s / max(work, LEAST), self._clock.now())
-        self._was_full = self._was_full or running >= self.limit
+        level.add(running, service_s / max(work, EPSILON), self._clock.now())
+        self._reached_limit = self._reached_limit or running >= self.limit
         self._finished += 1
         if self._finished % MIN_SAMPLES == 0:
-            self._current = self._wanted()
-            self._was_full = False
+            self._current = self._next_level()
+            self._reached_limit = False
 
     @property
     def _top(self) -> _Level:
         return self._levels[-1]
 
-    def _wanted(self) -> int:
-        best = self._best()
+    def _next_level(self) -> int:
+        best = self._best_level()
         if best is None:
             return self._current
-        if self._was_full and best > 0 and not self._levels[best - 1].is_known():
+        if (
+            self._reached_limit
+            and best > 0
+            and not self._levels[best - 1].has_enough_samples()
+        ):
             return best - 1
-        if not any(level.is_known() for level in self._levels[best + 1 :]):
+        if not any(level.has_enough_samples() for level in self._levels[best + 1 :]):
             return len(self._levels) - 1
         above = self._levels[best + 1]
-        if self._clock.now() - above.updated > STALE_S:
+        if self._clock.now() - above.updated > RETRY_LEVEL_AFTER_S:
             above.count = 0
-        return best if above.is_known() else best + 1
+        return best if above.has_enough_samples() else best + 1
 
-    def _best(self) -> int | None:
+    def _best_level(self) -> int | None:
         best = None
         needed = 0.0
         for index in reversed(range(len(self._levels))):
             level = self._levels[index]
-            if level.is_known() and level.throughput() > needed:
+            if level.has_enough_samples() and level.throughput() > needed:
                 best = index
-                needed = level.throughput() * (1.0 + MARGIN)
+                needed = level.throughput() * (1.0 + MIN_THROUGHPUT_GAIN)
         return best
 
 
--- a/wigeonscale/limits/organisations.py
+++ b/wigeonscale/limits/organisations.py
@@ -11,10 +11,10 @@
 from wigeonscale.ports import Clock
 
 BURST_S = 1.0
-MIN_SWEEP = 64
-DEFAULT_HOLD_S = 1.0
+MIN_RECORDS_TO_SWEEP = 64
+INITIAL_SERVICE_S = 1.0
 # Rounding of the drained part must not refuse a request that is just due.
-ROUNDING = 1e-9
+BURST_TOLERANCE = 1e-9
 
 
 class Permit:
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class _Usage:
-    hold: WaitEstimator
+    estimator: WaitEstimator
     updated: float
     in_progress: int = 0
     # Part of the burst already used, in requests; it drains at the rate.
@@ -78,7 +78,7 @@
         self._clock = clock
         self._entries = entries
         self._usages: dict[str, _Usage] = {}
-        self._sweep_at = MIN_SWEEP
+        self._sweep_at = MIN_RECORDS_TO_SWEEP
 
     def acquire(
         self, organisation: str, *, concurrency: int = 0, rate: float = 0.0
@@ -116,8 +116,10 @@
         usage = self._usages.get(organisation)
         if usage is None:
             self._sweep(now)
-            hold = WaitEstimator(clock=self._clock, initial_s=DEFAULT_HOLD_S)
-            usage = self._usages[organisation] = _Usage(hold=hold, updated=now)
+            estimator = WaitEstimator(clock=self._clock, initial_s=INITIAL_SERVICE_S)
+            usage = self._usages[organisation] = _Usage(
+                estimator=estimator, updated=now
+            )
         return usage
 
     def _sweep(self, now: float) -> None:
@@ -126,7 +128,7 @@
         idle = [name for name, usage in self._usages.items() if usage.is_idle(now)]
         for name in idle:
             del self._usages[name]
-        self._sweep_at = max(MIN_SWEEP, 2 * len(self._usages))
+        self._sweep_at = max(MIN_RECORDS_TO_SWEEP, 2 * len(self._usages))
 
     def _check_concurrency(
         self, organisation: str, usage: _Usage, concurrency: int, entries: int
@@ -135,13 +137,13 @@
             return
         # Rounded up: an entry that could never let the organisation in is worse
         # than a total that exceeds the limit by less than the number of entries.
-        here = math.ceil(concurrency / entries)
-        if usage.in_progress >= here:
+        local_limit = math.ceil(concurrency / entries)
+        if usage.in_progress >= local_limit:
             raise WigeonscaleError(
                 ErrorKind.LIMIT_EXCEEDED,
                 f"organisation {organisation} has {usage.in_progress} requests in "
-                f"progress at this entry, its share of {concurrency} is {here}",
-                retry_after=usage.hold.wait(1, here),
+                f"progress at this entry, its share of {concurrency} is {local_limit}",
+                retry_after=usage.estimator.wait(1, local_limit),
             )
 
     def _check_rate(
@@ -149,19 +151,19 @@
     ) -> None:
         if rate <= 0.0:
             return
-        here = rate / entries
-        burst = max(1.0, here * BURST_S)
-        usage.rate = here
+        local_limit = rate / entries
+        burst = max(1.0, local_limit * BURST_S)
+        usage.rate = local_limit
         usage.drain(now)
-        if usage.used + 1.0 > burst + ROUNDING:
+        if usage.used + 1.0 > burst + BURST_TOLERANCE:
             raise WigeonscaleError(
                 ErrorKind.LIMIT_EXCEEDED,
-                f"organisation {organisation} exceeds its share of {here:g} requests "
-                f"per second at this entry",
-                retry_after=(usage.used + 1.0 - burst) / here,
+                f"organisation {organisation} exceeds its share of {local_limit:g} "
+                f"requests per second at this entry",
+                retry_after=(usage.used + 1.0 - burst) / local_limit,
             )
         usage.used += 1.0
 
     def _release(self, usage: _Usage, started: float) -> None:
         usage.in_progress -= 1
-        usage.hold.finished(self._clock.now() - started)
+        usage.estimator.finished(self._clock.now() - started)
--- a/wigeonscale/routing/budget.py
+++ b/wigeonscale/routing/budget.py
@@ -42,7 +42,7 @@
 
     def record(self) -> None:
         """Count one first attempt."""
-        self._pass_time()
+        self._refill()
         self._earned += self._ratio
 
     def try_spend(self) -> bool:
@@ -51,7 +51,7 @@
         Returns:
             Whether the retry may be made.
         """
-        self._pass_time()
+        self._refill()
         if self._earned >= 1.0:
             self._earned -= 1.0
             return True
@@ -60,7 +60,7 @@
             return True
         return False
 
-    def _pass_time(self) -> None:
+    def _refill(self) -> None:
         now = self._clock.now()
         elapsed = max(0.0, now - self._updated)
         self._updated = now
--- a/wigeonscale/routing/chooser.py
+++ b/wigeonscale/routing/chooser.py
@@ -12,15 +12,15 @@
 from wigeonscale.routing.subset import Candidate, CandidatePool, rendezvous_weight
 
 DEFAULT_SUBSET = 16
-POOLS_KEPT = 256
+MAX_CACHED_POOLS = 256
 # A request that must queue weighs as many running ones. The bound on the ratio is
 # a little below: affinity may crowd a server, but not make a request queue while
 # another server has room.
 QUEUED_WEIGHT = 24.0
 LOAD_RATIO_BOUND = 20.0
 FAILURE_WEIGHT = 2.0
-SOFTNESS = 2.0
-SOFT_RANGE = 20.0
+SOFTPLUS_SHARPNESS = 2.0
+SOFTPLUS_LINEAR_FROM = 20.0
 MIN_RATE = 1e-9
 
 
@@ -134,7 +134,7 @@
         pool = self.new_pool(candidates)
         # The tuple is kept too, so that its id cannot become another's.
         self._pools[id(candidates)] = (candidates, pool)
-        if len(self._pools) > POOLS_KEPT:
+        if len(self._pools) > MAX_CACHED_POOLS:
             self._pools.popitem(last=False)
         return pool
 
@@ -150,7 +150,7 @@
         # more. The soft bend allows for a backlog that is only an estimate.
         agent_id = candidate.agent_id
         requests = self._table.backlog(agent_id) + 1
-        queued = _soft_excess(requests - self._table.slots(agent_id))
+        queued = _softplus(requests - self._table.slots(agent_id))
         # Servers share their slots by organisation, so where requests queue, those
         # of one organisation are better off at different servers.
         own = self._table.in_flight_of(agent_id, organisation) if organisation else 0
@@ -160,7 +160,7 @@
         return (requests + QUEUED_WEIGHT * weight) / max(candidate.rate, MIN_RATE)
 
 
-def _soft_excess(excess: float) -> float:
-    if excess > SOFT_RANGE:
+def _softplus(excess: float) -> float:
+    if excess > SOFTPLUS_LINEAR_FROM:
         return excess
-    return math.log1p(math.exp(excess * SOFTNESS)) / SOFTNESS
+    return math.log1p(math.exp(excess * SOFTPLUS_SHARPNESS)) / SOFTPLUS_SHARPNESS
--- a/wigeonscale/routing/load.py
+++ b/wigeonscale/routing/load.py
@@ -10,21 +10,21 @@
 
 from wigeonscale.ports import Clock
 
-HISTORY = 128
+MAX_HISTORY_LENGTH = 128
 DEFAULT_SERVICE_S = 1.0
 # Slots of an agent that sent no word yet.
 DEFAULT_SLOTS = 32
 # How long what a word told of the others' load stays worth anything.
-WORD_DECAY_S = 1.0
+LOAD_WORD_DECAY_S = 1.0
 # Memory of the ratio of the others' load to the own.
-RATIO_MEMORY_S = 20.0
-MIN_OWN = 0.1
+RATIO_TIME_CONSTANT_S = 20.0
+MIN_OWN_MEAN = 0.1
 # How long an agent that said it leaves is passed over: after a restart it is only
 # heard again once it is used.
-LEAVING_S = 10.0
+LEAVING_TTL_S = 10.0
 FAILURE_DECAY_S = 5.0
 # What is left of the failures after one success.
-SUCCESS_FACTOR = 0.8
+FAILURES_KEPT_ON_SUCCESS = 0.8
 
 
 class LoadWordLike(Protocol):
@@ -41,14 +41,14 @@
 class _Load:
     in_flight: int = 0
     organisations: Counter = field(default_factory=Counter)
-    history: deque = field(default_factory=lambda: deque(maxlen=HISTORY))
+    history: deque = field(default_factory=lambda: deque(maxlen=MAX_HISTORY_LENGTH))
     slots: int = DEFAULT_SLOTS
     service_s: float = DEFAULT_SERVICE_S
     leaving_until: float = -math.inf
     failures: float = 0.0
     failed_at: float = 0.0
-    told_at: float | None = None
-    others_told: float = 0.0
+    reported_at: float | None = None
+    others_reported: float = 0.0
     others_mean: float = 0.0
     own_mean: float = 0.0
 
@@ -96,7 +96,7 @@
 
     def succeeded(self, agent_id: str) -> None:
         """Count a dispatch that was answered whole."""
-        self._load(agent_id).failures *= SUCCESS_FACTOR
+        self._load(agent_id).failures *= FAILURES_KEPT_ON_SUCCESS
 
     def failures(self, agent_id: str) -> float:
         """Return the recent failures; they fade with time and with success."""
@@ -107,30 +107,30 @@
         return load.failures * math.exp(-age_s / FAILURE_DECAY_S)
 
     def update_load(
-        self, agent_id: str, word: LoadWordLike, *, age_s: float = 0.0
+        self, agent_id: str, load_word: LoadWordLike, *, age_s: float = 0.0
     ) -> None:
         """Take in a load word.
 
         Args:
             agent_id: Sender.
-            word: The load word.
+            load_word: The load word.
             age_s: Seconds since the load was as told.
         """
         load = self._load(agent_id)
         now = self._clock.now()
-        load.slots = max(1, word.slots)
-        load.leaving_until = now + LEAVING_S if word.leaving else -math.inf
-        if word.queued > 0 and word.wait_s > 0.0:
-            load.service_s = word.wait_s * load.slots / word.queued
-        told_at = now - age_s
-        if load.told_at is not None and told_at < load.told_at:
+        load.slots = max(1, load_word.slots)
+        load.leaving_until = now + LEAVING_TTL_S if load_word.leaving else -math.inf
+        if load_word.queued > 0 and load_word.wait_s > 0.0:
+            load.service_s = load_word.wait_s * load.slots / load_word.queued
+        reported_at = now - age_s
+        if load.reported_at is not None and reported_at < load.reported_at:
             return
-        own = _in_flight_at(load, told_at)
-        load.others_told = max(0, word.running + word.queued - own)
-        _learn_ratio(load, own, told_at)
-        load.told_at = told_at
+        own = _in_flight_at(load, reported_at)
+        load.others_reported = max(0, load_word.running + load_word.queued - own)
+        _update_means(load, own, reported_at)
+        load.reported_at = reported_at
 
-    def score(self, agent_id: str) -> float:
+    def estimated_wait_s(self, agent_id: str) -> float:
         """Return the estimated wait of a new request, in seconds."""
         load = self._loads.get(agent_id)
         if load is None:
@@ -198,26 +198,26 @@
         load.history.append((self._clock.now(), load.in_flight))
 
     def _others(self, load: _Load) -> float:
-        if load.told_at is None:
+        if load.reported_at is None:
             return 0.0
-        usual = load.in_flight * load.others_mean / max(load.own_mean, MIN_OWN)
-        age_s = self._clock.now() - load.told_at
-        worth = math.exp(-age_s / WORD_DECAY_S)
-        return usual + (load.others_told - usual) * worth
+        expected = load.in_flight * load.others_mean / max(load.own_mean, MIN_OWN_MEAN)
+        age_s = self._clock.now() - load.reported_at
+        reported_weight = math.exp(-age_s / LOAD_WORD_DECAY_S)
+        return expected + (load.others_reported - expected) * reported_weight
 
 
-def _in_flight_at(load: _Load, when: float) -> int:
+def _in_flight_at(load: _Load, at: float) -> int:
     for changed_at, in_flight in reversed(load.history):
-        if changed_at <= when:
+        if changed_at <= at:
             return in_flight
-    return 0 if len(load.history) < HISTORY else load.history[0][1]
+    return 0 if len(load.history) < MAX_HISTORY_LENGTH else load.history[0][1]
 
 
-def _learn_ratio(load: _Load, own: int, told_at: float) -> None:
-    if load.told_at is None:
-        load.others_mean = load.others_told
+def _update_means(load: _Load, own: int, reported_at: float) -> None:
+    if load.reported_at is None:
+        load.others_mean = load.others_reported
         load.own_mean = own
         return
-    weight = 1.0 - math.exp((load.told_at - told_at) / RATIO_MEMORY_S)
-    load.others_mean += weight * (load.others_told - load.others_mean)
+    weight = 1.0 - math.exp((load.reported_at - reported_at) / RATIO_TIME_CONSTANT_S)
+    load.others_mean += weight * (load.others_reported - load.others_mean)
     load.own_mean += weight * (own - load.own_mean)
--- a/wigeonscale/routing/prefixes.py
+++ b/wigeonscale/routing/prefixes.py
@@ -38,7 +38,7 @@
 class _Cache:
     last_number: int | None = None
     held: OrderedDict[bytes, int] = field(default_factory=OrderedDict)
-    dropped: OrderedDict[bytes, int] = field(default_factory=OrderedDict)
+    evicted: OrderedDict[bytes, int] = field(default_factory=OrderedDict)
 
 
 class PrefixView:
@@ -70,25 +70,25 @@
         last = number if cache.last_number is None else cache.last_number
         if number - last >= RESET_GAP_EVENTS:
             cache.held.clear()
-            cache.dropped.clear()
+            cache.evicted.clear()
         cache.last_number = max(number, last)
-        newest = max(cache.held.get(digest, -1), cache.dropped.get(digest, -1))
+        newest = max(cache.held.get(digest, -1), cache.evicted.get(digest, -1))
         if number > newest:
-            _note(cache, digest, number, held)
+            _record_event(cache, digest, number, held)
 
-    def take(self, agent_id: str, told: PrefixEventsLike) -> None:
+    def take(self, agent_id: str, message: PrefixEventsLike) -> None:
         """Take in the cache events of one message.
 
         Args:
             agent_id: Agent of the backend server.
-            told: The wire's PrefixEvents.
+            message: The wire's PrefixEvents.
         """
-        if told.full:
-            self._caches[agent_id] = cache = _Cache(last_number=told.number)
-            for event in told.events:
-                _note(cache, event.digest, event.number, held=event.held)
+        if message.full:
+            self._caches[agent_id] = cache = _Cache(last_number=message.number)
+            for event in message.events:
+                _record_event(cache, event.digest, event.number, held=event.held)
             return
-        for event in told.events:
+        for event in message.events:
             self.event(agent_id, event.number, event.digest, held=event.held)
 
     def holds(self, agent_id: str, digest: bytes) -> bool:
@@ -106,8 +106,8 @@
             self.forget(agent_id)
 
 
-def _note(cache: _Cache, digest: bytes, number: int, held: bool) -> None:
-    new, old = (cache.held, cache.dropped) if held else (cache.dropped, cache.held)
+def _record_event(cache: _Cache, digest: bytes, number: int, held: bool) -> None:
+    new, old = (cache.held, cache.evicted) if held else (cache.evicted, cache.held)
     old.pop(digest, None)
     new[digest] = number
     new.move_to_end(digest)
--- a/wigeonscale/routing/subset.py
+++ b/wigeonscale/routing/subset.py
@@ -84,7 +84,9 @@
     def subset(self) -> tuple[Candidate, ...]:
         """The candidates that this entry uses, best rendezvous weight first."""
         if self._subset is None:
-            self._subset = tuple(itertools.islice(self._spread(), self._size))
+            self._subset = tuple(
+                itertools.islice(self._interleave_domains(), self._size)
+            )
         return self._subset
 
     def add(self, candidate: Candidate) -> None:
@@ -118,9 +120,9 @@
 
     def ranked(self, count: int) -> list[Candidate]:
         """Return the first ``count`` candidates, the subset first."""
-        return list(itertools.islice(self._spread(), count))
+        return list(itertools.islice(self._interleave_domains(), count))
 
-    def _spread(self) -> Iterator[Candidate]:
+    def _interleave_domains(self) -> Iterator[Candidate]:
         for rank in itertools.count():
             tier = [
                 ranked[rank] for ranked in self._ranked.values() if rank < len(ranked)
--- a/wigeonscale/routing/tests/test_load.py
+++ b/wigeonscale/routing/tests/test_load.py
@@ -17,7 +17,7 @@
         self.table = LoadTable(clock=self.clock)
 
     def test_unknown_agent_has_no_wait(self):
-        self.assertEqual(0.0, self.table.score("a"))
+        self.assertEqual(0.0, self.table.estimated_wait_s("a"))
 
     def test_own_requests_count_without_a_word(self):
         for _ in range(3):
@@ -36,7 +36,7 @@
     def test_word_holds_the_load_of_all_entries(self):
         self.table.update_load("a", load_word(running=4, queued=4, wait_s=2.0))
         self.assertEqual(8, self.table.backlog("a"))
-        self.assertAlmostEqual(2.5, self.table.score("a"))
+        self.assertAlmostEqual(2.5, self.table.estimated_wait_s("a"))
 
     def test_starts_since_the_word_are_added(self):
         self.table.started("a")
