--- a/wigeonscale/crashes/policy.py
+++ b/wigeonscale/crashes/policy.py
@@ -6,15 +6,15 @@
 """
 
 __all__ = [
-    "BEGINNING_S",
-    "CRASHES_REMEMBERED",
     "CRASHES_TO_REFUSE",
-    "MOST_REQUESTS",
-    "SUSPECT_KEPT_S",
-    "first_to_forget",
-    "hold_among",
-    "hold_s",
-    "kept_s",
+    "MAX_CRASHES_PER_REQUEST",
+    "MAX_TRACKED_REQUESTS",
+    "START_CRASH_WINDOW_S",
+    "SUSPECT_RETENTION_S",
+    "refusal_s_among",
+    "next_to_evict",
+    "refusal_s",
+    "retention_s",
 ]
 
 from collections.abc import Iterable, Mapping, Set
@@ -24,31 +24,31 @@
 CRASHES_TO_REFUSE = 3
 # A refused request is tried again once its time is over, since weights or a server may
 # have been mended: by the users' rule three times at most after the third crash.
-CRASHES_REMEMBERED = 6
+MAX_CRASHES_PER_REQUEST = 6
 # Engines are mended by people: the shortest time in which one reacts, in seconds, and
 # the factor by which each further crash prolongs it, up to three and a half days.
-FIRST_HOLD_S = 600.0
-HOLD_FACTOR = 8.0
+INITIAL_REFUSAL_S = 600.0
+REFUSAL_GROWTH_FACTOR = 8.0
 # A refusal that may hit the wrong request, in seconds: it is tried again once the fate
 # of the last runs is known, and the next crash settles it.
-DOUBT_HOLD_S = 5.0
+UNCERTAIN_REFUSAL_S = 5.0
 # Servers that end within this time may have ended by one cause, such as the power of a
 # rack, under a request that many ask for: its copies run on several at once.
-ONE_EVENT_S = 1.0
+COMMON_CAUSE_S = 1.0
 # A request that is suspected only is forgotten after this long without another crash.
-SUSPECT_KEPT_S = 600.0
+SUSPECT_RETENTION_S = 600.0
 # Requests remembered. A crash adds those that had just begun at one engine, which are
 # as many as begin in some 0.15 s there, whatever the size of the fleet: one to four of
 # 27 a second over six first engines. With three servers one takes 65 bytes of control's
 # snapshot, 250 of its memory and 720 at each entry (traced allocations).
-MOST_REQUESTS = 1024
+MAX_TRACKED_REQUESTS = 1024
 # A run whose events came over so long a time has not crashed its server by beginning.
 # Servers that crashed did so within 0.1 s of the run that they began last; a pass of an
 # engine under load takes as long again.
-BEGINNING_S = 0.25
+START_CRASH_WINDOW_S = 0.25
 
 
-def hold_s(crashes: int) -> float:
+def refusal_s(crashes: int) -> float:
     """Return for how long a request is refused after its last crash, in seconds.
 
     Args:
@@ -58,19 +58,19 @@
         0 while it is not refused.
 
     Example:
-        >>> [hold_s(crashes) for crashes in (2, 3, 4)]
+        >>> [refusal_s(crashes) for crashes in (2, 3, 4)]
         [0.0, 600.0, 4800.0]
     """
-    beyond = min(crashes, CRASHES_REMEMBERED) - CRASHES_TO_REFUSE
-    return FIRST_HOLD_S * HOLD_FACTOR**beyond if beyond >= 0 else 0.0
+    beyond = min(crashes, MAX_CRASHES_PER_REQUEST) - CRASHES_TO_REFUSE
+    return INITIAL_REFUSAL_S * REFUSAL_GROWTH_FACTOR**beyond if beyond >= 0 else 0.0
 
 
-def hold_among(
+def refusal_s_among(
     ended: Set[str],
     rivals: Iterable[Set[str]],
     *,
     span_s: float,
-    doubt_s: float = DOUBT_HOLD_S,
+    uncertain_s: float = UNCERTAIN_REFUSAL_S,
 ) -> float:
     """Return for how long a request is refused, given what ended under others.
 
@@ -82,19 +82,19 @@
         ended: Backend servers that ended under the request.
         rivals: The same for each other request that may be refused.
         span_s: Time from the first of its crashes to the last, in seconds.
-        doubt_s: Time of a refusal that may be wrong, in seconds.
+        uncertain_s: Time of a refusal that may be wrong, in seconds.
 
     Returns:
         Seconds after its last crash; 0 while it is not refused.
 
     Example:
-        >>> hold_among({"a", "b", "c"}, [{"a", "b", "c", "d"}], span_s=9.0)
+        >>> refusal_s_among({"a", "b", "c"}, [{"a", "b", "c", "d"}], span_s=9.0)
         0.0
-        >>> hold_among({"a", "b", "c"}, [{"a", "b", "c"}], span_s=9.0)
+        >>> refusal_s_among({"a", "b", "c"}, [{"a", "b", "c"}], span_s=9.0)
         5.0
-        >>> hold_among({"a", "b", "c"}, [], span_s=0.1)
+        >>> refusal_s_among({"a", "b", "c"}, [], span_s=0.1)
         5.0
-        >>> hold_among({"a", "b", "c"}, [], span_s=9.0)
+        >>> refusal_s_among({"a", "b", "c"}, [], span_s=9.0)
         600.0
     """
     if len(ended) < CRASHES_TO_REFUSE:
@@ -108,21 +108,21 @@
     if len(unexplained) < CRASHES_TO_REFUSE:
         return 0.0
     is_tied = len(unexplained & unshared) < CRASHES_TO_REFUSE
-    if is_tied or span_s < ONE_EVENT_S:
-        return doubt_s
-    return hold_s(len(ended))
+    if is_tied or span_s < COMMON_CAUSE_S:
+        return uncertain_s
+    return refusal_s(len(ended))
 
 
-def kept_s(crashes: int) -> float:
+def retention_s(crashes: int) -> float:
     """Return for how long the crashes of a request are remembered, in seconds.
 
     Args:
         crashes: Backend servers that ended under it.
     """
-    return max(SUSPECT_KEPT_S, 2 * hold_s(crashes))
+    return max(SUSPECT_RETENTION_S, 2 * refusal_s(crashes))
 
 
-def first_to_forget(crashes: Mapping[bytes, int]) -> bytes:
+def next_to_evict(crashes: Mapping[bytes, int]) -> bytes:
     """Return the request to forget where more are known than may be.
 
     Args:
--- /dev/null
+++ b/wigeonscale/crashes/tracker.py
@@ -0,0 +1,298 @@
+"""What one entry knows of requests under which backend servers crash."""
+
+__all__ = ["CrashTracker"]
+
+import asyncio
+import logging
+import random
+from collections.abc import Callable, Iterable
+
+from wigeonscale.adapters.logs import log_fields
+from wigeonscale.crashes.aborts import AbortTimes
+from wigeonscale.crashes.policy import (
+    CRASHES_TO_REFUSE,
+    MAX_TRACKED_REQUESTS,
+    UNCERTAIN_REFUSAL_S,
+    next_to_evict,
+    refusal_s,
+    refusal_s_among,
+    retention_s,
+)
+from wigeonscale.crashes.records import (
+    AbortedStart,
+    ConfirmedCrashes,
+    CrashReport,
+    KnownCrashes,
+    log_record,
+)
+from wigeonscale.ports import Clock
+
+# A backend server that broke off a run counts as crashed if control finds it gone
+# within this time: a refused probe says so in 0.02 to 0.3 s, two unanswered ones later.
+CONFIRMATION_TIMEOUT_S = 3.0
+# What was told to control is remembered here until control's word of it is back.
+REPORTED_RETENTION_S = 5.0
+# Records of one update that get a line each; an entry that starts may be told them all.
+MAX_LOGGED_RECORDS = 16
+
+logger = logging.getLogger(__name__)
+
+
+class CrashTracker:
+    """Decides which requests are refused since backend servers crash under them.
+
+    Many requests run on a server that crashes. Those count that had just begun there,
+    if the server is found to have ended; one that runs well later is cleared. What
+    each entry finds goes to control, and comes back to all of them.
+
+    Args:
+        clock: Clock port.
+        is_serving: Returns whether a backend server is known and not leaving.
+        has_ended: Returns whether an incarnation is known to be gone.
+        rng: Source of randomness: where a refusal is in doubt, the entries try the
+            request again one after another, and the first one's word holds the others.
+
+    Notes:
+        Bounded by :data:`~wigeonscale.crashes.MAX_TRACKED_REQUESTS`, and by time.
+    """
+
+    def __init__(
+        self,
+        *,
+        clock: Clock,
+        is_serving: Callable[[str], bool],
+        has_ended: Callable[[str], bool],
+        rng: random.Random,
+    ):
+        self._clock = clock
+        self._uncertain_refusal_s = UNCERTAIN_REFUSAL_S * (1.0 + rng.random())
+        self._is_serving = is_serving
+        self._has_ended = has_ended
+        self._report_ready = asyncio.Event()
+        # In the order of the last change.
+        self._confirmed: dict[bytes, ConfirmedCrashes] = {}
+        self._aborted_starts: dict[bytes, dict[str, AbortedStart]] = {}
+        self._cleared: set[bytes] = set()
+        # Last send of each request that was refused before.
+        self._retried_at: dict[bytes, float] = {}
+        self._abort_times = AbortTimes(clock=clock)
+
+    @property
+    def refused(self) -> int:
+        """How many requests are refused just now by control's word."""
+        now = self._clock.now()
+        return sum(
+            now < confirmed.last_at + refusal_s(len(confirmed.backends))
+            for confirmed in self._confirmed.values()
+        )
+
+    def is_suspect(self, fingerprint: bytes) -> bool:
+        """Return whether a backend server was lost as it began to run a request."""
+        if fingerprint in self._aborted_starts:
+            self.confirm_crashes()
+        return fingerprint in self._confirmed or fingerprint in self._aborted_starts
+
+    def refusal_remaining_s(self, fingerprint: bytes) -> float:
+        """Return for how long a request is refused, in seconds; 0 if it is not.
+
+        Args:
+            fingerprint: The request's.
+        """
+        if not self.is_suspect(fingerprint):
+            return 0.0
+        now = self._clock.now()
+        confirmed = self._confirmed.get(fingerprint)
+        aborts = self._aborted_starts.get(fingerprint, {})
+        backends = confirmed.backends if confirmed is not None else frozenset()
+        new = {n: abort for n, abort in aborts.items() if abort.has_ended}
+        is_unconfirmed = len(new) < len(aborts)
+        if is_unconfirmed and len(backends | aborts.keys()) >= CRASHES_TO_REFUSE:
+            # It is not known yet whether the last one ended or only broke off.
+            return CONFIRMATION_TIMEOUT_S
+        if len(backends | new.keys()) < CRASHES_TO_REFUSE:
+            return 0.0
+        instants = [abort.at for abort in new.values()]
+        if confirmed is not None:
+            instants += [confirmed.first_at, confirmed.last_at]
+        refused_s = refusal_s_among(
+            backends | new.keys(),
+            self._rivals(fingerprint),
+            span_s=max(instants) - min(instants),
+            uncertain_s=self._uncertain_refusal_s,
+        )
+        retried_at = self._retried_at.get(fingerprint, float("-inf"))
+        allowed_at = max(max(instants) + refused_s, retried_at + CONFIRMATION_TIMEOUT_S)
+        return max(0.0, allowed_at - now)
+
+    def _rivals(self, fingerprint: bytes) -> list[frozenset[str]]:
+        return [
+            confirmed.backends
+            for other, confirmed in self._confirmed.items()
+            if other != fingerprint and len(confirmed.backends) >= CRASHES_TO_REFUSE
+        ]
+
+    def _confirmed_backends(self, fingerprint: bytes) -> frozenset[str]:
+        confirmed = self._confirmed.get(fingerprint)
+        return confirmed.backends if confirmed is not None else frozenset()
+
+    def note_sent(self, fingerprint: bytes) -> None:
+        """Take in that a request is sent; one that was refused goes alone.
+
+        Load pattern: the time of a refusal ends, and several copies of the request
+        come at once. The fate of one says what becomes of the others.
+
+        Args:
+            fingerprint: The request's.
+        """
+        if len(self._confirmed_backends(fingerprint)) >= CRASHES_TO_REFUSE:
+            self._retried_at[fingerprint] = self._clock.now()
+
+    def note_lost(self, fingerprint: bytes, backend_id: str) -> bool:
+        """Take in that a backend server broke off a run that had just begun.
+
+        Args:
+            fingerprint: The request's.
+            backend_id: The incarnation.
+
+        Returns:
+            Whether this is news of a server that may have crashed: one that is
+            leaving, or is not known any more, ends by intent.
+        """
+        aborts = self._aborted_starts.get(fingerprint, {})
+        if backend_id in aborts or backend_id in self._confirmed_backends(fingerprint):
+            return False
+        if not self._is_serving(backend_id):
+            return False
+        while len(self._aborted_starts) >= MAX_TRACKED_REQUESTS:
+            del self._aborted_starts[next(iter(self._aborted_starts))]
+        abort = AbortedStart(self._clock.now())
+        self._aborted_starts.setdefault(fingerprint, {})[backend_id] = abort
+        self.confirm_crashes()
+        return True
+
+    def note_abort(self, backend_id: str) -> None:
+        """Take in that a backend server broke off a run."""
+        self._abort_times.note(backend_id)
+
+    def was_aborting(self, backend_id: str, *, before: float) -> bool:
+        """Return whether a server was breaking runs off before a local instant."""
+        return self._abort_times.was_aborting(backend_id, before=before)
+
+    def note_ran(self, fingerprint: bytes) -> None:
+        """Take in that a request ran without a crash."""
+        if not self.is_suspect(fingerprint):
+            return
+        backends = self._confirmed_backends(fingerprint)
+        self._confirmed.pop(fingerprint, None)
+        self._retried_at.pop(fingerprint, None)
+        aborts = self._aborted_starts.pop(fingerprint, {})
+        if backends or any(abort.reported_at is not None for abort in aborts.values()):
+            self._cleared.add(fingerprint)
+            self._report_ready.set()
+        logger.info(
+            "request is cleared of crashes",
+            extra=log_fields(
+                fingerprint=fingerprint.hex(),
+                backends=sorted({*backends, *aborts}),
+            ),
+        )
+
+    def take(self, records: Iterable[KnownCrashes]) -> None:
+        """Take in what control tells.
+
+        Args:
+            records: Requests whose crashes changed, in the order of the change.
+        """
+        now = self._clock.now()
+        records = list(records)
+        for record in records:
+            self._confirmed.pop(record.fingerprint, None)
+            if record.backends:
+                last_at = now - record.age_s
+                backends = frozenset(record.backends)
+                confirmed = ConfirmedCrashes(backends, last_at - record.span_s, last_at)
+                self._confirmed[record.fingerprint] = confirmed
+        self._evict(now)
+        for record in records[:MAX_LOGGED_RECORDS]:
+            log_record(record)
+        if len(records) > MAX_LOGGED_RECORDS:
+            logger.info(
+                "%d records of crashes taken in",
+                len(records),
+                extra=log_fields(outcome="known", refused=self.refused),
+            )
+
+    def confirm_crashes(self) -> None:
+        """See which of the servers that broke runs off are known to have ended."""
+        now = self._clock.now()
+        for fingerprint, aborts in list(self._aborted_starts.items()):
+            for backend_id, abort in list(aborts.items()):
+                if not abort.has_ended and self._has_ended(backend_id):
+                    abort.has_ended = True
+                    self._report_ready.set()
+                    self._log_aborted_start(fingerprint, backend_id, "ended")
+                elif not abort.has_ended and now - abort.at > CONFIRMATION_TIMEOUT_S:
+                    del aborts[backend_id]
+                    self._log_aborted_start(fingerprint, backend_id, "not ended")
+                elif (
+                    abort.reported_at is not None
+                    and now - abort.reported_at > REPORTED_RETENTION_S
+                ):
+                    del aborts[backend_id]
+            if not aborts:
+                del self._aborted_starts[fingerprint]
+
+    def _log_aborted_start(
+        self, fingerprint: bytes, backend_id: str, outcome: str
+    ) -> None:
+        logger.info(
+            "%s broke off a request that had just begun",
+            backend_id,
+            extra=log_fields(fingerprint=fingerprint.hex(), outcome=outcome),
+        )
+
+    async def wait_for_report(self) -> None:
+        """Wait until there is something to tell control."""
+        await self._report_ready.wait()
+
+    def take_report(self) -> CrashReport:
+        """Return what is to be told, and take it as told."""
+        self._report_ready.clear()
+        now = self._clock.now()
+        crashes = []
+        for fingerprint, aborts in self._aborted_starts.items():
+            for backend_id, abort in aborts.items():
+                if abort.has_ended and abort.reported_at is None:
+                    abort.reported_at = now
+                    crashes.append((fingerprint, backend_id))
+        cleared, self._cleared = tuple(self._cleared), set()
+        return CrashReport(tuple(crashes), cleared)
+
+    def restore_report(self, report: CrashReport) -> None:
+        """Take back that a report was told: control did not take it.
+
+        Args:
+            report: As :meth:`take_report` returned it.
+        """
+        for fingerprint, backend_id in report.crashes:
+            abort = self._aborted_starts.get(fingerprint, {}).get(backend_id)
+            if abort is not None:
+                abort.reported_at = None
+        self._cleared.update(report.cleared)
+        self._report_ready.set()
+
+    def _evict(self, now: float) -> None:
+        self._confirmed = {
+            fingerprint: confirmed
+            for fingerprint, confirmed in self._confirmed.items()
+            if now - confirmed.last_at <= retention_s(len(confirmed.backends))
+        }
+        while len(self._confirmed) > MAX_TRACKED_REQUESTS:
+            counts = {
+                name: len(confirmed.backends)
+                for name, confirmed in self._confirmed.items()
+            }
+            del self._confirmed[next_to_evict(counts)]
+        self._retried_at = {
+            name: at for name, at in self._retried_at.items() if name in self._confirmed
+        }
