--- a/bench/prefixes.py
+++ b/bench/prefixes.py
@@ -82,7 +82,7 @@
         self.links = AgentLinks(
             entry_id=name,
             clock=clock,
-            on_word=self._table.word,
+            on_load=self._table.word,
             on_prefixes=view.take,
         )
 
@@ -104,12 +104,12 @@
             ),
         )
         self._table.started(agent_id, "o")
-        self.links.carry(stream)
-        while await stream.take():
+        self.links.add_stream(stream)
+        while await stream.read():
             pass
         if stream.error is not None:
             raise stream.error
-        stream.leave()
+        stream.detach()
         self._table.finished(agent_id, "o")
 
 
--- a/wigeonscale/control/orders.py
+++ b/wigeonscale/control/orders.py
@@ -2,7 +2,7 @@
 
 __all__ = ["load_orders"]
 
-from wigeonscale.placement import order_loads, warm_loads
+from wigeonscale.placement import order_loads, preload_spares
 from wigeonscale.state import ControlState
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -46,7 +46,7 @@
 
 def _warm_orders(state, chains, loading):
     """Return the loads of spares that have begun, or else the next one."""
-    ranked = warm_loads(
+    ranked = preload_spares(
         chains,
         _spares(state),
         holds=lambda spare, chain, stage: state.chains.is_loaded(
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -12,11 +12,11 @@
 from wigeonscale.daemons.runtime import StopStep, run_until_stopped
 from wigeonscale.dispatch import (
     AgentLinks,
-    Carrier,
     Claims,
     CrashGuard,
     Dispatcher,
-    SilenceLimits,
+    DispatchTransport,
+    KeepaliveLimits,
     Target,
 )
 from wigeonscale.entry import (
@@ -91,7 +91,7 @@
     *,
     control: ControlClient,
     clock: Clock,
-    silence: SilenceLimits | None = None,
+    silence: KeepaliveLimits | None = None,
     crashes: CrashBook | None = None,
 ) -> EntryService:
     """Return an entry's state, wired together.
@@ -104,7 +104,7 @@
         crashes: Which requests crash backend servers; None for a book that is told
             nothing by control.
     """
-    looks = SilenceLimits(interval_s=cfg.heartbeat_s / LOOKS_PER_HEARTBEAT)
+    looks = KeepaliveLimits(interval_s=cfg.heartbeat_s / LOOKS_PER_HEARTBEAT)
     table = LoadTable(clock=clock)
     view = PrefixView()
     chooser = Chooser(table=table, rng=random.Random(), subset=cfg.subset, view=view)
@@ -117,18 +117,18 @@
     links = AgentLinks(
         entry_id=cfg.name,
         clock=clock,
-        on_word=table.word,
+        on_load=table.word,
         on_prefixes=view.take,
         on_gone=on_gone,
         limits=silence or looks,
         dial=functools.partial(open_channel, tls=cfg.tls),
     )
-    carrier = Carrier(links=links, table=table)
-    claims = Claims(control=control, carrier=carrier, places=places, clock=clock)
+    transport = DispatchTransport(links=links, table=table)
+    claims = Claims(control=control, transport=transport, selector=places, clock=clock)
     names = ServerNames(members=lambda: control.members)
     dispatcher = Dispatcher(
-        carrier=carrier,
-        places=places,
+        transport=transport,
+        selector=places,
         claims=claims,
         budget=RetryBudget(clock=clock, ratio=cfg.retry_ratio),
         crashes=CrashGuard(
--- a/wigeonscale/dispatch/__init__.py
+++ b/wigeonscale/dispatch/__init__.py
@@ -5,27 +5,27 @@
     "AgentLinks",
     "Answer",
     "AnswerRecord",
-    "Carrier",
     "Claims",
     "CrashGuard",
     "DispatchStream",
+    "DispatchTransport",
     "Dispatcher",
-    "Place",
-    "Places",
-    "SilenceLimits",
+    "KeepaliveLimits",
+    "Selection",
     "Target",
+    "TargetSelector",
     "Work",
     "new_dispatch_id",
 ]
 
 from wigeonscale.dispatch.answer import Answer
 from wigeonscale.dispatch.attempts import Dispatcher
-from wigeonscale.dispatch.carrier import Carrier
-from wigeonscale.dispatch.claims import Claims, Place, Places
+from wigeonscale.dispatch.claims import Claims, Selection, TargetSelector
 from wigeonscale.dispatch.crashing import CrashGuard
 from wigeonscale.dispatch.failures import AgentGoneError
 from wigeonscale.dispatch.links import AgentLinks
-from wigeonscale.dispatch.silence import SilenceLimits
+from wigeonscale.dispatch.silence import KeepaliveLimits
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import AnswerRecord, Target
+from wigeonscale.dispatch.transport import DispatchTransport
 from wigeonscale.dispatch.work import Work, new_dispatch_id
--- a/wigeonscale/dispatch/answer.py
+++ b/wigeonscale/dispatch/answer.py
@@ -6,10 +6,10 @@
 from collections.abc import Awaitable, Callable
 
 from wigeonscale.adapters import log_fields
-from wigeonscale.dispatch.carrier import Carrier
 from wigeonscale.dispatch.retries import honest_error, is_retried
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import AnswerRecord
+from wigeonscale.dispatch.transport import DispatchTransport
 from wigeonscale.dispatch.work import Work
 from wigeonscale.errors import WigeonscaleError
 
@@ -36,7 +36,7 @@
         self,
         *,
         stream: DispatchStream,
-        carrier: Carrier,
+        transport: DispatchTransport,
         work: Work | None = None,
         reopen: Reopen | None = None,
         on_whole: Callable[[], None] = lambda: None,
@@ -44,7 +44,7 @@
         self.stream = stream
         self._on_whole = on_whole
         self._moves = 0
-        self._carrier = carrier
+        self._carrier = transport
         self._work = work
         self._reopen = reopen
 
@@ -63,7 +63,7 @@
         """Whether the work must not run twice."""
         return self._work is not None and self._work.once
 
-    async def take(self) -> list[str]:
+    async def read(self) -> list[str]:
         """Return the next token texts; an empty list at the end.
 
         Raises:
@@ -71,7 +71,7 @@
         """
         while True:
             try:
-                texts = await self.stream.take()
+                texts = await self.stream.read()
                 if not texts:
                     self._on_whole()
                 return texts
--- a/wigeonscale/dispatch/attempts.py
+++ b/wigeonscale/dispatch/attempts.py
@@ -7,8 +7,7 @@
 
 from wigeonscale.adapters import METRICS
 from wigeonscale.dispatch.answer import Answer
-from wigeonscale.dispatch.carrier import Carrier
-from wigeonscale.dispatch.claims import Claims, Place, Places
+from wigeonscale.dispatch.claims import Claims, Selection, TargetSelector
 from wigeonscale.dispatch.crashing import CrashGuard
 from wigeonscale.dispatch.retries import (
     honest_error,
@@ -18,6 +17,7 @@
 )
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import AnswerRecord, Target
+from wigeonscale.dispatch.transport import DispatchTransport
 from wigeonscale.dispatch.work import Work, new_dispatch_id
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.ports import Clock
@@ -48,8 +48,8 @@
     def __init__(
         self,
         *,
-        carrier: Carrier,
-        places: Places,
+        transport: DispatchTransport,
+        selector: TargetSelector,
         claims: Claims,
         budget: RetryBudget,
         crashes: CrashGuard,
@@ -57,8 +57,8 @@
         open_timeout_s: float = 5.0,
         repair_wait_s: float = REPAIR_WAIT_S,
     ):
-        self._carrier = carrier
-        self._places = places
+        self._carrier = transport
+        self._selector = selector
         self._claims = claims
         self._budget = budget
         self._crashes = crashes
@@ -84,7 +84,7 @@
             self._crashes.note_ran(work)
         return Answer(
             stream=stream,
-            carrier=self._carrier,
+            transport=self._carrier,
             work=work,
             reopen=self._open,
             on_whole=functools.partial(self._crashes.note_ran, work),
@@ -113,7 +113,7 @@
         except asyncio.CancelledError:
             self._carrier.drop(stream)
             raise
-        return Answer(stream=stream, carrier=self._carrier)
+        return Answer(stream=stream, transport=self._carrier)
 
     async def _open(
         self, work: Work, record: AnswerRecord, avoid: frozenset[str]
@@ -130,20 +130,20 @@
             if crashing is not None:
                 refusal = crashing
                 break
-            place = self._choose(work, avoid)
-            if place is None and work.repeatable and ran is not RunState.NOT_RUN:
-                place = await self._wait_for_place(work)
-            if place is None:
+            selection = self._choose(work, avoid)
+            if selection is None and work.repeatable and ran is not RunState.NOT_RUN:
+                selection = await self._wait_for_place(work)
+            if selection is None:
                 break
             try:
                 self._check_deadline(work)
-                return await self._attempt(work, record, *place)
+                return await self._attempt(work, record, *selection)
             except WigeonscaleError as exc:
                 refusal = exc
                 # What an earlier dispatch may have run stays true.
                 ran = worst_run_state(ran, exc.run_state)
                 if not is_sealed_by_other(exc):
-                    avoid = avoid | {place[0].agent_id}
+                    avoid = avoid | {selection[0].agent_id}
         refusal = refusal or await self._no_place(work)
         if work.once and refusal.kind is ErrorKind.CRASHES_BACKENDS:
             # What became of it under its key comes first.
@@ -151,19 +151,19 @@
         refusal.run_state = ran
         raise honest_error(refusal, once=work.once)
 
-    def _choose(self, work: Work, avoid: frozenset[str]) -> Place | None:
+    def _choose(self, work: Work, avoid: frozenset[str]) -> Selection | None:
         apart = self._crashes.taken_by_others(work)
-        place = self._places.choose(work, avoid | apart) if apart else None
-        return place or self._places.choose(work, avoid)
+        selection = self._selector.choose(work, avoid | apart) if apart else None
+        return selection or self._selector.choose(work, avoid)
 
-    async def _wait_for_place(self, work: Work) -> Place | None:
+    async def _wait_for_place(self, work: Work) -> Selection | None:
         """Wait for the repair of what was lost under work in progress."""
         end = min(work.deadline, self._clock.now() + self._repair_wait_s)
         while self._clock.now() < end:
             # A new incarnation of an agent that failed is as good as any.
-            place = self._places.choose(work, frozenset())
-            if place is not None:
-                return place
+            selection = self._selector.choose(work, frozenset())
+            if selection is not None:
+                return selection
             await self._clock.sleep(REPAIR_LOOK_INTERVAL_S)
         return None
 
@@ -212,7 +212,7 @@
             record=record,
             opening=opening,
         )
-        self._carrier.carry(stream)
+        self._carrier.add_stream(stream)
         work.dispatch_ids.append(dispatch_id)
         try:
             with self._crashes.beginning(work, target, chain):
--- a/wigeonscale/dispatch/claims.py
+++ b/wigeonscale/dispatch/claims.py
@@ -1,16 +1,16 @@
 """Claims of work that must not run twice, committed before its dispatch."""
 
-__all__ = ["Claims", "Place", "Places"]
+__all__ = ["Claims", "Selection", "TargetSelector"]
 
 import asyncio
 import logging
 from typing import Protocol
 
 from wigeonscale.adapters import log_fields
-from wigeonscale.dispatch.carrier import Carrier
 from wigeonscale.dispatch.failures import AgentGoneError, unknown_outcome
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import Target
+from wigeonscale.dispatch.transport import DispatchTransport
 from wigeonscale.dispatch.work import Work
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.ports import Clock
@@ -28,13 +28,13 @@
 
 
 # An agent, and the chain that it heads if it heads one.
-Place = tuple[Target, wire.Chain | None]
+Selection = tuple[Target, wire.Chain | None]
 
 
-class Places(Protocol):
+class TargetSelector(Protocol):
     """Where work can go, as the control replicas tell."""
 
-    def choose(self, work: Work, avoid: frozenset[str]) -> Place | None:
+    def choose(self, work: Work, avoid: frozenset[str]) -> Selection | None:
         """Return an agent, and the chain it heads, or None."""
 
     def is_current(self, agent_id: str, incarnation: int) -> bool:
@@ -61,11 +61,16 @@
     """
 
     def __init__(
-        self, *, control: Submitter, carrier: Carrier, places: Places, clock: Clock
+        self,
+        *,
+        control: Submitter,
+        transport: DispatchTransport,
+        selector: TargetSelector,
+        clock: Clock,
     ):
         self._control = control
-        self._carrier = carrier
-        self._places = places
+        self._carrier = transport
+        self._selector = selector
         self._clock = clock
         self._releases: dict[tuple[str, str], asyncio.Task] = {}
 
@@ -183,7 +188,7 @@
         claim = standing.claim
         if standing.state == wire.UNKNOWN:
             raise unknown_outcome(f"whether {claim.dispatch_id} ran is not known")
-        if not self._places.is_current(claim.agent_id, claim.agent_incarnation):
+        if not self._selector.is_current(claim.agent_id, claim.agent_incarnation):
             raise unknown_outcome(f"{claim.agent_id}, which had the work, is gone")
         try:
             stream = await self._attach(work, claim)
--- a/wigeonscale/dispatch/link.py
+++ b/wigeonscale/dispatch/link.py
@@ -33,7 +33,7 @@
         target: The agent.
         entry_id: Name of this entry.
         clock: Clock port.
-        on_word: Called with each load word.
+        on_load: Called with each load word.
         on_prefixes: Called with cache events.
         dial: Opens a channel with a connection of its own to an address.
 
@@ -48,7 +48,7 @@
         target: Target,
         entry_id: str,
         clock: Clock,
-        on_word: OnWord,
+        on_load: OnWord,
         on_prefixes: OnPrefixes,
         dial: Dial = open_channel,
     ):
@@ -58,7 +58,7 @@
         self.events_heard = 0
         self._entry_id = entry_id
         self._clock = clock
-        self._on_word = on_word
+        self._on_word = on_load
         self._on_prefixes = on_prefixes
         self._dial = dial
         self._outbox: asyncio.Queue[wire.DispatchRequest | None]
--- a/wigeonscale/dispatch/links.py
+++ b/wigeonscale/dispatch/links.py
@@ -9,7 +9,7 @@
 from wigeonscale.adapters import METRICS, log_fields, open_channel
 from wigeonscale.dispatch.failures import AgentGoneError
 from wigeonscale.dispatch.link import AgentLink, Dial, OnPrefixes, OnWord
-from wigeonscale.dispatch.silence import SilenceLimits, until_silent
+from wigeonscale.dispatch.silence import KeepaliveLimits, until_silent
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import Target
 from wigeonscale.errors import RunState
@@ -30,7 +30,7 @@
     Args:
         entry_id: Name of this entry.
         clock: Clock port.
-        on_word: Called with agent id and load word.
+        on_load: Called with agent id and load word.
         on_prefixes: Called with agent id and cache events.
         on_gone: Called when no connection to an agent works any more.
         limits: When a connection counts as silent.
@@ -42,24 +42,24 @@
         *,
         entry_id: str,
         clock: Clock,
-        on_word: OnWord = lambda agent_id, word: None,
+        on_load: OnWord = lambda agent_id, word: None,
         on_prefixes: OnPrefixes = lambda agent_id, events: None,
         on_gone: OnGone = lambda target: None,
-        limits: SilenceLimits | None = None,
+        limits: KeepaliveLimits | None = None,
         dial: Dial = open_channel,
     ):
         self._entry_id = entry_id
         self._clock = clock
-        self._on_word = on_word
+        self._on_word = on_load
         self._on_prefixes = on_prefixes
         self._on_gone = on_gone
         self._dial = dial
-        self._limits = limits or SilenceLimits()
+        self._limits = limits or KeepaliveLimits()
         self._lanes: dict[Target, list[_Lane]] = {}
         self._tasks: set[asyncio.Task] = set()
         self._closing = False
 
-    def carry(self, stream: DispatchStream) -> None:
+    def add_stream(self, stream: DispatchStream) -> None:
         """Open a dispatch, or take it up, at its agent."""
         for lane in self._lanes.get(stream.target, ()):
             # Items bear only the dispatch id: two readers need two streams.
@@ -86,7 +86,7 @@
             target=target,
             entry_id=self._entry_id,
             clock=self._clock,
-            on_word=self._on_word,
+            on_load=self._on_word,
             on_prefixes=self._on_prefixes,
             dial=self._dial,
         )
@@ -129,7 +129,7 @@
         link: AgentLink,
         links: AgentLinks,
         clock: Clock,
-        limits: SilenceLimits,
+        limits: KeepaliveLimits,
     ):
         self.link = link
         self._links = links
@@ -181,7 +181,7 @@
         return self.link.events_heard > 0
 
     async def _until_first_event(self) -> None:
-        for _ in range(self._limits.second_connection_looks):
+        for _ in range(self._limits.reconnect_checks):
             await self._clock.sleep(self._limits.interval_s)
             if self.link.events_heard:
                 return
--- a/wigeonscale/dispatch/silence.py
+++ b/wigeonscale/dispatch/silence.py
@@ -1,6 +1,6 @@
 """Detection of a connection that went silent."""
 
-__all__ = ["SilenceLimits", "until_silent"]
+__all__ = ["KeepaliveLimits", "until_silent"]
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -12,26 +12,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SilenceLimits:
+class KeepaliveLimits:
     """When a connection counts as silent.
 
     Attributes:
-        interval_s: Seconds between two looks.
-        missed_pings: Pings in a row without any word from the agent.
-        word_looks: Looks after which the agent is told by a ping that this entry
-            still listens, although the agent is heard.
-        second_connection_looks: Looks for any word on a second connection before
-            the agent itself counts as gone.
+        interval_s: Seconds between two checks.
+        max_missed_pings: Consecutive unanswered pings after which the connection
+            counts as dead.
+        max_checks_without_ping: Checks after which a ping tells the agent that this
+            entry is still there, even while the agent keeps sending.
+        reconnect_checks: Checks that wait for the first event on a new connection
+            before the agent itself counts as gone.
     """
 
     interval_s: float = 0.25
-    missed_pings: int = 3
-    word_looks: int = 4
-    second_connection_looks: int = 2
+    max_missed_pings: int = 3
+    max_checks_without_ping: int = 4
+    reconnect_checks: int = 2
 
 
 async def until_silent(
-    link: "AgentLink", *, clock: Clock, limits: SilenceLimits
+    link: "AgentLink", *, clock: Clock, limits: KeepaliveLimits
 ) -> None:
     """Return when the link has been silent although it was asked for a word.
 
@@ -55,11 +56,11 @@
         if link.events_heard != heard:
             missed, pinged = 0, False
             unasked += 1
-            if unasked < limits.word_looks:
+            if unasked < limits.max_checks_without_ping:
                 continue
         missed += pinged
         unasked = 0
-        if missed == limits.missed_pings:
+        if missed == limits.max_missed_pings:
             return
         link.ping()
         pinged = True
--- a/wigeonscale/dispatch/stream.py
+++ b/wigeonscale/dispatch/stream.py
@@ -21,7 +21,7 @@
 Sink = Callable[[list[str]], bool]
 
 
-class Carrier(Protocol):
+class StreamLink(Protocol):
     """What a dispatch needs of the connection to its agent."""
 
     def send(self, request: wire.DispatchRequest) -> None:
@@ -70,7 +70,7 @@
         self.organisation = organisation
         self.record = record
         self.opening = opening
-        self.link: Carrier | None = None
+        self.link: StreamLink | None = None
         self.sent = opening is None
         self.accepted = False
         self.counted = False
@@ -233,7 +233,7 @@
         while not self.begun:
             await self._wait()
 
-    async def take(self) -> list[str]:
+    async def read(self) -> list[str]:
         """Return the texts of the tokens that came since the last call.
 
         The tokens of the call before are taken as written out, and the agent may
@@ -254,7 +254,7 @@
             await self._wait()
         return self._take_new()
 
-    def pour_into(self, sink: Sink) -> None:
+    def forward_to(self, sink: Sink) -> None:
         """Hand the tokens to come to a function, without waking the reader.
 
         Args:
@@ -307,9 +307,9 @@
         if not self.ended:
             cancel = wire.Cancel(dispatch_id=self.dispatch_id)
             self.link.send(wire.DispatchRequest(cancel=cancel))
-        self.leave()
+        self.detach()
 
-    def give_up(self, error: WigeonscaleError) -> None:
+    def abort(self, error: WigeonscaleError) -> None:
         """Stop the work at the agent; the reader goes on elsewhere or tells why."""
         if not self.ended:
             self.cancel()
@@ -320,7 +320,7 @@
         self.error = None
         self.done = wire.Done(tokens=self.record.next_index, finish_reason="length")
 
-    def leave(self) -> None:
+    def detach(self) -> None:
         """Hear no more of this dispatch; the agent is not told."""
         self.link.remove(self)
 
--- a/wigeonscale/dispatch/tests/fake_agent.py
+++ b/wigeonscale/dispatch/tests/fake_agent.py
@@ -32,7 +32,7 @@
         self.sealed: set[str] = set()
         self.accept = True
         self.hold: int | None = None
-        self.go_on = asyncio.Event()
+        self.resume = asyncio.Event()
         self.deaf = False
         self.muted: set[int] = set()
         self.streams = 0
@@ -187,4 +187,4 @@
 
     async def _hold_at(self, index: int) -> None:
         if self.hold is not None and index >= self.hold:
-            await self.go_on.wait()
+            await self.resume.wait()
--- a/wigeonscale/dispatch/tests/test_carrier.py
+++ b/wigeonscale/dispatch/tests/test_carrier.py
@@ -1,6 +1,6 @@
 from types import SimpleNamespace
 
-from wigeonscale.dispatch.carrier import Carrier
+from wigeonscale.dispatch.transport import DispatchTransport
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.routing import LoadTable
 from wigeonscale.testing import AsyncTestCase, ManualClock
@@ -14,7 +14,7 @@
         done=None,
         response=None,
         error=None,
-        leave=lambda: None,
+        detach=lambda: None,
     )
     vars(stream).update(kwargs)
     return stream
@@ -24,15 +24,15 @@
     def setUp(self):
         super().setUp()
         self.table = LoadTable(clock=ManualClock())
-        links = SimpleNamespace(carry=lambda stream: None)
-        self.carrier = Carrier(links=links, table=self.table)
+        links = SimpleNamespace(add_stream=lambda stream: None)
+        self.transport = DispatchTransport(links=links, table=self.table)
 
     def carry_to_end(self, **kwargs):
         stream = ended_stream(**kwargs)
-        self.carrier.carry(stream)
+        self.transport.add_stream(stream)
         in_flight = self.table.in_flight_of("a", "org")
-        self.carrier.drop(stream)
-        self.carrier.drop(stream)
+        self.transport.drop(stream)
+        self.transport.drop(stream)
         return in_flight
 
     def test_each_dispatch_is_counted_once_for_its_organisation(self):
--- a/wigeonscale/dispatch/tests/test_links.py
+++ b/wigeonscale/dispatch/tests/test_links.py
@@ -2,7 +2,12 @@
 
 import asyncio
 
-from wigeonscale.dispatch import AgentLinks, AnswerRecord, DispatchStream, SilenceLimits
+from wigeonscale.dispatch import (
+    AgentLinks,
+    AnswerRecord,
+    DispatchStream,
+    KeepaliveLimits,
+)
 from wigeonscale.dispatch.links import QUICK_LOSS_S
 from wigeonscale.dispatch.tests.fake_agent import WORDS, FakeAgent
 from wigeonscale.errors import ErrorKind
@@ -25,12 +30,12 @@
             entry_id="e1",
             clock=SystemClock(),
             on_gone=self.gone.append,
-            limits=SilenceLimits(interval_s=0.05, second_connection_looks=400),
+            limits=KeepaliveLimits(interval_s=0.05, reconnect_checks=400),
         )
         self.addCleanup(links.close)
         return links
 
-    def carry(self, dispatch_id: str) -> DispatchStream:
+    def add_stream(self, dispatch_id: str) -> DispatchStream:
         stream = DispatchStream(
             dispatch_id=dispatch_id,
             target=self.agent.target,
@@ -38,24 +43,24 @@
             record=AnswerRecord(),
             opening=wire.Open(dispatch_id=dispatch_id, generate=wire.Generate()),
         )
-        self.links.carry(stream)
+        self.links.add_stream(stream)
         return stream
 
     async def read_all(self, stream: DispatchStream) -> list[str]:
         texts = []
-        while new := await stream.take():
+        while new := await stream.read():
             texts += new
-        stream.leave()
+        stream.detach()
         return texts
 
     async def test_dispatch_at_any_moment_of_an_idle_connections_end_is_served(self):
         for turns in range(12):
-            await self.read_all(self.carry(f"first-{turns}@a1"))
+            await self.read_all(self.add_stream(f"first-{turns}@a1"))
             (lane,) = self.links._lanes[self.agent.target]
             lane._reader.cancel()
             for _ in range(turns):
                 await asyncio.sleep(0)
-            stream = self.carry(f"then-{turns}@a1")
+            stream = self.add_stream(f"then-{turns}@a1")
             self.assertEqual(list(WORDS), await self.read_all(stream))
             await self.links.close()
             self.links = self.new_links()
@@ -73,7 +78,7 @@
 
     async def test_item_that_cannot_be_taken_in_ends_its_own_dispatch_only(self):
         link = self.links.new_link(self.agent.target)
-        bad, good = self.carry("bad@a1"), self.carry("good@a1")
+        bad, good = self.add_stream("bad@a1"), self.add_stream("good@a1")
         bad.record = None
         link.streams = {"bad@a1": bad, "good@a1": good}
         run = wire.TokenRun(texts=["x "], ids=[1])
--- a/wigeonscale/dispatch/tests/test_stream.py
+++ b/wigeonscale/dispatch/tests/test_stream.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from wigeonscale.dispatch import AnswerRecord, DispatchStream, SilenceLimits, Target
+from wigeonscale.dispatch import AnswerRecord, DispatchStream, KeepaliveLimits, Target
 from wigeonscale.dispatch.silence import until_silent
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.pipelines.constants import INITIAL_CREDIT
@@ -61,10 +61,10 @@
     async def test_credit_goes_back_only_for_tokens_that_were_written(self):
         stream = new_stream()
         stream.deliver(token_item(0, INITIAL_CREDIT))
-        self.assertEqual(INITIAL_CREDIT, len(await stream.take()))
+        self.assertEqual(INITIAL_CREDIT, len(await stream.read()))
         self.assertEqual([], stream.link.credits)
         stream.deliver(token_item(INITIAL_CREDIT))
-        await stream.take()
+        await stream.read()
         self.assertEqual([("d@a1", INITIAL_CREDIT)], stream.link.credits)
 
     async def test_overlapping_runs_give_every_token_once(self):
@@ -72,8 +72,8 @@
         stream.deliver(token_item(0, 4))
         stream.deliver(token_item(3, 2))
         stream.deliver(wire.DispatchItem(done=wire.Done(tokens=5)))
-        self.assertEqual(["t2 ", "t3 ", "t4 "], await stream.take())
-        self.assertEqual([], await stream.take())
+        self.assertEqual(["t2 ", "t3 ", "t4 "], await stream.read())
+        self.assertEqual([], await stream.read())
         self.assertEqual([], stream.link.sent)
 
     async def test_gap_is_asked_for_again_and_not_for_ever(self):
@@ -82,14 +82,14 @@
             stream.deliver(token_item(3))
         self.assertEqual(["attach"] * 3, stream.link.names())
         with self.assertRaises(WigeonscaleError) as caught:
-            await stream.take()
+            await stream.read()
         self.assertEqual(ErrorKind.INTERNAL, caught.exception.kind)
 
     async def test_index_beyond_the_answer_is_the_callers_fault(self):
         stream = new_stream(base=9, opened=False)
         stream.deliver(wire.DispatchItem(done=wire.Done(tokens=5)))
         with self.assertRaises(WigeonscaleError) as caught:
-            await stream.take()
+            await stream.read()
         self.assertEqual(ErrorKind.BAD_REQUEST, caught.exception.kind)
 
     async def test_seal_believes_only_proof(self):
@@ -124,9 +124,9 @@
     async def test_reader_hears_of_gaps_that_cannot_be_mended_while_tokens_pour(self):
         poured = []
         stream = new_stream()
-        stream.pour_into(lambda texts: poured.append(texts) or True)
+        stream.forward_to(lambda texts: poured.append(texts) or True)
         stream.deliver(token_item(0))
-        reader = asyncio.create_task(stream.take())
+        reader = asyncio.create_task(stream.read())
         await asyncio.sleep(0)
         for _ in range(9):
             stream.deliver(token_item(0))
@@ -141,7 +141,9 @@
 class SilenceTest(AsyncTestCase):
     async def test_link_is_silent_after_unanswered_pings_only(self):
         clock, link = ManualClock(), FakeLink()
-        limits = SilenceLimits(interval_s=1.0, missed_pings=3, word_looks=6)
+        limits = KeepaliveLimits(
+            interval_s=1.0, max_missed_pings=3, max_checks_without_ping=6
+        )
         watch = asyncio.create_task(until_silent(link, clock=clock, limits=limits))
         await clock.advance(0.0)
         for _ in range(5):
@@ -156,7 +158,7 @@
 
     async def test_agent_that_is_heard_hears_of_this_entry_too(self):
         clock, link = ManualClock(), FakeLink()
-        limits = SilenceLimits(interval_s=1.0, word_looks=4)
+        limits = KeepaliveLimits(interval_s=1.0, max_checks_without_ping=4)
         watch = asyncio.create_task(until_silent(link, clock=clock, limits=limits))
         await clock.advance(0.0)
         for _ in range(12):
@@ -169,7 +171,7 @@
     async def test_idle_link_is_left_in_peace(self):
         clock, link = ManualClock(), FakeLink()
         link.busy.clear()
-        limits = SilenceLimits(interval_s=1.0)
+        limits = KeepaliveLimits(interval_s=1.0)
         watch = asyncio.create_task(until_silent(link, clock=clock, limits=limits))
         await clock.advance(100.0)
         self.assertFalse(watch.done())
--- a/wigeonscale/dispatch/carrier.py
+++ b/wigeonscale/dispatch/transport.py
@@ -1,6 +1,6 @@
 """Dispatches put on links, with their share of the load counted."""
 
-__all__ = ["Carrier"]
+__all__ = ["DispatchTransport"]
 
 from wigeonscale.dispatch.links import AgentLinks
 from wigeonscale.dispatch.stream import DispatchStream
@@ -9,7 +9,7 @@
 from wigeonscale.routing import LoadTable
 
 
-class Carrier:
+class DispatchTransport:
     """Puts dispatches on links and takes them off, each counted once.
 
     Args:
@@ -21,9 +21,9 @@
         self._links = links
         self._table = table
 
-    def carry(self, stream: DispatchStream) -> None:
+    def add_stream(self, stream: DispatchStream) -> None:
         """Open a dispatch, or take it up, at its agent."""
-        self._links.carry(stream)
+        self._links.add_stream(stream)
         self._table.started(stream.target.agent_id, stream.organisation)
         stream.counted = True
 
@@ -37,7 +37,7 @@
             organisation=organisation,
             record=AnswerRecord(base=from_token),
         )
-        self.carry(stream)
+        self.add_stream(stream)
         return stream
 
     async def seal(self, target: Target, dispatch_id: str) -> bool:
@@ -56,7 +56,7 @@
             record=AnswerRecord(),
             only_seal=True,
         )
-        self.carry(stream)
+        self.add_stream(stream)
         try:
             return await stream.seal()
         finally:
@@ -74,7 +74,7 @@
         stream.counted = False
         if cancel:
             stream.cancel()
-        stream.leave()
+        stream.detach()
         self._table.finished(stream.target.agent_id, stream.organisation)
         self._count_outcome(stream)
 
--- a/wigeonscale/entry/calls.py
+++ b/wigeonscale/entry/calls.py
@@ -78,7 +78,7 @@
     Raises:
         WigeonscaleError: When the call failed.
     """
-    await answer.take()
+    await answer.read()
     response = answer.stream.response
     headers = CIMultiDict(_kept(response.headers, _NOT_RETURNED))
     headers[REQUEST_HEADER] = answer.request_id
--- a/wigeonscale/entry/places.py
+++ b/wigeonscale/entry/places.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wigeonscale.dispatch import Place, Target, Work
+from wigeonscale.dispatch import Selection, Target, Work
 from wigeonscale.membership import MembersView
 from wigeonscale.ports import Clock
 from wigeonscale.routing import Candidate, Chooser
@@ -27,7 +27,7 @@
 
     index: int
     candidates: tuple[Candidate, ...]
-    places: dict[str, Place]
+    places: dict[str, Selection]
 
 
 class MemberPlaces:
@@ -58,7 +58,7 @@
         self._states: dict[str, tuple[int, bool]] = {}
         self._seen_index = -1
 
-    def choose(self, work: Work, avoid: frozenset[str]) -> Place | None:
+    def choose(self, work: Work, avoid: frozenset[str]) -> Selection | None:
         """Return an agent, and the chain it heads, or None.
 
         Args:
--- a/wigeonscale/entry/service.py
+++ b/wigeonscale/entry/service.py
@@ -146,7 +146,7 @@
             chain_id = stream.chain_id
             if chain_id and chain_id not in chains and self._has_other(stream):
                 message = f"chain {chain_id} was given up"
-                stream.give_up(
+                stream.abort(
                     WigeonscaleError(
                         ErrorKind.STALE_EPOCH, message, run_state=RunState.RAN
                     )
--- a/wigeonscale/entry/streams.py
+++ b/wigeonscale/entry/streams.py
@@ -90,7 +90,7 @@
     form: AnswerForm,
 ) -> web.Response:
     try:
-        while texts := await answer.take():
+        while texts := await answer.read():
             log.note_tokens(len(texts), entry.clock.now())
     except WigeonscaleError:
         answer.close()
@@ -134,11 +134,11 @@
         transport=req.transport,
     )
     try:
-        while texts := await answer.take():
+        while texts := await answer.read():
             encoder.rename(answer.request_id)
             await events.write(texts)
             # Until the caller is slow, tokens go on without this task.
-            answer.stream.pour_into(events.write_now)
+            answer.stream.forward_to(events.write_now)
         last = encoder.last(answer.stream.done.finish_reason)
     except WigeonscaleError as exc:
         log.kind = exc.kind
--- a/wigeonscale/entry/tests/support.py
+++ b/wigeonscale/entry/tests/support.py
@@ -9,7 +9,7 @@
 
 from wigeonscale.config import EntrySettings
 from wigeonscale.daemons.entry import build_entry
-from wigeonscale.dispatch import SilenceLimits
+from wigeonscale.dispatch import KeepaliveLimits
 from wigeonscale.dispatch.tests.fake_agent import FakeAgent
 from wigeonscale.entry import CallerServer
 from wigeonscale.errors import ErrorKind, WigeonscaleError
@@ -166,7 +166,7 @@
             cfg,
             control=self.control,
             clock=SystemClock(),
-            silence=SilenceLimits(interval_s=0.05, second_connection_looks=400),
+            silence=KeepaliveLimits(interval_s=0.05, reconnect_checks=400),
         )
         self.server = CallerServer(entry=self.entry, address=cfg.listen)
         await self.server.start()
--- a/wigeonscale/entry/tests/test_failures.py
+++ b/wigeonscale/entry/tests/test_failures.py
@@ -23,7 +23,7 @@
     async def test_silent_connection_is_replaced_and_no_token_is_lost(self):
         answer = await self.begin_stream(self.agent)
         self.agent.mute_open_streams()
-        self.agent.go_on.set()
+        self.agent.resume.set()
         events = await read_events(answer)
         self.assertEqual(list(WORDS[3:]), texts_of(events))
         self.assertIn("attach", self.agent.names())
@@ -111,7 +111,7 @@
         self.agent.send_token(0, dispatch_id, 5)
         self.agent.send_token(0, "someone-else@a1", 3)
         await self.agent.until(lambda agent: "attach" in agent.names())
-        self.agent.go_on.set()
+        self.agent.resume.set()
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
 
     async def test_answer_without_its_last_event_is_never_called_whole(self):
@@ -159,7 +159,7 @@
         headers = {"Last-Event-ID": "2"}
         rest = asyncio.create_task(self.http.get(path, headers=headers))
         await self.agent.until(lambda agent: "attach" in agent.names())
-        self.agent.go_on.set()
+        self.agent.resume.set()
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(await rest)))
         async with self.http.get(path, params={"from": "0"}) as whole:
             self.assertEqual(list(WORDS), texts_of(await read_events(whole)))
@@ -179,7 +179,7 @@
         async with self.complete(headers=headers) as answer:
             self.assertEqual(429, answer.status)
             self.assertIn("Retry-After", answer.headers)
-        self.agent.go_on.set()
+        self.agent.resume.set()
         await first.read()
         self.control.lease = False
         async with self.complete() as answer:
@@ -198,7 +198,7 @@
             async with keeping.get(url) as late:
                 self.assertEqual("close", late.headers["Connection"])
                 self.assertEqual(200, late.status)
-        self.agent.go_on.set()
+        self.agent.resume.set()
         await stopping
         await self.server.finish()
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
--- a/wigeonscale/entry/tests/test_once.py
+++ b/wigeonscale/entry/tests/test_once.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from wigeonscale.dispatch import SilenceLimits
+from wigeonscale.dispatch import KeepaliveLimits
 from wigeonscale.entry.tests.support import EntryCase
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -22,7 +22,7 @@
         await self.service.until(lambda agent: agent.once_effects)
         second = asyncio.create_task(self.note())
         await self.service.until(lambda agent: "attach" in agent.names())
-        self.service.go_on.set()
+        self.service.resume.set()
         self.assertEqual((200, "", "did /notes/1"), await first)
         self.assertEqual(await first, await second)
         self.assertEqual(await first, await self.note())
@@ -53,9 +53,7 @@
         self.assertEqual(["k1"], self.service.once_effects)
 
     async def test_frozen_agent_is_unknown_though_its_connections_stand(self):
-        self.entry._links._limits = SilenceLimits(
-            interval_s=0.02, second_connection_looks=3
-        )
+        self.entry._links._limits = KeepaliveLimits(interval_s=0.02, reconnect_checks=3)
         self.service.hold = 0
         first = asyncio.create_task(self.note())
         await self.service.until(lambda agent: agent.once_effects)
@@ -96,7 +94,7 @@
         await self.service.until(lambda agent: agent.once_effects)
         first.cancel()
         await self.entry.until_idle()
-        self.service.go_on.set()
+        self.service.resume.set()
         self.assertEqual((200, "", "did /notes/1"), await self.note())
         self.assertNotIn("cancel", self.service.names())
         self.assertEqual(["k1"], self.service.once_effects)
--- a/wigeonscale/placement/__init__.py
+++ b/wigeonscale/placement/__init__.py
@@ -10,7 +10,7 @@
     "improve_chains",
     "order_loads",
     "plan_chains",
-    "warm_loads",
+    "preload_spares",
 ]
 
 from wigeonscale.placement.bound import hardware_bound
@@ -18,5 +18,5 @@
 from wigeonscale.placement.loads import order_loads
 from wigeonscale.placement.model import ChainPlan, EngineSpec, Plan, StagePlan
 from wigeonscale.placement.planner import plan_chains
+from wigeonscale.placement.preload import preload_spares
 from wigeonscale.placement.rates import chain_rate
-from wigeonscale.placement.warm import warm_loads
--- a/wigeonscale/placement/warm.py
+++ b/wigeonscale/placement/preload.py
@@ -1,6 +1,6 @@
 """Chooses the layers that spares hold in advance, so that a lost stage is back soon."""
 
-__all__ = ["warm_loads"]
+__all__ = ["preload_spares"]
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Collection, Iterator, Sequence
@@ -41,7 +41,7 @@
         return self.last_layer - self.first_layer + 1
 
 
-def warm_loads(
+def preload_spares(
     chains: Sequence[AnyChain],
     spares: Sequence[Spare],
     *,
