--- a/wigeonscale/dispatch/__init__.py
+++ b/wigeonscale/dispatch/__init__.py
@@ -23,8 +23,8 @@
 from wigeonscale.dispatch.claims import Claims, Selection, TargetSelector
 from wigeonscale.dispatch.crashing import CrashGuard
 from wigeonscale.dispatch.failures import AgentGoneError
+from wigeonscale.dispatch.keepalive import KeepaliveLimits
 from wigeonscale.dispatch.links import AgentLinks
-from wigeonscale.dispatch.silence import KeepaliveLimits
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import AnswerRecord, Target
 from wigeonscale.dispatch.transport import DispatchTransport
--- a/wigeonscale/dispatch/answer.py
+++ b/wigeonscale/dispatch/answer.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 
 from wigeonscale.adapters import log_fields
-from wigeonscale.dispatch.retries import honest_error, is_retried
+from wigeonscale.dispatch.retries import caller_error, is_retried
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import AnswerRecord
 from wigeonscale.dispatch.transport import DispatchTransport
@@ -26,7 +26,7 @@
         carrier: Carries the dispatches.
         work: The work; None for an answer taken up by its id.
         reopen: Dispatches the rest of the work; None when that cannot be.
-        on_whole: Called when the answer has ended as it should.
+        on_complete: Called when the answer has ended as it should.
 
     Attributes:
         stream: The dispatch that gives it now.
@@ -39,12 +39,12 @@
         transport: DispatchTransport,
         work: Work | None = None,
         reopen: Reopen | None = None,
-        on_whole: Callable[[], None] = lambda: None,
+        on_complete: Callable[[], None] = lambda: None,
     ):
         self.stream = stream
-        self._on_whole = on_whole
-        self._moves = 0
-        self._carrier = transport
+        self._on_complete = on_complete
+        self._redispatches = 0
+        self._transport = transport
         self._work = work
         self._reopen = reopen
 
@@ -73,27 +73,27 @@
             try:
                 texts = await self.stream.read()
                 if not texts:
-                    self._on_whole()
+                    self._on_complete()
                 return texts
             except WigeonscaleError as exc:
-                await self._go_on_elsewhere(exc)
+                await self._redispatch(exc)
 
     def abandon(self) -> None:
         """Leave an answer that its caller gave up; stop the work where it may be."""
         # A claimed dispatch goes on: its key still gives the answer. Of one taken
         # up by its id it is not known whether it is claimed.
-        may_stop = self._work is not None and not self._work.once
-        self._carrier.drop(self.stream, cancel=may_stop)
+        cancel = self._work is not None and not self._work.once
+        self._transport.drop(self.stream, cancel=cancel)
 
     def close(self) -> None:
         """Leave an answer that has ended, or that goes on for others."""
-        self._carrier.drop(self.stream)
+        self._transport.drop(self.stream)
 
-    async def _go_on_elsewhere(self, exc: WigeonscaleError) -> None:
+    async def _redispatch(self, exc: WigeonscaleError) -> None:
         work = self._work
         if work is None or self._reopen is None or not work.repeatable:
-            raise honest_error(exc, once=self.once) from exc
-        if not is_retried(exc) or self._moves >= work.attempts:
+            raise caller_error(exc, once=self.once) from exc
+        if not is_retried(exc) or self._redispatches >= work.attempts:
             raise exc
         if self.record.next_index >= work.generate.max_tokens:
             # Only the last word was lost; another agent would add a token.
@@ -107,4 +107,4 @@
         self.close()
         avoid = frozenset({self.stream.target.agent_id})
         self.stream = await self._reopen(work, self.record, avoid)
-        self._moves += 1
+        self._redispatches += 1
--- a/wigeonscale/dispatch/attempts.py
+++ b/wigeonscale/dispatch/attempts.py
@@ -10,10 +10,10 @@
 from wigeonscale.dispatch.claims import Claims, Selection, TargetSelector
 from wigeonscale.dispatch.crashing import CrashGuard
 from wigeonscale.dispatch.retries import (
-    honest_error,
+    caller_error,
+    combined_run_state,
     is_sealed_by_other,
     may_retry,
-    worst_run_state,
 )
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import AnswerRecord, Target
@@ -27,7 +27,7 @@
 DEFAULT_RETRY_AFTER_S = 1.0
 NO_LIMIT_S = 86400.0
 REPAIR_WAIT_S = 10.0
-REPAIR_LOOK_INTERVAL_S = 0.05
+REPAIR_POLL_INTERVAL_S = 0.05
 
 
 class Dispatcher:
@@ -57,7 +57,7 @@
         open_timeout_s: float = 5.0,
         repair_wait_s: float = REPAIR_WAIT_S,
     ):
-        self._carrier = transport
+        self._transport = transport
         self._selector = selector
         self._claims = claims
         self._budget = budget
@@ -84,10 +84,10 @@
             self._crashes.note_ran(work)
         return Answer(
             stream=stream,
-            transport=self._carrier,
+            transport=self._transport,
             work=work,
             reopen=self._open,
-            on_whole=functools.partial(self._crashes.note_ran, work),
+            on_complete=functools.partial(self._crashes.note_ran, work),
         )
 
     async def attach(
@@ -107,20 +107,20 @@
         Raises:
             WigeonscaleError: What the agent says when it does not have it.
         """
-        stream = self._carrier.attach(target, dispatch_id, organisation, from_token)
+        stream = self._transport.attach(target, dispatch_id, organisation, from_token)
         try:
-            await self._carrier.until_begun(stream)
+            await self._transport.wait_begun(stream)
         except asyncio.CancelledError:
-            self._carrier.drop(stream)
+            self._transport.drop(stream)
             raise
-        return Answer(stream=stream, transport=self._carrier)
+        return Answer(stream=stream, transport=self._transport)
 
     async def _open(
         self, work: Work, record: AnswerRecord, avoid: frozenset[str]
     ) -> DispatchStream:
         """Dispatch work, on another agent when one refuses."""
         refusal: WigeonscaleError | None = None
-        ran = RunState.RAN if record.texts else RunState.NOT_RUN
+        run_state = RunState.RAN if record.texts else RunState.NOT_RUN
         for _ in range(max(1, work.attempts)):
             if refusal is not None:
                 if not may_retry(work, refusal, self._budget):
@@ -131,8 +131,12 @@
                 refusal = crashing
                 break
             selection = self._choose(work, avoid)
-            if selection is None and work.repeatable and ran is not RunState.NOT_RUN:
-                selection = await self._wait_for_place(work)
+            if (
+                selection is None
+                and work.repeatable
+                and run_state is not RunState.NOT_RUN
+            ):
+                selection = await self._wait_for_target(work)
             if selection is None:
                 break
             try:
@@ -141,22 +145,22 @@
             except WigeonscaleError as exc:
                 refusal = exc
                 # What an earlier dispatch may have run stays true.
-                ran = worst_run_state(ran, exc.run_state)
+                run_state = combined_run_state(run_state, exc.run_state)
                 if not is_sealed_by_other(exc):
                     avoid = avoid | {selection[0].agent_id}
-        refusal = refusal or await self._no_place(work)
+        refusal = refusal or await self._no_backend_error(work)
         if work.once and refusal.kind is ErrorKind.CRASHES_BACKENDS:
             # What became of it under its key comes first.
-            await self._claims.check_free(work)
-        refusal.run_state = ran
-        raise honest_error(refusal, once=work.once)
+            await self._claims.check_unclaimed(work)
+        refusal.run_state = run_state
+        raise caller_error(refusal, once=work.once)
 
     def _choose(self, work: Work, avoid: frozenset[str]) -> Selection | None:
-        apart = self._crashes.taken_by_others(work)
-        selection = self._selector.choose(work, avoid | apart) if apart else None
+        others = self._crashes.agents_of_other_suspects(work)
+        selection = self._selector.choose(work, avoid | others) if others else None
         return selection or self._selector.choose(work, avoid)
 
-    async def _wait_for_place(self, work: Work) -> Selection | None:
+    async def _wait_for_target(self, work: Work) -> Selection | None:
         """Wait for the repair of what was lost under work in progress."""
         end = min(work.deadline, self._clock.now() + self._repair_wait_s)
         while self._clock.now() < end:
@@ -164,16 +168,16 @@
             selection = self._selector.choose(work, frozenset())
             if selection is not None:
                 return selection
-            await self._clock.sleep(REPAIR_LOOK_INTERVAL_S)
+            await self._clock.sleep(REPAIR_POLL_INTERVAL_S)
         return None
 
-    async def _no_place(self, work: Work) -> WigeonscaleError:
+    async def _no_backend_error(self, work: Work) -> WigeonscaleError:
         if work.once:
-            await self._claims.check_free(work)
-        where = work.pipeline or work.service
+            await self._claims.check_unclaimed(work)
+        destination = work.pipeline or work.service
         return WigeonscaleError(
             ErrorKind.NO_BACKEND,
-            f"no backend server is ready for {where!r}",
+            f"no backend server is ready for {destination!r}",
             retry_after=DEFAULT_RETRY_AFTER_S,
         )
 
@@ -194,10 +198,10 @@
     ) -> DispatchStream:
         dispatch_id = new_dispatch_id(target.agent_id)
         if work.once:
-            held = await self._claims.obtain(work, dispatch_id, target)
-            if held is not None:
-                work.dispatch_ids.append(held.dispatch_id)
-                return held
+            existing = await self._claims.acquire(work, dispatch_id, target)
+            if existing is not None:
+                work.dispatch_ids.append(existing.dispatch_id)
+                return existing
         opening = work.open_message(
             dispatch_id=dispatch_id,
             target=target,
@@ -212,32 +216,34 @@
             record=record,
             opening=opening,
         )
-        self._carrier.add_stream(stream)
+        self._transport.add_stream(stream)
         work.dispatch_ids.append(dispatch_id)
         try:
-            with self._crashes.beginning(work, target, chain):
-                await self._begin(work, stream)
+            with self._crashes.track_start(work, target, chain):
+                await self._wait_begun_or_seal(work, stream)
         except asyncio.CancelledError:
-            self._carrier.drop(stream, cancel=not work.once)
+            self._transport.drop(stream, cancel=not work.once)
             raise
         except WigeonscaleError as exc:
-            self._carrier.drop(stream)
+            self._transport.drop(stream)
             if work.once and exc.run_state is RunState.NOT_RUN:
-                self._claims.release_later(work, dispatch_id)
+                self._claims.release_in_background(work, dispatch_id)
             raise
         return stream
 
-    async def _begin(self, work: Work, stream: DispatchStream) -> None:
+    async def _wait_begun_or_seal(self, work: Work, stream: DispatchStream) -> None:
         """Wait until the dispatch has begun, or seal it when that takes too long."""
-        accepted = await self._in_time(
-            stream.until_accepted(), work, self._open_timeout_s
+        accepted = await self._completes_within(
+            stream.wait_accepted(), work, self._open_timeout_s
         )
-        begun = accepted and await self._in_time(stream.until_begun(), work)
+        begun = accepted and await self._completes_within(stream.wait_begun(), work)
         if not begun and await stream.seal():
-            raise self._gave_up(work, accepted)
-        await self._carrier.until_begun(stream)
+            raise self._sealed_error(work, accepted)
+        await self._transport.wait_begun(stream)
 
-    async def _in_time(self, coro, work: Work, limit_s: float = NO_LIMIT_S) -> bool:
+    async def _completes_within(
+        self, coro, work: Work, limit_s: float = NO_LIMIT_S
+    ) -> bool:
         limit_s = min(limit_s, work.deadline - self._clock.now())
         try:
             async with asyncio.timeout(max(0.0, limit_s)):
@@ -246,7 +252,7 @@
             return False
         return True
 
-    def _gave_up(self, work: Work, accepted: bool) -> WigeonscaleError:
+    def _sealed_error(self, work: Work, accepted: bool) -> WigeonscaleError:
         if accepted or self._clock.now() >= work.deadline:
             return WigeonscaleError(
                 ErrorKind.DEADLINE_EXCEEDED,
--- a/wigeonscale/dispatch/claims.py
+++ b/wigeonscale/dispatch/claims.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from wigeonscale.adapters import log_fields
-from wigeonscale.dispatch.failures import AgentGoneError, unknown_outcome
+from wigeonscale.dispatch.failures import AgentGoneError, unknown_outcome_error
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import Target
 from wigeonscale.dispatch.transport import DispatchTransport
@@ -19,12 +19,12 @@
 logger = logging.getLogger(__name__)
 
 # Another caller's claim may be seen before its dispatch reaches the agent.
-LOOKS = 3
-LOOK_INTERVAL_S = 0.1
+MAX_ATTACH_ATTEMPTS = 3
+ATTACH_RETRY_INTERVAL_S = 0.1
 # Claims of one request: the first, and new ones after a released one.
 MAX_CLAIMS = 3
 # Dispatch id of a claim that asks only whether the key is held.
-NO_DISPATCH = "none"
+PROBE_DISPATCH_ID = "none"
 
 
 # An agent, and the chain that it heads if it heads one.
@@ -69,12 +69,12 @@
         clock: Clock,
     ):
         self._control = control
-        self._carrier = transport
+        self._transport = transport
         self._selector = selector
         self._clock = clock
         self._releases: dict[tuple[str, str], asyncio.Task] = {}
 
-    async def obtain(
+    async def acquire(
         self, work: Work, dispatch_id: str, target: Target
     ) -> DispatchStream | None:
         """Claim the work's key, or take up the answer of who holds it.
@@ -95,15 +95,15 @@
         if release is not None:
             await asyncio.wait({release})
         for _ in range(MAX_CLAIMS):
-            standing = await self._take(work, dispatch_id, target)
-            if standing is None:
+            existing = await self._submit_claim(work, dispatch_id, target)
+            if existing is None:
                 return None
-            stream = await self._join(work, standing)
+            stream = await self._attach_to_holder(work, existing)
             if stream is not None:
                 return stream
-        raise _in_progress(work)
+        raise _in_progress_error(work)
 
-    async def check_free(self, work: Work) -> None:
+    async def check_unclaimed(self, work: Work) -> None:
         """Check that nobody holds the work's key, when there is nowhere to run it.
 
         Args:
@@ -112,18 +112,18 @@
         Raises:
             WigeonscaleError: What is known of the work that holds the key.
         """
-        nowhere = Target("", 0, "")
+        no_target = Target("", 0, "")
         try:
             # A claim for no agent is never granted.
-            standing = await self._take(work, NO_DISPATCH, nowhere)
+            existing = await self._submit_claim(work, PROBE_DISPATCH_ID, no_target)
         except WigeonscaleError as exc:
             if exc.kind is ErrorKind.STALE_INCARNATION:
                 return
             raise
-        if standing is not None:
-            raise unknown_outcome(f"whether {standing.claim.dispatch_id} ran")
+        if existing is not None:
+            raise unknown_outcome_error(f"whether {existing.claim.dispatch_id} ran")
 
-    def release_later(self, work: Work, dispatch_id: str) -> None:
+    def release_in_background(self, work: Work, dispatch_id: str) -> None:
         """Release a claim without keeping the caller waiting.
 
         When it fails the claim stands; the next caller of the key finds the
@@ -133,16 +133,16 @@
             work: The work.
             dispatch_id: A dispatch that surely never ran nor will.
         """
-        scope = (work.organisation, work.key)
-        task = asyncio.create_task(self._release_quietly(work, dispatch_id))
-        self._releases[scope] = task
-        task.add_done_callback(lambda done: self._forget_release(scope, done))
+        key = (work.organisation, work.key)
+        task = asyncio.create_task(self._try_release(work, dispatch_id))
+        self._releases[key] = task
+        task.add_done_callback(lambda done: self._forget_release(key, done))
 
     async def close(self) -> None:
         """Wait for the releases under way."""
         await asyncio.gather(*self._releases.values(), return_exceptions=True)
 
-    async def _take(
+    async def _submit_claim(
         self, work: Work, dispatch_id: str, target: Target
     ) -> wire.ClaimRecord | None:
         claim = wire.Claim(
@@ -167,11 +167,11 @@
         )
         await self._control.submit(wire.Command(outcome=outcome))
 
-    def _forget_release(self, scope: tuple[str, str], done: asyncio.Task) -> None:
-        if self._releases.get(scope) is done:
-            del self._releases[scope]
+    def _forget_release(self, key: tuple[str, str], done: asyncio.Task) -> None:
+        if self._releases.get(key) is done:
+            del self._releases[key]
 
-    async def _release_quietly(self, work: Work, dispatch_id: str) -> None:
+    async def _try_release(self, work: Work, dispatch_id: str) -> None:
         try:
             await self._release(work, dispatch_id)
         except WigeonscaleError as exc:
@@ -181,23 +181,27 @@
                 extra=log_fields(request_id=dispatch_id, kind=exc.kind),
             )
 
-    async def _join(
-        self, work: Work, standing: wire.ClaimRecord
+    async def _attach_to_holder(
+        self, work: Work, existing: wire.ClaimRecord
     ) -> DispatchStream | None:
         """Take up the holder's answer; None when its claim was released instead."""
-        claim = standing.claim
-        if standing.state == wire.UNKNOWN:
-            raise unknown_outcome(f"whether {claim.dispatch_id} ran is not known")
+        claim = existing.claim
+        if existing.state == wire.UNKNOWN:
+            raise unknown_outcome_error(f"whether {claim.dispatch_id} ran is not known")
         if not self._selector.is_current(claim.agent_id, claim.agent_incarnation):
-            raise unknown_outcome(f"{claim.agent_id}, which had the work, is gone")
+            raise unknown_outcome_error(
+                f"{claim.agent_id}, which had the work, is gone"
+            )
         try:
-            stream = await self._attach(work, claim)
+            stream = await self._poll_holder(work, claim)
             if stream is not None:
                 return stream
-            if not await self._carrier.seal(_holder(claim), claim.dispatch_id):
-                raise unknown_outcome(f"{claim.dispatch_id} began, its answer is gone")
+            if not await self._transport.seal(_holder(claim), claim.dispatch_id):
+                raise unknown_outcome_error(
+                    f"{claim.dispatch_id} began, its answer is gone"
+                )
         except AgentGoneError as exc:
-            raise unknown_outcome(f"{exc.message}; it had the work") from exc
+            raise unknown_outcome_error(f"{exc.message}; it had the work") from exc
         except WigeonscaleError as exc:
             # The agent never ran it nor will: the key is free for a new claim.
             if exc.run_state is not RunState.NOT_RUN:
@@ -205,29 +209,31 @@
         await self._release(work, claim.dispatch_id)
         return None
 
-    async def _attach(self, work: Work, claim: wire.Claim) -> DispatchStream | None:
+    async def _poll_holder(
+        self, work: Work, claim: wire.Claim
+    ) -> DispatchStream | None:
         """Return the holder's dispatch, or None when it has not arrived there."""
-        for _ in range(LOOKS):
-            stream = self._carrier.attach(
+        for _ in range(MAX_ATTACH_ATTEMPTS):
+            stream = self._transport.attach(
                 _holder(claim), claim.dispatch_id, work.organisation
             )
             try:
                 async with asyncio.timeout(work.deadline - self._clock.now()):
-                    await self._carrier.until_begun(stream)
+                    await self._transport.wait_begun(stream)
                 return stream
             except TimeoutError as exc:
-                raise _in_progress(work) from exc
+                raise _in_progress_error(work) from exc
             except WigeonscaleError as exc:
                 if exc.kind is not ErrorKind.NOT_FOUND:
                     raise
             finally:
                 if not stream.begun or stream.error is not None:
-                    self._carrier.drop(stream)
-            await self._clock.sleep(LOOK_INTERVAL_S)
+                    self._transport.drop(stream)
+            await self._clock.sleep(ATTACH_RETRY_INTERVAL_S)
         return None
 
 
-def _in_progress(work: Work) -> WigeonscaleError:
+def _in_progress_error(work: Work) -> WigeonscaleError:
     return WigeonscaleError(
         ErrorKind.IN_PROGRESS,
         f"another request with the key {work.key!r} is in progress",
--- a/wigeonscale/dispatch/crashing.py
+++ b/wigeonscale/dispatch/crashing.py
@@ -33,25 +33,25 @@
         self.book = book
         self._servers = servers
         # Agents at which suspects wait for their first token, by fingerprint.
-        self._beginning: dict[bytes, set[str]] = {}
+        self._starting_at: dict[bytes, set[str]] = {}
 
     def refusal(self, work: Work) -> WigeonscaleError | None:
         """Return why work must not be dispatched, or None."""
         return refusal_of(self.book, work.fingerprint)
 
-    def taken_by_others(self, work: Work) -> frozenset[str]:
+    def agents_of_other_suspects(self, work: Work) -> frozenset[str]:
         """Return the agents where other suspects begin, if this is one itself."""
         if not self.book.is_suspect(work.fingerprint):
             return frozenset()
         return frozenset(
             agent_id
-            for fingerprint, agent_ids in self._beginning.items()
+            for fingerprint, agent_ids in self._starting_at.items()
             if fingerprint != work.fingerprint
             for agent_id in agent_ids
         )
 
     @contextmanager
-    def beginning(
+    def track_start(
         self, work: Work, target: Target, chain: wire.Chain | None
     ) -> Iterator[None]:
         """Watch a dispatch until its answer has begun.
@@ -68,7 +68,7 @@
         self.book.note_sent(work.fingerprint)
         is_suspect = self.book.is_suspect(work.fingerprint)
         if is_suspect:
-            self._beginning.setdefault(work.fingerprint, set()).update(agent_ids)
+            self._starting_at.setdefault(work.fingerprint, set()).update(agent_ids)
         try:
             yield
         except WigeonscaleError as exc:
@@ -77,7 +77,7 @@
             raise
         finally:
             if is_suspect:
-                self._beginning.pop(work.fingerprint, None)
+                self._starting_at.pop(work.fingerprint, None)
 
     def note_ran(self, work: Work) -> None:
         """Take in that work was answered whole."""
--- a/wigeonscale/dispatch/failures.py
+++ b/wigeonscale/dispatch/failures.py
@@ -1,6 +1,11 @@
 """Failures of dispatches."""
 
-__all__ = ["AgentGoneError", "EntryStoppingError", "refusal_error", "unknown_outcome"]
+__all__ = [
+    "AgentGoneError",
+    "EntryStoppingError",
+    "refusal_error",
+    "unknown_outcome_error",
+]
 
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError, error_from_kind
 from wigeonscale.wire import wire_pb2 as wire
@@ -35,7 +40,7 @@
         )
 
 
-def unknown_outcome(message: str) -> WigeonscaleError:
+def unknown_outcome_error(message: str) -> WigeonscaleError:
     """Return the error for work that may have run and must not run again."""
     return WigeonscaleError(
         ErrorKind.OUTCOME_UNKNOWN, message, run_state=RunState.UNKNOWN
--- a/wigeonscale/dispatch/silence.py
+++ b/wigeonscale/dispatch/keepalive.py
@@ -1,6 +1,6 @@
 """Detection of a connection that went silent."""
 
-__all__ = ["KeepaliveLimits", "until_silent"]
+__all__ = ["KeepaliveLimits", "wait_unresponsive"]
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -31,7 +31,7 @@
     reconnect_checks: int = 2
 
 
-async def until_silent(
+async def wait_unresponsive(
     link: "AgentLink", *, clock: Clock, limits: KeepaliveLimits
 ) -> None:
     """Return when the link has been silent although it was asked for a word.
@@ -46,20 +46,20 @@
     """
     missed = 0
     pinged = False
-    unasked = 0
+    checks_since_ping = 0
     while True:
         if not link.busy.is_set():
             missed, pinged = 0, False
             await link.busy.wait()
-        heard = link.events_heard
+        received = link.events_received
         await clock.sleep(limits.interval_s)
-        if link.events_heard != heard:
+        if link.events_received != received:
             missed, pinged = 0, False
-            unasked += 1
-            if unasked < limits.max_checks_without_ping:
+            checks_since_ping += 1
+            if checks_since_ping < limits.max_checks_without_ping:
                 continue
         missed += pinged
-        unasked = 0
+        checks_since_ping = 0
         if missed == limits.max_missed_pings:
             return
         link.ping()
--- a/wigeonscale/dispatch/link.py
+++ b/wigeonscale/dispatch/link.py
@@ -1,6 +1,6 @@
 """One connection to an agent, with one multiplexed stream on it."""
 
-__all__ = ["AgentLink", "OnPrefixes", "OnWord"]
+__all__ = ["AgentLink", "OnLoad", "OnPrefixes"]
 
 import asyncio
 import logging
@@ -19,10 +19,10 @@
 logger = logging.getLogger(__name__)
 
 # Stands in the outbox for all credit not yet sent.
-_CREDITS = wire.DispatchRequest(credits=wire.Credits())
+_CREDITS_MARKER = wire.DispatchRequest(credits=wire.Credits())
 
 Dial = Callable[[str], grpc.aio.Channel]
-OnWord = Callable[[str, wire.LoadWord], None]
+OnLoad = Callable[[str, wire.LoadWord], None]
 OnPrefixes = Callable[[str, wire.PrefixEvents], None]
 
 
@@ -39,7 +39,7 @@
 
     Attributes:
         busy: Set while dispatches are carried.
-        events_heard: Events received so far.
+        events_received: Events received so far.
     """
 
     def __init__(
@@ -48,17 +48,17 @@
         target: Target,
         entry_id: str,
         clock: Clock,
-        on_load: OnWord,
+        on_load: OnLoad,
         on_prefixes: OnPrefixes,
         dial: Dial = open_channel,
     ):
         self.target = target
         self.streams: dict[str, DispatchStream] = {}
         self.busy = asyncio.Event()
-        self.events_heard = 0
+        self.events_received = 0
         self._entry_id = entry_id
         self._clock = clock
-        self._on_word = on_load
+        self._on_load = on_load
         self._on_prefixes = on_prefixes
         self._dial = dial
         self._outbox: asyncio.Queue[wire.DispatchRequest | None]
@@ -84,10 +84,10 @@
         """Queue a message to the agent."""
         self._outbox.put_nowait(request)
 
-    def give_credit(self, dispatch_id: str, tokens: int) -> None:
+    def grant_credit(self, dispatch_id: str, tokens: int) -> None:
         """Allow further tokens of a dispatch; sent together with others' credit."""
         if not self._credits:
-            self._outbox.put_nowait(_CREDITS)
+            self._outbox.put_nowait(_CREDITS_MARKER)
         self._credits[dispatch_id] = self._credits.get(dispatch_id, 0) + tokens
 
     def ping(self) -> None:
@@ -122,9 +122,9 @@
         while (request := await self._outbox.get()) is not None:
             if request.WhichOneof("body") == "open":
                 self._mark_sent(request.open.dispatch_id)
-            yield self._all_credits() if request is _CREDITS else request
+            yield self._drain_credits() if request is _CREDITS_MARKER else request
 
-    def _all_credits(self) -> wire.DispatchRequest:
+    def _drain_credits(self) -> wire.DispatchRequest:
         credits = wire.Credits()
         for dispatch_id, tokens in self._credits.items():
             credits.credits.add(dispatch_id=dispatch_id, tokens=tokens)
@@ -137,9 +137,9 @@
             stream.sent = True
 
     def _receive(self, event: wire.DispatchEvent) -> None:
-        self.events_heard += 1
+        self.events_received += 1
         if event.HasField("load"):
-            self._on_word(self.target.agent_id, event.load)
+            self._on_load(self.target.agent_id, event.load)
         if event.HasField("prefixes"):
             self._on_prefixes(self.target.agent_id, event.prefixes)
         for item in event.items:
--- a/wigeonscale/dispatch/links.py
+++ b/wigeonscale/dispatch/links.py
@@ -8,8 +8,8 @@
 
 from wigeonscale.adapters import METRICS, log_fields, open_channel
 from wigeonscale.dispatch.failures import AgentGoneError
-from wigeonscale.dispatch.link import AgentLink, Dial, OnPrefixes, OnWord
-from wigeonscale.dispatch.silence import KeepaliveLimits, until_silent
+from wigeonscale.dispatch.keepalive import KeepaliveLimits, wait_unresponsive
+from wigeonscale.dispatch.link import AgentLink, Dial, OnLoad, OnPrefixes
 from wigeonscale.dispatch.stream import DispatchStream
 from wigeonscale.dispatch.targets import Target
 from wigeonscale.errors import RunState
@@ -18,8 +18,8 @@
 logger = logging.getLogger(__name__)
 
 # A connection that broke before it stood for so long was lost quickly.
-QUICK_LOSS_S = 1.0
-MAX_QUICK_LOSSES = 4
+FLAP_LIFETIME_S = 1.0
+MAX_CONSECUTIVE_FLAPS = 4
 
 OnGone = Callable[[Target], None]
 
@@ -42,7 +42,7 @@
         *,
         entry_id: str,
         clock: Clock,
-        on_load: OnWord = lambda agent_id, word: None,
+        on_load: OnLoad = lambda agent_id, word: None,
         on_prefixes: OnPrefixes = lambda agent_id, events: None,
         on_gone: OnGone = lambda target: None,
         limits: KeepaliveLimits | None = None,
@@ -50,28 +50,36 @@
     ):
         self._entry_id = entry_id
         self._clock = clock
-        self._on_word = on_load
+        self._on_load = on_load
         self._on_prefixes = on_prefixes
         self._on_gone = on_gone
         self._dial = dial
         self._limits = limits or KeepaliveLimits()
-        self._lanes: dict[Target, list[_Lane]] = {}
+        self._supervisors: dict[Target, list[_LinkSupervisor]] = {}
         self._tasks: set[asyncio.Task] = set()
         self._closing = False
 
     def add_stream(self, stream: DispatchStream) -> None:
         """Open a dispatch, or take it up, at its agent."""
-        for lane in self._lanes.get(stream.target, ()):
+        for supervisor in self._supervisors.get(stream.target, ()):
             # Items bear only the dispatch id: two readers need two streams.
-            if stream.dispatch_id not in lane.link.streams:
-                lane.link.add(stream)
+            if stream.dispatch_id not in supervisor.link.streams:
+                supervisor.link.add(stream)
                 return
-        self._new_lane(stream.target).link.add(stream)
+        self._start_supervisor(stream.target).link.add(stream)
 
     def streams(self) -> list[DispatchStream]:
         """Return every dispatch carried now."""
-        lanes = [lane for lanes in self._lanes.values() for lane in lanes]
-        return [stream for lane in lanes for stream in lane.link.streams.values()]
+        supervisors = [
+            supervisor
+            for supervisors in self._supervisors.values()
+            for supervisor in supervisors
+        ]
+        return [
+            stream
+            for supervisor in supervisors
+            for stream in supervisor.link.streams.values()
+        ]
 
     async def close(self) -> None:
         """Close every connection; what is still carried fails."""
@@ -86,33 +94,33 @@
             target=target,
             entry_id=self._entry_id,
             clock=self._clock,
-            on_load=self._on_word,
+            on_load=self._on_load,
             on_prefixes=self._on_prefixes,
             dial=self._dial,
         )
 
-    def _new_lane(self, target: Target) -> "_Lane":
-        lane = _Lane(
+    def _start_supervisor(self, target: Target) -> "_LinkSupervisor":
+        supervisor = _LinkSupervisor(
             link=self.new_link(target),
             links=self,
             clock=self._clock,
             limits=self._limits,
         )
-        self._lanes.setdefault(target, []).append(lane)
-        task = asyncio.create_task(lane.run())
+        self._supervisors.setdefault(target, []).append(supervisor)
+        task = asyncio.create_task(supervisor.run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return lane
+        return supervisor
 
-    def retire(self, lane: "_Lane") -> None:
+    def remove_supervisor(self, supervisor: "_LinkSupervisor") -> None:
         """Use a lane no more; the dispatches left on it fail."""
-        target = lane.link.target
-        lanes = self._lanes.get(target, [])
-        if lane in lanes:
-            lanes.remove(lane)
-        if not lanes:
-            self._lanes.pop(target, None)
-        streams = list(lane.link.streams.values())
+        target = supervisor.link.target
+        supervisors = self._supervisors.get(target, [])
+        if supervisor in supervisors:
+            supervisors.remove(supervisor)
+        if not supervisors:
+            self._supervisors.pop(target, None)
+        streams = list(supervisor.link.streams.values())
         for stream in streams:
             state = RunState.UNKNOWN if stream.sent else RunState.NOT_RUN
             stream.fail(AgentGoneError(f"{target.agent_id} is gone", run_state=state))
@@ -120,7 +128,7 @@
             self._on_gone(target)
 
 
-class _Lane:
+class _LinkSupervisor:
     """Keeps one link to an agent working, by a second connection when needed."""
 
     def __init__(
@@ -137,33 +145,35 @@
         self._limits = limits
         self._reader = asyncio.create_task(link.run())
         self._connected_at = clock.now()
-        self._quick_losses = 0
+        self._consecutive_flaps = 0
 
     async def run(self) -> None:
         """Return when the agent is gone, or when an idle connection broke."""
         try:
-            await self._until_lost()
+            await self._wait_lost()
             while self.link.streams and not self._is_flapping():
-                if not await self._connect_again():
+                if not await self._reconnect():
                     return
-                await self._until_lost()
+                await self._wait_lost()
         finally:
             # First and without a pause, so that no dispatch is put on it after the
             # decision to end.
-            self._links.retire(self)
+            self._links.remove_supervisor(self)
             await _cancel(self._reader)
 
     def _is_flapping(self) -> bool:
         """Return whether the connections break as soon as they stand."""
-        lasted_s = self._clock.now() - self._connected_at
-        self._quick_losses = self._quick_losses + 1 if lasted_s < QUICK_LOSS_S else 0
-        return self._quick_losses > MAX_QUICK_LOSSES
+        lifetime_s = self._clock.now() - self._connected_at
+        self._consecutive_flaps = (
+            self._consecutive_flaps + 1 if lifetime_s < FLAP_LIFETIME_S else 0
+        )
+        return self._consecutive_flaps > MAX_CONSECUTIVE_FLAPS
 
-    async def _until_lost(self) -> None:
-        silence = until_silent(self.link, clock=self._clock, limits=self._limits)
-        await self._reader_or(silence)
+    async def _wait_lost(self) -> None:
+        silence = wait_unresponsive(self.link, clock=self._clock, limits=self._limits)
+        await self._wait_reader_or(silence)
 
-    async def _connect_again(self) -> bool:
+    async def _reconnect(self) -> bool:
         old, old_reader = self.link, self._reader
         self.link = self._links.new_link(old.target)
         self._reader = asyncio.create_task(self.link.run())
@@ -173,20 +183,22 @@
         old.streams.clear()
         self.link.ping()
         logger.info(
-            "second connection to %s", old.target.agent_id, extra=_moved(self.link)
+            "second connection to %s",
+            old.target.agent_id,
+            extra=_dispatch_count(self.link),
         )
         METRICS.attaches.add(len(self.link.streams))
         await _cancel(old_reader)
-        await self._reader_or(self._until_first_event())
-        return self.link.events_heard > 0
+        await self._wait_reader_or(self._wait_first_event())
+        return self.link.events_received > 0
 
-    async def _until_first_event(self) -> None:
+    async def _wait_first_event(self) -> None:
         for _ in range(self._limits.reconnect_checks):
             await self._clock.sleep(self._limits.interval_s)
-            if self.link.events_heard:
+            if self.link.events_received:
                 return
 
-    async def _reader_or(self, coro) -> None:
+    async def _wait_reader_or(self, coro) -> None:
         other = asyncio.create_task(coro)
         try:
             await asyncio.wait(
@@ -196,7 +208,7 @@
             await _cancel(other)
 
 
-def _moved(link: AgentLink) -> dict:
+def _dispatch_count(link: AgentLink) -> dict:
     return log_fields(dispatches=len(link.streams))
 
 
--- a/wigeonscale/dispatch/retries.py
+++ b/wigeonscale/dispatch/retries.py
@@ -1,17 +1,17 @@
 """Which failures may be tried again, and what callers are told of the others."""
 
 __all__ = [
-    "honest_error",
+    "caller_error",
     "is_retried",
     "is_sealed_by_other",
     "may_retry",
-    "worst_run_state",
+    "combined_run_state",
 ]
 
 from wigeonscale.dispatch.failures import (
     AgentGoneError,
     EntryStoppingError,
-    unknown_outcome,
+    unknown_outcome_error,
 )
 from wigeonscale.dispatch.work import Work
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
@@ -62,7 +62,7 @@
     return free or budget.try_spend()
 
 
-def worst_run_state(first: RunState, second: RunState) -> RunState:
+def combined_run_state(first: RunState, second: RunState) -> RunState:
     """Return what is true of work after two dispatches with these run states."""
     for state in (RunState.RAN, RunState.UNKNOWN):
         if state in (first, second):
@@ -70,8 +70,8 @@
     return RunState.NOT_RUN
 
 
-def honest_error(exc: WigeonscaleError, *, once: bool) -> WigeonscaleError:
+def caller_error(exc: WigeonscaleError, *, once: bool) -> WigeonscaleError:
     """Return the error for the caller: lost once-only work is of unknown outcome."""
     if once and is_retried(exc) and exc.run_state is RunState.UNKNOWN:
-        return unknown_outcome(exc.message)
+        return unknown_outcome_error(exc.message)
     return exc
--- a/wigeonscale/dispatch/stream.py
+++ b/wigeonscale/dispatch/stream.py
@@ -13,9 +13,9 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 # Credit goes back in steps, not token by token.
-CREDIT_STEP = INITIAL_CREDIT // 2
+CREDIT_BATCH_TOKENS = INITIAL_CREDIT // 2
 # Gaps in the token index that are mended by attaching again, per dispatch.
-MAX_GAPS = 3
+MAX_GAP_RETRIES = 3
 
 
 Sink = Callable[[list[str]], bool]
@@ -30,7 +30,7 @@
     def remove(self, stream: "DispatchStream") -> None:
         """Carry a dispatch no more."""
 
-    def give_credit(self, dispatch_id: str, tokens: int) -> None:
+    def grant_credit(self, dispatch_id: str, tokens: int) -> None:
         """Allow further tokens of a dispatch."""
 
 
@@ -43,7 +43,7 @@
         organisation: Organisation of the caller.
         record: Where the tokens go; continues over several dispatches.
         opening: The message that opens the dispatch; None when it is only attached.
-        only_seal: It is neither opened nor attached, but sealed.
+        seal_only: It is neither opened nor attached, but sealed.
 
     Attributes:
         link: The link that carries it now.
@@ -63,7 +63,7 @@
         organisation: str,
         record: AnswerRecord,
         opening: wire.Open | None = None,
-        only_seal: bool = False,
+        seal_only: bool = False,
     ):
         self.dispatch_id = dispatch_id
         self.target = target
@@ -77,11 +77,11 @@
         self.done: wire.Done | None = None
         self.response: wire.Response | None = None
         self.error: WigeonscaleError | None = None
-        self._taken = len(record.texts)
-        self._uncredited = 0
+        self._read_count = len(record.texts)
+        self._uncredited_tokens = 0
         self._gaps = 0
-        self._only_seal = only_seal
-        self._seal_pending = only_seal
+        self._seal_only = seal_only
+        self._seal_pending = seal_only
         self._never_ran: bool | None = None
         self._waiter: asyncio.Future | None = None
         self._sink: Sink | None = None
@@ -103,18 +103,18 @@
     @property
     def begun(self) -> bool:
         """Whether a token or the end has come."""
-        return self.ended or self.has_new
+        return self.ended or self.has_unread
 
     @property
-    def has_new(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether there are tokens that were not taken."""
-        return len(self.record.texts) > self._taken
+        return len(self.record.texts) > self._read_count
 
     # ------------------------------------------------------------ the link's side
 
     def requests(self) -> list[wire.DispatchRequest]:
         """Return the messages that open this dispatch, or take it up, on a new link."""
-        if self._only_seal:
+        if self._seal_only:
             return [self._seal_request()]
         if self._seal_pending:
             return [self._seal_request(), *self._attach_requests()]
@@ -131,31 +131,31 @@
         if body == "tokens":
             self._add_tokens(item.tokens)
             if self._sink is not None and not self.ended:
-                self._pour()
+                self._forward()
                 return
         elif body == "done":
             self._finish(item.done)
         elif body == "response":
             self.response = item.response
         elif body == "refused":
-            self.error = self._refusal(item.refused)
+            self.error = self._refusal_error(item.refused)
         elif body == "sealed":
             self._seal_pending = False
             self._never_ran = item.sealed.never_ran
-        self._wake()
+        self._notify_reader()
 
     def fail(self, error: WigeonscaleError) -> None:
         """End the dispatch by an error of this entry's own."""
         if not self.ended:
             self.error = error
-        self._wake()
+        self._notify_reader()
 
     def _add_tokens(self, run: wire.TokenRun) -> None:
         record = self.record
         expected = record.base + len(record.texts)
         start = getattr(run, "from")
         if start > expected:
-            self._mend_gap(f"token {expected} is missing before {start}")
+            self._request_missing(f"token {expected} is missing before {start}")
             return
         known = expected - start
         record.texts += run.texts[known:]
@@ -164,13 +164,13 @@
     def _finish(self, done: wire.Done) -> None:
         missing = done.tokens - self.record.next_index
         if missing > 0:
-            self._mend_gap(f"{missing} last tokens are missing")
+            self._request_missing(f"{missing} last tokens are missing")
         elif missing < 0:
-            self.error = self._surplus(done)
+            self.error = self._surplus_error(done)
         else:
             self.done = done
 
-    def _refusal(self, refused: wire.Refused) -> WigeonscaleError:
+    def _refusal_error(self, refused: wire.Refused) -> WigeonscaleError:
         exc = refusal_error(refused)
         if exc.kind is ErrorKind.NOT_FOUND and self.opening is not None:
             # An agent that knows nothing of what was opened there has restarted.
@@ -179,18 +179,18 @@
             )
         return exc
 
-    def _surplus(self, done: wire.Done) -> WigeonscaleError:
-        asked_too_far = not self.record.texts
+    def _surplus_error(self, done: wire.Done) -> WigeonscaleError:
+        beyond_end = not self.record.texts
         return WigeonscaleError(
-            ErrorKind.BAD_REQUEST if asked_too_far else ErrorKind.INTERNAL,
+            ErrorKind.BAD_REQUEST if beyond_end else ErrorKind.INTERNAL,
             f"token {self.record.next_index} of {self.dispatch_id}, which has"
             f" {done.tokens}",
             run_state=RunState.RAN,
         )
 
-    def _mend_gap(self, problem: str) -> None:
+    def _request_missing(self, problem: str) -> None:
         self._gaps += 1
-        if self._gaps > MAX_GAPS:
+        if self._gaps > MAX_GAP_RETRIES:
             self.error = WigeonscaleError(
                 ErrorKind.INTERNAL,
                 f"{self.dispatch_id}: {problem}",
@@ -207,7 +207,7 @@
             organisation=self.organisation,
         )
         # The agent begins with the initial credit again.
-        self._uncredited = 0
+        self._uncredited_tokens = 0
         return [wire.DispatchRequest(attach=attach)]
 
     def _seal_request(self) -> wire.DispatchRequest:
@@ -216,19 +216,19 @@
         )
         return wire.DispatchRequest(seal=seal)
 
-    def _wake(self) -> None:
+    def _notify_reader(self) -> None:
         waiter = self._waiter
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
     # ---------------------------------------------------------- the caller's side
 
-    async def until_accepted(self) -> None:
+    async def wait_accepted(self) -> None:
         """Wait for the agent's first word on this dispatch."""
         while not (self.accepted or self.ended):
             await self._wait()
 
-    async def until_begun(self) -> None:
+    async def wait_begun(self) -> None:
         """Wait for the first token or the end."""
         while not self.begun:
             await self._wait()
@@ -245,14 +245,14 @@
         Raises:
             WigeonscaleError: The error that ended the dispatch, after its tokens.
         """
-        self._give_credit()
-        while not self.has_new:
+        self._grant_credit()
+        while not self.has_unread:
             if self.error is not None:
                 raise self.error
             if self.ended:
                 return []
             await self._wait()
-        return self._take_new()
+        return self._read_new()
 
     def forward_to(self, sink: Sink) -> None:
         """Hand the tokens to come to a function, without waking the reader.
@@ -262,22 +262,22 @@
                 it cannot, the tokens after these wait for :meth:`take` again.
         """
         self._sink = sink
-        self._pour()
+        self._forward()
 
-    def _pour(self) -> None:
-        if not self.has_new:
+    def _forward(self) -> None:
+        if not self.has_unread:
             # Known tokens came again; nothing at all would end a chunked body.
             return
-        if not self._sink(self._take_new()):
+        if not self._sink(self._read_new()):
             self._sink = None
             return
-        self._give_credit()
+        self._grant_credit()
 
-    def _take_new(self) -> list[str]:
+    def _read_new(self) -> list[str]:
         texts = self.record.texts
-        new = texts[self._taken :]
-        self._taken = len(texts)
-        self._uncredited += len(new)
+        new = texts[self._read_count :]
+        self._read_count = len(texts)
+        self._uncredited_tokens += len(new)
         return new
 
     async def seal(self) -> bool:
@@ -324,11 +324,11 @@
         """Hear no more of this dispatch; the agent is not told."""
         self.link.remove(self)
 
-    def _give_credit(self) -> None:
-        if self._uncredited < CREDIT_STEP or self.ended:
+    def _grant_credit(self) -> None:
+        if self._uncredited_tokens < CREDIT_BATCH_TOKENS or self.ended:
             return
-        self.link.give_credit(self.dispatch_id, self._uncredited)
-        self._uncredited = 0
+        self.link.grant_credit(self.dispatch_id, self._uncredited_tokens)
+        self._uncredited_tokens = 0
 
     async def _wait(self) -> None:
         self._waiter = asyncio.get_running_loop().create_future()
--- a/wigeonscale/dispatch/tests/test_links.py
+++ b/wigeonscale/dispatch/tests/test_links.py
@@ -8,7 +8,7 @@
     DispatchStream,
     KeepaliveLimits,
 )
-from wigeonscale.dispatch.links import QUICK_LOSS_S
+from wigeonscale.dispatch.links import FLAP_LIFETIME_S
 from wigeonscale.dispatch.tests.fake_agent import WORDS, FakeAgent
 from wigeonscale.errors import ErrorKind
 from wigeonscale.ports import SystemClock
@@ -56,8 +56,8 @@
     async def test_dispatch_at_any_moment_of_an_idle_connections_end_is_served(self):
         for turns in range(12):
             await self.read_all(self.add_stream(f"first-{turns}@a1"))
-            (lane,) = self.links._lanes[self.agent.target]
-            lane._reader.cancel()
+            (supervisor,) = self.links._supervisors[self.agent.target]
+            supervisor._reader.cancel()
             for _ in range(turns):
                 await asyncio.sleep(0)
             stream = self.add_stream(f"then-{turns}@a1")
@@ -69,11 +69,11 @@
     async def test_only_connections_that_break_at_once_count_as_flapping(self):
         clock = ManualClock()
         links = AgentLinks(entry_id="e1", clock=clock)
-        lane = links._new_lane(self.agent.target)
-        self.assertEqual([False] * 4, [lane._is_flapping() for _ in range(4)])
-        self.assertTrue(lane._is_flapping())
-        await clock.advance(QUICK_LOSS_S)
-        self.assertFalse(lane._is_flapping())
+        supervisor = links._start_supervisor(self.agent.target)
+        self.assertEqual([False] * 4, [supervisor._is_flapping() for _ in range(4)])
+        self.assertTrue(supervisor._is_flapping())
+        await clock.advance(FLAP_LIFETIME_S)
+        self.assertFalse(supervisor._is_flapping())
         await links.close()
 
     async def test_item_that_cannot_be_taken_in_ends_its_own_dispatch_only(self):
--- a/wigeonscale/dispatch/tests/test_stream.py
+++ b/wigeonscale/dispatch/tests/test_stream.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from wigeonscale.dispatch import AnswerRecord, DispatchStream, KeepaliveLimits, Target
-from wigeonscale.dispatch.silence import until_silent
+from wigeonscale.dispatch.keepalive import wait_unresponsive
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.pipelines.constants import INITIAL_CREDIT
 from wigeonscale.testing import AsyncTestCase, ManualClock
@@ -16,7 +16,7 @@
     def __init__(self):
         self.sent: list[wire.DispatchRequest] = []
         self.credits: list[tuple[str, int]] = []
-        self.events_heard = 0
+        self.events_received = 0
         self.pings = 0
         self.busy = asyncio.Event()
         self.busy.set()
@@ -24,7 +24,7 @@
     def send(self, request):
         self.sent.append(request)
 
-    def give_credit(self, dispatch_id, tokens):
+    def grant_credit(self, dispatch_id, tokens):
         self.credits.append((dispatch_id, tokens))
 
     def ping(self):
@@ -122,9 +122,9 @@
         self.assertEqual(2, request.attach.from_token)
 
     async def test_reader_hears_of_gaps_that_cannot_be_mended_while_tokens_pour(self):
-        poured = []
+        forwarded = []
         stream = new_stream()
-        stream.forward_to(lambda texts: poured.append(texts) or True)
+        stream.forward_to(lambda texts: forwarded.append(texts) or True)
         stream.deliver(token_item(0))
         reader = asyncio.create_task(stream.read())
         await asyncio.sleep(0)
@@ -134,20 +134,20 @@
         async with asyncio.timeout(30):
             with self.assertRaises(WigeonscaleError):
                 await reader
-        self.assertEqual(1, len(poured))
-        self.assertNotIn([], poured)
+        self.assertEqual(1, len(forwarded))
+        self.assertNotIn([], forwarded)
 
 
-class SilenceTest(AsyncTestCase):
+class KeepaliveTest(AsyncTestCase):
     async def test_link_is_silent_after_unanswered_pings_only(self):
         clock, link = ManualClock(), FakeLink()
         limits = KeepaliveLimits(
             interval_s=1.0, max_missed_pings=3, max_checks_without_ping=6
         )
-        watch = asyncio.create_task(until_silent(link, clock=clock, limits=limits))
+        watch = asyncio.create_task(wait_unresponsive(link, clock=clock, limits=limits))
         await clock.advance(0.0)
         for _ in range(5):
-            link.events_heard += 1
+            link.events_received += 1
             await clock.advance(1.0)
         self.assertEqual(0, link.pings)
         await clock.advance(3.0)
@@ -159,10 +159,10 @@
     async def test_agent_that_is_heard_hears_of_this_entry_too(self):
         clock, link = ManualClock(), FakeLink()
         limits = KeepaliveLimits(interval_s=1.0, max_checks_without_ping=4)
-        watch = asyncio.create_task(until_silent(link, clock=clock, limits=limits))
+        watch = asyncio.create_task(wait_unresponsive(link, clock=clock, limits=limits))
         await clock.advance(0.0)
         for _ in range(12):
-            link.events_heard += 1
+            link.events_received += 1
             await clock.advance(1.0)
         self.assertEqual(3, link.pings)
         watch.cancel()
@@ -172,7 +172,7 @@
         clock, link = ManualClock(), FakeLink()
         link.busy.clear()
         limits = KeepaliveLimits(interval_s=1.0)
-        watch = asyncio.create_task(until_silent(link, clock=clock, limits=limits))
+        watch = asyncio.create_task(wait_unresponsive(link, clock=clock, limits=limits))
         await clock.advance(100.0)
         self.assertFalse(watch.done())
         self.assertEqual(0, link.pings)
--- a/wigeonscale/dispatch/tests/test_carrier.py
+++ b/wigeonscale/dispatch/tests/test_transport.py
@@ -20,14 +20,14 @@
     return stream
 
 
-class CarrierTest(AsyncTestCase):
+class DispatchTransportTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
         self.table = LoadTable(clock=ManualClock())
         links = SimpleNamespace(add_stream=lambda stream: None)
         self.transport = DispatchTransport(links=links, table=self.table)
 
-    def carry_to_end(self, **kwargs):
+    def run_to_end(self, **kwargs):
         stream = ended_stream(**kwargs)
         self.transport.add_stream(stream)
         in_flight = self.table.in_flight_of("a", "org")
@@ -36,15 +36,15 @@
         return in_flight
 
     def test_each_dispatch_is_counted_once_for_its_organisation(self):
-        self.assertEqual(1, self.carry_to_end(done=object()))
+        self.assertEqual(1, self.run_to_end(done=object()))
         self.assertEqual(0, self.table.in_flight_of("a", "org"))
 
     def test_failures_of_the_backend_server_are_told_to_the_choice(self):
-        self.carry_to_end(error=WigeonscaleError(ErrorKind.BACKEND_FAILED, "broke"))
+        self.run_to_end(error=WigeonscaleError(ErrorKind.BACKEND_FAILED, "broke"))
         self.assertEqual(1.0, self.table.failures("a"))
-        self.carry_to_end(response=object())
+        self.run_to_end(response=object())
         self.assertLess(self.table.failures("a"), 1.0)
 
     def test_refusals_are_no_failures(self):
-        self.carry_to_end(error=WigeonscaleError(ErrorKind.OVERLOADED, "full"))
+        self.run_to_end(error=WigeonscaleError(ErrorKind.OVERLOADED, "full"))
         self.assertEqual(0.0, self.table.failures("a"))
--- a/wigeonscale/dispatch/transport.py
+++ b/wigeonscale/dispatch/transport.py
@@ -54,7 +54,7 @@
             target=target,
             organisation="",
             record=AnswerRecord(),
-            only_seal=True,
+            seal_only=True,
         )
         self.add_stream(stream)
         try:
@@ -86,13 +86,13 @@
             if stream.error.kind is ErrorKind.BACKEND_FAILED:
                 self._table.failed(agent_id)
 
-    async def until_begun(self, stream: DispatchStream) -> None:
+    async def wait_begun(self, stream: DispatchStream) -> None:
         """Wait until a dispatch has begun; drop it when it failed before.
 
         Raises:
             WigeonscaleError: The error that ended it before its first token.
         """
-        await stream.until_begun()
-        if stream.error is not None and not stream.has_new:
+        await stream.wait_begun()
+        if stream.error is not None and not stream.has_unread:
             self.drop(stream)
             raise stream.error
--- a/wigeonscale/dispatch/work.py
+++ b/wigeonscale/dispatch/work.py
@@ -8,7 +8,7 @@
 from wigeonscale.dispatch.targets import AnswerRecord, Target
 from wigeonscale.wire import wire_pb2 as wire
 
-ID_BYTES = 10
+DISPATCH_ID_RANDOM_BYTES = 10
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,4 +93,4 @@
 
 def new_dispatch_id(agent_id: str) -> str:
     """Return a new id, from which every entry can tell the agent."""
-    return f"{secrets.token_hex(ID_BYTES)}@{agent_id}"
+    return f"{secrets.token_hex(DISPATCH_ID_RANDOM_BYTES)}@{agent_id}"
--- a/wigeonscale/placement/seats.py
+++ b/wigeonscale/placement/assignment.py
@@ -1,11 +1,11 @@
 """Gives rebuilt chains groups of engines that hold their heads and own engines."""
 
-__all__ = ["seat_chains", "split_behind"]
+__all__ = ["assign_groups", "split_with_head"]
 
 import math
 from collections.abc import Sequence
 
-from wigeonscale.placement.bound import kind_of
+from wigeonscale.placement.bound import engine_kind
 from wigeonscale.placement.model import ChainPlan, EngineSpec
 from wigeonscale.placement.rates import split_layers, stage_rate
 
@@ -13,7 +13,7 @@
 Split = list[tuple[EngineSpec, int]]
 
 
-def seat_chains(
+def assign_groups(
     groups: Sequence[Group], chains: Sequence[ChainPlan]
 ) -> tuple[list[Group], list[Group]] | None:
     """Give each chain one of the groups, with the chain's head in it.
@@ -31,19 +31,21 @@
     """
     left = [list(group) for group in groups]
     heads = {chain.stages[0].agent_id for chain in chains}
-    seated = []
+    assigned = []
     for chain in chains:
-        group = _seat_head(left, chain.stages[0].agent_id, heads)
+        group = _group_with_head(left, chain.stages[0].agent_id, heads)
         if group is None:
             return None
         left.remove(group)
-        seated.append(group)
-    for chain, group in zip(chains, seated, strict=True):
-        _keep_own(chain, group, [g for g in seated + left if g is not group], heads)
-    return seated, left
+        assigned.append(group)
+    for chain, group in zip(chains, assigned, strict=True):
+        _keep_own_engines(
+            chain, group, [g for g in assigned + left if g is not group], heads
+        )
+    return assigned, left
 
 
-def _seat_head(groups, head, heads):
+def _group_with_head(groups, head, heads):
     """Return the group that the head is in or was moved to."""
     home = next((g for g in groups if any(e.agent_id == head for e in g)), None)
     if home is None:
@@ -53,27 +55,29 @@
     # Two heads met: this one changes places with its like in a group without one.
     engine = next(e for e in home if e.agent_id == head)
     for group in groups:
-        likes = [e for e in group if _alike(e, engine)]
-        if likes and not any(e.agent_id in heads for e in group):
-            _swap(home, engine, group, likes[0])
+        matches = [e for e in group if _interchangeable(e, engine)]
+        if matches and not any(e.agent_id in heads for e in group):
+            _swap(home, engine, group, matches[0])
             return group
     return None
 
 
-def _keep_own(chain, group, others, heads):
+def _keep_own_engines(chain, group, others, heads):
     own = {stage.agent_id for stage in chain.stages}
     for engine in [e for e in group if e.agent_id not in own]:
         for other in others:
-            likes = [
-                e for e in other if e.agent_id in own - heads and _alike(e, engine)
+            matches = [
+                e
+                for e in other
+                if e.agent_id in own - heads and _interchangeable(e, engine)
             ]
-            if likes and engine.agent_id not in heads:
-                _swap(group, engine, other, likes[0])
+            if matches and engine.agent_id not in heads:
+                _swap(group, engine, other, matches[0])
                 break
 
 
-def _alike(engine, other):
-    return kind_of(engine) == kind_of(other) and engine.domain == other.domain
+def _interchangeable(engine, other):
+    return engine_kind(engine) == engine_kind(other) and engine.domain == other.domain
 
 
 def _swap(group, engine, other_group, other):
@@ -81,13 +85,13 @@
     other_group[other_group.index(other)] = engine
 
 
-def split_behind(
+def split_with_head(
     head: EngineSpec,
     group: Sequence[EngineSpec],
     layers: int,
     *,
     stages: int = 0,
-    enough: float = math.inf,
+    rate_cap: float = math.inf,
 ) -> Split:
     """Split a model over a group so that a given engine has the first layers.
 
@@ -96,16 +100,18 @@
         group: Engines that may be used.
         layers: Number of layers of the model.
         stages: Exact number of stages; 0 for free choice.
-        enough: Steps per second above which more speed is of no use.
+        rate_cap: Steps per second above which a higher rate has no use.
 
     Returns:
         Pairs of engine and number of layers, the head first; empty when it does not
         work out.
     """
     rest = [engine for engine in group if engine.agent_id != head.agent_id]
-    options = [split_layers(group, layers, stages=stages, enough=enough)]
+    options = [split_layers(group, layers, stages=stages, rate_cap=rate_cap)]
     if stages != 1 and layers > 1:
-        after = split_layers(rest, layers - 1, stages=max(stages - 1, 0), enough=enough)
+        after = split_layers(
+            rest, layers - 1, stages=max(stages - 1, 0), rate_cap=rate_cap
+        )
         options.append([(head, 1), *after] if after else [])
     if stages in (0, 1) and head.layer_capacity >= layers:
         options.append([(head, layers)])
@@ -115,5 +121,7 @@
 
 
 def _rate(split):
-    alone = len(split) == 1
-    return min(stage_rate(engine, count, alone=alone) for engine, count in split)
+    single_stage = len(split) == 1
+    return min(
+        stage_rate(engine, count, single_stage=single_stage) for engine, count in split
+    )
--- a/wigeonscale/placement/bound.py
+++ b/wigeonscale/placement/bound.py
@@ -1,12 +1,12 @@
 """An upper bound on the throughput that any placement can reach."""
 
 __all__ = [
-    "Kind",
-    "Prices",
+    "EngineKind",
+    "DualPrices",
     "bound_prices",
     "compute_bound",
     "hardware_bound",
-    "kind_of",
+    "engine_kind",
 ]
 
 from collections import Counter
@@ -15,35 +15,35 @@
 
 from wigeonscale.placement.model import EngineSpec
 from wigeonscale.placement.rates import (
-    ROUNDING,
-    layers_at,
+    RELATIVE_TOLERANCE,
+    layers_at_rate,
     split_layers,
     stage_rate,
     stage_rates,
 )
 
-SEARCH_STEPS = 24
-GOLDEN = (5**0.5 - 1) / 2
+GOLDEN_SECTION_STEPS = 24
+INVERSE_GOLDEN_RATIO = (5**0.5 - 1) / 2
 
-Kind = tuple[float, int, float]
+EngineKind = tuple[float, int, float]
 
 
 @dataclass(frozen=True, slots=True)
-class Prices:
+class DualPrices:
     """What a chain and an engine of each kind are worth at the bound.
 
     Attributes:
         bound: Sequence-steps per second that no placement exceeds.
         chain: Steps per second by which one more chain would raise the bound.
-        engines: The same for one more engine, by :func:`kind_of`.
+        engines: The same for one more engine, by :func:`engine_kind`.
     """
 
     bound: float
     chain: float
-    engines: dict[Kind, float]
+    engines: dict[EngineKind, float]
 
 
-def kind_of(engine: EngineSpec) -> Kind:
+def engine_kind(engine: EngineSpec) -> EngineKind:
     """Return what placement distinguishes engines by."""
     return (engine.layer_rate, engine.layer_capacity, engine.link_rate)
 
@@ -83,73 +83,78 @@
     return bound
 
 
-def bound_prices(engines: Sequence[EngineSpec], *, layers: int, chains: int) -> Prices:
+def bound_prices(
+    engines: Sequence[EngineSpec], *, layers: int, chains: int
+) -> DualPrices:
     """Return the bound of :func:`hardware_bound` and the prices that prove it."""
-    kinds = Counter(kind_of(engine) for engine in engines)
-    samples = {kind_of(engine): engine for engine in engines}
-    points = {key: _points(sample, layers) for key, sample in samples.items()}
+    kinds = Counter(engine_kind(engine) for engine in engines)
+    samples = {engine_kind(engine): engine for engine in engines}
+    points = {key: _optimal_points(sample, layers) for key, sample in samples.items()}
 
     def bound(price):
-        worth = sum(
-            count * _worth(points[key], price, layers) for key, count in kinds.items()
+        total_value = sum(
+            count * _engine_value(points[key], price, layers)
+            for key, count in kinds.items()
         )
-        return chains * price + worth
+        return chains * price + total_value
 
     rates = [rate for each in points.values() for _, rate in each]
-    best = _minimise(bound, max(rates, default=0.0))
-    worths = {key: _worth(points[key], best, layers) for key in kinds}
-    return Prices(bound=bound(best), chain=best, engines=worths)
+    best = _minimise_convex(bound, max(rates, default=0.0))
+    engine_prices = {key: _engine_value(points[key], best, layers) for key in kinds}
+    return DualPrices(bound=bound(best), chain=best, engines=engine_prices)
 
 
 def compute_bound(engines: Iterable[EngineSpec], *, layers: int) -> float:
     """Return the looser bound that holds for any number of chains."""
-    kinds = Counter(kind_of(engine) for engine in engines)
+    kinds = Counter(engine_kind(engine) for engine in engines)
     return sum(
-        count * _compute(*kind, layers) / layers for kind, count in kinds.items()
+        count * _usable_rate(*kind, layers) / layers for kind, count in kinds.items()
     )
 
 
-def _compute(rate, capacity, link, layers):
+def _usable_rate(rate, capacity, link, layers):
     return rate if capacity >= layers else min(rate, capacity * link)
 
 
-def _points(engine, layers):
+def _optimal_points(engine, layers):
     # n * (min(layer_rate / n, link_rate) - v) rises with n up to layer_rate /
     # link_rate and falls beyond, whatever v: only the two counts there matter.
     most = max(1, min(engine.layer_capacity, layers))
-    turn = int(engine.layer_rate / engine.link_rate) if engine.link_rate else most
-    counts = {min(max(turn, 1), most), min(turn + 1, most)}
+    crossover = int(engine.layer_rate / engine.link_rate) if engine.link_rate else most
+    counts = {min(max(crossover, 1), most), min(crossover + 1, most)}
     points = [(n, stage_rate(engine, n)) for n in sorted(counts)]
     if engine.layer_capacity >= layers:
-        points.append((layers, stage_rate(engine, layers, alone=True)))
+        points.append((layers, stage_rate(engine, layers, single_stage=True)))
     return points
 
 
-def _worth(points, price, layers):
+def _engine_value(points, price, layers):
     return max(0.0, max(n * (rate - price) for n, rate in points)) / layers
 
 
-def _minimise(function, high):
+def _minimise_convex(function, high):
     """Return the argument in [0, high] with the least value of a convex function."""
     low, top = 0.0, high
-    left, right = top - GOLDEN * top, GOLDEN * top
+    left, right = top - INVERSE_GOLDEN_RATIO * top, INVERSE_GOLDEN_RATIO * top
     at_left, at_right = function(left), function(right)
-    for _ in range(SEARCH_STEPS):
+    for _ in range(GOLDEN_SECTION_STEPS):
         if at_left <= at_right:
             top, right, at_right = right, left, at_left
-            left = top - GOLDEN * (top - low)
+            left = top - INVERSE_GOLDEN_RATIO * (top - low)
             at_left = function(left)
         else:
             low, left, at_left = left, right, at_right
-            right = low + GOLDEN * (top - low)
+            right = low + INVERSE_GOLDEN_RATIO * (top - low)
             at_right = function(right)
     return min((0.0, left, right, high), key=function)
 
 
 def _best_rate(engines, layers):
     split = split_layers(engines, layers)
-    alone = len(split) == 1
-    rates = [stage_rate(engine, count, alone=alone) for engine, count in split]
+    single_stage = len(split) == 1
+    rates = [
+        stage_rate(engine, count, single_stage=single_stage) for engine, count in split
+    ]
     return min(rates, default=0.0)
 
 
@@ -180,9 +185,11 @@
         part = min(1.0, left_fast / fast_count)
         left_fast -= part * fast_count
         left_slow += part * slow_count
-    return left_fast <= ROUNDING and left_slow <= ROUNDING
+    return left_fast <= RELATIVE_TOLERANCE and left_slow <= RELATIVE_TOLERANCE
 
 
 def _most_layers(engine, rate, layers):
-    alone = engine.layer_capacity >= layers and engine.layer_rate >= rate * layers
-    return layers if alone else min(layers, layers_at(engine, rate))
+    single_stage = (
+        engine.layer_capacity >= layers and engine.layer_rate >= rate * layers
+    )
+    return layers if single_stage else min(layers, layers_at_rate(engine, rate))
--- a/wigeonscale/placement/compose.py
+++ b/wigeonscale/placement/compose.py
@@ -1,20 +1,20 @@
 """Composes one chain out of free engines with the least hardware left idle."""
 
-__all__ = ["Composition", "cheapest_cover", "compose_chain", "rates_near"]
+__all__ = ["Composition", "cheapest_cover", "compose_chain", "nearest_rates"]
 
 import math
 from collections import Counter
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from wigeonscale.placement.bound import Kind
+from wigeonscale.placement.bound import EngineKind
 from wigeonscale.placement.model import EngineSpec
-from wigeonscale.placement.rates import layers_at, stage_rates
+from wigeonscale.placement.rates import layers_at_rate, stage_rates
 
 # A composition that wastes less than this share is taken without trying others.
-GOOD_WASTE = 0.02
+ACCEPTED_WASTE = 0.02
 # Price of a stage as a share of the chain's rate: fewer hops where rates are equal.
-STAGE_PRICE = 0.0005
+STAGE_PRICE_SHARE = 0.0005
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,17 +29,17 @@
 
     rate: float
     waste: float
-    kinds: Counter[Kind]
+    kinds: Counter[EngineKind]
 
 
 def compose_chain(
-    counts: Mapping[Kind, int],
-    samples: Mapping[Kind, EngineSpec],
+    counts: Mapping[EngineKind, int],
+    samples: Mapping[EngineKind, EngineSpec],
     *,
     layers: int,
     mean_rate: float,
-    worths: Mapping[Kind, float],
-    chain_worth: float = 0.0,
+    engine_prices: Mapping[EngineKind, float],
+    chain_price: float = 0.0,
     rates_tried: int = 12,
 ) -> Composition | None:
     """Return the chain that wastes the least, at a rate near the mean.
@@ -49,8 +49,8 @@
         samples: One engine of each kind.
         layers: Number of layers of the model.
         mean_rate: Rate, in steps per second, that the bound gives the mean chain.
-        worths: Steps per second that an engine of each kind is worth.
-        chain_worth: The same for one chain.
+        engine_prices: Dual price of an engine of each kind, in steps per second.
+        chain_price: Dual price of one chain, in steps per second.
         rates_tried: Number of chain rates tried, nearest to the mean.
 
     Returns:
@@ -63,41 +63,41 @@
         Cost O(rates * engines * layers).
     """
     best = None
-    for rate in rates_near(
+    for rate in nearest_rates(
         (samples[kind] for kind in counts), layers, mean_rate, rates_tried
     ):
-        cover = cheapest_cover(counts, samples, layers, rate, worths)
+        cover = cheapest_cover(counts, samples, layers, rate, engine_prices)
         if cover is None:
             continue
         cost, kinds = cover
-        waste = 1 - rate / (cost + chain_worth)
+        waste = 1 - rate / (cost + chain_price)
         if best is None or waste < best.waste - 1e-12:
             best = Composition(rate, waste, kinds)
-        if best.waste < GOOD_WASTE:
+        if best.waste < ACCEPTED_WASTE:
             break
     return best
 
 
-def rates_near(
-    engines: Iterable[EngineSpec], layers: int, mean_rate: float, tried: int
+def nearest_rates(
+    engines: Iterable[EngineSpec], layers: int, mean_rate: float, limit: int
 ) -> list[float]:
     """Return the stage rates nearest to a mean, nearest first, at most ``tried``."""
 
     def distance(rate):
         return (abs(math.log(rate / mean_rate)), rate)
 
-    return sorted(stage_rates(engines, layers), key=distance)[:tried]
+    return sorted(stage_rates(engines, layers), key=distance)[:limit]
 
 
 def cheapest_cover(
-    counts: Mapping[Kind, int],
-    samples: Mapping[Kind, EngineSpec],
+    counts: Mapping[EngineKind, int],
+    samples: Mapping[EngineKind, EngineSpec],
     layers: int,
     rate: float,
-    worths: Mapping[Kind, float],
-) -> tuple[float, Counter[Kind]] | None:
+    engine_prices: Mapping[EngineKind, float],
+) -> tuple[float, Counter[EngineKind]] | None:
     """Return the worth and the kinds of the cheapest engines that pass a rate."""
-    items = _items(counts, samples, layers, rate, worths)
+    items = _items(counts, samples, layers, rate, engine_prices)
     costs = [0.0] + [math.inf] * layers
     history = [costs]
     for size, cost, _, _ in items:
@@ -107,18 +107,18 @@
         history.append(costs)
     if math.isinf(costs[layers]):
         return None
-    return costs[layers], _trace(items, history, layers)
+    return costs[layers], _backtrack(items, history, layers)
 
 
-def _items(counts, samples, layers, rate, worths):
+def _items(counts, samples, layers, rate, engine_prices):
     """Return (layers, cost, kind, engines) with engines bundled by powers of two."""
     items = []
     for kind, count in counts.items():
-        size = min(layers_at(samples[kind], rate), layers)
+        size = min(layers_at_rate(samples[kind], rate), layers)
         if size == 0:
             continue
         left = min(count, -(-layers // size))
-        cost = worths[kind] + STAGE_PRICE * rate
+        cost = engine_prices[kind] + STAGE_PRICE_SHARE * rate
         bundle = 1
         while left > 0:
             take = min(bundle, left)
@@ -128,7 +128,7 @@
     return items
 
 
-def _trace(items, history, layers):
+def _backtrack(items, history, layers):
     kinds = Counter()
     need = layers
     for index in range(len(items) - 1, -1, -1):
--- a/wigeonscale/placement/cover.py
+++ b/wigeonscale/placement/cover.py
@@ -1,14 +1,19 @@
 """Covers a model several times over at one common rate."""
 
-__all__ = ["cover_alike", "cover_evenly"]
+__all__ = ["cover_similar_engines", "cover_max_min_rate"]
 
 from collections.abc import Sequence
 
 from wigeonscale.placement.model import EngineSpec
-from wigeonscale.placement.rates import layers_at, split_layers, stage_rate, stage_rates
+from wigeonscale.placement.rates import (
+    layers_at_rate,
+    split_layers,
+    stage_rate,
+    stage_rates,
+)
 
 
-def cover_evenly(
+def cover_max_min_rate(
     engines: Sequence[EngineSpec], *, layers: int, chains: int, stages: int = 0
 ) -> list[list[EngineSpec]]:
     """Return groups that hold the model at the highest common rate found.
@@ -42,11 +47,11 @@
 
 def _cover(engines, layers, chains, stages, rate):
     """Fill groups one after the other at a common rate; empty when some stay short."""
-    sized = [(layers_at(engine, rate), engine) for engine in engines]
+    sized = [(layers_at_rate(engine, rate), engine) for engine in engines]
     sized = [pair for pair in sized if pair[0] > 0]
     sized.sort(key=lambda pair: (-pair[0], pair[1].domain, pair[1].agent_id))
     if stages:
-        return _deal(sized, layers, chains, stages)
+        return _distribute(sized, layers, chains, stages)
     groups = []
     for _ in range(chains):
         group = _take_group(sized, layers)
@@ -68,7 +73,7 @@
     return group if left <= 0 else []
 
 
-def _deal(sized, layers, chains, stages):
+def _distribute(sized, layers, chains, stages):
     groups = [[] for _ in range(chains)]
     totals = [0] * chains
     for size, engine in sized[: chains * stages]:
@@ -76,11 +81,11 @@
         index = min(open_groups, key=lambda i: totals[i])
         groups[index].append(engine)
         totals[index] += size
-    whole = all(split_layers(group, layers, stages=stages) for group in groups)
-    return groups if whole and min(totals, default=0) >= layers else []
+    complete = all(split_layers(group, layers, stages=stages) for group in groups)
+    return groups if complete and min(totals, default=0) >= layers else []
 
 
-def cover_alike(
+def cover_similar_engines(
     engines: Sequence[EngineSpec], *, layers: int, chains: int, stages: int
 ) -> list[list[EngineSpec]]:
     """Return groups of engines as alike as can be, the fastest together.
@@ -95,10 +100,10 @@
         The groups, or an empty list when some group cannot hold the model.
     """
     share = -(-layers // stages)
-    alike = sorted(
+    ranked = sorted(
         engines,
         key=lambda e: (-stage_rate(e, share), -e.layer_capacity, e.domain, e.agent_id),
     )
-    groups = [alike[i * stages : (i + 1) * stages] for i in range(chains)]
-    whole = all(split_layers(group, layers, stages=stages) for group in groups)
-    return groups if whole else []
+    groups = [ranked[i * stages : (i + 1) * stages] for i in range(chains)]
+    complete = all(split_layers(group, layers, stages=stages) for group in groups)
+    return groups if complete else []
--- a/wigeonscale/placement/fresh.py
+++ b/wigeonscale/placement/create.py
@@ -1,11 +1,11 @@
 """Plans new chains out of free engines."""
 
-__all__ = ["chains_of_splits", "new_chains", "split_groups", "without_spares"]
+__all__ = ["chains_of_splits", "create_chains", "split_groups", "without_spares"]
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping, Sequence
 
-from wigeonscale.placement.bound import kind_of
+from wigeonscale.placement.bound import engine_kind
 from wigeonscale.placement.model import ChainPlan, EngineSpec
 from wigeonscale.placement.partition import Search, partition_engines
 from wigeonscale.placement.rates import chain_rate, split_layers, stage_rate
@@ -15,10 +15,10 @@
 
 # Engines that hold fitting layers are used as they are when the plan then passes at
 # least this share of the best plan: serving at once is worth more for a while.
-REUSE_SHARE = 0.5
+MIN_REUSE_RATE_SHARE = 0.5
 
 
-def new_chains(
+def create_chains(
     missing: Mapping[str, int],
     *,
     pipelines: Sequence[Pipeline],
@@ -51,18 +51,18 @@
     weights = [sum(missing[p.name] for p in group) for group in shapes.values()]
     chains = []
     for group, share in zip(
-        shapes.values(), _share_engines(free, weights), strict=True
+        shapes.values(), _apportion_engines(free, weights), strict=True
     ):
         kept = -(-spares // len(shapes))
         chains += _chains_of_shape(group, missing, share, kept, search, load_new)
     return chains
 
 
-def _share_engines(free, weights):
+def _apportion_engines(free, weights):
     if len(weights) < 2:
         return [list(free)] * len(weights)
     shares = [[] for _ in weights]
-    for engine in sorted(free, key=lambda e: (kind_of(e), e.domain, e.agent_id)):
+    for engine in sorted(free, key=lambda e: (engine_kind(e), e.domain, e.agent_id)):
         index = min(range(len(weights)), key=lambda i: len(shares[i]) / weights[i])
         shares[index].append(engine)
     return shares
@@ -77,7 +77,9 @@
     # A chain that serves is worth more than a spare that waits.
     for kept in range(min(spares, len(free)), -1, -1):
         offered = without_spares(free, kept)
-        splits = max(splits, _splits(pipelines[0], offered, wanted, search), key=len)
+        splits = max(
+            splits, _choose_splits(pipelines[0], offered, wanted, search), key=len
+        )
         if len(splits) == wanted:
             break
     splits.sort(key=_rate, reverse=True)
@@ -91,7 +93,7 @@
     and of these the slowest with the fastest links.
     """
 
-    def usefulness(engine):
+    def priority(engine):
         return (
             -engine.layer_capacity,
             engine.layer_rate,
@@ -100,10 +102,10 @@
         )
 
     by_domain = defaultdict(list)
-    for engine in sorted(free, key=usefulness):
+    for engine in sorted(free, key=priority):
         by_domain[engine.domain].append(engine)
     ranked = [
-        (rank, usefulness(engine), engine)
+        (rank, priority(engine), engine)
         for members in by_domain.values()
         for rank, engine in enumerate(members)
     ]
@@ -112,18 +114,18 @@
     return [engine for engine in free if engine.agent_id not in kept]
 
 
-def _splits(pipeline, engines, wanted, search):
+def _choose_splits(pipeline, engines, wanted, search):
     """Return the stages of each new chain as pairs of engine and number of layers."""
-    fresh = _fresh_splits(pipeline, engines, wanted, search)
+    partitioned = _partitioned_splits(pipeline, engines, wanted, search)
     reused = _loaded_splits(pipeline, engines, wanted)
     if not reused:
-        return fresh
+        return partitioned
     used = {engine.agent_id for split in reused for engine, _ in split}
     rest = [engine for engine in engines if engine.agent_id not in used]
-    reused += _fresh_splits(pipeline, rest, wanted - len(reused), search)
-    enough = REUSE_SHARE * sum(_rate(split) for split in fresh)
-    worth_it = sum(_rate(split) for split in reused) >= enough
-    return reused if worth_it and len(reused) >= len(fresh) else fresh
+    reused += _partitioned_splits(pipeline, rest, wanted - len(reused), search)
+    min_rate = MIN_REUSE_RATE_SHARE * sum(_rate(split) for split in partitioned)
+    reuse_suffices = sum(_rate(split) for split in reused) >= min_rate
+    return reused if reuse_suffices and len(reused) >= len(partitioned) else partitioned
 
 
 def _loaded_splits(pipeline, engines, wanted):
@@ -136,7 +138,7 @@
     ]
 
 
-def _fresh_splits(pipeline, engines, wanted, search):
+def _partitioned_splits(pipeline, engines, wanted, search):
     groups = partition_engines(
         engines,
         layers=pipeline.layers,
@@ -173,8 +175,10 @@
 
 
 def _rate(split):
-    alone = len(split) == 1
-    return min(stage_rate(engine, count, alone=alone) for engine, count in split)
+    single_stage = len(split) == 1
+    return min(
+        stage_rate(engine, count, single_stage=single_stage) for engine, count in split
+    )
 
 
 def chains_of_splits(
--- a/wigeonscale/placement/improve.py
+++ b/wigeonscale/placement/improve.py
@@ -1,23 +1,23 @@
 """Rebuilds standing chains with engines that joined since, where they pass far more."""
 
-__all__ = ["GAIN", "improve_chains"]
+__all__ = ["MIN_REBUILD_GAIN", "improve_chains"]
 
 from collections.abc import Collection, Sequence
 from dataclasses import replace
 
+from wigeonscale.placement.assignment import split_with_head
 from wigeonscale.placement.bound import compute_bound
-from wigeonscale.placement.fresh import without_spares
+from wigeonscale.placement.create import without_spares
 from wigeonscale.placement.model import ChainPlan, EngineSpec
-from wigeonscale.placement.rates import ROUNDING, chain_rate
+from wigeonscale.placement.rates import RELATIVE_TOLERANCE, chain_rate
 from wigeonscale.placement.repair import is_alive, stages_of
-from wigeonscale.placement.seats import split_behind
 from wigeonscale.rules.model import Pipeline
 
 # A chain that serves is rebuilt only when it then passes this many times as much.
-GAIN = 1.25
+MIN_REBUILD_GAIN = 1.25
 # Rates above this many times the mean that the bound allows count for nothing: the
 # other chains need engines too.
-CEILING = 1.25
+TARGET_RATE_RATIO = 1.25
 
 
 def improve_chains(
@@ -61,12 +61,14 @@
         own = [chain for chain in result if chain.pipeline == pipeline.name]
         if not _may_improve(own, pipeline, by_id, serving):
             continue
-        target = CEILING * _mean_rate(pipeline, pipelines, engines)
+        target = TARGET_RATE_RATIO * _mean_rate(pipeline, pipelines, engines)
         free = _free_engines(result, pipeline, engines, spares)
-        step = _best_step(own, pipeline, by_id, free, target, domain_share)
-        if step is not None:
-            index = next(n for n, c in enumerate(result) if c.chain_id == step.chain_id)
-            result[index] = step
+        rebuilt = _first_rebuild(own, pipeline, by_id, free, target, domain_share)
+        if rebuilt is not None:
+            index = next(
+                n for n, c in enumerate(result) if c.chain_id == rebuilt.chain_id
+            )
+            result[index] = rebuilt
     return result
 
 
@@ -86,8 +88,8 @@
 def _mean_rate(pipeline, pipelines, engines):
     """Return the mean rate that the bound allows the chains of the same model."""
     pool = [e for e in engines if e.is_usable and e.model == pipeline.model]
-    alike = [other for other in pipelines if other.model == pipeline.model]
-    layers = sum(other.layers * other.replicas for other in alike)
+    same_model = [other for other in pipelines if other.model == pipeline.model]
+    layers = sum(other.layers * other.replicas for other in same_model)
     return compute_bound(pool, layers=pipeline.layers) * pipeline.layers / layers
 
 
@@ -103,14 +105,14 @@
     return without_spares(free, min(spares, len(free)))
 
 
-def _best_step(own, pipeline, by_id, free, target, domain_share):
+def _first_rebuild(own, pipeline, by_id, free, target, domain_share):
     rates = {chain.chain_id: chain_rate(chain.stages, by_id) for chain in own}
     for chain in sorted(own, key=lambda chain: (rates[chain.chain_id], chain.chain_id)):
         before = rates[chain.chain_id]
-        if before * GAIN > target * (1 + ROUNDING):
+        if before * MIN_REBUILD_GAIN > target * (1 + RELATIVE_TOLERANCE):
             return None
         after = _rebuild(chain, pipeline, by_id, free, target, domain_share)
-        if after is not None and after.rate >= GAIN * before:
+        if after is not None and after.rate >= MIN_REBUILD_GAIN * before:
             return after
     return None
 
@@ -120,22 +122,24 @@
     own = [by_id[stage.agent_id] for stage in chain.stages]
     pool = [engine for engine in own + free if engine.region == head.region]
     near = [engine for engine in pool if engine.domain == head.domain]
-    across = _on(chain, head, pool, pipeline, target)
-    within = _on(chain, head, near, pipeline, target)
+    across = _rebuild_on(chain, head, pool, pipeline, target)
+    within = _rebuild_on(chain, head, near, pipeline, target)
     if within is None or across is None:
         return within or across
     return within if within.rate >= domain_share * across.rate else across
 
 
-def _on(chain, head, pool, pipeline, target):
-    split = split_behind(
-        head, pool, pipeline.layers, stages=pipeline.stages, enough=target
+def _rebuild_on(chain, head, pool, pipeline, target):
+    split = split_with_head(
+        head, pool, pipeline.layers, stages=pipeline.stages, rate_cap=target
     )
     if not split:
         return None
-    place = {stage.agent_id: n for n, stage in enumerate(chain.stages)}
+    position = {stage.agent_id: n for n, stage in enumerate(chain.stages)}
     # Engines of the chain keep their order, so that less has to load.
-    tail = sorted(split[1:], key=lambda pair: place.get(pair[0].agent_id, len(place)))
+    tail = sorted(
+        split[1:], key=lambda pair: position.get(pair[0].agent_id, len(position))
+    )
     stages = tuple(stages_of([split[0], *tail], 0))
     engines = {engine.agent_id: engine for engine, _ in split}
     rate = chain_rate(stages, engines)
--- a/wigeonscale/placement/loads.py
+++ b/wigeonscale/placement/loads.py
@@ -68,16 +68,16 @@
         (W. E. Smith, 1956), which minimises the sum over time of demand not met while
         loads are whole chains. Cost O(stages + chains * log(chains)).
     """
-    pending, served, planned = _survey(chains, is_loaded)
+    pending, served, planned = _loading_state(chains, is_loaded)
     wanted = planned if demand is None else demand
     result = []
-    for each in _chains_by_use(pending, served, wanted):
+    for each in _chains_by_benefit(pending, served, wanted):
         result += [(each.chain, stage) for stage in each.stages]
     result.sort(key=lambda pair: pair[1].agent_id not in loading)
     return result
 
 
-def _survey(chains, is_loaded):
+def _loading_state(chains, is_loaded):
     """Return pending chains by pipeline, and rates served and planned."""
     pending = defaultdict(list)
     served = defaultdict(float)
@@ -93,7 +93,7 @@
     return pending, served, planned
 
 
-def _chains_by_use(pending, served, wanted):
+def _chains_by_benefit(pending, served, wanted):
     """Yield pending chains; each one yielded counts as served for the next."""
     queues = {}
     heap = []
@@ -102,9 +102,11 @@
         queue = queues[pipeline]
         if queue:
             unmet = wanted.get(pipeline, 0.0) - served[pipeline]
-            use = min(queue[-1].chain.rate, max(unmet, 0.0)) / queue[-1].layers
+            benefit = min(queue[-1].chain.rate, max(unmet, 0.0)) / queue[-1].layers
             idle = served[pipeline] <= 0
-            heapq.heappush(heap, (not idle, -use, queue[-1].chain.chain_id, pipeline))
+            heapq.heappush(
+                heap, (not idle, -benefit, queue[-1].chain.chain_id, pipeline)
+            )
 
     for pipeline, chains in pending.items():
         chains.sort(key=lambda each: each.chain.chain_id, reverse=True)
--- a/wigeonscale/placement/polish.py
+++ b/wigeonscale/placement/local_search.py
@@ -1,30 +1,33 @@
 """Improves a partition by dividing the engines of two chains anew."""
 
-__all__ = ["group_rate", "polish", "total_rate"]
+__all__ = ["group_rate", "improve_pairs", "total_rate"]
 
 from collections import Counter
 from collections.abc import Sequence
 from itertools import combinations
 
-from wigeonscale.placement.bound import bound_prices, kind_of
-from wigeonscale.placement.compose import cheapest_cover, rates_near
+from wigeonscale.placement.bound import bound_prices, engine_kind
+from wigeonscale.placement.compose import cheapest_cover, nearest_rates
 from wigeonscale.placement.model import EngineSpec
 from wigeonscale.placement.rates import split_layers, stage_rate
 
 Group = list[EngineSpec]
 
-MAX_ROUNDS = 4
+MAX_SEARCH_ROUNDS = 4
 RATES_TRIED = 24
 # Smallest gain worth a change, as a share of the two chains' rate.
-MIN_GAIN = 0.001
+MIN_PAIR_GAIN = 0.001
 
 
 def group_rate(group: Sequence[EngineSpec], layers: int, stages: int = 0) -> float:
     """Return the best chain rate of a group, 0 when it cannot hold the model."""
     split = split_layers(group, layers, stages=stages)
-    alone = len(split) == 1
+    single_stage = len(split) == 1
     return min(
-        (stage_rate(engine, count, alone=alone) for engine, count in split),
+        (
+            stage_rate(engine, count, single_stage=single_stage)
+            for engine, count in split
+        ),
         default=0.0,
     )
 
@@ -34,7 +37,7 @@
     return sum(group_rate(group, layers, stages) for group in groups)
 
 
-def polish(
+def improve_pairs(
     groups: Sequence[Group], engines: Sequence[EngineSpec], *, layers: int
 ) -> list[Group]:
     """Divide the engines of every two groups anew while that raises their rates.
@@ -48,23 +51,23 @@
         As many groups, with no lower sum of rates.
     """
     best = [list(group) for group in groups]
-    free = _rest(engines, best)
-    for _ in range(MAX_ROUNDS):
+    free = _unused(engines, best)
+    for _ in range(MAX_SEARCH_ROUNDS):
         improved = False
         for i, j in combinations(range(len(best)), 2):
             pool = best[i] + best[j] + free
             old = total_rate((best[i], best[j]), layers)
             pair, new = _best_pair(pool, layers)
-            if new > old * (1 + MIN_GAIN):
+            if new > old * (1 + MIN_PAIR_GAIN):
                 best[i], best[j] = pair
-                free = _rest(pool, pair)
+                free = _unused(pool, pair)
                 improved = True
         if not improved:
             break
     return best
 
 
-def _rest(engines, groups):
+def _unused(engines, groups):
     used = {engine.agent_id for group in groups for engine in group}
     return [engine for engine in engines if engine.agent_id not in used]
 
@@ -72,10 +75,10 @@
 def _best_pair(pool, layers):
     """Return the two groups with the highest sum of rates found, and that sum."""
     prices = bound_prices(pool, layers=layers, chains=2)
-    counts = Counter(kind_of(engine) for engine in pool)
-    samples = {kind_of(engine): engine for engine in pool}
+    counts = Counter(engine_kind(engine) for engine in pool)
+    samples = {engine_kind(engine): engine for engine in pool}
     best, best_rate = (), 0.0
-    for rate in rates_near(samples.values(), layers, prices.bound / 2, RATES_TRIED):
+    for rate in nearest_rates(samples.values(), layers, prices.bound / 2, RATES_TRIED):
         cover = cheapest_cover(counts, samples, layers, rate, prices.engines)
         if cover is None:
             continue
@@ -91,7 +94,7 @@
     left = Counter(kinds)
     taken, rest = [], []
     for engine in pool:
-        kind = kind_of(engine)
+        kind = engine_kind(engine)
         if left[kind] > 0:
             left[kind] -= 1
             taken.append(engine)
--- a/wigeonscale/placement/partition.py
+++ b/wigeonscale/placement/partition.py
@@ -8,11 +8,16 @@
 from dataclasses import dataclass, replace
 from itertools import permutations
 
-from wigeonscale.placement.bound import Prices, bound_prices, compute_bound, kind_of
+from wigeonscale.placement.bound import (
+    DualPrices,
+    bound_prices,
+    compute_bound,
+    engine_kind,
+)
 from wigeonscale.placement.compose import compose_chain
-from wigeonscale.placement.cover import cover_alike, cover_evenly
+from wigeonscale.placement.cover import cover_max_min_rate, cover_similar_engines
+from wigeonscale.placement.local_search import improve_pairs, total_rate
 from wigeonscale.placement.model import EngineSpec
-from wigeonscale.placement.polish import polish, total_rate
 from wigeonscale.placement.rates import split_layers
 
 Group = list[EngineSpec]
@@ -34,23 +39,23 @@
     """
 
     rates_tried: int
-    polish: bool
+    local_search: bool
     rate_step: float = 1.0
     domain_share: float = 0.93
 
 
-FULL_SEARCH = Search(rates_tried=12, polish=True)
-QUICK_SEARCH = Search(rates_tried=4, polish=False, rate_step=1.05)
+FULL_SEARCH = Search(rates_tried=12, local_search=True)
+QUICK_SEARCH = Search(rates_tried=4, local_search=False, rate_step=1.05)
 
 
 @dataclass(frozen=True, slots=True)
-class _Task:
+class _Context:
     """What stays the same for every pool of engines."""
 
     layers: int
     stages: int
     search: Search
-    prices: Prices
+    prices: DualPrices
 
     def total_rate(self, groups):
         return total_rate(groups, self.layers, self.stages)
@@ -79,8 +84,8 @@
     """
     rounded = _round_rates(engines, search.rate_step)
     prices = bound_prices(rounded, layers=layers, chains=chains)
-    task = _Task(layers, stages, search, prices)
-    groups = _partition_regions(rounded, chains, task)
+    ctx = _Context(layers, stages, search, prices)
+    groups = _partition_regions(rounded, chains, ctx)
     by_id = {engine.agent_id: engine for engine in engines}
     return [[by_id[engine.agent_id] for engine in group] for group in groups]
 
@@ -98,17 +103,17 @@
     return step ** math.floor(math.log(rate, step)) if rate > 0 else 0.0
 
 
-def _partition_regions(engines, chains, task):
+def _partition_regions(engines, chains, ctx):
     by_region = _split_by(engines, lambda engine: engine.region)
     by_domain = _split_by(engines, lambda engine: (engine.region, engine.domain))
-    within = _partition_pools(by_domain, chains, task)
-    if len(within) == chains and not task.search.polish:
+    within = _partition_pools(by_domain, chains, ctx)
+    if len(within) == chains and not ctx.search.local_search:
         return within
-    across = _partition_pools(by_region, chains, task)
+    across = _partition_pools(by_region, chains, ctx)
     if len(within) < len(across):
         return across
-    enough = task.search.domain_share * task.total_rate(across)
-    return within if task.total_rate(within) >= enough else across
+    min_rate = ctx.search.domain_share * ctx.total_rate(across)
+    return within if ctx.total_rate(within) >= min_rate else across
 
 
 def _split_by(engines, key):
@@ -118,21 +123,21 @@
     return [pools[name] for name in sorted(pools)]
 
 
-def _partition_pools(pools, chains, task):
+def _partition_pools(pools, chains, ctx):
     known = {}
 
     def partition(index, share):
         if (index, share) not in known:
-            known[index, share] = _partition_pool(pools[index], share, task)
+            known[index, share] = _partition_pool(pools[index], share, ctx)
         return known[index, share]
 
-    def worth(shares):
+    def score(shares):
         groups = _join(partition(*pair) for pair in enumerate(shares))
-        return len(groups), task.total_rate(groups)
+        return len(groups), ctx.total_rate(groups)
 
-    shares = _share_chains(pools, task.layers, chains)
-    if task.search.polish:
-        shares = _improve_shares(shares, worth)
+    shares = _apportion_chains(pools, ctx.layers, chains)
+    if ctx.search.local_search:
+        shares = _improve_shares(shares, score)
     return _join(partition(*pair) for pair in enumerate(shares))
 
 
@@ -140,35 +145,35 @@
     return [group for part in parts for group in part]
 
 
-def _improve_shares(shares, worth):
+def _improve_shares(shares, score):
     """Move chains from pool to pool, one at a time, while that is of worth."""
-    best, best_worth = shares, worth(shares)
+    best, best_score = shares, score(shares)
     while True:
         options = [
-            _moved(best, giver, taker)
-            for giver, taker in permutations(range(len(best)), 2)
-            if best[giver] > 0
+            _moved(best, source, dest)
+            for source, dest in permutations(range(len(best)), 2)
+            if best[source] > 0
         ]
-        option = max(options, key=worth, default=best)
-        if worth(option) <= best_worth:
+        option = max(options, key=score, default=best)
+        if score(option) <= best_score:
             return best
-        best, best_worth = option, worth(option)
+        best, best_score = option, score(option)
 
 
-def _moved(shares, giver, taker):
+def _moved(shares, source, dest):
     moved = list(shares)
-    moved[giver] -= 1
-    moved[taker] += 1
+    moved[source] -= 1
+    moved[dest] += 1
     return moved
 
 
-def _share_chains(pools, layers, chains):
+def _apportion_chains(pools, layers, chains):
     """Share the chains out so that their mean rates are as equal as can be."""
     bounds = [compute_bound(pool, layers=layers) for pool in pools]
-    rooms = [sum(e.layer_capacity for e in pool) // layers for pool in pools]
+    capacities = [sum(e.layer_capacity for e in pool) // layers for pool in pools]
     shares = [0] * len(pools)
     for _ in range(chains):
-        open_pools = [i for i in range(len(pools)) if shares[i] < rooms[i]]
+        open_pools = [i for i in range(len(pools)) if shares[i] < capacities[i]]
         if not open_pools:
             break
         index = max(open_pools, key=lambda i: bounds[i] / (shares[i] + 1))
@@ -176,48 +181,50 @@
     return shares
 
 
-def _partition_pool(engines, chains, task):
+def _partition_pool(engines, chains, ctx):
     for wanted in range(chains, 0, -1):
-        groups = _partition_exactly(engines, wanted, task)
+        groups = _partition_exactly(engines, wanted, ctx)
         if groups:
             return groups
     return []
 
 
-def _partition_exactly(engines, chains, task):
-    layers, stages = task.layers, task.stages
+def _partition_exactly(engines, chains, ctx):
+    layers, stages = ctx.layers, ctx.stages
     if stages:
         options = [
             cover(engines, layers=layers, chains=chains, stages=stages)
-            for cover in (cover_evenly, cover_alike)
+            for cover in (cover_max_min_rate, cover_similar_engines)
         ]
-        return max(options, key=task.total_rate)
-    composed = _compose(engines, chains, task)
-    if composed and not task.search.polish:
+        return max(options, key=ctx.total_rate)
+    composed = _compose(engines, chains, ctx)
+    if composed and not ctx.search.local_search:
         return composed
-    even = cover_evenly(engines, layers=layers, chains=chains)
-    best = max(even, composed, key=task.total_rate)
-    return polish(best, engines, layers=layers) if task.search.polish else best
+    even = cover_max_min_rate(engines, layers=layers, chains=chains)
+    best = max(even, composed, key=ctx.total_rate)
+    return (
+        improve_pairs(best, engines, layers=layers) if ctx.search.local_search else best
+    )
 
 
-def _compose(engines, chains, task):
-    prices = task.prices
+def _compose(engines, chains, ctx):
+    prices = ctx.prices
     free = defaultdict(list)
     for engine in engines:
-        free[kind_of(engine)].append(engine)
+        free[engine_kind(engine)].append(engine)
     samples = {kind: members[0] for kind, members in free.items()}
     groups = []
     for left in range(chains, 1, -1):
         counts = {kind: len(members) for kind, members in free.items() if members}
-        worth = sum(count * prices.engines[kind] for kind, count in counts.items())
+        value = sum(count * prices.engines[kind] for kind, count in counts.items())
         composition = compose_chain(
             counts,
             samples,
-            layers=task.layers,
-            mean_rate=prices.chain + worth / left,
-            worths=prices.engines,
-            chain_worth=prices.chain,
-            rates_tried=task.search.rates_tried,
+            layers=ctx.layers,
+            mean_rate=prices.chain + value / left,
+            engine_prices=prices.engines,
+            chain_price=prices.chain,
+            rates_tried=ctx.search.rates_tried,
         )
         if composition is None:
             return []
@@ -226,5 +233,5 @@
             group += [free[kind].pop() for _ in range(count)]
         groups.append(group)
     rest = [engine for members in free.values() for engine in members]
-    last = [engine for engine, _ in split_layers(rest, task.layers)]
+    last = [engine for engine, _ in split_layers(rest, ctx.layers)]
     return [*groups, last] if last else []
--- a/wigeonscale/placement/planner.py
+++ b/wigeonscale/placement/planner.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from wigeonscale.placement.fresh import new_chains
+from wigeonscale.placement.create import create_chains
 from wigeonscale.placement.model import ChainPlan, EngineSpec, Plan
 from wigeonscale.placement.partition import FULL_SEARCH, QUICK_SEARCH
 from wigeonscale.placement.regroup import regroup_chains
@@ -14,7 +14,7 @@
 from wigeonscale.rules.model import Pipeline
 
 # Above this many engines the search is cut short, so that a plan takes a second.
-FULL_SEARCH_ENGINES = 256
+MAX_FULL_SEARCH_ENGINES = 256
 
 
 def plan_chains(
@@ -64,10 +64,10 @@
     """
     by_id = {engine.agent_id: engine for engine in engines}
     by_name = {pipeline.name: pipeline for pipeline in pipelines}
-    kept = [chain for chain in chains if _fits(chain, by_name, by_id)]
+    kept = [chain for chain in chains if _matches_pipeline(chain, by_name, by_id)]
     standing = repair_chains(kept, pipelines=by_name, engines=by_id)
     standing = _drop_surplus(standing, by_name, by_id)
-    search = FULL_SEARCH if len(engines) <= FULL_SEARCH_ENGINES else QUICK_SEARCH
+    search = FULL_SEARCH if len(engines) <= MAX_FULL_SEARCH_ENGINES else QUICK_SEARCH
     search = replace(search, domain_share=domain_share)
     standing = _add_missing(standing, pipelines, by_id, spares, search, load_new)
     standing = _name_chains(standing, base_index)
@@ -75,10 +75,10 @@
         standing = _regroup(
             standing, pipelines, by_id, search, base_index, rebuild_serving
         )
-    return _compare(chains, standing)
+    return _build_plan(chains, standing)
 
 
-def _fits(chain, by_name, by_id):
+def _matches_pipeline(chain, by_name, by_id):
     pipeline = by_name.get(chain.pipeline)
     if pipeline is None or chain.stages[-1].last_layer != pipeline.layers - 1:
         return False
@@ -105,7 +105,7 @@
     added = []
     for model, group in _by_model(pipelines).items():
         while any(missing[pipeline.name] > 0 for pipeline in group):
-            found = new_chains(
+            found = create_chains(
                 missing,
                 pipelines=group,
                 free=list(free[model].values()),
@@ -191,7 +191,7 @@
     return max(numbers)
 
 
-def _compare(chains, standing):
+def _build_plan(chains, standing):
     before = {chain.chain_id: chain for chain in chains}
     after = {chain.chain_id for chain in standing}
     standing = [_with_epoch(chain, before.get(chain.chain_id)) for chain in standing]
--- a/wigeonscale/placement/preload.py
+++ b/wigeonscale/placement/preload.py
@@ -10,7 +10,7 @@
 from wigeonscale.placement.loads import AnyChain, AnyStage
 
 # A spare in the failure domain of the stage it stands for may be lost with it.
-OWN_DOMAIN_PENALTY = 0.5
+SAME_DOMAIN_PENALTY = 0.5
 
 
 class Spare(Protocol):
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Kind:
+class _StageKind:
     """What stages have in common that one spare could replace."""
 
     model: str
@@ -70,34 +70,34 @@
         Cost O(stages + spares) for the first, and O(distinct stages of the model) for
         each one more.
     """
-    kinds = _kinds(chains, region_of)
+    kinds = _stages_by_kind(chains, region_of)
     by_range = defaultdict(list)
     for own in kinds.values():
         for kind, pairs in own.items():
             held = (kind.model, kind.region, kind.first_layer, kind.last_layer)
             by_range[held].append((kind, pairs))
-    covers = Counter()
-    waiting = []
+    holders = Counter()
+    unassigned = []
     for spare in sorted(spares, key=lambda s: (s.agent_id not in loading, s.agent_id)):
-        held = _held(spare, by_range, holds)
+        held = _held_kind(spare, by_range, holds)
         if held is None:
-            waiting.append(spare)
+            unassigned.append(spare)
         else:
-            covers[held] += 1
-    for spare in waiting:
-        best = _best_kind(spare, kinds, covers)
+            holders[held] += 1
+    for spare in unassigned:
+        best = _best_kind(spare, kinds, holders)
         if best is not None:
-            covers[best] += 1
+            holders[best] += 1
             yield spare, *kinds[best.model, best.region][best][0]
 
 
-def _kinds(chains, region_of):
+def _stages_by_kind(chains, region_of):
     """Return chains and stages that one spare could replace alike, in a fixed order."""
     kinds = defaultdict(lambda: defaultdict(list))
     for chain in sorted(chains, key=lambda chain: chain.chain_id):
         region = region_of(chain)
         for stage in chain.stages:
-            kind = _Kind(
+            kind = _StageKind(
                 chain.model,
                 region,
                 chain.version,
@@ -109,7 +109,7 @@
     return kinds
 
 
-def _held(spare, by_range, holds):
+def _held_kind(spare, by_range, holds):
     held = (spare.model, spare.region, spare.first_layer, spare.last_layer)
     for kind, pairs in by_range.get(held, ()):
         if holds(spare, *pairs[0]):
@@ -117,13 +117,13 @@
     return None
 
 
-def _best_kind(spare, kinds, covers):
+def _best_kind(spare, kinds, holders):
     own = kinds.get((spare.model, spare.region), {})
     fitting = [kind for kind in own if kind.layers <= spare.layer_capacity]
 
-    def use(kind):
+    def benefit(kind):
         domains = [stage.domain for _, stage in own[kind]]
-        apart = len(domains) - OWN_DOMAIN_PENALTY * domains.count(spare.domain)
-        return apart / (1 + covers[kind])
+        apart = len(domains) - SAME_DOMAIN_PENALTY * domains.count(spare.domain)
+        return apart / (1 + holders[kind])
 
-    return max(fitting, key=use, default=None)
+    return max(fitting, key=benefit, default=None)
--- a/wigeonscale/placement/rates.py
+++ b/wigeonscale/placement/rates.py
@@ -7,9 +7,9 @@
 """
 
 __all__ = [
-    "ROUNDING",
+    "RELATIVE_TOLERANCE",
     "chain_rate",
-    "layers_at",
+    "layers_at_rate",
     "split_layers",
     "stage_rate",
     "stage_rates",
@@ -22,19 +22,20 @@
 from wigeonscale.placement.model import EngineSpec, StagePlan
 
 # Guards floor(layer_rate / rate) against rounding of layer_rate / n.
-ROUNDING = 1e-9
+RELATIVE_TOLERANCE = 1e-9
 
 
-def stage_rate(engine: EngineSpec, layers: int, *, alone: bool = False) -> float:
+def stage_rate(engine: EngineSpec, layers: int, *, single_stage: bool = False) -> float:
     """Return the steps per second of ``layers`` layers on one engine.
 
     Args:
         engine: The engine.
         layers: Number of layers, at least 1.
-        alone: Whether the engine holds the whole model, so that no link counts.
+        single_stage: Whether the engine holds the whole model, so that its link is
+            not used.
     """
     rate = engine.layer_rate / layers
-    return rate if alone else min(rate, engine.link_rate)
+    return rate if single_stage else min(rate, engine.link_rate)
 
 
 def stage_rates(engines: Iterable[EngineSpec], layers: int) -> set[float]:
@@ -59,18 +60,20 @@
         stages: Stages of the chain.
         engines: Engines by agent id.
     """
-    alone = len(stages) == 1
+    single_stage = len(stages) == 1
     return min(
-        stage_rate(engines[stage.agent_id], stage.layers, alone=alone)
+        stage_rate(engines[stage.agent_id], stage.layers, single_stage=single_stage)
         for stage in stages
     )
 
 
-def layers_at(engine: EngineSpec, rate: float) -> int:
+def layers_at_rate(engine: EngineSpec, rate: float) -> int:
     """Return how many layers an engine carries at a chain rate, in a chain of many."""
-    if engine.link_rate < rate * (1 - ROUNDING):
+    if engine.link_rate < rate * (1 - RELATIVE_TOLERANCE):
         return 0
-    return min(engine.layer_capacity, int(engine.layer_rate / rate + ROUNDING))
+    return min(
+        engine.layer_capacity, int(engine.layer_rate / rate + RELATIVE_TOLERANCE)
+    )
 
 
 def split_layers(
@@ -78,7 +81,7 @@
     layers: int,
     *,
     stages: int = 0,
-    enough: float = math.inf,
+    rate_cap: float = math.inf,
 ) -> list[tuple[EngineSpec, int]]:
     """Split a model over engines so that the slowest stage is as fast as can be.
 
@@ -88,7 +91,7 @@
         engines: Engines that may be used.
         layers: Number of layers of the model.
         stages: Exact number of stages; 0 for free choice.
-        enough: Steps per second above which more speed is of no use.
+        rate_cap: Steps per second above which a higher rate has no use.
 
     Returns:
         Pairs of engine and number of layers, in no particular order; empty when the
@@ -100,10 +103,10 @@
         ``n``. Cost O(engines * capacity * log).
     """
     whole = _split_over_one(engines, layers) if stages in (0, 1) else []
-    many = [] if stages == 1 else _split_over_many(engines, layers, stages, enough)
+    many = [] if stages == 1 else _split_over_many(engines, layers, stages, rate_cap)
     if not whole or not many:
         return whole or many
-    whole_rate = stage_rate(whole[0][0], layers, alone=True)
+    whole_rate = stage_rate(whole[0][0], layers, single_stage=True)
     many_rate = min(stage_rate(engine, count) for engine, count in many)
     return whole if whole_rate >= many_rate else many
 
@@ -115,24 +118,24 @@
     return [(max(able, key=lambda engine: engine.layer_rate), layers)]
 
 
-def _split_over_many(engines, layers, stages, enough):
+def _split_over_many(engines, layers, stages, rate_cap):
     if stages > layers:
         return []
-    rates = sorted({min(rate, enough) for rate in stage_rates(engines, layers)})
+    rates = sorted({min(rate, rate_cap) for rate in stage_rates(engines, layers)})
 
-    def short(rate):
-        counts = _counts_at(engines, rate, stages)
+    def too_few_layers(rate):
+        counts = _layer_counts(engines, rate, stages)
         return sum(count for count, _ in counts) < layers or (len(counts) < stages)
 
     # Fewer layers fit at a higher rate: find the last rate that is not short.
-    index = bisect.bisect_left(rates, True, key=short) - 1
+    index = bisect.bisect_left(rates, True, key=too_few_layers) - 1
     if index < 0:
         return []
-    return _trim(_counts_at(engines, rates[index], stages), layers, stages)
+    return _trim(_layer_counts(engines, rates[index], stages), layers, stages)
 
 
-def _counts_at(engines, rate, stages):
-    counts = [(layers_at(engine, rate), engine) for engine in engines]
+def _layer_counts(engines, rate, stages):
+    counts = [(layers_at_rate(engine, rate), engine) for engine in engines]
     counts = [pair for pair in counts if pair[0] > 0]
     counts.sort(key=lambda pair: -pair[0])
     return counts[:stages] if stages else counts
--- a/wigeonscale/placement/regroup.py
+++ b/wigeonscale/placement/regroup.py
@@ -6,22 +6,22 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from wigeonscale.placement.fresh import chains_of_splits, split_groups
+from wigeonscale.placement.assignment import assign_groups, split_with_head
+from wigeonscale.placement.create import chains_of_splits, split_groups
 from wigeonscale.placement.model import ChainPlan, EngineSpec
 from wigeonscale.placement.partition import Search, partition_engines
 from wigeonscale.placement.rates import chain_rate
 from wigeonscale.placement.repair import is_leaving, stages_of
-from wigeonscale.placement.seats import seat_chains, split_behind
 from wigeonscale.rules.model import Pipeline
 
 # Partitions tried for one new chain: with one chain rebuilt, and with several.
-SINGLE_TRIES = 16
-SEVERAL_TRIES = 4
+MAX_SINGLE_CHAIN_TRIES = 16
+MAX_MULTI_CHAIN_TRIES = 4
 # Most engines of one partition; bounds the cost of a plan.
-POOL_LIMIT = 256
+MAX_POOL_ENGINES = 256
 # A chain that serves is not rebuilt for replicas that together pass less than this
 # share of what the chains passed before.
-KEPT_RATE = 0.9
+MIN_KEPT_RATE_SHARE = 0.9
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Task:
+class _Context:
     """What stays the same for every selection of chains of one region."""
 
     pipelines: Sequence[Pipeline]
@@ -101,18 +101,19 @@
 
     Notes:
         Each step either makes a chain more or has a chain use fewer stages, so that
-        repeated planning comes to an end. At most ``SINGLE_TRIES`` partitions of one
-        chain and the free engines, and ``SEVERAL_TRIES`` of at most ``POOL_LIMIT``
-        engines, for each region; none when memory is short.
+        repeated planning terminates. Each region costs at most
+        ``MAX_SINGLE_CHAIN_TRIES`` partitions of one chain and the free engines, and
+        ``MAX_MULTI_CHAIN_TRIES`` of at most ``MAX_POOL_ENGINES`` engines; none when
+        there is too little memory.
     """
-    task = _Task(
+    ctx = _Context(
         pipelines=pipelines,
         missing=missing,
         engines=engines,
         search=search,
         rebuild_serving=rebuild_serving,
     )
-    for part in _by_region(task, chains):
+    for part in _by_region(ctx, chains):
         for chosen in _selections(part):
             step = _regroup(part, chosen)
             if step is not None:
@@ -120,29 +121,29 @@
     return None
 
 
-def _by_region(task, chains) -> Iterator[_Task]:
+def _by_region(ctx, chains) -> Iterator[_Context]:
     used = {stage.agent_id for chain in chains for stage in chain.stages}
     free = defaultdict(list)
-    for agent_id, engine in task.engines.items():
-        usable = engine.is_usable and engine.model == task.shape.model
+    for agent_id, engine in ctx.engines.items():
+        usable = engine.is_usable and engine.model == ctx.shape.model
         if usable and agent_id not in used:
             free[engine.region].append(engine)
-    own = [chain for chain in chains if chain.pipeline in task.names]
+    own = [chain for chain in chains if chain.pipeline in ctx.names]
     standing = defaultdict(list)
     for chain in own:
-        stages = task.own_engines(chain)
+        stages = ctx.own_engines(chain)
         # A changed announcement may have left the chain across regions.
-        alike = len({engine.region for engine in stages}) == 1
-        if alike and all(engine.is_usable for engine in stages):
+        one_region = len({engine.region for engine in stages}) == 1
+        if one_region and all(engine.is_usable for engine in stages):
             standing[stages[0].region].append(chain)
     waiting = {
         chain.pipeline
         for chain in own
-        if not is_leaving(chain, task.engines) and not task.serves(chain)
+        if not is_leaving(chain, ctx.engines) and not ctx.serves(chain)
     }
     for region, members in sorted(standing.items()):
         yield replace(
-            task, free=free[region], chains=members, waiting=frozenset(waiting)
+            ctx, free=free[region], chains=members, waiting=frozenset(waiting)
         )
 
 
@@ -151,27 +152,27 @@
     return held == (stage.first_layer, stage.last_layer)
 
 
-def _selections(task) -> Iterator[list[ChainPlan]]:
+def _selections(ctx) -> Iterator[list[ChainPlan]]:
     """Yield chains to rebuild together, the fewest and least costly first."""
-    layers = task.shape.layers
-    room = _memory(task.free, layers)
-    slack = {
-        chain.chain_id: _memory(task.pool([chain]), layers) - room - layers
-        for chain in task.chains
+    layers = ctx.shape.layers
+    free_layers = _memory(ctx.free, layers)
+    surplus_layers = {
+        chain.chain_id: _memory(ctx.pool([chain]), layers) - free_layers - layers
+        for chain in ctx.chains
     }
 
     def cost(chain):
-        spare = slack[chain.chain_id]
-        return (spare <= 0, task.serves(chain), -spare, chain.chain_id)
+        spare = surplus_layers[chain.chain_id]
+        return (spare <= 0, ctx.serves(chain), -spare, chain.chain_id)
 
-    ranked = sorted(task.chains, key=cost)
-    singles = [c for c in ranked if room + slack[c.chain_id] >= layers]
-    yield from ([chain] for chain in singles[:SINGLE_TRIES])
+    ranked = sorted(ctx.chains, key=cost)
+    singles = [c for c in ranked if free_layers + surplus_layers[c.chain_id] >= layers]
+    yield from ([chain] for chain in singles[:MAX_SINGLE_CHAIN_TRIES])
     tries = 0
     for count in range(2, len(ranked) + 1):
         chosen = ranked[:count]
-        total = room + sum(slack[chain.chain_id] for chain in chosen)
-        if tries == SEVERAL_TRIES or len(task.pool(chosen)) > POOL_LIMIT:
+        total = free_layers + sum(surplus_layers[chain.chain_id] for chain in chosen)
+        if tries == MAX_MULTI_CHAIN_TRIES or len(ctx.pool(chosen)) > MAX_POOL_ENGINES:
             return
         if total >= layers:
             tries += 1
@@ -182,74 +183,74 @@
     return sum(min(engine.layer_capacity, layers) for engine in engines)
 
 
-def _regroup(task, chosen):
+def _regroup(ctx, chosen):
     groups = partition_engines(
-        task.pool(chosen),
-        layers=task.shape.layers,
+        ctx.pool(chosen),
+        layers=ctx.shape.layers,
         chains=len(chosen) + 1,
-        stages=task.shape.stages,
-        search=task.search,
+        stages=ctx.shape.stages,
+        search=ctx.search,
     )
     if len(groups) <= len(chosen):
         return None
-    seats = seat_chains(groups, chosen)
-    if seats is None:
+    assignment = assign_groups(groups, chosen)
+    if assignment is None:
         return None
     rebuilt = [
-        _rebuild(task, chain, group)
-        for chain, group in zip(chosen, seats[0], strict=True)
+        _rebuild(ctx, chain, group)
+        for chain, group in zip(chosen, assignment[0], strict=True)
     ]
     if None in rebuilt:
         return None
-    added = _add(task, seats[1])
-    if not _is_worth_it(task, chosen, [*rebuilt, *added]):
+    added = _add(ctx, assignment[1])
+    if not _keeps_enough_rate(ctx, chosen, [*rebuilt, *added]):
         return None
-    now = [_may_rebuild(task, chain, chosen) for chain in chosen]
-    if all(now):
+    allowed = [_may_rebuild(ctx, chain, chosen) for chain in chosen]
+    if all(allowed):
         return Regrouping(tuple(rebuilt), added)
-    free = {engine.agent_id for engine in task.free}
+    free = {engine.agent_id for engine in ctx.free}
     step = tuple(
         after
-        for before, after, may in zip(chosen, rebuilt, now, strict=True)
+        for before, after, may in zip(chosen, rebuilt, allowed, strict=True)
         if may and _frees_memory(before, after, free)
     )
     return Regrouping(step) if step else None
 
 
-def _is_worth_it(task, before, after):
-    if not any(task.serves(chain) for chain in before):
+def _keeps_enough_rate(ctx, before, after):
+    if not any(ctx.serves(chain) for chain in before):
         return True
-    enough = KEPT_RATE * sum(chain.rate for chain in before)
-    return sum(chain.rate for chain in after) >= enough
+    min_rate = MIN_KEPT_RATE_SHARE * sum(chain.rate for chain in before)
+    return sum(chain.rate for chain in after) >= min_rate
 
 
-def _rebuild(task, chain, group):
-    shape = task.shape
-    head = task.engines[chain.stages[0].agent_id]
-    split = split_behind(head, group, shape.layers, stages=shape.stages)
+def _rebuild(ctx, chain, group):
+    shape = ctx.shape
+    head = ctx.engines[chain.stages[0].agent_id]
+    split = split_with_head(head, group, shape.layers, stages=shape.stages)
     if not split:
         return None
-    place = {stage.agent_id: n for n, stage in enumerate(chain.stages)}
-    last = len(place)
+    position = {stage.agent_id: n for n, stage in enumerate(chain.stages)}
+    last = len(position)
     # The others keep their order, so that less has to load.
-    tail = sorted(split[1:], key=lambda pair: place.get(pair[0].agent_id, last))
+    tail = sorted(split[1:], key=lambda pair: position.get(pair[0].agent_id, last))
     stages = tuple(stages_of([split[0], *tail], 0))
-    rate = chain_rate(stages, task.engines)
+    rate = chain_rate(stages, ctx.engines)
     return replace(chain, epoch=chain.epoch + 1, stages=stages, rate=rate)
 
 
-def _may_rebuild(task, chain, chosen):
+def _may_rebuild(ctx, chain, chosen):
     """Say whether a chain may stop serving now."""
-    if not task.serves(chain):
+    if not ctx.serves(chain):
         return True
-    if not task.rebuild_serving:
+    if not ctx.rebuild_serving:
         return False
     serving = [
         other
         for other in chosen
-        if other.pipeline == chain.pipeline and task.serves(other)
+        if other.pipeline == chain.pipeline and ctx.serves(other)
     ]
-    return chain is serving[0] and chain.pipeline not in task.waiting
+    return chain is serving[0] and chain.pipeline not in ctx.waiting
 
 
 def _frees_memory(before, after, free):
@@ -259,6 +260,6 @@
     return len(used) < len(own) and used <= own | free
 
 
-def _add(task, groups):
-    splits = split_groups(groups, task.shape)
-    return tuple(chains_of_splits(splits[:1], task.pipelines, task.missing))
+def _add(ctx, groups):
+    splits = split_groups(groups, ctx.shape)
+    return tuple(chains_of_splits(splits[:1], ctx.pipelines, ctx.missing))
--- a/wigeonscale/placement/repair.py
+++ b/wigeonscale/placement/repair.py
@@ -11,7 +11,7 @@
 
 # A spare slower than this share of the chain is taken only when no other fits, even
 # when it alone is in another failure domain.
-SLOW_SPARE = 0.5
+MIN_SPARE_RATE_SHARE = 0.5
 
 
 def is_alive(stage: StagePlan, engines: Mapping[str, EngineSpec]) -> bool:
@@ -56,16 +56,16 @@
     free = _free_engines(chains, engines)
     broken.sort(key=lambda chain: (_lost_layers(chain, engines), chain.chain_id))
     repaired = {}
-    waiting = []
+    unrepaired = []
     for chain in broken:
         if not _try_repair(chain, pipelines, engines, free, repaired):
-            waiting.append(chain)
-    while waiting:
-        donor = waiting.pop()
+            unrepaired.append(chain)
+    while unrepaired:
+        donor = unrepaired.pop()
         free |= _survivors(donor, engines)
-        waiting = [
+        unrepaired = [
             chain
-            for chain in waiting
+            for chain in unrepaired
             if not _try_repair(chain, pipelines, engines, free, repaired)
         ]
     lost_ids = {chain.chain_id for chain in broken} - repaired.keys()
@@ -138,10 +138,10 @@
             stages.append(stage)
             continue
         spare = _choose_spare(stage, candidates, chain.rate, lost_domains)
-        several = []
+        split = []
         if not pipeline.stages:
-            several = split_layers(candidates, stage.layers, enough=chain.rate)
-        found = _faster(spare, several, stage, chain.rate)
+            split = split_layers(candidates, stage.layers, rate_cap=chain.rate)
+        found = _choose_replacement(spare, split, stage, chain.rate)
         if not found:
             return None
         taken = {engine.agent_id for engine, _ in found}
@@ -167,7 +167,7 @@
         return (
             not loaded,
             engine.agent_id != stage.agent_id,
-            rate < SLOW_SPARE * target,
+            rate < MIN_SPARE_RATE_SHARE * target,
             engine.domain in lost_domains,
             -rate,
             engine.layer_capacity,
@@ -177,15 +177,15 @@
     return min(able, key=preference, default=None)
 
 
-def _faster(spare, several, stage, target):
+def _choose_replacement(spare, split, stage, target):
     """Return one spare, or several when one would slow the chain far more."""
     single = [(spare, stage.layers)] if spare else []
-    if not single or not several:
-        return single or several
+    if not single or not split:
+        return single or split
     one_rate = stage_rate(spare, stage.layers)
-    many_rate = min(stage_rate(engine, count) for engine, count in several)
-    if one_rate < SLOW_SPARE * target and many_rate > one_rate:
-        return several
+    many_rate = min(stage_rate(engine, count) for engine, count in split)
+    if one_rate < MIN_SPARE_RATE_SHARE * target and many_rate > one_rate:
+        return split
     return single
 
 
--- a/wigeonscale/placement/reuse.py
+++ b/wigeonscale/placement/reuse.py
@@ -35,7 +35,7 @@
     groups = []
     for region in sorted({region for region, _ in by_start}):
         while len(groups) < chains:
-            group = _follow(by_start, region, 0, layers, stages)
+            group = _find_sequence(by_start, region, 0, layers, stages)
             if not group:
                 break
             groups.append(group)
@@ -44,7 +44,7 @@
     return groups
 
 
-def _follow(by_start, region, first, layers, stages):
+def _find_sequence(by_start, region, first, layers, stages):
     """Return engines that hold the layers from ``first`` on, depth first."""
     dead_ends = set()
 
--- a/wigeonscale/placement/tests/test_bound.py
+++ b/wigeonscale/placement/tests/test_bound.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from wigeonscale.placement import hardware_bound, plan_chains
+from wigeonscale.placement.local_search import group_rate, improve_pairs, total_rate
 from wigeonscale.placement.partition import QUICK_SEARCH, Search, partition_engines
-from wigeonscale.placement.polish import group_rate, polish, total_rate
 from wigeonscale.placement.rates import split_layers, stage_rate
 from wigeonscale.placement.tests.test_planner import engine
 from wigeonscale.rules.model import Pipeline
@@ -31,7 +31,7 @@
 )
 
 
-def best_by_trial(engines, layers, chains):
+def best_by_enumeration(engines, layers, chains):
     """Return the best sum of rates over every assignment of layers to engines."""
     best = 0.0
     choices = [
@@ -48,8 +48,10 @@
                 if n and c == chain
             ]
             if sum(n for _, n in stages) == layers:
-                alone = len(stages) == 1
-                total += min(stage_rate(e, n, alone=alone) for e, n in stages)
+                single_stage = len(stages) == 1
+                total += min(
+                    stage_rate(e, n, single_stage=single_stage) for e, n in stages
+                )
         best = max(best, total)
     return best
 
@@ -59,7 +61,7 @@
     @given(POOLS.filter(lambda pool: len(pool) <= 4), st.integers(2, 6))
     def test_no_assignment_beats_the_bound(self, engines, layers):
         for chains in (1, 2):
-            best = best_by_trial(engines, layers, chains)
+            best = best_by_enumeration(engines, layers, chains)
             bound = hardware_bound(engines, layers=layers, chains=chains)
             self.assertLessEqual(best, bound * (1 + 1e-6))
 
@@ -86,7 +88,7 @@
     def test_split_is_the_best_there_is(self, engines, layers):
         split = split_layers(engines, layers)
         self.assertAlmostEqual(
-            best_by_trial(engines, layers, 1), group_rate(engines, layers)
+            best_by_enumeration(engines, layers, 1), group_rate(engines, layers)
         )
         if split:
             self.assertEqual(layers, sum(count for _, count in split))
@@ -129,7 +131,7 @@
         ]
         (group,) = partition_engines(engines, layers=8, chains=1)
         self.assertEqual({900.0}, {e.layer_rate for e in group})
-        search = Search(rates_tried=4, polish=True, domain_share=0.0)
+        search = Search(rates_tried=4, local_search=True, domain_share=0.0)
         (group,) = partition_engines(engines, layers=8, chains=1, search=search)
         self.assertEqual(1, len({e.domain for e in group}))
 
@@ -143,7 +145,7 @@
     def test_polish_never_lowers_the_rate(self):
         engines = [engine(n, layer_rate=300.0 * (1 + n % 3)) for n in range(9)]
         groups = [engines[0:3], engines[3:6]]
-        better = polish(groups, engines, layers=8)
+        better = improve_pairs(groups, engines, layers=8)
         self.assertGreater(total_rate(better, 8), total_rate(groups, 8))
         ids = [e.agent_id for group in better for e in group]
         self.assertEqual(len(set(ids)), len(ids))
--- a/wigeonscale/placement/tests/test_improve.py
+++ b/wigeonscale/placement/tests/test_improve.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from wigeonscale.placement import improve_chains, plan_chains
-from wigeonscale.placement.improve import GAIN
+from wigeonscale.placement.improve import MIN_REBUILD_GAIN
 from wigeonscale.placement.tests.test_planner import (
     SETTINGS,
     engine,
@@ -17,7 +17,7 @@
 from wigeonscale.testing import AsyncTestCase
 
 ROUNDS = 60
-PROOF = Pipeline(name="p", model="m", layers=12, replicas=2)
+TWELVE_LAYERS = Pipeline(name="p", model="m", layers=12, replicas=2)
 PIPELINES = st.lists(
     st.builds(
         Pipeline,
@@ -72,51 +72,53 @@
         super().setUp()
         # Two slow chains of three; as many fast engines joined since.
         self.engines = [engine(n, domain="d") for n in range(6)]
-        self.chains = list(first_chains([PROOF], self.engines))
+        self.chains = list(first_chains([TWELVE_LAYERS], self.engines))
         fast = [engine(n, domain="d", layer_rate=3000.0) for n in range(6, 12)]
         self.engines += fast
 
     def test_one_chain_at_a_time_keeps_id_and_head(self):
         first, second = self.chains
         self.assertEqual([250.0, 250.0], [first.rate, second.rate])
-        after, untouched = improve([PROOF], self.engines, self.chains)
+        after, untouched = improve([TWELVE_LAYERS], self.engines, self.chains)
         self.assertEqual(second, untouched)
-        self.assertGreaterEqual(after.rate, GAIN * first.rate)
+        self.assertGreaterEqual(after.rate, MIN_REBUILD_GAIN * first.rate)
         self.assertEqual(first.chain_id, after.chain_id)
         self.assertEqual(first.epoch + 1, after.epoch)
         self.assertEqual(first.stages[0].agent_id, after.stages[0].agent_id)
 
     def test_only_while_all_replicas_serve(self):
         serving = {self.chains[1].chain_id}
-        after = improve([PROOF], self.engines, self.chains, serving)
+        after = improve([TWELVE_LAYERS], self.engines, self.chains, serving)
         self.assertEqual(self.chains, after)
-        more = replace(PROOF, replicas=3)
+        more = replace(TWELVE_LAYERS, replicas=3)
         self.assertEqual(self.chains, improve([more], self.engines, self.chains))
-        one = replace(PROOF, replicas=1)
-        alone = self.chains[:1]
-        self.assertEqual(alone, improve([one], self.engines, alone))
+        one = replace(TWELVE_LAYERS, replicas=1)
+        only = self.chains[:1]
+        self.assertEqual(only, improve([one], self.engines, only))
 
     def test_not_while_an_engine_drains_or_is_lost(self):
         drained = [replace(self.engines[0], draining=True), *self.engines[1:]]
-        self.assertEqual(self.chains, improve([PROOF], drained, self.chains))
-        self.assertEqual(self.chains, improve([PROOF], self.engines[1:], self.chains))
+        self.assertEqual(self.chains, improve([TWELVE_LAYERS], drained, self.chains))
+        self.assertEqual(
+            self.chains, improve([TWELVE_LAYERS], self.engines[1:], self.chains)
+        )
 
     def test_not_for_a_small_gain(self):
         # With three of these for a layer each a chain would pass 300 instead of 250.
         engines = [replace(e, layer_rate=300.0) for e in self.engines[6:]]
         engines = self.engines[:6] + engines
-        self.assertEqual(self.chains, improve([PROOF], engines, self.chains))
+        self.assertEqual(self.chains, improve([TWELVE_LAYERS], engines, self.chains))
 
     def test_spares_stay_free(self):
-        after = improve([PROOF], self.engines, self.chains, spares=6)
+        after = improve([TWELVE_LAYERS], self.engines, self.chains, spares=6)
         self.assertEqual(self.chains, after)
 
     def test_one_chain_leaves_fast_engines_to_the_other(self):
         chains = self.chains
         for _ in range(ROUNDS):
-            chains = improve([PROOF], self.engines, chains)
+            chains = improve([TWELVE_LAYERS], self.engines, chains)
         for before, after in zip(self.chains, chains, strict=True):
-            self.assertGreaterEqual(after.rate, GAIN * before.rate)
+            self.assertGreaterEqual(after.rate, MIN_REBUILD_GAIN * before.rate)
 
     @SETTINGS
     @given(PIPELINES, late_pools(), st.integers(0, 2))
@@ -153,7 +155,7 @@
         for old, new in zip(before, after, strict=True):
             if old != new:
                 changed.append(new.pipeline)
-                self.assertGreaterEqual(new.rate, GAIN * old.rate)
+                self.assertGreaterEqual(new.rate, MIN_REBUILD_GAIN * old.rate)
                 self.assertEqual(old.chain_id, new.chain_id)
                 self.assertEqual(old.epoch + 1, new.epoch)
                 self.assertEqual(old.stages[0].agent_id, new.stages[0].agent_id)
--- a/wigeonscale/placement/tests/test_regroup.py
+++ b/wigeonscale/placement/tests/test_regroup.py
@@ -17,7 +17,7 @@
 from wigeonscale.testing import AsyncTestCase
 
 ROUNDS = 20
-PROOF = Pipeline(name="p", model="m", layers=12, replicas=2)
+TWELVE_LAYERS = Pipeline(name="p", model="m", layers=12, replicas=2)
 
 
 def plan(pipelines, engines, chains, index=1, **options):
@@ -41,9 +41,9 @@
 
 class RegroupTest(AsyncTestCase):
     def test_late_engines_make_the_missing_replica(self):
-        pipelines = [PROOF]
+        pipelines = [TWELVE_LAYERS]
         engines = [engine(n, domain=f"d{n % 3}") for n in range(6)]
-        one = replace(PROOF, replicas=1)
+        one = replace(TWELVE_LAYERS, replicas=1)
         for loaded in (False, True):
             (before,) = plan([one], engines[:4], ()).chains
             self.assertEqual(4, len(before.stages))
@@ -62,9 +62,9 @@
     def test_serving_chains_are_rebuilt_one_at_a_time(self):
         # Three chains of four; each holds one engine that a fourth chain needs.
         engines = [engine(n, domain="d") for n in range(12)]
-        chains = plan([replace(PROOF, replicas=3)], engines, ()).chains
+        chains = plan([replace(TWELVE_LAYERS, replicas=3)], engines, ()).chains
         self.assertEqual([4, 4, 4], [len(chain.stages) for chain in chains])
-        four = [replace(PROOF, replicas=4)]
+        four = [replace(TWELVE_LAYERS, replicas=4)]
         engines = load(engines, chains)
         for index in range(2, ROUNDS):
             after = plan(four, engines, chains, index)
@@ -81,30 +81,34 @@
 
     def test_serving_chain_is_left_alone_when_told_or_not_worth_it(self):
         engines = [engine(n, domain="d") for n in range(6)]
-        (before,) = plan([replace(PROOF, replicas=1)], engines[:4], ()).chains
+        (before,) = plan([replace(TWELVE_LAYERS, replicas=1)], engines[:4], ()).chains
         known = load(engines, [before])
-        told = plan([PROOF], known, [before], 2, rebuild_serving=False)
+        told = plan([TWELVE_LAYERS], known, [before], 2, rebuild_serving=False)
         self.assertEqual((before,), told.chains)
         slow = [replace(spec, layer_rate=10.0) for spec in known[4:]]
-        self.assertEqual((before,), plan([PROOF], known[:4] + slow, [before]).chains)
+        self.assertEqual(
+            (before,), plan([TWELVE_LAYERS], known[:4] + slow, [before]).chains
+        )
         # One that does not serve yet has nothing to lose.
         slow = [replace(spec, layer_rate=10.0) for spec in engines[4:]]
-        after = plan([PROOF], engines[:4] + slow, [before], rebuild_serving=False)
+        after = plan(
+            [TWELVE_LAYERS], engines[:4] + slow, [before], rebuild_serving=False
+        )
         self.assertEqual(2, len(after.chains))
 
     def test_without_loads_only_loaded_engines_make_chains(self):
         engines = [engine(n, domain="d") for n in range(6)]
-        (loaded,) = plan([replace(PROOF, replicas=1)], engines[:3], ()).chains
-        self.assertEqual((), plan([PROOF], engines, (), load_new=False).chains)
+        (loaded,) = plan([replace(TWELVE_LAYERS, replicas=1)], engines[:3], ()).chains
+        self.assertEqual((), plan([TWELVE_LAYERS], engines, (), load_new=False).chains)
         known = load(engines, [loaded])
-        (only,) = plan([PROOF], known, (), load_new=False).chains
+        (only,) = plan([TWELVE_LAYERS], known, (), load_new=False).chains
         self.assertEqual(loaded.stages, only.stages)
 
     def test_heads_that_met_in_one_group_part(self):
         # Both chains have their heads in the domain that a new group prefers.
         engines = [engine(n, domain="ab"[n % 2]) for n in range(12)]
         chains = [self.crossing(engines, 0), self.crossing(engines, 4)]
-        after = plan([replace(PROOF, replicas=3)], engines, chains, 2)
+        after = plan([replace(TWELVE_LAYERS, replicas=3)], engines, chains, 2)
         self.assertEqual(3, len(after.chains))
         heads = [chain.stages[0].agent_id for chain in after.chains]
         self.assertEqual(["e0", "e4"], heads[:2])
@@ -116,13 +120,16 @@
 
     def test_chain_whose_engine_drains_is_not_rebuilt(self):
         engines = [engine(n, domain="d") for n in range(6)]
-        (before,) = plan([replace(PROOF, replicas=1)], engines[:4], ()).chains
+        (before,) = plan([replace(TWELVE_LAYERS, replicas=1)], engines[:4], ()).chains
         engines[3] = replace(engines[3], draining=True)
-        after = plan([PROOF], engines, [before], 2)
+        after = plan([TWELVE_LAYERS], engines, [before], 2)
         self.assertIn(before, after.chains)
 
     def test_chains_of_two_pipelines_share_their_engines(self):
-        pipelines = [replace(PROOF, replicas=1), replace(PROOF, name="q", replicas=1)]
+        pipelines = [
+            replace(TWELVE_LAYERS, replicas=1),
+            replace(TWELVE_LAYERS, name="q", replicas=1),
+        ]
         engines = [engine(n, domain="d") for n in range(6)]
         before = plan(pipelines[:1], engines[:4], ()).chains
         after = plan(pipelines, engines, before, 2)
