--- a/wigeonscale/dispatch/silence.py
+++ b/wigeonscale/dispatch/keepalive.py
@@ -1,6 +1,6 @@
 """Detection of a connection that went silent."""
 
-__all__ = ["SilenceLimits", "until_silent"]
+__all__ = ["KeepaliveLimits", "wait_unresponsive"]
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -12,26 +12,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SilenceLimits:
+class KeepaliveLimits:
     """When a connection counts as silent.
 
     Attributes:
-        interval_s: Seconds between two looks.
-        missed_pings: Pings in a row without any word from the agent.
-        word_looks: Looks after which the agent is told by a ping that this entry
-            still listens, although the agent is heard.
-        second_connection_looks: Looks for any word on a second connection before
-            the agent itself counts as gone.
+        interval_s: Seconds between two checks.
+        max_missed_pings: Consecutive unanswered pings after which the connection
+            counts as dead.
+        max_checks_without_ping: Checks after which a ping tells the agent that this
+            entry is still there, even while the agent keeps sending.
+        reconnect_checks: Checks that wait for the first event on a new connection
+            before the agent itself counts as gone.
     """
 
     interval_s: float = 0.25
-    missed_pings: int = 3
-    word_looks: int = 4
-    second_connection_looks: int = 2
+    max_missed_pings: int = 3
+    max_checks_without_ping: int = 4
+    reconnect_checks: int = 2
 
 
-async def until_silent(
-    link: "AgentLink", *, clock: Clock, limits: SilenceLimits
+async def wait_unresponsive(
+    link: "AgentLink", *, clock: Clock, limits: KeepaliveLimits
 ) -> None:
     """Return when the link has been silent although it was asked for a word.
 
@@ -45,21 +46,21 @@
     """
     missed = 0
     pinged = False
-    unasked = 0
+    checks_since_ping = 0
     while True:
         if not link.busy.is_set():
             missed, pinged = 0, False
             await link.busy.wait()
-        heard = link.events_heard
+        received = link.events_received
         await clock.sleep(limits.interval_s)
-        if link.events_heard != heard:
+        if link.events_received != received:
             missed, pinged = 0, False
-            unasked += 1
-            if unasked < limits.word_looks:
+            checks_since_ping += 1
+            if checks_since_ping < limits.max_checks_without_ping:
                 continue
         missed += pinged
-        unasked = 0
-        if missed == limits.missed_pings:
+        checks_since_ping = 0
+        if missed == limits.max_missed_pings:
             return
         link.ping()
         pinged = True
