--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -15,7 +15,7 @@
 from bench.placement_pools import SEED, deployments
 from bench.report import Figure
 from wigeonscale.control.planning import plan_placement
-from wigeonscale.control.settling import Settling
+from wigeonscale.control.settle_timer import SettleTimer
 from wigeonscale.placement import (
     ChainPlan,
     EngineSpec,
@@ -134,7 +134,7 @@
     def __init__(self, *, scene: Scene, way: Way):
         self.scene = scene
         self.clock = _Clock()
-        self.settling = Settling(
+        self.settling = SettleTimer(
             clock=self.clock, settle_s=way.settle_s, rebuild_after_s=REBUILD_AFTER_S
         )
         self.engines: dict[str, EngineSpec] = {}
--- a/wigeonscale/control/__init__.py
+++ b/wigeonscale/control/__init__.py
@@ -5,31 +5,31 @@
     "ChangeFeed",
     "Commands",
     "ControlServicer",
-    "EntryCount",
+    "EntryCounter",
     "Hub",
-    "Joining",
-    "LayerKeeper",
+    "LayerAssigner",
     "Liveness",
     "PlacementLoop",
     "Registry",
+    "ReplicaMembership",
     "Watcher",
+    "forward_suspicion",
     "probe_agent",
-    "run_expiry",
-    "tell_replica",
+    "run_claim_expiry",
 ]
 
 from wigeonscale.control.admin import Admin
+from wigeonscale.control.claim_expiry import run_claim_expiry
 from wigeonscale.control.commands import Commands
-from wigeonscale.control.entry_count import EntryCount
-from wigeonscale.control.expiry import run_expiry
+from wigeonscale.control.entry_counter import EntryCounter
 from wigeonscale.control.feed import ChangeFeed
 from wigeonscale.control.hub import Hub
-from wigeonscale.control.joining import Joining
-from wigeonscale.control.layer_keeper import LayerKeeper
+from wigeonscale.control.layer_assigner import LayerAssigner
 from wigeonscale.control.liveness import Liveness
 from wigeonscale.control.placement_loop import PlacementLoop
 from wigeonscale.control.probe import probe_agent
 from wigeonscale.control.registry import Registry
+from wigeonscale.control.replica_membership import ReplicaMembership
 from wigeonscale.control.service import ControlServicer
-from wigeonscale.control.suspicion import tell_replica
+from wigeonscale.control.suspicion import forward_suspicion
 from wigeonscale.control.watcher import Watcher
--- a/wigeonscale/control/announcing.py
+++ b/wigeonscale/control/announcing.py
@@ -39,7 +39,7 @@
         if watcher.announcement is None:
             began = clock.now()
             await clock.sleep(MOVED_CHECK_S)
-            if watcher.heard_at > began and hub.is_elsewhere(watcher):
+            if watcher.last_message_at > began and hub.is_elsewhere(watcher):
                 watcher.announcement = watcher.announced
         while watcher.announcement is not None:
             await _commit(node_id, watcher, hub, commands, clock)
--- a/wigeonscale/control/expiry.py
+++ b/wigeonscale/control/claim_expiry.py
@@ -1,6 +1,6 @@
 """Expires claims by age while this replica leads."""
 
-__all__ = ["run_expiry"]
+__all__ = ["run_claim_expiry"]
 
 import logging
 
@@ -18,7 +18,7 @@
 logger = logging.getLogger(__name__)
 
 
-async def run_expiry(
+async def run_claim_expiry(
     *,
     state: ControlState,
     replica: Replica,
--- a/wigeonscale/control/entry_count.py
+++ b/wigeonscale/control/entry_counter.py
@@ -1,6 +1,6 @@
 """Keeps the replicated record of attached entries right."""
 
-__all__ = ["EntryCount"]
+__all__ = ["EntryCounter"]
 
 import logging
 import weakref
@@ -21,7 +21,7 @@
 logger = logging.getLogger(__name__)
 
 
-class EntryCount:
+class EntryCounter:
     """Notes the entries attached here, and as leader the loss of replicas.
 
     Args:
@@ -31,8 +31,9 @@
         hub: Its watch hub.
         commands: Way of commands to the log.
         clock: Clock port.
-        away_s: Time without word after which an entry is not counted, in seconds.
-        grace_s: Silence after which a replica counts as lost, in seconds.
+        entry_timeout_s: Time without a message after which an entry is no longer
+            counted, in seconds.
+        replica_timeout_s: Silence after which a replica counts as lost, in seconds.
 
     Notes:
         One command per interval in which something changed; none otherwise.
@@ -47,8 +48,8 @@
         hub: Hub,
         commands: Commands,
         clock: Clock,
-        away_s: float,
-        grace_s: float,
+        entry_timeout_s: float,
+        replica_timeout_s: float,
     ):
         self._node_id = node_id
         self._state = state
@@ -56,8 +57,8 @@
         self._hub = hub
         self._commands = commands
         self._clock = clock
-        self._away_s = away_s
-        self._grace_s = grace_s
+        self._away_s = entry_timeout_s
+        self._grace_s = replica_timeout_s
         self._noted: weakref.WeakSet[Watcher] = weakref.WeakSet()
         self._away_since: dict[str, float] = {}
 
@@ -84,9 +85,9 @@
         streams = [
             watcher
             for watcher in self._hub.watchers
-            if watcher.is_entry and now - watcher.heard_at < self._away_s
+            if watcher.is_entry and now - watcher.last_message_at < self._away_s
         ]
-        streams.sort(key=lambda watcher: watcher.heard_at)
+        streams.sort(key=lambda watcher: watcher.last_message_at)
         return {watcher.node_id: watcher for watcher in streams}
 
     def _own(self, streams) -> Iterator[wire.CountEntries]:
--- a/wigeonscale/control/hub.py
+++ b/wigeonscale/control/hub.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 
 from wigeonscale.control.feed import ChangeFeed
-from wigeonscale.control.load_board import LoadBoard
+from wigeonscale.control.load_aggregator import LoadAggregator
 from wigeonscale.control.orders import load_orders
 from wigeonscale.control.watcher import Watcher
 from wigeonscale.errors import ErrorKind
@@ -54,7 +54,7 @@
     ):
         self.watchers: set[Watcher] = set()
         self.feed = ChangeFeed(state=state)
-        self.board = LoadBoard(watchers=self.watchers, clock=clock)
+        self.load_aggregator = LoadAggregator(watchers=self.watchers, clock=clock)
         self._node_id = node_id
         self._state = state
         self._replica = replica
@@ -246,7 +246,7 @@
         if watcher.is_entry:
             grant.entries = len(self._state.entries)
         if watcher.loads is not None:
-            grant.loads.CopyFrom(self.board.total())
+            grant.loads.CopyFrom(self.load_aggregator.total())
         grant.control.extend(member.address for member in self._replica.members())
         return grant
 
--- a/wigeonscale/control/layer_keeper.py
+++ b/wigeonscale/control/layer_assigner.py
@@ -1,6 +1,6 @@
 """The leader's orders to engines without an agent: which layers each shall hold."""
 
-__all__ = ["LayerKeeper", "model_size"]
+__all__ = ["LayerAssigner", "model_size"]
 
 import asyncio
 import functools
@@ -60,7 +60,7 @@
     is_begun: bool = False
 
 
-class LayerKeeper:
+class LayerAssigner:
     """Keeps the layers of every model covered, while this replica leads.
 
     Args:
--- a/wigeonscale/control/liveness.py
+++ b/wigeonscale/control/liveness.py
@@ -47,7 +47,7 @@
             probe says, in seconds; no shorter than the lease, in which an agent
             replaces a silent connection.
         lease_s: Time of the freshness lease, in seconds.
-        tell_replica: Passes a suspicion on to the replica at an address; returns
+        forward_suspicion: Passes a suspicion on to the replica at an address; returns
             whether that replica took it.
         probe: Asks the agent at an address itself.
         metrics: Where ended incarnations are counted.
@@ -64,7 +64,7 @@
         clock: Clock,
         down_after_s: float,
         lease_s: float,
-        tell_replica: Callable[[str, wire.Suspect], Awaitable[bool]],
+        forward_suspicion: Callable[[str, wire.Suspect], Awaitable[bool]],
         probe: Probe,
         metrics: Metrics = METRICS,
     ):
@@ -79,7 +79,7 @@
         # Long enough for every agent of a lost replica to attach elsewhere.
         self._grace_s = down_after_s + lease_s
         self._suspect_silence_s = lease_s * SUSPECT_SILENCE_SHARE
-        self._tell_replica = tell_replica
+        self._tell_replica = forward_suspicion
         self._probe = probe
         self._probes = Probes(probe=probe, clock=clock, on_answer=self.wake)
         self._metrics = metrics
@@ -183,7 +183,7 @@
             silent_s = now - self._absent_since.setdefault(name, now)
         else:
             self._absent_since.pop(name, None)
-            silent_s = now - watcher.heard_at
+            silent_s = now - watcher.last_message_at
         if silent_s >= self._down_after_s:
             return "stream-gone" if watcher is None else "silent"
         cause = self._cause_by_probe(member, watcher, silent_s)
@@ -213,7 +213,7 @@
         suspected_at = self._suspected_at.get(name)
         if suspected_at is None:
             return False
-        if watcher is not None and watcher.heard_at > suspected_at:
+        if watcher is not None and watcher.last_message_at > suspected_at:
             del self._suspected_at[name]
             return False
         return True
--- a/wigeonscale/control/load_board.py
+++ b/wigeonscale/control/load_aggregator.py
@@ -8,7 +8,7 @@
 most. Soft state: nothing here is committed, and what is old counts for nothing.
 """
 
-__all__ = ["LoadBoard"]
+__all__ = ["LoadAggregator"]
 
 from collections.abc import Iterable
 
@@ -24,7 +24,7 @@
 MILLISECONDS = 1000.0
 
 
-class LoadBoard:
+class LoadAggregator:
     """Loads of the entries attached here, and of those at other replicas.
 
     Args:
@@ -43,30 +43,30 @@
         # to a follower, by node id with their arrival.
         self._told: dict[str, tuple[float, wire.Loads]] = {}
 
-    def own(self) -> wire.Loads:
+    def local_total(self) -> wire.Loads:
         """Return the sum over the entries attached here."""
         now = self._clock.now()
         return _sum(
-            (watcher.loads, now - watcher.heard_at)
+            (watcher.loads, now - watcher.last_message_at)
             for watcher in self._watchers
-            if watcher.loads is not None and watcher.heard_at >= now - FRESH_S
+            if watcher.loads is not None and watcher.last_message_at >= now - FRESH_S
         )
 
-    def total(self, *, without: str = "") -> wire.Loads:
+    def total(self, *, exclude: str = "") -> wire.Loads:
         """Return the sum over all entries as far as known here.
 
         Args:
-            without: Node id of a replica whose entries are left out.
+            exclude: Node id of a replica whose entries are left out.
         """
         now = self._clock.now()
         others = [
             (loads, now - told_at)
             for node_id, (told_at, loads) in self._told.items()
-            if told_at >= now - FRESH_S and node_id != without
+            if told_at >= now - FRESH_S and node_id != exclude
         ]
-        return _sum([(self.own(), 0.0), *others])
+        return _sum([(self.local_total(), 0.0), *others])
 
-    def take(self, node_id: str, data: bytes) -> None:
+    def receive(self, node_id: str, data: bytes) -> None:
         """Take in what another replica told of entries that are not attached here.
 
         Args:
@@ -79,7 +79,7 @@
             return
         self._told[node_id] = self._clock.now(), loads
 
-    def forget(self, kept: Iterable[str]) -> None:
+    def retain(self, kept: Iterable[str]) -> None:
         """Forget replicas that are no longer heard in this term.
 
         Args:
--- a/wigeonscale/control/placement_loop.py
+++ b/wigeonscale/control/placement_loop.py
@@ -15,7 +15,7 @@
     plan_placement,
     without_engines,
 )
-from wigeonscale.control.settling import Settling
+from wigeonscale.control.settle_timer import SettleTimer
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.ports import Clock
 from wigeonscale.replication import Replica, Role
@@ -68,7 +68,7 @@
         self._clock = clock
         self._options = {"spares": spares, "domain_share": domain_share}
         self._engines = Engines(state=state)
-        self._settling = Settling(
+        self._settling = SettleTimer(
             clock=clock, settle_s=settle_s, rebuild_after_s=rebuild_after_s
         )
         self._drain_s = drain_s
--- a/wigeonscale/control/joining.py
+++ b/wigeonscale/control/replica_membership.py
@@ -6,7 +6,7 @@
 three replicas changes nothing.
 """
 
-__all__ = ["Joining", "member_to_remove"]
+__all__ = ["ReplicaMembership", "member_to_remove"]
 
 import asyncio
 import logging
@@ -75,7 +75,7 @@
     return max(silent, key=silent.get)
 
 
-class Joining:
+class ReplicaMembership:
     """Asks to be a member, and as leader takes members in and out.
 
     Args:
--- a/wigeonscale/control/service.py
+++ b/wigeonscale/control/service.py
@@ -11,8 +11,8 @@
 from wigeonscale.control.announcing import keep_announced
 from wigeonscale.control.commands import Commands
 from wigeonscale.control.hub import Hub
-from wigeonscale.control.joining import Joining
 from wigeonscale.control.liveness import Liveness
+from wigeonscale.control.replica_membership import ReplicaMembership
 from wigeonscale.control.watcher import Watcher
 from wigeonscale.ports import Clock
 from wigeonscale.replication import Replica
@@ -35,7 +35,7 @@
         commands: Way of commands to the log.
         liveness: Judge of agents that fell silent.
         clock: Clock port.
-        joining: Takes in new replicas; None where the settings name them all.
+        membership: Admits new replicas; None where the settings list all replicas.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         commands: Commands,
         liveness: Liveness,
         clock: Clock,
-        joining: Joining | None = None,
+        membership: ReplicaMembership | None = None,
     ):
         self._node_id = node_id
         self._replica = replica
@@ -55,7 +55,7 @@
         self._commands = commands
         self._liveness = liveness
         self._clock = clock
-        self._joining = joining
+        self._membership = membership
 
     async def Watch(self, request_iterator, context):  # noqa: N802
         """Serve one watcher until its stream ends."""
@@ -113,15 +113,15 @@
 
     async def Join(self, request, context):  # noqa: N802
         """Answer a replica that asks to be a member."""
-        if self._joining is None:
+        if self._membership is None:
             await context.abort(
                 grpc.StatusCode.UNIMPLEMENTED, "the settings name all replicas"
             )
-        return await self._joining.answer(request)
+        return await self._membership.answer(request)
 
     async def _read(self, watcher, requests: AsyncIterator):
         async for req in requests:
-            watcher.heard_at = self._clock.now()
+            watcher.last_message_at = self._clock.now()
             try:
                 self._handle(watcher, req)
             except Exception:
@@ -131,7 +131,7 @@
         match req.WhichOneof("body"):
             case "heartbeat":
                 watcher.applied_revision = req.heartbeat.applied_revision
-                watcher.unanswered = (req.heartbeat, watcher.heard_at)
+                watcher.unanswered = (req.heartbeat, watcher.last_message_at)
                 if req.heartbeat.HasField("loads"):
                     watcher.loads = req.heartbeat.loads
                 watcher.wake.set()
--- a/wigeonscale/control/settling.py
+++ b/wigeonscale/control/settle_timer.py
@@ -1,6 +1,6 @@
 """Lets announcements settle before chains are planned from them."""
 
-__all__ = ["Settling"]
+__all__ = ["SettleTimer"]
 
 import math
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 LONGEST_WAIT = 10
 
 
-class Settling:
+class SettleTimer:
     """Knows since when no engine has come or gone.
 
     Engines that start together announce themselves one after the other. Chains made
--- a/wigeonscale/control/suspicion.py
+++ b/wigeonscale/control/suspicion.py
@@ -1,6 +1,6 @@
 """Passes a suspicion on to the replica that an agent is attached to."""
 
-__all__ = ["tell_replica"]
+__all__ = ["forward_suspicion"]
 
 import asyncio
 import logging
@@ -17,7 +17,7 @@
 logger = logging.getLogger(__name__)
 
 
-async def tell_replica(
+async def forward_suspicion(
     node_id: str,
     address: str,
     suspicion: wire.Suspect,
--- a/wigeonscale/control/tests/keeper.py
+++ b/wigeonscale/control/tests/keeper.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import defaultdict
 
-from wigeonscale.control import Commands, LayerKeeper
+from wigeonscale.control import Commands, LayerAssigner
 from wigeonscale.control.tests.support import StandInReplica
 from wigeonscale.ports.orders import EngineStatus, OrderOutcome
 from wigeonscale.routes import Accelerator, EngineProfile, RouteTable, Service
@@ -74,7 +74,7 @@
         )
         self.addCleanup(self.commands.close)
         self.fresh = True
-        self.keeper = LayerKeeper(
+        self.keeper = LayerAssigner(
             state=self.state,
             replica=self.replica,
             clock=self.clock,
--- a/wigeonscale/control/tests/support.py
+++ b/wigeonscale/control/tests/support.py
@@ -114,7 +114,7 @@
             clock=self.clock,
             down_after_s=DOWN_AFTER_S,
             lease_s=LEASE_S,
-            tell_replica=self._tell,
+            forward_suspicion=self._tell,
             probe=self._probe,
             metrics=self.metrics,
         )
--- a/wigeonscale/control/tests/test_expiry.py
+++ b/wigeonscale/control/tests/test_claim_expiry.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from wigeonscale.control import run_expiry
+from wigeonscale.control import run_claim_expiry
 from wigeonscale.control.tests.support import Parts
 from wigeonscale.errors import ErrorKind
 from wigeonscale.replication import Role
@@ -19,7 +19,7 @@
         await parts.announce("a")
         await self.claim(parts, "old")
         task = asyncio.create_task(
-            run_expiry(
+            run_claim_expiry(
                 state=parts.state,
                 replica=parts.replica,
                 commands=parts.commands,
--- a/wigeonscale/control/tests/test_entry_count.py
+++ b/wigeonscale/control/tests/test_entry_counter.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from wigeonscale.control import EntryCount
+from wigeonscale.control import EntryCounter
 from wigeonscale.control.tests.support import DOWN_AFTER_S, LEASE_S, Parts
 from wigeonscale.state import ControlState
 from wigeonscale.testing import AsyncTestCase
@@ -16,15 +16,15 @@
         self.parts = Parts()
         self.addCleanup(self.parts.hub.close)
         self.parts.replica.silences = {"c2": 0.0}
-        count = EntryCount(
+        count = EntryCounter(
             node_id="c1",
             state=self.parts.state,
             replica=self.parts.replica,
             hub=self.parts.hub,
             commands=self.parts.commands,
             clock=self.parts.clock,
-            away_s=DOWN_AFTER_S,
-            grace_s=GRACE_S,
+            entry_timeout_s=DOWN_AFTER_S,
+            replica_timeout_s=GRACE_S,
         )
         task = asyncio.create_task(count.run())
 
@@ -38,7 +38,7 @@
         end = self.parts.clock.now() + seconds
         while self.parts.clock.now() < end - 1e-9:
             for watcher in heard:
-                watcher.heard_at = self.parts.clock.now()
+                watcher.last_message_at = self.parts.clock.now()
             await self.parts.clock.advance(0.25)
 
     async def noted_elsewhere(self, *names):
--- a/wigeonscale/control/tests/test_layer_keeper_load.py
+++ b/wigeonscale/control/tests/test_layer_assigner_load.py
@@ -1,6 +1,6 @@
 """Thousands of engines, and a new leader after a loss of all control."""
 
-from wigeonscale.control import layer_keeper
+from wigeonscale.control import layer_assigner
 from wigeonscale.control.tests.keeper import KeeperCase
 from wigeonscale.ports.orders import OrderOutcome
 
@@ -56,14 +56,14 @@
 
     async def test_each_domain_is_looked_at_once(self):
         looks = []
-        is_whole = layer_keeper._is_whole
+        is_whole = layer_assigner._is_whole
 
         def counted(backends, domain, layers):
             looks.append(domain)
             return is_whole(backends, domain, layers)
 
-        layer_keeper._is_whole = counted
-        self.addCleanup(setattr, layer_keeper, "_is_whole", is_whole)
+        layer_assigner._is_whole = counted
+        self.addCleanup(setattr, layer_assigner, "_is_whole", is_whole)
         await self.announce_all(*[f"e{number}" for number in range(self.ENGINES)])
         await self.clock.advance(1.2)
         self.assertTrue(len(self.engines.orders) > 50)
--- a/wigeonscale/control/tests/test_liveness.py
+++ b/wigeonscale/control/tests/test_liveness.py
@@ -32,7 +32,7 @@
         end = self.parts.clock.now() + seconds
         while self.parts.clock.now() < end - 1e-9:
             for watcher in heard:
-                watcher.heard_at = self.parts.clock.now()
+                watcher.last_message_at = self.parts.clock.now()
             await self.parts.clock.advance(CHECK_S)
 
     def lives(self, agent_id="a"):
@@ -78,7 +78,7 @@
         self.parts.probe_answer = ProbeAnswer.ANSWERED
         lost, silent = await self.parts.attach("a"), await self.parts.attach("b")
         await self.pass_time(1, lost, silent)
-        silent.heard_at = self.parts.clock.now()
+        silent.last_message_at = self.parts.clock.now()
         self.parts.hub.remove(lost)
         for _ in range(3):
             self.suspect("a")
@@ -93,7 +93,7 @@
         self.parts.probe_answer = ProbeAnswer.ANSWERED
         self.suspect()
         await self.pass_time(CHECK_S)
-        watcher.heard_at = self.parts.clock.now()
+        watcher.last_message_at = self.parts.clock.now()
         self.parts.probe_answer = ProbeAnswer.NOTHING
         await self.pass_time(CHECK_S)
         self.suspect()
@@ -103,7 +103,7 @@
     async def test_suspected_silent_agent_ends_after_two_heartbeats(self):
         watcher = await self.parts.attach("a")
         await self.pass_time(1, watcher)
-        watcher.heard_at = self.parts.clock.now()
+        watcher.last_message_at = self.parts.clock.now()
         self.suspect()
         await self.pass_time(1.0 - CHECK_S)
         self.assertTrue(self.lives())
--- a/wigeonscale/control/tests/test_load_board.py
+++ b/wigeonscale/control/tests/test_load_aggregator.py
@@ -1,5 +1,5 @@
 from wigeonscale.control import Watcher
-from wigeonscale.control.load_board import LoadBoard
+from wigeonscale.control.load_aggregator import LoadAggregator
 from wigeonscale.testing import AsyncTestCase, ManualClock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -26,7 +26,7 @@
         super().setUp()
         self.clock = ManualClock()
         self.watchers = set()
-        self.board = LoadBoard(watchers=self.watchers, clock=self.clock)
+        self.load_aggregator = LoadAggregator(watchers=self.watchers, clock=self.clock)
 
     def attach(self, name, told):
         watcher = Watcher(
@@ -39,30 +39,36 @@
         self.attach("one", loads(a=2, b=1))
         self.attach("two", loads(a=3))
         self.attach("agent", None)
-        self.assertEqual({"a": 5, "b": 1}, shown(self.board.own()))
-        self.assertEqual([50, 10], [x.token_layers for x in self.board.own().loads])
+        self.assertEqual({"a": 5, "b": 1}, shown(self.load_aggregator.local_total()))
+        self.assertEqual(
+            [50, 10], [x.token_layers for x in self.load_aggregator.local_total().loads]
+        )
 
     def test_total_with_those_of_other_replicas(self):
         self.attach("one", loads(a=2))
-        self.board.take("c2", loads(a=1, b=4).SerializeToString())
-        self.board.take("c3", loads(b=1).SerializeToString())
-        self.assertEqual({"a": 3, "b": 5}, shown(self.board.total()))
+        self.load_aggregator.receive("c2", loads(a=1, b=4).SerializeToString())
+        self.load_aggregator.receive("c3", loads(b=1).SerializeToString())
+        self.assertEqual({"a": 3, "b": 5}, shown(self.load_aggregator.total()))
         # What a replica told itself does not come back to it.
-        self.assertEqual({"a": 2, "b": 1}, shown(self.board.total(without="c2")))
+        self.assertEqual(
+            {"a": 2, "b": 1}, shown(self.load_aggregator.total(exclude="c2"))
+        )
 
     def test_sends_of_all_entries_add_up_by_service(self):
         sends = wire.ServiceSends(service="s", requests=20, further=3)
         self.attach("one", wire.Loads(sends=[sends]))
         self.attach("two", wire.Loads(sends=[sends]))
-        self.board.take("c2", wire.Loads(sends=[sends]).SerializeToString())
-        (total,) = self.board.total().sends
+        self.load_aggregator.receive(
+            "c2", wire.Loads(sends=[sends]).SerializeToString()
+        )
+        (total,) = self.load_aggregator.total().sends
         self.assertEqual(("s", 60, 9), (total.service, total.requests, total.further))
 
     def test_how_many_entries_told(self):
         self.attach("one", wire.Loads(tellers=1))
         self.attach("two", wire.Loads(tellers=1))
-        self.board.take("c2", wire.Loads(tellers=5).SerializeToString())
-        self.assertEqual(7, self.board.total().tellers)
+        self.load_aggregator.receive("c2", wire.Loads(tellers=5).SerializeToString())
+        self.assertEqual(7, self.load_aggregator.total().tellers)
 
     async def test_newest_answer_decides_a_limit(self):
         told = wire.NamedLimit(
@@ -71,14 +77,16 @@
         self.attach("one", wire.Loads(limits=[told]))
         await self.clock.advance(0.5)
         ended = wire.NamedLimit(backend_id="a", age_ms=1300, demands=demands(two=1))
-        self.board.take("c2", wire.Loads(limits=[ended]).SerializeToString())
-        (limit,) = self.board.total().limits
+        self.load_aggregator.receive(
+            "c2", wire.Loads(limits=[ended]).SerializeToString()
+        )
+        (limit,) = self.load_aggregator.total().limits
         self.assertEqual(demands(one=3, two=1), list(limit.demands))
         self.assertEqual((False, 1300), (limit.HasField("per_s"), limit.age_ms))
         # Told by one that had no answer itself, it is only wanted.
         wanted = wire.NamedLimit(backend_id="a", per_s=9, demands=demands(three=2))
         self.attach("three", wire.Loads(limits=[wanted]))
-        (limit,) = self.board.total().limits
+        (limit,) = self.load_aggregator.total().limits
         self.assertEqual(demands(one=3, three=2, two=1), list(limit.demands))
         self.assertFalse(limit.HasField("per_s"))
 
@@ -91,25 +99,25 @@
                 demands=demands(**{f"entry-{number}": 3}),
             )
             self.attach(f"entry-{number}", wire.Loads(limits=[limit]))
-        (total,) = self.board.total().limits
+        (total,) = self.load_aggregator.total().limits
         self.assertEqual(5, len(total.demands))
 
     async def test_what_is_old_counts_for_nothing(self):
         self.attach("one", loads(a=2))
-        self.board.take("c2", loads(a=1).SerializeToString())
+        self.load_aggregator.receive("c2", loads(a=1).SerializeToString())
         await self.clock.advance(3)
-        self.assertEqual({}, shown(self.board.total()))
+        self.assertEqual({}, shown(self.load_aggregator.total()))
 
     def test_newest_word_of_a_replica_counts_once(self):
         for count in (5, 1):
-            self.board.take("c2", loads(a=count).SerializeToString())
-        self.assertEqual({"a": 1}, shown(self.board.total()))
+            self.load_aggregator.receive("c2", loads(a=count).SerializeToString())
+        self.assertEqual({"a": 1}, shown(self.load_aggregator.total()))
 
     def test_garbled_word(self):
-        self.board.take("c2", b"\xff\xff")
-        self.assertEqual({}, shown(self.board.total()))
+        self.load_aggregator.receive("c2", b"\xff\xff")
+        self.assertEqual({}, shown(self.load_aggregator.total()))
 
     def test_forgotten_replicas(self):
-        self.board.take("c2", loads(a=1).SerializeToString())
-        self.board.forget([])
-        self.assertEqual({}, shown(self.board.total()))
+        self.load_aggregator.receive("c2", loads(a=1).SerializeToString())
+        self.load_aggregator.retain([])
+        self.assertEqual({}, shown(self.load_aggregator.total()))
--- a/wigeonscale/control/tests/test_joining.py
+++ b/wigeonscale/control/tests/test_replica_membership.py
@@ -1,7 +1,7 @@
 import asyncio
 
-from wigeonscale.control import Commands, Joining
-from wigeonscale.control.joining import member_to_remove
+from wigeonscale.control import Commands, ReplicaMembership
+from wigeonscale.control.replica_membership import member_to_remove
 from wigeonscale.control.tests.support import StandInReplica
 from wigeonscale.replication import Member, Role
 from wigeonscale.state import ControlState
@@ -76,7 +76,7 @@
         self.addCleanup(self.commands.close)
         self.asked = []
         self.replies = {}
-        self.joining = Joining(
+        self.joining = ReplicaMembership(
             node_id="a",
             address="a",
             seeds=["a", "b", "s"],
--- a/wigeonscale/control/tests/test_service.py
+++ b/wigeonscale/control/tests/test_service.py
@@ -6,7 +6,7 @@
 import grpc
 
 from wigeonscale.adapters.channels import open_channel
-from wigeonscale.control import Commands, tell_replica
+from wigeonscale.control import Commands, forward_suspicion
 from wigeonscale.control.tests.support import Parts, StandInReplica, handlers_ended
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.membership import ControlClient
@@ -164,9 +164,9 @@
     async def test_suspicion_is_taken_from_another_replica(self):
         await self.parts.announce("a")
         suspicion = wire.Suspect(agent_id="a", incarnation=1)
-        self.assertTrue(await tell_replica("c2", self.address, suspicion))
+        self.assertTrue(await forward_suspicion("c2", self.address, suspicion))
         self.assertIn(("a", 1), self.parts.liveness._suspected_at)
-        self.assertFalse(await tell_replica("c2", "127.0.0.1:1", suspicion))
+        self.assertFalse(await forward_suspicion("c2", "127.0.0.1:1", suspicion))
 
 
 class CommandsTest(ServiceCase):
--- a/wigeonscale/control/tests/test_settling.py
+++ b/wigeonscale/control/tests/test_settle_timer.py
@@ -1,6 +1,6 @@
 """When engines that come and go have settled."""
 
-from wigeonscale.control.settling import LONGEST_WAIT, Settling
+from wigeonscale.control.settle_timer import LONGEST_WAIT, SettleTimer
 from wigeonscale.placement import EngineSpec
 from wigeonscale.testing import AsyncTestCase, ManualClock
 
@@ -12,7 +12,7 @@
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
-        self.settling = Settling(
+        self.settling = SettleTimer(
             clock=self.clock, settle_s=SETTLE_S, rebuild_after_s=REBUILD_AFTER_S
         )
 
--- a/wigeonscale/control/watcher.py
+++ b/wigeonscale/control/watcher.py
@@ -57,7 +57,7 @@
         self.document_number = hello.known_document
         self.crashes_index = hello.known_crashes
         self.applied_revision = hello.known_revision
-        self.heard_at = clock.now()
+        self.last_message_at = clock.now()
         self.incarnation = 0
         self.announcement: wire.Backend | None = None
         self.announced: wire.Backend | None = None
--- a/wigeonscale/daemons/control.py
+++ b/wigeonscale/daemons/control.py
@@ -16,13 +16,13 @@
     Admin,
     Commands,
     ControlServicer,
-    EntryCount,
+    EntryCounter,
     Hub,
     Liveness,
     PlacementLoop,
+    forward_suspicion,
     probe_agent,
-    run_expiry,
-    tell_replica,
+    run_claim_expiry,
 )
 from wigeonscale.daemons.runtime import StopStep, run_until_stopped
 from wigeonscale.ports import Clock, SystemClock
@@ -96,7 +96,9 @@
             clock=clock,
             down_after_s=cfg.down_after_s,
             lease_s=cfg.lease_s,
-            tell_replica=functools.partial(tell_replica, cfg.name, tls=cfg.tls),
+            forward_suspicion=functools.partial(
+                forward_suspicion, cfg.name, tls=cfg.tls
+            ),
             probe=functools.partial(probe_agent, tls=cfg.tls),
         )
         self._liveness_task: asyncio.Task | None = None
@@ -155,22 +157,22 @@
             rebuild_after_s=cfg.rebuild_after_s,
             drain_s=cfg.drain_s,
         )
-        expiry = run_expiry(
+        expiry = run_claim_expiry(
             state=self.state,
             replica=self.replica,
             commands=self.commands,
             clock=self._clock,
             claim_age_s=cfg.claim_age_s,
         )
-        entry_count = EntryCount(
+        entry_count = EntryCounter(
             node_id=cfg.name,
             state=self.state,
             replica=self.replica,
             hub=self.hub,
             commands=self.commands,
             clock=self._clock,
-            away_s=cfg.down_after_s,
-            grace_s=cfg.down_after_s + cfg.lease_s,
+            entry_timeout_s=cfg.down_after_s,
+            replica_timeout_s=cfg.down_after_s + cfg.lease_s,
         )
         async with asyncio.TaskGroup() as group:
             group.create_task(self.replica.run())
--- a/wigeonscale/daemons/direct_control.py
+++ b/wigeonscale/daemons/direct_control.py
@@ -16,11 +16,11 @@
 from wigeonscale.control import (
     Commands,
     ControlServicer,
-    EntryCount,
+    EntryCounter,
     Hub,
-    Joining,
-    LayerKeeper,
+    LayerAssigner,
     Registry,
+    ReplicaMembership,
 )
 from wigeonscale.control.numbered_documents import NumberedDocuments
 from wigeonscale.daemons.runtime import (
@@ -113,7 +113,7 @@
             probe=orders.probe,
             has_service=self._has_service,
         )
-        self.joining = Joining(
+        self.membership = ReplicaMembership(
             node_id=address,
             address=address,
             seeds=seeds,
@@ -129,7 +129,7 @@
             clock=clock,
             answer_s=cfg.answer_s,
         )
-        self._keeper = LayerKeeper(
+        self._keeper = LayerAssigner(
             state=self.state,
             replica=self.replica,
             clock=clock,
@@ -138,15 +138,15 @@
             table=self.table,
             is_fresh=self.hub.is_fresh,
         )
-        self._entry_count = EntryCount(
+        self._entry_count = EntryCounter(
             node_id=address,
             state=self.state,
             replica=self.replica,
             hub=self.hub,
             commands=self.commands,
             clock=clock,
-            away_s=cfg.lease_s,
-            grace_s=2 * cfg.lease_s,
+            entry_timeout_s=cfg.lease_s,
+            replica_timeout_s=2 * cfg.lease_s,
         )
         self._servicer = ControlServicer(
             node_id=address,
@@ -155,23 +155,23 @@
             commands=self.commands,
             liveness=self.registry,
             clock=clock,
-            joining=self.joining,
+            membership=self.membership,
         )
 
     def to_peer(self, node_id: str) -> bytes:
         """Return the loads that another replica lacks: soft state of the log."""
         is_leader = self.replica.role is Role.LEADER
-        board = self.hub.board
-        loads = board.total(without=node_id) if is_leader else board.own()
+        board = self.hub.load_aggregator
+        loads = board.total(exclude=node_id) if is_leader else board.local_total()
         return loads.SerializeToString()
 
     def from_peer(self, node_id: str, data: bytes) -> None:
         """Take in the loads that another replica told."""
-        board = self.hub.board
+        board = self.hub.load_aggregator
         if self.replica.role is not Role.LEADER:
             # The leader's sum holds those of the other followers.
-            board.forget([])
-        board.take(node_id, data)
+            board.retain([])
+        board.receive(node_id, data)
 
     def table(self) -> RouteTable:
         """Return the route table in force here, read once a document."""
@@ -204,7 +204,7 @@
             group.create_task(self.replica.run())
             group.create_task(self._entry_count.run())
             group.create_task(self.registry.run())
-            group.create_task(self.joining.run())
+            group.create_task(self.membership.run())
             group.create_task(self._keeper.run())
             group.create_task(self._serve_pages())
 
@@ -215,7 +215,7 @@
             seeds: Addresses of their HTTP pages.
         """
         port = self._cfg.internal_port
-        self.joining.follow_seeds([internal_address(seed, port) for seed in seeds])
+        self.membership.follow_seeds([internal_address(seed, port) for seed in seeds])
 
     async def stop(self) -> None:
         """Hand over leadership, then stop serving; watchers move elsewhere."""
--- a/wigeonscale/daemons/tests/named_limits.py
+++ b/wigeonscale/daemons/tests/named_limits.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 
 from wigeonscale.control import Watcher
-from wigeonscale.control.load_board import LoadBoard
+from wigeonscale.control.load_aggregator import LoadAggregator
 from wigeonscale.daemons.load_words import take_totals, told_loads
 from wigeonscale.direct.stream import relay_stream
 from wigeonscale.direct.tests.fakes import FakeStream, Sink
@@ -93,7 +93,7 @@
         self._rng = random.Random(1)
         self.has_leader = True
         watchers = [[] for _ in range(replicas)]
-        self._boards = [LoadBoard(watchers=w, clock=self.clock) for w in watchers]
+        self._boards = [LoadAggregator(watchers=w, clock=self.clock) for w in watchers]
         engines = [engine(f"i-{name}", 0, 10, domain=name) for name in DOMAINS]
         self._entries = []
         for number in range(count):
@@ -198,15 +198,15 @@
             if self.has_leader:
                 for number, board in enumerate(followers):
                     name = f"control-{number}"
-                    leader.take(name, board.own().SerializeToString())
-                    total = leader.total(without=name).SerializeToString()
-                    board.take("leader", total)
+                    leader.receive(name, board.local_total().SerializeToString())
+                    total = leader.total(exclude=name).SerializeToString()
+                    board.receive("leader", total)
             await self.clock.sleep(PASS_ON_S)
 
     async def _speak(self, around, watcher, board, begins_s):
         await self.clock.sleep(begins_s)
         while True:
             watcher.loads = told_loads(around)
-            watcher.heard_at = self.clock.now()
+            watcher.last_message_at = self.clock.now()
             take_totals(around, board.total())
             await self.clock.sleep(WORD_S)
--- a/wigeonscale/lab/fleet.py
+++ b/wigeonscale/lab/fleet.py
@@ -2,7 +2,7 @@
 
 __all__ = ["planned_engines"]
 
-from wigeonscale.control.layer_keeper import model_size
+from wigeonscale.control.layer_assigner import model_size
 from wigeonscale.direct.fleet import BackendServer
 from wigeonscale.lab.engines import EngineModel
 from wigeonscale.lab.scenario import Scenario
