--- a/wigeonscale/control/__init__.py
+++ b/wigeonscale/control/__init__.py
@@ -19,10 +19,10 @@
 ]
 
 from wigeonscale.control.admin import Admin
+from wigeonscale.control.change_feed import ChangeFeed
 from wigeonscale.control.claim_expiry import run_claim_expiry
 from wigeonscale.control.commands import Commands
 from wigeonscale.control.entry_counter import EntryCounter
-from wigeonscale.control.feed import ChangeFeed
 from wigeonscale.control.hub import Hub
 from wigeonscale.control.layer_assigner import LayerAssigner
 from wigeonscale.control.liveness import Liveness
--- a/wigeonscale/control/admin.py
+++ b/wigeonscale/control/admin.py
@@ -12,12 +12,12 @@
 from aiohttp import web
 from google.protobuf import json_format
 
-from wigeonscale.control.commands import Commands
-from wigeonscale.control.documents import (
+from wigeonscale.control.admin_requests import (
     ApplyRequest,
     DrainRequest,
     RollbackRequest,
 )
+from wigeonscale.control.commands import Commands
 from wigeonscale.control.hub import Hub
 from wigeonscale.control.rule_changes import apply_command, rollback_command
 from wigeonscale.errors import (
@@ -151,12 +151,12 @@
         return web.json_response({"revisions": revisions})
 
     async def _apply(self, req):
-        body = await _read(req, ApplyRequest)
+        body = await _read_body(req, ApplyRequest)
         self._require_leader()
         return await self._commit(await apply_command(self._state.configuration, body))
 
     async def _roll_back(self, req):
-        body = await _read(req, RollbackRequest)
+        body = await _read_body(req, RollbackRequest)
         self._require_leader()
         command = await rollback_command(self._state.configuration, body)
         return await self._commit(command)
@@ -215,11 +215,11 @@
         return web.json_response({"pipelines": pipelines})
 
     async def _drain(self, req):
-        body = await _read(req, DrainRequest)
+        body = await _read_body(req, DrainRequest)
         self._require_leader()
         drain = wire.DrainBackend(agent_id=body.agent_id, draining=body.draining)
-        word = "drain" if body.draining else "undrain"
-        operation_id = f"{body.operation_id}/{word}-{body.agent_id}"
+        action = "drain" if body.draining else "undrain"
+        operation_id = f"{body.operation_id}/{action}-{body.agent_id}"
         return await self._commit(wire.Command(operation_id=operation_id, drain=drain))
 
     # --------------------------------------------------------------- commit
@@ -228,10 +228,10 @@
         if self._replica.role is Role.LEADER:
             return
         leader = self._replica.leader_address
-        known = f"the leader is {leader}" if leader else "no leader is known"
+        hint = f"the leader is {leader}" if leader else "no leader is known"
         raise WigeonscaleError(
             ErrorKind.NOT_LEADER,
-            f"{self._node_id} does not lead; {known}",
+            f"{self._node_id} does not lead; {hint}",
             retry_after=DEFAULT_RETRY_S,
         )
 
@@ -244,7 +244,7 @@
         return web.json_response({"revision": result.revision, "index": result.index})
 
 
-async def _read(req: web.Request, model: type[pydantic.BaseModel]):
+async def _read_body(req: web.Request, model: type[pydantic.BaseModel]):
     data = bytearray()
     async for chunk in req.content.iter_any():
         data += chunk
--- a/wigeonscale/control/announcing.py
+++ b/wigeonscale/control/announcements.py
@@ -1,6 +1,6 @@
 """Commits what an attached agent announces."""
 
-__all__ = ["keep_announced"]
+__all__ = ["commit_announcements"]
 
 import logging
 
@@ -11,15 +11,15 @@
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
-RETRY_S = 0.2
+RETRY_DELAY_S = 0.2
 # An agent that another replica committed last may have moved there; the one to
 # which it still speaks after this long holds it.
-MOVED_CHECK_S = 1.0
+MOVED_CHECK_DELAY_S = 1.0
 
 logger = logging.getLogger(__name__)
 
 
-async def keep_announced(
+async def commit_announcements(
     *, node_id: str, watcher: Watcher, hub: Hub, commands: Commands, clock: Clock
 ) -> None:
     """Commit the announcements of one agent's stream until cancelled.
@@ -36,36 +36,36 @@
     while True:
         await watcher.announce_wake.wait()
         watcher.announce_wake.clear()
-        if watcher.announcement is None:
+        if watcher.pending_announcement is None:
             began = clock.now()
-            await clock.sleep(MOVED_CHECK_S)
-            if watcher.last_message_at > began and hub.is_elsewhere(watcher):
-                watcher.announcement = watcher.announced
-        while watcher.announcement is not None:
+            await clock.sleep(MOVED_CHECK_DELAY_S)
+            if watcher.last_message_at > began and hub.is_attached_elsewhere(watcher):
+                watcher.pending_announcement = watcher.announced
+        while watcher.pending_announcement is not None:
             await _commit(node_id, watcher, hub, commands, clock)
 
 
 async def _commit(node_id, watcher, hub, commands, clock):
-    backend = watcher.announcement
+    backend = watcher.pending_announcement
     if hub.agent(watcher.node_id, backend.incarnation) is not watcher:
         # A newer stream of the same agent speaks for it.
-        watcher.announcement = None
+        watcher.pending_announcement = None
         return
     command = wire.Command(announce=wire.Announce(backend=backend, replica=node_id))
     try:
-        if not hub.shows(backend):
+        if not hub.is_committed(backend):
             await commands.submit(command)
     except WigeonscaleError as exc:
         if not _is_final(exc, backend, watcher):
-            await clock.sleep(RETRY_S)
+            await clock.sleep(RETRY_DELAY_S)
             return
-    if watcher.announcement is backend:
-        watcher.announcement = None
+    if watcher.pending_announcement is backend:
+        watcher.pending_announcement = None
 
 
 def _is_final(exc, backend, watcher):
     if exc.kind is ErrorKind.STALE_INCARNATION:
-        watcher.ended = backend.incarnation
+        watcher.ended_incarnation = backend.incarnation
         watcher.wake.set()
         return True
     logger.warning("announcement of %s: %s", backend.agent_id, exc.message)
--- a/wigeonscale/control/backend_checks.py
+++ b/wigeonscale/control/backend_health.py
@@ -1,6 +1,6 @@
 """Judges backend servers whose heartbeats stay away, and those that others suspect."""
 
-__all__ = ["BackendChecks"]
+__all__ = ["BackendHealthChecker"]
 
 import asyncio
 import logging
@@ -9,7 +9,7 @@
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.control.commands import Commands
-from wigeonscale.control.heard import Heard, log_change
+from wigeonscale.control.last_heartbeat import LastHeartbeat, log_backend_change
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.ports import Clock, EngineSign, ProbeAnswer
 from wigeonscale.replication import Replica, Role
@@ -17,28 +17,28 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 # Heartbeats that may be missing; two can be lost to one broken connection.
-MISSING_HEARTBEATS = 3
+MAX_MISSED_HEARTBEATS = 3
 CHECKS_PER_HEARTBEAT = 4
 # A backend that an entry suspects, or whose heartbeats stay away, gets this many
 # probes before it counts as silent: the way of its heartbeats may be cut, not the
 # engine lost.
-PROBES = 2
-PROBE_PAUSE_S = 0.1
+PROBE_ATTEMPTS = 2
+PROBE_RETRY_S = 0.1
 # One that answered is not asked again for a mere hint before this long: many entries
 # see the same path stand still, and a probe costs some engines 5 ms of work.
-HINT_AGAIN_S = 1.0
+HINT_PROBE_INTERVAL_S = 1.0
 # One that is slow is asked this often whether it still is.
-SLOW_AGAIN_S = 1.0
+SLOW_PROBE_INTERVAL_S = 1.0
 # Factors on an engine's usual times below which it counts as usual: reports of busy but
 # sound ones say 1.
-SLOW_PACE = 1.5
-MOST_SLOWNESS = 64
+MIN_SLOW_PACE = 1.5
+MAX_SLOWNESS = 64
 
 
 logger = logging.getLogger(__name__)
 
 
-class BackendChecks:
+class BackendHealthChecker:
     """Probes backends, and commits which are silent and which are slow.
 
     Args:
@@ -50,7 +50,7 @@
         heartbeat_s: Interval of the backends' heartbeats, in seconds.
         probe: Asks the backend at an address whether it is there, and whether it is
             the one that started at that Unix millisecond.
-        heard: Last heartbeats by name; an answer to a probe counts as one.
+        last_heartbeats: Last heartbeats by name; an answer to a probe counts as one.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         clock: Clock,
         heartbeat_s: float,
         probe: Callable[[str, int], Awaitable[EngineSign]],
-        heard: dict[str, Heard],
+        last_heartbeats: dict[str, LastHeartbeat],
     ):
         self._node_id = node_id
         self._state = state
@@ -71,23 +71,27 @@
         self._commands = commands
         self._clock = clock
         self._heartbeat_s = heartbeat_s
-        self._silent_after_s = MISSING_HEARTBEATS * heartbeat_s
+        self._silent_after_s = MAX_MISSED_HEARTBEATS * heartbeat_s
         self._probe = probe
-        self._heard = heard
-        self._suspected: dict[str, asyncio.Task] = {}
-        self._answered_at: dict[str, float] = {}
-        self._began_at = clock.now()
-        self._lost_since: dict[str, float] = {}
+        self._last_heartbeats = last_heartbeats
+        self._running_checks: dict[str, asyncio.Task] = {}
+        self._last_answer_at: dict[str, float] = {}
+        self._started_at = clock.now()
+        self._replica_lost_since: dict[str, float] = {}
 
-    def suspect(self, req: wire.Suspect, *, came_from: str) -> None:
+    def suspect(self, req: wire.Suspect, *, source_role: str) -> None:
         """Probe a backend that does not answer an entry.
 
         Args:
             req: Names the backend.
-            came_from: Role of the process that suspects it.
+            source_role: Role of the process that suspects it.
         """
         member = self._state.members.get(req.agent_id)
-        if member is None or member.backend.silent or req.agent_id in self._suspected:
+        if (
+            member is None
+            or member.backend.silent
+            or req.agent_id in self._running_checks
+        ):
             return
         if req.incarnation not in (0, member.backend.incarnation):
             logger.info(
@@ -98,64 +102,64 @@
                 ),
             )
             return
-        if req.is_hint and self._answered_lately(req.agent_id):
+        if req.is_hint and self._answered_recently(req.agent_id):
             return
         logger.info(
             "%s is suspected by an %s",
             req.agent_id,
-            came_from,
+            source_role,
             extra=log_fields(is_hint=req.is_hint),
         )
-        self._begin_check(member)
+        self._start_check(member)
 
-    def _answered_lately(self, name: str) -> bool:
-        answered_at = self._answered_at.get(name, float("-inf"))
-        return self._clock.now() - answered_at < HINT_AGAIN_S
+    def _answered_recently(self, name: str) -> bool:
+        answered_at = self._last_answer_at.get(name, float("-inf"))
+        return self._clock.now() - answered_at < HINT_PROBE_INTERVAL_S
 
     async def run(self) -> None:
         """Judge until cancelled."""
         try:
             while True:
                 await self._clock.sleep(self._heartbeat_s / CHECKS_PER_HEARTBEAT)
-                self._note_lost_replicas()
-                self._forget_old_answers()
-                for member in self._due():
-                    self._begin_check(member)
+                self._update_lost_replicas()
+                self._expire_answers()
+                for member in self._members_to_check():
+                    self._start_check(member)
         finally:
-            tasks = list(self._suspected.values())
+            tasks = list(self._running_checks.values())
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _forget_old_answers(self) -> None:
-        self._answered_at = {
+    def _expire_answers(self) -> None:
+        self._last_answer_at = {
             name: at
-            for name, at in self._answered_at.items()
-            if self._clock.now() - at < HINT_AGAIN_S
+            for name, at in self._last_answer_at.items()
+            if self._clock.now() - at < HINT_PROBE_INTERVAL_S
         }
 
-    def _due(self) -> list[Member]:
+    def _members_to_check(self) -> list[Member]:
         """Return the members here that were not heard for too long."""
         return [
             member
             for member in self._state.members
             if not member.backend.silent
-            and member.backend.agent_id not in self._suspected
-            and self._judges(member.replica)
+            and member.backend.agent_id not in self._running_checks
+            and self._is_responsible_for(member.replica)
             and (
                 self._silence_s(member) > self._silent_after_s
-                or self._is_slow_still(member)
+                or self._is_slowness_check_due(member)
             )
         ]
 
-    def _is_slow_still(self, member: Member) -> bool:
+    def _is_slowness_check_due(self, member: Member) -> bool:
         """Return whether it is time to ask a slow backend again."""
         if not member.backend.slowness:
             return False
-        asked_at = self._answered_at.get(member.backend.agent_id, float("-inf"))
-        return self._clock.now() - asked_at >= SLOW_AGAIN_S
+        asked_at = self._last_answer_at.get(member.backend.agent_id, float("-inf"))
+        return self._clock.now() - asked_at >= SLOW_PROBE_INTERVAL_S
 
-    def _note_lost_replicas(self) -> None:
+    def _update_lost_replicas(self) -> None:
         """Keep since when each replica with backends has been lost to this leader."""
         now = self._clock.now()
         lost = {
@@ -165,53 +169,55 @@
             and self._replica.role is Role.LEADER
             and self._replica.peer_silence(name) > self._silent_after_s
         }
-        self._lost_since = {name: self._lost_since.get(name, now) for name in lost}
+        self._replica_lost_since = {
+            name: self._replica_lost_since.get(name, now) for name in lost
+        }
 
-    def _judges(self, replica: str) -> bool:
-        return replica == self._node_id or replica in self._lost_since
+    def _is_responsible_for(self, replica: str) -> bool:
+        return replica == self._node_id or replica in self._replica_lost_since
 
     def _silence_s(self, member: Member) -> float:
         """Return for how long a backend had the chance to be heard here and was not.
 
         Those of a lost replica need a heartbeat or two to find another one.
         """
-        heard = self._heard.get(member.backend.agent_id)
-        since = self._lost_since.get(member.replica, self._began_at)
-        return self._clock.now() - max(since, heard.at if heard else since)
+        last = self._last_heartbeats.get(member.backend.agent_id)
+        since = self._replica_lost_since.get(member.replica, self._started_at)
+        return self._clock.now() - max(since, last.received_at if last else since)
 
-    def _begin_check(self, member: Member) -> None:
+    def _start_check(self, member: Member) -> None:
         name = member.backend.agent_id
         task = asyncio.create_task(self._check(member))
-        self._suspected[name] = task
-        task.add_done_callback(lambda _: self._suspected.pop(name, None))
+        self._running_checks[name] = task
+        task.add_done_callback(lambda _: self._running_checks.pop(name, None))
 
     async def _check(self, member: Member) -> None:
         name, started_ms = member.backend.agent_id, member.backend.started_ms
-        for _ in range(PROBES):
+        for _ in range(PROBE_ATTEMPTS):
             sign = await self._probe(member.backend.address, started_ms)
             answer = sign.answer
             if answer is ProbeAnswer.ANSWERED:
-                self._note_answer(name, started_ms, member.sequence)
-                await self._note_pace(name, started_ms, sign.pace)
+                self._record_answer(name, started_ms, member.sequence)
+                await self._update_slowness(name, started_ms, sign.pace)
                 return
             if answer in (ProbeAnswer.REFUSED, ProbeAnswer.REPLACED):
                 # Nothing listens there, or a later start: this incarnation has ended,
                 # and all that goes through it stands still until that is known.
                 break
-            await self._clock.sleep(PROBE_PAUSE_S)
+            await self._clock.sleep(PROBE_RETRY_S)
         await self._mark_silent(member)
 
-    def _note_answer(self, name: str, started_ms: int, sequence: int) -> None:
+    def _record_answer(self, name: str, started_ms: int, sequence: int) -> None:
         """Take an answer to a probe for a heartbeat, unless a later one came."""
         now = self._clock.now()
-        self._answered_at[name] = now
-        heard = self._heard.get(name)
-        if heard is None or heard.order <= (started_ms, sequence):
-            self._heard[name] = Heard(now, started_ms, sequence)
-        elif heard.started_ms == started_ms:
-            heard.at = now
+        self._last_answer_at[name] = now
+        last = self._last_heartbeats.get(name)
+        if last is None or last.sort_key <= (started_ms, sequence):
+            self._last_heartbeats[name] = LastHeartbeat(now, started_ms, sequence)
+        elif last.started_ms == started_ms:
+            last.received_at = now
 
-    async def _note_pace(self, name: str, started_ms: int, pace: float) -> None:
+    async def _update_slowness(self, name: str, started_ms: int, pace: float) -> None:
         """Tell the entries where an engine has become slow, or is so no more."""
         member = self._state.members.get(name)
         slowness = _slowness(pace)
@@ -222,15 +228,15 @@
         backend = wire.Backend()
         backend.CopyFrom(member.backend)
         backend.slowness = slowness
-        await self._commit_found(backend, member)
+        await self._commit_backend(backend, member)
 
     async def _mark_silent(self, member: Member) -> None:
         backend = wire.Backend()
         backend.CopyFrom(member.backend)
         backend.silent = True
-        await self._commit_found(backend, member)
+        await self._commit_backend(backend, member)
 
-    async def _commit_found(self, backend: wire.Backend, member: Member) -> None:
+    async def _commit_backend(self, backend: wire.Backend, member: Member) -> None:
         """Commit what a probe found of a backend."""
         command = wire.Announce(
             backend=backend, replica=member.replica, sequence=member.sequence
@@ -244,7 +250,7 @@
                 exc.message,
             )
             return
-        log_change(backend, member.sequence)
+        log_backend_change(backend, member.sequence)
 
 
 def _slowness(pace: float) -> int:
@@ -252,6 +258,6 @@
 
     So rounded, a pace that wavers costs few log entries.
     """
-    if pace < SLOW_PACE:
+    if pace < MIN_SLOW_PACE:
         return 0
-    return min(MOST_SLOWNESS, 2 ** round(math.log2(pace)))
+    return min(MAX_SLOWNESS, 2 ** round(math.log2(pace)))
--- a/wigeonscale/control/feed.py
+++ b/wigeonscale/control/change_feed.py
@@ -8,7 +8,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 # A watcher further behind than this many changes gets the whole membership.
-CHANGES_KEPT = 4096
+MAX_CHANGES = 4096
 
 
 class ChangeFeed:
@@ -20,7 +20,7 @@
 
     Args:
         state: The replicated state.
-        changes_kept: Changes kept for deltas.
+        max_changes: Changes kept for deltas.
 
     Attributes:
         index: Log index of the newest change seen.
@@ -29,10 +29,10 @@
         An update costs and weighs as much as what changed since the position.
     """
 
-    def __init__(self, *, state: ControlState, changes_kept: int = CHANGES_KEPT):
+    def __init__(self, *, state: ControlState, max_changes: int = MAX_CHANGES):
         self.index = state.index
         self._state = state
-        self._kept = changes_kept
+        self._max_changes = max_changes
         self._changes: deque[Change] = deque()
         # Every member change after this index is still kept.
         self._complete_after = state.index
@@ -53,11 +53,11 @@
             self._config_cache.clear()
             return
         if change.configuration:
-            self._forget_old_configs()
+            self._evict_old_configs()
         if not change.is_about_members:
             return
         self._changes.append(change)
-        if len(self._changes) > self._kept:
+        if len(self._changes) > self._max_changes:
             self._complete_after = self._changes.popleft().index
 
     def members_after(self, index: int | None) -> wire.MembersUpdate | None:
@@ -74,7 +74,7 @@
         is_known = index is not None and self._complete_after <= index <= self.index
         key = index if is_known else -1
         if key not in self._members_cache:
-            make = self._delta_after if is_known else self._whole_members
+            make = self._delta_after if is_known else self._full_members
             self._members_cache[key] = make(index)
         return self._members_cache[key]
 
@@ -93,8 +93,8 @@
         if revision >= configuration.revision:
             return []
         if revision < configuration.oldest_known or revision == 0:
-            return [self._whole_config()]
-        return [self._config(each) for each in configuration.after(revision)]
+            return [self._full_config()]
+        return [self._config_update(each) for each in configuration.after(revision)]
 
     def _delta_after(self, index):
         backends, chains = set(), set()
@@ -126,7 +126,7 @@
         else:
             update.chains.append(chain)
 
-    def _whole_members(self, _):
+    def _full_members(self, _):
         update = wire.MembersUpdate(full=True, index=self.index)
         update.chains.extend(self._state.chains)
         members = self._state.members
@@ -134,7 +134,7 @@
             update.backends.append(members.effective(member.backend.agent_id))
         return update
 
-    def _whole_config(self):
+    def _full_config(self):
         if 0 not in self._config_cache:
             configuration = self._state.configuration
             self._config_cache[0] = wire.ConfigUpdate(
@@ -144,7 +144,7 @@
             )
         return self._config_cache[0]
 
-    def _config(self, revision):
+    def _config_update(self, revision):
         if revision.number not in self._config_cache:
             self._config_cache[revision.number] = wire.ConfigUpdate(
                 base_revision=revision.number - 1,
@@ -154,7 +154,7 @@
             )
         return self._config_cache[revision.number]
 
-    def _forget_old_configs(self):
+    def _evict_old_configs(self):
         # Among them 0, the whole document, which is another after each change.
         oldest = self._state.configuration.oldest_known
         for number in [n for n in self._config_cache if n <= oldest]:
--- a/wigeonscale/control/claim_expiry.py
+++ b/wigeonscale/control/claim_expiry.py
@@ -11,9 +11,9 @@
 from wigeonscale.state import ControlState
 from wigeonscale.wire import wire_pb2 as wire
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 CHECKS_PER_AGE = 20
-LONGEST_INTERVAL_S = 60.0
+MAX_INTERVAL_S = 60.0
 
 logger = logging.getLogger(__name__)
 
@@ -35,12 +35,12 @@
         clock: Clock port.
         claim_age_s: Age since its last change at which a claim expires, in seconds.
     """
-    interval_s = min(claim_age_s / CHECKS_PER_AGE, LONGEST_INTERVAL_S)
+    interval_s = min(claim_age_s / CHECKS_PER_AGE, MAX_INTERVAL_S)
     while True:
         await clock.sleep(interval_s)
         if replica.role is not Role.LEADER:
             continue
-        before = int((clock.wall() - claim_age_s) * MILLISECONDS)
+        before = int((clock.wall() - claim_age_s) * MS_PER_S)
         oldest = state.claims.oldest_wall_ms()
         if oldest is None or oldest >= before:
             continue
--- a/wigeonscale/control/commands.py
+++ b/wigeonscale/control/commands.py
@@ -13,7 +13,7 @@
 from wigeonscale.replication import NotLeaderError, Replica
 from wigeonscale.wire import wire_pb2 as wire
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 FORWARD_TIMEOUT_S = 3.0
 
 
@@ -74,7 +74,7 @@
         name = command.WhichOneof("body") or "none"
         stamped = wire.Command()
         stamped.CopyFrom(command)
-        stamped.wall_ms = int(self._clock.wall() * MILLISECONDS)
+        stamped.wall_ms = int(self._clock.wall() * MS_PER_S)
         began = self._clock.now()
         try:
             result = await self._replica.propose(stamped.SerializeToString())
--- a/wigeonscale/control/engines.py
+++ b/wigeonscale/control/engine_specs.py
@@ -1,13 +1,13 @@
 """The engines as placement sees them, kept up to date by what changes."""
 
-__all__ = ["Engines"]
+__all__ = ["EngineSpecCache"]
 
 from wigeonscale.control.planning import engine_spec
 from wigeonscale.placement import EngineSpec
 from wigeonscale.state import Change, ControlState
 
 
-class Engines:
+class EngineSpecCache:
     """Holds a spec of each announced engine and reads again only what changed.
 
     Args:
@@ -25,7 +25,7 @@
         self._all_stale = True
         self._sorted: list[EngineSpec] = []
 
-    def note(self, change: Change) -> bool:
+    def invalidate(self, change: Change) -> bool:
         """Take note of a change of the state; return whether engines may differ.
 
         Args:
@@ -35,7 +35,7 @@
         self._stale |= change.backends
         return bool(change.backends) or change.everything
 
-    def read(self) -> list[EngineSpec]:
+    def specs(self) -> list[EngineSpec]:
         """Return the engines sorted by name; the same list until one changed."""
         if not self._stale and not self._all_stale:
             return self._sorted
--- a/wigeonscale/control/entry_counter.py
+++ b/wigeonscale/control/entry_counter.py
@@ -16,7 +16,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 # Entries that come and go within one interval cost one command.
-INTERVAL_S = 0.5
+UPDATE_INTERVAL_S = 0.5
 
 logger = logging.getLogger(__name__)
 
@@ -57,40 +57,41 @@
         self._hub = hub
         self._commands = commands
         self._clock = clock
-        self._away_s = entry_timeout_s
-        self._grace_s = replica_timeout_s
-        self._noted: weakref.WeakSet[Watcher] = weakref.WeakSet()
-        self._away_since: dict[str, float] = {}
+        self._entry_timeout_s = entry_timeout_s
+        self._replica_timeout_s = replica_timeout_s
+        self._recorded: weakref.WeakSet[Watcher] = weakref.WeakSet()
+        self._absent_since: dict[str, float] = {}
 
     async def run(self) -> None:
         """Compare and correct until cancelled."""
         while True:
-            await self._clock.sleep(INTERVAL_S)
+            await self._clock.sleep(UPDATE_INTERVAL_S)
             if self._hub.is_fresh():
-                await self._correct()
+                await self._update()
 
-    async def _correct(self):
-        streams = self._streams()
-        for count in [*self._own(streams), *self._of_lost_replicas()]:
+    async def _update(self):
+        streams = self._live_streams()
+        for count in [*self._local_changes(streams), *self._lost_replica_changes()]:
             try:
                 await self._commands.submit(wire.Command(count_entries=count))
             except WigeonscaleError as exc:
                 logger.warning("entries not counted: %s", exc.message)
                 return
-        self._noted.update(streams.values())
+        self._recorded.update(streams.values())
 
-    def _streams(self) -> dict[str, Watcher]:
+    def _live_streams(self) -> dict[str, Watcher]:
         """Return the newest stream of each entry that lately sent something."""
         now = self._clock.now()
         streams = [
             watcher
             for watcher in self._hub.watchers
-            if watcher.is_entry and now - watcher.last_message_at < self._away_s
+            if watcher.is_entry
+            and now - watcher.last_message_at < self._entry_timeout_s
         ]
         streams.sort(key=lambda watcher: watcher.last_message_at)
         return {watcher.node_id: watcher for watcher in streams}
 
-    def _own(self, streams) -> Iterator[wire.CountEntries]:
+    def _local_changes(self, streams) -> Iterator[wire.CountEntries]:
         entries = self._state.entries
         # An entry noted by another replica since then has moved there, and its old
         # stream here says nothing.
@@ -99,29 +100,30 @@
             for name, watcher in streams.items()
             if entries.replica_of(name) is None
             or (
-                entries.replica_of(name) != self._node_id and watcher not in self._noted
+                entries.replica_of(name) != self._node_id
+                and watcher not in self._recorded
             )
         ]
-        gone = self._away(entries.attached_to(self._node_id) - streams.keys())
+        gone = self._timed_out(entries.attached_to(self._node_id) - streams.keys())
         if attached or gone:
             yield wire.CountEntries(
                 replica=self._node_id, attached=sorted(attached), gone=sorted(gone)
             )
 
-    def _away(self, names):
+    def _timed_out(self, names):
         now = self._clock.now()
-        self._away_since = {name: self._away_since.get(name, now) for name in names}
+        self._absent_since = {name: self._absent_since.get(name, now) for name in names}
         return [
             name
-            for name, since in self._away_since.items()
-            if now - since >= self._away_s
+            for name, since in self._absent_since.items()
+            if now - since >= self._entry_timeout_s
         ]
 
-    def _of_lost_replicas(self) -> Iterator[wire.CountEntries]:
+    def _lost_replica_changes(self) -> Iterator[wire.CountEntries]:
         if self._replica.role is not Role.LEADER:
             return
         for replica in self._state.entries.replicas():
-            is_lost = self._replica.peer_silence(replica) >= self._grace_s
+            is_lost = self._replica.peer_silence(replica) >= self._replica_timeout_s
             if replica != self._node_id and is_lost:
                 gone = sorted(self._state.entries.attached_to(replica))
                 yield wire.CountEntries(replica=replica, gone=gone)
--- a/wigeonscale/control/hub.py
+++ b/wigeonscale/control/hub.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Iterator
 
-from wigeonscale.control.feed import ChangeFeed
+from wigeonscale.control.change_feed import ChangeFeed
 from wigeonscale.control.load_aggregator import LoadAggregator
 from wigeonscale.control.orders import load_orders
 from wigeonscale.control.watcher import Watcher
@@ -16,11 +16,11 @@
 from wigeonscale.state import Change, ControlState
 from wigeonscale.wire import wire_pb2 as wire
 
-MICROSECONDS = 1_000_000
+US_PER_S = 1_000_000
 # An order that neither failed nor led to an announcement is pushed again.
-ORDER_AGAIN_S = 10.0
-ORDER_RETRY_S = 1.0
-LOAD = "load"  # how the ids of orders to load begin
+ORDER_RESEND_S = 10.0
+FAILED_ORDER_RETRY_S = 1.0
+LOAD_ORDER_PREFIX = "load"  # how the ids of orders to load begin
 
 logger = logging.getLogger(__name__)
 
@@ -62,9 +62,9 @@
         self._lease_s = lease_s
         self._loads = loads
         self._agents: dict[str, Watcher] = {}
-        self._orders: dict[str, wire.LoadLayers] | None = None
-        self._changed: list[Change] = []
-        self._subscription = state.changes.subscribe(self._note)
+        self._released_loads: dict[str, wire.LoadLayers] | None = None
+        self._unpublished_changes: list[Change] = []
+        self._subscription = state.changes.subscribe(self._on_change)
 
     def close(self) -> None:
         """Stop following the state."""
@@ -117,11 +117,11 @@
         """
         watcher.incarnation = backend.incarnation
         watcher.announced = backend
-        watcher.announcement = backend
+        watcher.pending_announcement = backend
         self._agents[watcher.node_id] = watcher
         watcher.announce_wake.set()
 
-    def shows(self, backend: wire.Backend) -> bool:
+    def is_committed(self, backend: wire.Backend) -> bool:
         """Return whether the state holds this very announcement, made here.
 
         Args:
@@ -135,7 +135,7 @@
             return False
         return member.backend == backend
 
-    def is_elsewhere(self, watcher: Watcher) -> bool:
+    def is_attached_elsewhere(self, watcher: Watcher) -> bool:
         """Return whether the state has an agent attached to another replica.
 
         Args:
@@ -151,7 +151,7 @@
             and member.replica != self._node_id
         )
 
-    def note_order_result(self, watcher: Watcher, result: wire.OrderResult) -> None:
+    def handle_order_result(self, watcher: Watcher, result: wire.OrderResult) -> None:
         """Take in what became of an order.
 
         Args:
@@ -171,13 +171,13 @@
             result.kind,
             result.message,
         )
-        pause_s = 0.0 if is_behind else ORDER_RETRY_S
-        if result.order_id.startswith(LOAD):
-            watcher.order_due_at = self._clock.now() + pause_s
+        pause_s = 0.0 if is_behind else FAILED_ORDER_RETRY_S
+        if result.order_id.startswith(LOAD_ORDER_PREFIX):
+            watcher.load_resend_at = self._clock.now() + pause_s
         else:
             watcher.sent_drain = None
 
-    def due(self, watcher: Watcher) -> Iterator[wire.WatchEvent]:
+    def pending_events(self, watcher: Watcher) -> Iterator[wire.WatchEvent]:
         """Yield what a watcher is due now, oldest need first.
 
         The lease comes last: it vouches for what goes before it.
@@ -188,15 +188,15 @@
         Yields:
             Events; the watcher counts as told once one was yielded.
         """
-        if watcher.ended:
-            ended = wire.IncarnationEnded(incarnation=watcher.ended)
-            watcher.ended = 0
+        if watcher.ended_incarnation:
+            ended = wire.IncarnationEnded(incarnation=watcher.ended_incarnation)
+            watcher.ended_incarnation = 0
             yield wire.WatchEvent(ended=ended)
         if not self.is_fresh():
             # What this replica knows may be long out of date.
             return
         # Taken before what it vouches for, since each write may take long.
-        grant = self._grant(watcher)
+        grant = self._lease_grant(watcher)
         for update in self.feed.configs_after(watcher.revision):
             watcher.revision = update.revision
             yield wire.WatchEvent(config=update)
@@ -204,13 +204,13 @@
         if document.number > watcher.document_number:
             watcher.document_number = document.number
             yield wire.WatchEvent(document=document.message())
-        yield from self._due_crashes(watcher)
-        yield from self._due_members(watcher)
-        yield from self._due_orders(watcher)
+        yield from self._pending_crashes(watcher)
+        yield from self._pending_members(watcher)
+        yield from self._pending_orders(watcher)
         if grant is not None:
             yield wire.WatchEvent(lease=grant)
 
-    def _due_crashes(self, watcher):
+    def _pending_crashes(self, watcher):
         crashes = self._state.crashes
         if not watcher.is_entry or crashes.index <= watcher.crashes_index:
             return
@@ -222,25 +222,25 @@
         watcher.crashes_index = crashes.index
         yield wire.WatchEvent(crashes=update)
 
-    def _due_members(self, watcher):
-        update = self.feed.members_after(watcher.position)
-        watcher.position = self.feed.index
-        if update is None and not watcher.is_told_members:
+    def _pending_members(self, watcher):
+        update = self.feed.members_after(watcher.members_index)
+        watcher.members_index = self.feed.index
+        if update is None and not watcher.has_sent_members:
             # Says that what it brought from another replica still holds.
             update = wire.MembersUpdate(index=self.feed.index)
-        watcher.is_told_members = True
+        watcher.has_sent_members = True
         if update is not None:
             yield wire.WatchEvent(members=update)
 
-    def _grant(self, watcher):
-        if watcher.unanswered is None:
+    def _lease_grant(self, watcher):
+        if watcher.pending_heartbeat is None:
             return None
-        beat, received_at = watcher.unanswered
-        watcher.unanswered = None
+        heartbeat, received_at = watcher.pending_heartbeat
+        watcher.pending_heartbeat = None
         age_s = max(0.0, received_at - self._replica.fresh_at())
         grant = wire.LeaseGrant(
-            echo_us=beat.sent_us,
-            age_us=int(age_s * MICROSECONDS),
+            echo_us=heartbeat.sent_us,
+            age_us=int(age_s * US_PER_S),
             revision=self._state.configuration.revision,
         )
         if watcher.is_entry:
@@ -250,7 +250,7 @@
         grant.control.extend(member.address for member in self._replica.members())
         return grant
 
-    def _due_orders(self, watcher):
+    def _pending_orders(self, watcher):
         agent_id = watcher.node_id
         if self.agent(agent_id, watcher.incarnation) is not watcher:
             return
@@ -259,17 +259,19 @@
         load = self._load_orders().get(agent_id)
         is_changed = load != watcher.sent_load
         if load is not None and is_changed:
-            watcher.load_since = self._clock.now()
+            watcher.load_sent_at = self._clock.now()
             watcher.failed_orders = 0
         if load is not None and (
-            is_changed or self._clock.now() >= watcher.order_due_at
+            is_changed or self._clock.now() >= watcher.load_resend_at
         ):
-            watcher.order_due_at = self._clock.now() + ORDER_AGAIN_S
-            yield self._order(f"{LOAD}-{load.chain_id}-{load.epoch}", load=load)
+            watcher.load_resend_at = self._clock.now() + ORDER_RESEND_S
+            yield self._order(
+                f"{LOAD_ORDER_PREFIX}-{load.chain_id}-{load.epoch}", load=load
+            )
         watcher.sent_load = load
-        yield from self._due_drain(watcher)
+        yield from self._pending_drain(watcher)
 
-    def _due_drain(self, watcher):
+    def _pending_drain(self, watcher):
         # Told on each new stream: the agent may still obey a drain that was undone
         # while it moved here.
         wanted = self._state.members.is_drained(watcher.node_id)
@@ -285,22 +287,22 @@
         return wire.WatchEvent(order=order)
 
     def _load_orders(self):
-        if self._orders is None:
-            self._orders = load_orders(self._state, loads=self._loads)
-        return self._orders
+        if self._released_loads is None:
+            self._released_loads = load_orders(self._state, loads=self._loads)
+        return self._released_loads
 
-    def _note(self, change):
-        if not self._changed:
+    def _on_change(self, change):
+        if not self._unpublished_changes:
             # One round for all entries that are applied in one go.
             asyncio.get_running_loop().call_soon(self._publish)
-        self._changed.append(change)
+        self._unpublished_changes.append(change)
 
     def _publish(self):
-        changes, self._changed = self._changed, []
+        changes, self._unpublished_changes = self._unpublished_changes, []
         for change in changes:
             self.feed.add(change)
         if any(change.is_about_members for change in changes):
-            self._orders = None
+            self._released_loads = None
         for change in changes:
             self._check_attachments(change)
         for watcher in self.watchers:
@@ -316,7 +318,7 @@
     def _check_attachment(self, watcher):
         """Find out whether an attached agent ended, or moved to another replica."""
         if self._state.members.is_ended(watcher.node_id, watcher.incarnation):
-            watcher.ended = watcher.incarnation
+            watcher.ended_incarnation = watcher.incarnation
             return
-        if watcher.announcement is None and self.is_elsewhere(watcher):
+        if watcher.pending_announcement is None and self.is_attached_elsewhere(watcher):
             watcher.announce_wake.set()
--- a/wigeonscale/control/heard.py
+++ b/wigeonscale/control/last_heartbeat.py
@@ -1,6 +1,6 @@
 """What is kept of the last heartbeat of a backend, and how its changes are logged."""
 
-__all__ = ["Heard", "log_change"]
+__all__ = ["LastHeartbeat", "log_backend_change"]
 
 import logging
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class LastHeartbeat:
     """Last heartbeat of one backend at this replica.
 
     Attributes:
@@ -21,17 +21,17 @@
         sequence: Its number, which begins anew with each start.
     """
 
-    at: float
+    received_at: float
     started_ms: int
     sequence: int
 
     @property
-    def order(self) -> tuple[int, int]:
+    def sort_key(self) -> tuple[int, int]:
         """Later heartbeats of one name are larger, also over starts."""
         return self.started_ms, self.sequence
 
 
-def log_change(backend: wire.Backend, sequence: int) -> None:
+def log_backend_change(backend: wire.Backend, sequence: int) -> None:
     """Log what is believed of a backend server from here on."""
     logger.info(
         "backend server %s at %s",
--- a/wigeonscale/control/layer_assigner.py
+++ b/wigeonscale/control/layer_assigner.py
@@ -19,26 +19,26 @@
 from wigeonscale.state import ControlState, Member
 from wigeonscale.wire import wire_pb2 as wire
 
-INTERVAL_S = 0.2
+PLAN_INTERVAL_S = 0.2
 # Before the first plan: time without a new engine. Engines announce themselves once
 # a heartbeat, all within one of about 1.2 s.
 SETTLE_S = 0.7
 # An engine whose order had no visible effect for this long is asked again. A whole
 # engine's layers take 14 s x 20 / 80 alone, and longer where many load at once.
 ORDER_TIMEOUT_S = 12.0
-UNKNOWN_AGAIN_S = 1.5
+UNKNOWN_RETRY_S = 1.5
 # An engine that loads while callers wait for its layers is asked this often whether it
 # has them: its heartbeat would tell up to 1.2 s later. The usual load takes a second.
-FOLLOW_S = 0.35
-MOST_FOLLOWS = 12
+LOAD_POLL_S = 0.35
+MAX_LOAD_POLLS = 12
 # Orders under way at once. Load pattern: thousands of engines announce themselves
 # within a heartbeat, and all get their first order. An exchange takes the leader some
 # milliseconds of its processor share, so that of all at once most miss the time that an
 # answer has, count as unknown and are asked and ordered again.
-MOST_ORDERS_AT_ONCE = 100
+MAX_CONCURRENT_ORDERS = 100
 # A fencing number is (term, index) in one number that JSON carries exactly.
 TERM_SHIFT = 32
-MEGABYTE = 1e6
+BYTES_PER_MB = 1e6
 
 logger = logging.getLogger(__name__)
 
@@ -49,15 +49,15 @@
 
     Attributes:
         layers: What the engine shall hold.
-        again_at: Instant from which it is asked how it is.
+        retry_at: Instant from which it is asked how it is.
         before: What the plan took it to hold.
         is_begun: Whether it said that it carries the order out.
     """
 
     layers: LayerRange
-    again_at: float
-    before: LayerRange
-    is_begun: bool = False
+    retry_at: float
+    previous_layers: LayerRange
+    is_accepted: bool = False
 
 
 class LayerAssigner:
@@ -91,64 +91,68 @@
         self._commands = commands
         self._table = table
         self._is_fresh = is_fresh
-        self._given: dict[str, _Order] = {}
+        self._issued_orders: dict[str, _Order] = {}
         self._order_counts: dict[str, int] = {}
-        self._giving: dict[str, asyncio.Task] = {}
+        self._order_tasks: dict[str, asyncio.Task] = {}
         # What the engines shall hold whose orders are not given yet.
-        self._planned: dict[str, LayerRange] = {}
-        self._turns = asyncio.Semaphore(MOST_ORDERS_AT_ONCE)
-        self._known: frozenset[str] = frozenset()
+        self._queued_layers: dict[str, LayerRange] = {}
+        self._order_slots = asyncio.Semaphore(MAX_CONCURRENT_ORDERS)
+        self._known_engines: frozenset[str] = frozenset()
         self._settled_at = clock.now()
-        self._starts: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
 
     async def run(self) -> None:
         """Plan and give orders until cancelled."""
         try:
             while True:
-                await self._clock.sleep(INTERVAL_S)
+                await self._clock.sleep(PLAN_INTERVAL_S)
                 if self._replica.role is Role.LEADER and self._is_fresh():
-                    self._review()
+                    self._reconcile()
                 else:
-                    self._given.clear()
+                    self._issued_orders.clear()
                     self._order_counts.clear()
         finally:
-            tasks = list(self._giving.values())
+            tasks = list(self._order_tasks.values())
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _review(self) -> None:
+    def _reconcile(self) -> None:
         members = {m.backend.agent_id: m.backend for m in self._state.members}
-        if self._known != members.keys():
-            self._known = frozenset(members)
+        if self._known_engines != members.keys():
+            self._known_engines = frozenset(members)
             self._settled_at = self._clock.now() + SETTLE_S
         self._drop_restarted(members)
-        self._drop_done(members)
+        self._drop_finished(members)
         for service in self._table().services.values():
             if service.engine is not None and service.engine.layers:
-                self._review_service(service.name, service.engine, members)
+                self._reconcile_service(service.name, service.engine, members)
 
     def _drop_restarted(self, members: dict[str, wire.Backend]) -> None:
         """Forget what engines were ordered that have started again since then."""
-        starts = {name: backend.incarnation for name, backend in members.items()}
-        for name, start in starts.items():
-            if self._starts.get(name, start) != start:
-                self._given.pop(name, None)
+        incarnations = {name: backend.incarnation for name, backend in members.items()}
+        for name, incarnation in incarnations.items():
+            if self._incarnations.get(name, incarnation) != incarnation:
+                self._issued_orders.pop(name, None)
                 self._order_counts.pop(name, None)
-        self._starts = starts
+        self._incarnations = incarnations
 
-    def _drop_done(self, members: dict[str, wire.Backend]) -> None:
-        for name, order in list(self._given.items()):
+    def _drop_finished(self, members: dict[str, wire.Backend]) -> None:
+        for name, order in list(self._issued_orders.items()):
             backend = members.get(name)
-            if backend is None or backend.silent or _is_over(order, _held(backend)):
-                del self._given[name]
-
-    def _review_service(
+            if (
+                backend is None
+                or backend.silent
+                or _is_finished(order, _announced_layers(backend))
+            ):
+                del self._issued_orders[name]
+
+    def _reconcile_service(
         self, service: str, engine: EngineProfile, members: dict[str, wire.Backend]
     ) -> None:
         backends = [b for b in members.values() if b.service == service]
-        serves = any(_held(b).count for b in backends)
-        is_first = not serves and not self._given
+        serves = any(_announced_layers(b).count for b in backends)
+        is_first = not serves and not self._issued_orders
         if is_first and self._clock.now() < self._settled_at:
             return
         holders = [self._holder(b, engine) for b in backends]
@@ -157,53 +161,53 @@
             model_size(engine),
         )
         now = self._clock.now()
-        for name, order in self._given.items():
-            if now >= order.again_at and members[name].service == service:
+        for name, order in self._issued_orders.items():
+            if now >= order.retry_at and members[name].service == service:
                 wanted.setdefault(name, order.layers)
         # Once for each domain: the first plan names thousands of engines.
-        is_whole = functools.cache(
-            lambda domain: _is_whole(backends, domain, engine.layers)
+        has_all_layers = functools.cache(
+            lambda domain: _has_all_layers(backends, domain, engine.layers)
         )
         for name, layers in wanted.items():
-            if name not in self._giving:
+            if name not in self._order_tasks:
                 backend = members[name]
-                waits = is_whole(backend.domain)
-                giving = self._give(backend, layers, follows=serves, waits=waits)
-                task = asyncio.create_task(giving)
-                self._giving[name] = task
-                self._planned[name] = layers
-                task.add_done_callback(functools.partial(self._forget_giving, name))
+                waits = has_all_layers(backend.domain)
+                coro = self._place_layers(backend, layers, polls=serves, waits=waits)
+                task = asyncio.create_task(coro)
+                self._order_tasks[name] = task
+                self._queued_layers[name] = layers
+                task.add_done_callback(functools.partial(self._forget_task, name))
 
-    def _forget_giving(self, name: str, _: asyncio.Task) -> None:
-        del self._giving[name]
-        self._planned.pop(name, None)
+    def _forget_task(self, name: str, _: asyncio.Task) -> None:
+        del self._order_tasks[name]
+        self._queued_layers.pop(name, None)
 
     def _holder(self, backend: wire.Backend, engine: EngineProfile) -> Holder | None:
         kind = engine.accelerators.get(backend.accelerator)
         if kind is None:
             return None
-        given = self._given.get(backend.agent_id)
-        planned = self._planned.get(backend.agent_id)
+        issued = self._issued_orders.get(backend.agent_id)
+        queued = self._queued_layers.get(backend.agent_id)
         return Holder(
             backend_id=backend.agent_id,
             domain=backend.domain,
             size_mb=kind.size_mb,
             pace=kind.pace,
-            held=planned or (given.layers if given else _held(backend)),
+            held=queued or (issued.layers if issued else _announced_layers(backend)),
             lasting=not (backend.silent or backend.draining),
         )
 
-    async def _give(
-        self, backend: wire.Backend, layers: LayerRange, *, follows: bool, waits: bool
+    async def _place_layers(
+        self, backend: wire.Backend, layers: LayerRange, *, polls: bool, waits: bool
     ) -> None:
-        async with self._turns:
-            outcome = await self._order(backend, layers, waits=waits)
+        async with self._order_slots:
+            outcome = await self._send_order(backend, layers, waits=waits)
         # From here on it counts as given.
-        self._planned.pop(backend.agent_id, None)
-        if follows and outcome is OrderOutcome.BEGUN:
-            await self._follow(backend, layers)
+        self._queued_layers.pop(backend.agent_id, None)
+        if polls and outcome is OrderOutcome.BEGUN:
+            await self._poll_until_loaded(backend, layers)
 
-    async def _order(
+    async def _send_order(
         self, backend: wire.Backend, layers: LayerRange, *, waits: bool
     ) -> OrderOutcome | None:
         """Give one order; return what became of it, or None where none is due."""
@@ -226,12 +230,17 @@
         now = self._clock.now()
         if outcome in (OrderOutcome.BEGUN, OrderOutcome.HOLDS_ALREADY):
             self._order_counts[name] = expected + (outcome is OrderOutcome.BEGUN)
-            self._given[name] = _Order(
-                layers, now + ORDER_TIMEOUT_S, _held(backend), is_begun=True
+            self._issued_orders[name] = _Order(
+                layers,
+                now + ORDER_TIMEOUT_S,
+                _announced_layers(backend),
+                is_accepted=True,
             )
         else:
             self._order_counts.pop(name, None)
-            self._given[name] = _Order(layers, now + UNKNOWN_AGAIN_S, _held(backend))
+            self._issued_orders[name] = _Order(
+                layers, now + UNKNOWN_RETRY_S, _announced_layers(backend)
+            )
         logger.info(
             "engine %s shall hold layers %d-%d",
             name,
@@ -243,19 +252,21 @@
         )
         return outcome
 
-    async def _follow(self, backend: wire.Backend, layers: LayerRange) -> None:
+    async def _poll_until_loaded(
+        self, backend: wire.Backend, layers: LayerRange
+    ) -> None:
         """Announce an engine's new layers as soon as it has them."""
-        for _ in range(MOST_FOLLOWS):
-            await self._clock.sleep(FOLLOW_S)
+        for _ in range(MAX_LOAD_POLLS):
+            await self._clock.sleep(LOAD_POLL_S)
             member = self._state.members.get(backend.agent_id)
             if member is None or member.backend.silent:
                 return
-            if _held(member.backend) == layers:
+            if _announced_layers(member.backend) == layers:
                 return
             status = await self._orders.status(backend.address)
             if status is None or status.busy:
                 continue
-            if _is_other_start(status, member.backend):
+            if _is_other_incarnation(status, member.backend):
                 return
             if LayerRange(status.first_layer, status.end_layer) == layers:
                 await self._announce(member, layers)
@@ -280,17 +291,21 @@
     ) -> int | None:
         """Return the order count to expect, or None while no order is due."""
         name = backend.agent_id
-        is_new = not _held(backend).count and name not in self._given
-        if name in self._order_counts and name not in self._given:
+        is_new = (
+            not _announced_layers(backend).count and name not in self._issued_orders
+        )
+        if name in self._order_counts and name not in self._issued_orders:
             return self._order_counts[name]
         if is_new and name not in self._order_counts:
             return 0
         status = await self._orders.status(backend.address)
-        again = _Order(layers, self._clock.now() + UNKNOWN_AGAIN_S, _held(backend))
+        retry = _Order(
+            layers, self._clock.now() + UNKNOWN_RETRY_S, _announced_layers(backend)
+        )
         if status is None:
-            self._given[name] = again
+            self._issued_orders[name] = retry
             return None
-        if _is_other_start(status, backend):
+        if _is_other_incarnation(status, backend):
             # Its own heartbeat tells of it; no order may rest on what came before.
             logger.info(
                 "engine %s has started again",
@@ -301,14 +316,14 @@
                     born=status.started_ms,
                 ),
             )
-            self._given[name] = again
+            self._issued_orders[name] = retry
             return None
         self._order_counts[name] = status.orders
         held = LayerRange(status.first_layer, status.end_layer)
         if status.busy or held == layers:
-            self._given[name] = again
+            self._issued_orders[name] = retry
             return None
-        if held != _held(backend):
+        if held != _announced_layers(backend):
             # Another leader has ordered it, and what it holds now may be part of a
             # whole set: its heartbeat tells, and the next plan knows.
             logger.info(
@@ -318,24 +333,26 @@
                     outcome="not ordered", holds=f"{held.first}-{held.end}"
                 ),
             )
-            self._given[name] = again
+            self._issued_orders[name] = retry
             return None
         return status.orders
 
 
-def _is_over(order: _Order, held: LayerRange) -> bool:
+def _is_finished(order: _Order, held: LayerRange) -> bool:
     """Return whether an order is done, or another one was carried out in its place.
 
     Load pattern: all of control is killed, and the new leader plans before it has heard
     what engines loaded for the former one. They refuse its orders, which do not fit;
     given again once they fit, these would break up a set that has become whole.
     """
-    return held == order.layers or (not order.is_begun and held != order.before)
+    return held == order.layers or (
+        not order.is_accepted and held != order.previous_layers
+    )
 
 
-def _is_other_start(status: EngineStatus, backend: wire.Backend) -> bool:
-    told_ms, held_ms = status.started_ms, backend.started_ms
-    return bool(told_ms and held_ms) and told_ms != held_ms
+def _is_other_incarnation(status: EngineStatus, backend: wire.Backend) -> bool:
+    status_ms, announced_ms = status.started_ms, backend.started_ms
+    return bool(status_ms and announced_ms) and status_ms != announced_ms
 
 
 def model_size(engine: EngineProfile) -> ModelSize:
@@ -349,7 +366,7 @@
     return ModelSize(
         layers=engine.layers,
         layer_mb=engine.layer_mb,
-        token_mb=engine.token_bytes / engine.layers / MEGABYTE,
+        token_mb=engine.token_bytes / engine.layers / BYTES_PER_MB,
         room_tokens=engine.room_tokens,
         request_tokens=tokens,
         slots=engine.slots,
@@ -357,7 +374,7 @@
     )
 
 
-def _is_whole(backends: Iterable[wire.Backend], domain: str, layers: int) -> bool:
+def _has_all_layers(backends: Iterable[wire.Backend], domain: str, layers: int) -> bool:
     """Return whether requests still pass through all layers in a failure domain.
 
     Load pattern: an engine that leaves serves what it has until the end, and all paths
@@ -365,14 +382,16 @@
     lost nothing passes any more, and nobody gains from a wait.
     """
     reached = 0
-    held = [_held(b) for b in backends if b.domain == domain and not b.silent]
+    held = [
+        _announced_layers(b) for b in backends if b.domain == domain and not b.silent
+    ]
     for first, end in sorted(held):
         if first <= reached:
             reached = max(reached, end)
     return reached >= layers
 
 
-def _held(backend: wire.Backend) -> LayerRange:
+def _announced_layers(backend: wire.Backend) -> LayerRange:
     """Return the layers that a backend announced, as first and end."""
     if backend.last_layer < backend.first_layer:
         return LayerRange(0, 0)
--- a/wigeonscale/control/liveness.py
+++ b/wigeonscale/control/liveness.py
@@ -9,7 +9,7 @@
 from wigeonscale.adapters.metrics import METRICS, Metrics
 from wigeonscale.control.commands import Commands
 from wigeonscale.control.hub import Hub
-from wigeonscale.control.probe import Probes
+from wigeonscale.control.probe import ProbeCache
 from wigeonscale.control.watcher import Watcher
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.ports import Clock, Probe, ProbeAnswer
@@ -19,7 +19,7 @@
 
 # Share of the lease that a suspected agent may be silent for when it does not answer
 # a probe either: two heartbeats, since one is a sixth of the lease at most.
-SUSPECT_SILENCE_SHARE = 1 / 3
+SUSPECT_SILENCE_LEASE_SHARE = 1 / 3
 # A backend server that cannot load holds up a weight load that others wait for.
 MAX_FAILED_ORDERS = 5
 LOAD_TIMEOUT_S = 900.0
@@ -27,7 +27,7 @@
 # While an agent is suspected, someone waits for the decision.
 SUSPECT_INTERVAL_S = 0.05
 # A check this late means that this process stood still; it heard nobody meanwhile.
-PAUSED_CHECKS = 3
+PAUSE_INTERVALS = 3
 CONTROL = "control"
 
 logger = logging.getLogger(__name__)
@@ -78,17 +78,17 @@
         self._interval_s = down_after_s / CHECKS_PER_DOWN_TIME
         # Long enough for every agent of a lost replica to attach elsewhere.
         self._grace_s = down_after_s + lease_s
-        self._suspect_silence_s = lease_s * SUSPECT_SILENCE_SHARE
-        self._tell_replica = forward_suspicion
+        self._suspect_silence_s = lease_s * SUSPECT_SILENCE_LEASE_SHARE
+        self._send_suspicion = forward_suspicion
         self._probe = probe
-        self._probes = Probes(probe=probe, clock=clock, on_answer=self.wake)
+        self._probes = ProbeCache(probe=probe, clock=clock, on_answer=self.wake)
         self._metrics = metrics
-        self._quiet_until = clock.now()
+        self._suspended_until = clock.now()
         # Agents that were attached here before a restart may attach elsewhere.
-        self._started_until = clock.now() + self._grace_s
-        self._seen: set[tuple[str, int]] = set()
+        self._startup_grace_until = clock.now() + self._grace_s
+        self._attached_before: set[tuple[str, int]] = set()
         self._checked_at = clock.now()
-        self._led_since: float | None = None
+        self._leader_since: float | None = None
         self._absent_since: dict[tuple[str, int], float] = {}
         self._suspected_at: dict[tuple[str, int], float] = {}
         self._tasks: set[asyncio.Task] = set()
@@ -99,23 +99,23 @@
         """Check soon, since a stream ended."""
         self._wake.set()
 
-    def suspect(self, suspicion: wire.Suspect, *, came_from: str) -> None:
+    def suspect(self, suspicion: wire.Suspect, *, source_role: str) -> None:
         """Check an agent that did not answer someone.
 
         Args:
             suspicion: Names the incarnation.
-            came_from: Role of the sender; a suspicion that another replica passed
+            source_role: Role of the sender; a suspicion that another replica passed
                 on is not passed on again.
         """
         agent_id, incarnation = suspicion.agent_id, suspicion.incarnation
         if not self._state.members.holds(agent_id, incarnation):
             return
-        holder = self._state.members.get(agent_id).replica
-        if holder == self._node_id:
+        replica_id = self._state.members.get(agent_id).replica
+        if replica_id == self._node_id:
             self._suspected_at[agent_id, incarnation] = self._clock.now()
             self.wake()
-        elif came_from != CONTROL:
-            self._pass_on(holder, suspicion)
+        elif source_role != CONTROL:
+            self._forward(replica_id, suspicion)
 
     async def run(self) -> None:
         """Check until cancelled."""
@@ -135,96 +135,94 @@
 
     async def _tick(self):
         while True:
-            quickest_s = SUSPECT_INTERVAL_S if self._suspected_at else self._interval_s
-            await self._clock.sleep(min(quickest_s, self._interval_s))
+            interval_s = SUSPECT_INTERVAL_S if self._suspected_at else self._interval_s
+            await self._clock.sleep(min(interval_s, self._interval_s))
             self.wake()
 
     def _check(self):
         now = self._clock.now()
-        if now - self._checked_at > PAUSED_CHECKS * self._interval_s:
+        if now - self._checked_at > PAUSE_INTERVALS * self._interval_s:
             logger.warning("checks stood still for %.3f s", now - self._checked_at)
-            self._quiet_until = now + self._grace_s
+            self._suspended_until = now + self._grace_s
         self._checked_at = now
         if not self._hub.is_fresh():
             # Agents may have moved without this replica's knowledge.
-            self._quiet_until = max(self._quiet_until, now + self._down_after_s)
-        for member, cause in self._gone(now):
-            self._end(member, cause)
+            self._suspended_until = max(self._suspended_until, now + self._down_after_s)
+        for member, cause in self._find_gone(now):
+            self._end_incarnation(member, cause)
 
-    def _gone(self, now) -> Iterator[tuple[Member, str]]:
+    def _find_gone(self, now) -> Iterator[tuple[Member, str]]:
         own = self._state.members.attached_to(self._node_id)
-        self._forget(own)
-        names = {_name(member) for member in own}
-        self._seen |= {name for name in names if self._hub.agent(*name)}
-        if now >= self._quiet_until:
+        self._prune(own)
+        keys = {_incarnation_key(member) for member in own}
+        self._attached_before |= {key for key in keys if self._hub.agent(*key)}
+        if now >= self._suspended_until:
             for member in own:
-                cause = self._cause(member, now)
+                cause = self._gone_cause(member, now)
                 if cause:
                     yield member, cause
-        yield from self._of_lost_replicas(now)
+        yield from self._members_of_lost_replicas(now)
 
-    def _forget(self, own):
-        names = {_name(member) for member in own}
+    def _prune(self, own):
+        keys = {_incarnation_key(member) for member in own}
         self._ending = {n for n in self._ending if self._state.members.holds(*n)}
-        self._seen &= names
-        for name in self._suspected_at.keys() - names:
-            del self._suspected_at[name]
-        for name in self._absent_since.keys() - names:
-            del self._absent_since[name]
-        self._probes.keep(names)
+        self._attached_before &= keys
+        for key in self._suspected_at.keys() - keys:
+            del self._suspected_at[key]
+        for key in self._absent_since.keys() - keys:
+            del self._absent_since[key]
+        self._probes.retain(keys)
 
-    def _cause(self, member, now):
+    def _gone_cause(self, member, now):
         """Return why a member counts as gone, or an empty string."""
-        name = _name(member)
-        watcher = self._hub.agent(*name)
+        key = _incarnation_key(member)
+        watcher = self._hub.agent(*key)
         if watcher is None:
-            if name not in self._seen and now < self._started_until:
+            if key not in self._attached_before and now < self._startup_grace_until:
                 return ""
-            silent_s = now - self._absent_since.setdefault(name, now)
+            silent_s = now - self._absent_since.setdefault(key, now)
         else:
-            self._absent_since.pop(name, None)
+            self._absent_since.pop(key, None)
             silent_s = now - watcher.last_message_at
         if silent_s >= self._down_after_s:
             return "stream-gone" if watcher is None else "silent"
-        cause = self._cause_by_probe(member, watcher, silent_s)
+        cause = self._probe_cause(member, watcher, silent_s)
         return cause or (_load_failure(watcher, now) if watcher else "")
 
-    def _cause_by_probe(self, member, watcher, silent_s):
+    def _probe_cause(self, member, watcher, silent_s):
         """Ask an agent that is suspected, or has no stream, whether it is there."""
-        name = _name(member)
-        is_suspected = self._is_suspected(name, watcher)
+        key = _incarnation_key(member)
+        is_suspected = self._is_suspected(key, watcher)
         if watcher is not None and not is_suspected:
             return ""
-        since = max(
-            self._suspected_at.get(name, 0.0), self._absent_since.get(name, 0.0)
-        )
-        match self._probes.answer(name, member.backend.address, since):
+        since = max(self._suspected_at.get(key, 0.0), self._absent_since.get(key, 0.0))
+        match self._probes.answer(key, member.backend.address, since):
             case ProbeAnswer.REFUSED:
                 return "refused"
             case ProbeAnswer.ANSWERED:
                 # Only its stream is broken or silent, and it makes another.
-                self._suspected_at.pop(name, None)
+                self._suspected_at.pop(key, None)
             case ProbeAnswer.NOTHING if is_suspected:
                 is_long = silent_s >= self._suspect_silence_s
                 return "suspected" if is_long else ""
         return ""
 
-    def _is_suspected(self, name, watcher):
-        suspected_at = self._suspected_at.get(name)
+    def _is_suspected(self, key, watcher):
+        suspected_at = self._suspected_at.get(key)
         if suspected_at is None:
             return False
         if watcher is not None and watcher.last_message_at > suspected_at:
-            del self._suspected_at[name]
+            del self._suspected_at[key]
             return False
         return True
 
-    def _of_lost_replicas(self, now):
+    def _members_of_lost_replicas(self, now):
         if self._replica.role is not Role.LEADER:
-            self._led_since = None
+            self._leader_since = None
             return
-        if self._led_since is None:
-            self._led_since = now
-        if now - self._led_since < self._grace_s or now < self._quiet_until:
+        if self._leader_since is None:
+            self._leader_since = now
+        if now - self._leader_since < self._grace_s or now < self._suspended_until:
             return
         for replica in self._state.members.replicas():
             if replica == self._node_id:
@@ -233,34 +231,34 @@
                 for member in self._state.members.attached_to(replica):
                     yield member, "replica-lost"
 
-    def _end(self, member, cause):
-        name = _name(member)
-        if name in self._ending:
+    def _end_incarnation(self, member, cause):
+        key = _incarnation_key(member)
+        if key in self._ending:
             return
-        self._ending.add(name)
+        self._ending.add(key)
         self._start(self._submit_end(member, cause))
 
     async def _submit_end(self, member, cause):
-        agent_id, incarnation = name = _name(member)
+        agent_id, incarnation = key = _incarnation_key(member)
         end = wire.EndIncarnation(
             agent_id=agent_id, incarnation=incarnation, replica=member.replica
         )
         try:
             await self._commands.submit(wire.Command(end_incarnation=end))
         except WigeonscaleError as exc:
-            self._ending.discard(name)
+            self._ending.discard(key)
             logger.warning("incarnation of %s not ended: %s", agent_id, exc.message)
             return
         logger.info("incarnation of %s ended: %s", agent_id, cause)
         self._metrics.incarnations_ended.add(cause=cause)
 
-    def _pass_on(self, holder, suspicion):
+    def _forward(self, replica_id, suspicion):
         for peer in self._replica.members():
-            if peer.node_id == holder:
-                self._start(self._pass_on_to(peer, suspicion))
+            if peer.node_id == replica_id:
+                self._start(self._forward_to(peer, suspicion))
 
-    async def _pass_on_to(self, peer, suspicion):
-        if await self._tell_replica(peer.address, suspicion):
+    async def _forward_to(self, peer, suspicion):
+        if await self._send_suspicion(peer.address, suspicion):
             return
         member = self._state.members.get(suspicion.agent_id)
         if member is None:
@@ -272,7 +270,7 @@
         if member is None or member.replica != peer.node_id:
             return
         if member.backend.incarnation == suspicion.incarnation:
-            self._end(member, "replica-lost")
+            self._end_incarnation(member, "replica-lost")
 
     def _start(self, coro):
         task = asyncio.create_task(coro)
@@ -284,10 +282,10 @@
     """Return that a weight load hangs or fails again and again, or nothing."""
     if watcher.sent_load is None:
         return ""
-    is_hung = now - watcher.load_since >= LOAD_TIMEOUT_S
+    is_hung = now - watcher.load_sent_at >= LOAD_TIMEOUT_S
     has_failed = watcher.failed_orders >= MAX_FAILED_ORDERS
     return "load-failed" if is_hung or has_failed else ""
 
 
-def _name(member: Member) -> tuple[str, int]:
+def _incarnation_key(member: Member) -> tuple[str, int]:
     return member.backend.agent_id, member.backend.incarnation
--- a/wigeonscale/control/load_aggregator.py
+++ b/wigeonscale/control/load_aggregator.py
@@ -20,8 +20,8 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 # An entry tells its load with each heartbeat, half a second apart by default.
-FRESH_S = 2.0
-MILLISECONDS = 1000.0
+MAX_LOAD_AGE_S = 2.0
+MS_PER_S = 1000.0
 
 
 class LoadAggregator:
@@ -41,7 +41,7 @@
         self._clock = clock
         # Loads told by other replicas: all followers' to the leader, the leader's sum
         # to a follower, by node id with their arrival.
-        self._told: dict[str, tuple[float, wire.Loads]] = {}
+        self._peer_loads: dict[str, tuple[float, wire.Loads]] = {}
 
     def local_total(self) -> wire.Loads:
         """Return the sum over the entries attached here."""
@@ -49,7 +49,8 @@
         return _sum(
             (watcher.loads, now - watcher.last_message_at)
             for watcher in self._watchers
-            if watcher.loads is not None and watcher.last_message_at >= now - FRESH_S
+            if watcher.loads is not None
+            and watcher.last_message_at >= now - MAX_LOAD_AGE_S
         )
 
     def total(self, *, exclude: str = "") -> wire.Loads:
@@ -60,9 +61,9 @@
         """
         now = self._clock.now()
         others = [
-            (loads, now - told_at)
-            for node_id, (told_at, loads) in self._told.items()
-            if told_at >= now - FRESH_S and node_id != exclude
+            (loads, now - received_at)
+            for node_id, (received_at, loads) in self._peer_loads.items()
+            if received_at >= now - MAX_LOAD_AGE_S and node_id != exclude
         ]
         return _sum([(self.local_total(), 0.0), *others])
 
@@ -77,16 +78,18 @@
             loads = wire.Loads.FromString(data)
         except DecodeError:
             return
-        self._told[node_id] = self._clock.now(), loads
+        self._peer_loads[node_id] = self._clock.now(), loads
 
-    def retain(self, kept: Iterable[str]) -> None:
+    def retain(self, node_ids: Iterable[str]) -> None:
         """Forget replicas that are no longer heard in this term.
 
         Args:
-            kept: Node ids of those that are.
+            node_ids: Node ids of those that are.
         """
-        names = set(kept)
-        self._told = {name: told for name, told in self._told.items() if name in names}
+        kept = set(node_ids)
+        self._peer_loads = {
+            name: update for name, update in self._peer_loads.items() if name in kept
+        }
 
 
 def _sum(all_loads: Iterable[tuple[wire.Loads, float]]) -> wire.Loads:
@@ -108,10 +111,10 @@
             count.requests += sends.requests
             count.further += sends.further
         for limit in loads.limits:
-            known = limits_by_id.setdefault(limit.backend_id, wire.NamedLimit())
-            _merge_limit(known, limit, int(age_s * MILLISECONDS))
+            merged = limits_by_id.setdefault(limit.backend_id, wire.NamedLimit())
+            _merge_limit(merged, limit, int(age_s * MS_PER_S))
     for limit in limits_by_id.values():
-        _keep_sharers(limit)
+        _drop_non_sharers(limit)
     return wire.Loads(
         loads=loads_by_id.values(),
         sends=sends_by_name.values(),
@@ -120,23 +123,25 @@
     )
 
 
-def _merge_limit(known: wire.NamedLimit, told: wire.NamedLimit, aged_ms: int) -> None:
+def _merge_limit(
+    merged: wire.NamedLimit, update: wire.NamedLimit, elapsed_ms: int
+) -> None:
     """Take in one word of a limit: the newest answer counts, whoever got it."""
-    known.backend_id = told.backend_id
-    _set_demands(known, _demands(known) | _demands(told))
-    if not told.HasField("age_ms"):
+    merged.backend_id = update.backend_id
+    _set_demands(merged, _demands(merged) | _demands(update))
+    if not update.HasField("age_ms"):
         return
-    age_ms = told.age_ms + aged_ms
-    if known.HasField("age_ms") and known.age_ms <= age_ms:
+    age_ms = update.age_ms + elapsed_ms
+    if merged.HasField("age_ms") and merged.age_ms <= age_ms:
         return
-    known.age_ms = age_ms
-    if told.HasField("per_s"):
-        known.per_s = told.per_s
+    merged.age_ms = age_ms
+    if update.HasField("per_s"):
+        merged.per_s = update.per_s
     else:
-        known.ClearField("per_s")
+        merged.ClearField("per_s")
 
 
-def _keep_sharers(limit: wire.NamedLimit) -> None:
+def _drop_non_sharers(limit: wire.NamedLimit) -> None:
     """Leave out the names that share nothing: hundreds would be told twice a second."""
     if limit.HasField("per_s"):
         demands = _demands(limit)
--- a/wigeonscale/control/orders.py
+++ b/wigeonscale/control/orders.py
@@ -7,8 +7,8 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 # Fewest loads at once with which a spare may take one of them.
-LOADS_WITH_WARM = 2
-WARM = "spare"
+MIN_LOADS_FOR_SPARES = 2
+SPARE_CHAIN_ID = "spare"
 """Stands in place of a chain's id in the order of a spare's load."""
 
 
@@ -32,25 +32,25 @@
     loading = {m.backend.agent_id for m in state.members if m.backend.loading}
     ranked = order_loads(chains, is_loaded=state.chains.is_loaded, loading=loading)
     # Loads that nobody waits for any more take from the store all the same.
-    room = loads - len(loading - {stage.agent_id for _, stage in ranked})
+    free_slots = loads - len(loading - {stage.agent_id for _, stage in ranked})
     for chain, stage in ranked:
-        if len(orders) >= room:
+        if len(orders) >= free_slots:
             break
         if state.members.holds(stage.agent_id, stage.incarnation):
             orders.setdefault(stage.agent_id, _load(chain, stage))
     # A repair must never wait for a spare.
-    if not ranked and loads >= LOADS_WITH_WARM:
-        return _warm_orders(state, chains, loading)
+    if not ranked and loads >= MIN_LOADS_FOR_SPARES:
+        return _spare_orders(state, chains, loading)
     return orders
 
 
-def _warm_orders(state, chains, loading):
+def _spare_orders(state, chains, loading):
     """Return the loads of spares that have begun, or else the next one."""
     ranked = warm_loads(
         chains,
         _spares(state),
         holds=lambda spare, chain, stage: state.chains.is_loaded(
-            chain, _stage_of(spare, stage)
+            chain, _stage_on(spare, stage)
         ),
         region_of=lambda chain: _region(state, chain),
         loading=loading,
@@ -60,7 +60,7 @@
     for spare, chain, stage in ranked:
         if loading and spare.agent_id not in loading:
             break
-        orders[spare.agent_id] = _load(chain, stage, chain_id=WARM)
+        orders[spare.agent_id] = _load(chain, stage, chain_id=SPARE_CHAIN_ID)
         if not loading:
             break
     return orders
@@ -90,7 +90,7 @@
     return member.backend.region if member is not None else ""
 
 
-def _stage_of(spare, stage):
+def _stage_on(spare, stage):
     return wire.Stage(
         agent_id=spare.agent_id,
         incarnation=spare.incarnation,
--- a/wigeonscale/control/placement_loop.py
+++ b/wigeonscale/control/placement_loop.py
@@ -6,7 +6,7 @@
 import logging
 
 from wigeonscale.control.commands import Commands
-from wigeonscale.control.engines import Engines
+from wigeonscale.control.engine_specs import EngineSpecCache
 from wigeonscale.control.hub import Hub
 from wigeonscale.control.planning import (
     chain_plan,
@@ -22,8 +22,8 @@
 from wigeonscale.state import Change, ControlState
 
 # Also looks without a change: this replica may have become the leader.
-CHECK_S = 0.25
-RETRY_S = 0.05
+CHECK_INTERVAL_S = 0.25
+RETRY_DELAY_S = 0.05
 MS_PER_S = 1000
 
 logger = logging.getLogger(__name__)
@@ -67,21 +67,21 @@
         self._commands = commands
         self._clock = clock
         self._options = {"spares": spares, "domain_share": domain_share}
-        self._engines = Engines(state=state)
-        self._settling = SettleTimer(
+        self._engines = EngineSpecCache(state=state)
+        self._settle_timer = SettleTimer(
             clock=clock, settle_s=settle_s, rebuild_after_s=rebuild_after_s
         )
         self._drain_s = drain_s
-        self._planned_from: tuple | None = None
+        self._last_plan_inputs: tuple | None = None
         # How often engines and chains changed: claims and rules lead to no plan.
         self._engine_changes = 0
         self._chain_changes = 0
-        self._observed = -1
+        self._observed_engine_changes = -1
         self._wake = asyncio.Event()
 
     async def run(self) -> None:
         """Plan on every change until cancelled."""
-        subscription = self._state.changes.subscribe(self._note)
+        subscription = self._state.changes.subscribe(self._on_change)
         ticker = asyncio.create_task(self._tick())
         try:
             while True:
@@ -90,10 +90,10 @@
                 try:
                     await self._plan_once()
                 except WigeonscaleError as exc:
-                    await self._note_refusal(exc)
+                    await self._handle_refusal(exc)
                 except Exception:
                     logger.exception("placement failed")
-                    await self._clock.sleep(RETRY_S)
+                    await self._clock.sleep(RETRY_DELAY_S)
         finally:
             subscription.dispose()
             ticker.cancel()
@@ -101,11 +101,11 @@
 
     async def _tick(self):
         while True:
-            await self._clock.sleep(CHECK_S)
+            await self._clock.sleep(CHECK_INTERVAL_S)
             self._wake.set()
 
-    def _note(self, change: Change):
-        self._engine_changes += self._engines.note(change)
+    def _on_change(self, change: Change):
+        self._engine_changes += self._engines.invalidate(change)
         self._chain_changes += bool(change.chains or change.everything)
         self._wake.set()
 
@@ -113,49 +113,49 @@
         if self._replica.role is not Role.LEADER or not self._hub.is_fresh():
             return
         index = self._state.index
-        engines = self._engines.read()
-        if self._observed != self._engine_changes:
-            self._observed = self._engine_changes
-            self._settling.observe(engines)
+        engines = self._engines.specs()
+        if self._observed_engine_changes != self._engine_changes:
+            self._observed_engine_changes = self._engine_changes
+            self._settle_timer.observe(engines)
         options = self._options | {
-            "load_new": self._settling.may_load(),
-            "rebuild_serving": self._settling.may_rebuild(),
+            "load_new": self._settle_timer.may_load(),
+            "rebuild_serving": self._settle_timer.may_rebuild(),
         }
         planned = self._state.chains.planned()
-        ended = self._ended(planned)
+        finished = self._finished_retiring(planned)
         base_index = self._state.placement_index
         pipelines = tuple(self._state.configuration.document.pipelines.values())
-        planned_from = (
+        plan_inputs = (
             self._replica.term,
             self._engine_changes,
             self._chain_changes,
             base_index,
             pipelines,
             options,
-            ended,
+            finished,
         )
-        if planned_from == self._planned_from:
+        if plan_inputs == self._last_plan_inputs:
             return
         retiring = [chain for chain in planned if chain.retiring]
-        standing = [chain for chain in planned if not chain.retiring]
+        active = [chain for chain in planned if not chain.retiring]
         # In a thread: a plan of thousands of engines would delay heartbeats.
         plan = await asyncio.to_thread(
             plan_placement,
             pipelines=pipelines,
             engines=without_engines(engines, map(chain_plan, retiring)),
-            chains=[chain_plan(chain) for chain in standing],
+            chains=[chain_plan(chain) for chain in active],
             serving={chain.chain_id for chain in self._state.chains if chain.ready},
-            loaded={chain.chain_id for chain in standing if chain.ready},
+            loaded={chain.chain_id for chain in active if chain.ready},
             base_index=index,
             **options,
         )
-        command = place_command(plan, standing, pipelines, base_index)
-        command.place.removed.extend(ended)
+        command = place_command(plan, active, pipelines, base_index)
+        command.place.removed.extend(finished)
         if not is_empty(command.place):
             await self._commands.submit(command)
-        self._planned_from = planned_from
+        self._last_plan_inputs = plan_inputs
 
-    def _ended(self, chains):
+    def _finished_retiring(self, chains):
         """Return retiring chains that are broken or whose work had time to end."""
         now_ms = self._clock.wall() * MS_PER_S
         drained_ms = now_ms - self._drain_s * MS_PER_S
@@ -165,8 +165,8 @@
             if chain.retiring and (not chain.ready or chain.retired_ms <= drained_ms)
         ]
 
-    async def _note_refusal(self, exc):
+    async def _handle_refusal(self, exc):
         if exc.kind not in (ErrorKind.REVISION_CONFLICT, ErrorKind.NOT_LEADER):
             logger.warning("plan not placed: %s", exc.message)
-        await self._clock.sleep(RETRY_S)
+        await self._clock.sleep(RETRY_DELAY_S)
         self._wake.set()
--- a/wigeonscale/control/planning.py
+++ b/wigeonscale/control/planning.py
@@ -60,8 +60,8 @@
         compare ``chains`` with what stood.
     """
     plan = _plan(pipelines, engines, chains, serving, base_index, options)
-    rests = plan.chains == tuple(chains) and not plan.retired
-    if not rests or not options.get("rebuild_serving", True):
+    is_unchanged = plan.chains == tuple(chains) and not plan.retired
+    if not is_unchanged or not options.get("rebuild_serving", True):
         return plan
     known = {key: options[key] for key in ("spares", "domain_share") if key in options}
     improved = improve_chains(
@@ -73,13 +73,13 @@
 
 def _plan(pipelines, engines, chains, serving, base_index, options):
     by_name = {pipeline.name: pipeline for pipeline in pipelines}
-    left = _replace_draining(list(chains), by_name, list(engines))
+    remaining = _replace_draining(list(chains), by_name, list(engines))
     retired: list[str] = []
     while True:
         plan = plan_chains(
             pipelines=pipelines,
             engines=engines,
-            chains=left,
+            chains=remaining,
             base_index=base_index,
             **options,
         )
@@ -88,9 +88,9 @@
             return replace(plan, retired=tuple(retired))
         # Planned again without the engines that are not free yet.
         retired += surplus
-        kept = [chain for chain in left if chain.chain_id not in surplus]
-        engines = without_engines(engines, [c for c in left if c not in kept])
-        left = kept
+        kept = [chain for chain in remaining if chain.chain_id not in surplus]
+        engines = without_engines(engines, [c for c in remaining if c not in kept])
+        remaining = kept
 
 
 def without_engines(
@@ -174,7 +174,7 @@
 
 def place_command(
     plan: Plan,
-    standing: Sequence[wire.Chain],
+    active: Sequence[wire.Chain],
     pipelines: Sequence[Pipeline],
     base_index: int,
 ) -> wire.Command:
@@ -182,7 +182,7 @@
 
     Args:
         plan: Result of planning.
-        standing: Chains that the plan was made from.
+        active: Chains that the plan was made from.
         pipelines: Pipelines that were planned for.
         base_index: Placement index that the plan was made from.
 
@@ -190,7 +190,7 @@
         A command without an operation id; its lists are empty when nothing changes.
     """
     by_name = {pipeline.name: pipeline for pipeline in pipelines}
-    before = {chain.chain_id: chain for chain in standing}
+    before = {chain.chain_id: chain for chain in active}
     place = wire.PlaceChains(
         removed=plan.removed, retired=plan.retired, base_index=base_index
     )
@@ -199,7 +199,7 @@
         if known is None or chain_plan(known) != chain:
             place.chains.append(_wire_chain(chain, by_name[chain.pipeline]))
     if is_empty(place):
-        place.chains.extend(_upgrades(standing, by_name))
+        place.chains.extend(_upgrades(active, by_name))
     return wire.Command(place=place)
 
 
@@ -212,13 +212,13 @@
     return not (place.chains or place.removed or place.retired)
 
 
-def _upgrades(standing, pipelines):
+def _upgrades(active, pipelines):
     """Return at most one chain a pipeline that shall load another version.
 
     The next follows when all chains of the pipeline are ready again.
     """
     for name, pipeline in sorted(pipelines.items()):
-        chains = [chain for chain in standing if chain.pipeline == name]
+        chains = [chain for chain in active if chain.pipeline == name]
         outdated = [chain for chain in chains if not _is_current(chain, pipeline)]
         # One that does not serve anyway goes first.
         outdated.sort(key=lambda chain: (chain.ready, chain.chain_id))
--- a/wigeonscale/control/probe.py
+++ b/wigeonscale/control/probe.py
@@ -1,6 +1,6 @@
 """Asks an agent itself, over a new connection, whether it is there."""
 
-__all__ = ["Probes", "probe_agent"]
+__all__ = ["ProbeCache", "probe_agent"]
 
 import asyncio
 from collections.abc import Callable, Hashable
@@ -15,19 +15,19 @@
 
 # A well agent answers within a round trip; one whose VM is gone never does.
 PROBE_TIMEOUT_S = 0.5
-PROBE_AGAIN_S = 1.0
+PROBE_INTERVAL_S = 1.0
 
 
 @dataclass(slots=True)
-class _Asked:
+class _ProbeState:
     """When an agent was asked last, and its newest answer."""
 
-    at: float
+    asked_at: float
     answer: ProbeAnswer | None
     is_pending: bool = True
 
 
-class Probes:
+class ProbeCache:
     """Newest answers of the agents that are in question.
 
     Args:
@@ -40,7 +40,7 @@
         self._probe = probe
         self._clock = clock
         self._on_answer = on_answer
-        self._asked: dict[Hashable, _Asked] = {}
+        self._states: dict[Hashable, _ProbeState] = {}
         self._tasks: set[asyncio.Task] = set()
 
     def answer(self, name: Hashable, address: str, since: float) -> ProbeAnswer | None:
@@ -55,24 +55,24 @@
             Its newest answer to a question put since then; None before one.
         """
         now = self._clock.now()
-        asked = self._asked.get(name)
-        if asked is not None and asked.at < since and not asked.is_pending:
-            asked = None
-        is_due = asked is None or now - asked.at >= PROBE_AGAIN_S
-        if is_due and (asked is None or not asked.is_pending):
-            answer = asked.answer if asked else None
-            asked = self._asked[name] = _Asked(at=now, answer=answer)
-            self._start(self._ask(address, asked))
-        return asked.answer if asked.at >= since else None
-
-    def keep(self, names: set) -> None:
+        state = self._states.get(name)
+        if state is not None and state.asked_at < since and not state.is_pending:
+            state = None
+        is_due = state is None or now - state.asked_at >= PROBE_INTERVAL_S
+        if is_due and (state is None or not state.is_pending):
+            answer = state.answer if state else None
+            state = self._states[name] = _ProbeState(asked_at=now, answer=answer)
+            self._start(self._run_probe(address, state))
+        return state.answer if state.asked_at >= since else None
+
+    def retain(self, names: set) -> None:
         """Forget all agents but these.
 
         Args:
             names: Those still of interest.
         """
-        for name in self._asked.keys() - names:
-            del self._asked[name]
+        for name in self._states.keys() - names:
+            del self._states[name]
 
     async def close(self) -> None:
         """Cancel the questions that are open."""
@@ -81,9 +81,9 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _ask(self, address, asked):
-        asked.answer = await self._probe(address)
-        asked.is_pending = False
+    async def _run_probe(self, address, state):
+        state.answer = await self._probe(address)
+        state.is_pending = False
         self._on_answer()
 
     def _start(self, coro):
--- a/wigeonscale/control/registry.py
+++ b/wigeonscale/control/registry.py
@@ -11,9 +11,9 @@
 from collections.abc import Awaitable, Callable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.control.backend_checks import BackendChecks
+from wigeonscale.control.backend_health import BackendHealthChecker
 from wigeonscale.control.commands import Commands
-from wigeonscale.control.heard import Heard, log_change
+from wigeonscale.control.last_heartbeat import LastHeartbeat, log_backend_change
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.ports import Clock, EngineSign
 from wigeonscale.replication import Replica
@@ -56,8 +56,8 @@
         self._commands = commands
         self._clock = clock
         self._has_service = has_service
-        self._heard: dict[str, Heard] = {}
-        self._checks = BackendChecks(
+        self._last_heartbeats: dict[str, LastHeartbeat] = {}
+        self._health_checker = BackendHealthChecker(
             node_id=node_id,
             state=state,
             replica=replica,
@@ -65,7 +65,7 @@
             clock=clock,
             heartbeat_s=heartbeat_s,
             probe=probe,
-            heard=self._heard,
+            last_heartbeats=self._last_heartbeats,
         )
 
     async def announce(self, backend: wire.Backend, sequence: int) -> None:
@@ -80,25 +80,27 @@
                 wrong in itself, or not of one of the backends, ``BAD_REQUEST``.
         """
         name, started_ms = backend.agent_id, backend.started_ms
-        self._check_is_ours(backend)
-        heard = self._heard.get(name)
-        if heard is not None and (started_ms, sequence) < heard.order:
+        self._validate_new_backend(backend)
+        last = self._last_heartbeats.get(name)
+        if last is not None and (started_ms, sequence) < last.sort_key:
             logger.info(
                 "heartbeat %d of %s is late",
                 sequence,
                 name,
                 extra=log_fields(
-                    outcome="ignored", born=started_ms, newest_born=heard.started_ms
+                    outcome="ignored", born=started_ms, newest_born=last.started_ms
                 ),
             )
             return
         if self._state.members.is_ended(name, backend.incarnation):
             logger.info("heartbeat %d of ended %s ignored", sequence, name)
             return
-        self._heard[name] = Heard(self._clock.now(), started_ms, sequence)
-        self._note_restart(backend)
-        self._keep_slowness(backend)
-        if self._shows(backend):
+        self._last_heartbeats[name] = LastHeartbeat(
+            self._clock.now(), started_ms, sequence
+        )
+        self._log_restart(backend)
+        self._copy_slowness(backend)
+        if self._is_committed(backend):
             return
         command = wire.Announce(
             backend=backend, replica=self._node_id, sequence=sequence
@@ -113,9 +115,9 @@
                 raise
             logger.info("heartbeat %d of %s: %s", sequence, name, exc.message)
             return
-        log_change(backend, sequence)
+        log_backend_change(backend, sequence)
 
-    def _check_is_ours(self, backend: wire.Backend) -> None:
+    def _validate_new_backend(self, backend: wire.Backend) -> None:
         """Refuse a new name that no backend of the configuration can have.
 
         One that is a member is heard in any case: when it leaves, it waits for the
@@ -129,26 +131,28 @@
                 f"{backend.agent_id!r} names the service {backend.service!r},"
                 " which the configuration does not have",
             )
-        if not backend.started_ms and self._service_says_starts(backend.service):
+        if not backend.started_ms and self._service_reports_start_times(
+            backend.service
+        ):
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
                 f"{backend.agent_id!r} does not say when it started, which the others"
                 f" of {backend.service!r} do",
             )
 
-    def _service_says_starts(self, service: str) -> bool:
+    def _service_reports_start_times(self, service: str) -> bool:
         return any(
             member.backend.started_ms and member.backend.service == service
             for member in self._state.members
         )
 
-    def _keep_slowness(self, backend: wire.Backend) -> None:
+    def _copy_slowness(self, backend: wire.Backend) -> None:
         """Add to a heartbeat what probes told, which it does not say itself."""
         member = self._state.members.get(backend.agent_id)
         if member is not None and member.backend.incarnation == backend.incarnation:
             backend.slowness = member.backend.slowness
 
-    def _note_restart(self, backend: wire.Backend) -> None:
+    def _log_restart(self, backend: wire.Backend) -> None:
         member = self._state.members.get(backend.agent_id)
         if member is None or member.backend.started_ms == backend.started_ms:
             return
@@ -176,28 +180,28 @@
         ended = wire.EndIncarnation(agent_id=backend_id, incarnation=incarnation or 0)
         await self._commands.submit(wire.Command(end_incarnation=ended))
         if self._state.members.get(backend_id) is None:
-            self._heard.pop(backend_id, None)
+            self._last_heartbeats.pop(backend_id, None)
         logger.info(
             "%s left", backend_id, extra=log_fields(outcome="left", born=incarnation)
         )
 
-    def suspect(self, req: wire.Suspect, *, came_from: str) -> None:
+    def suspect(self, req: wire.Suspect, *, source_role: str) -> None:
         """Probe a backend that does not answer an entry.
 
         Args:
             req: Names the backend.
-            came_from: Role of the process that suspects it.
+            source_role: Role of the process that suspects it.
         """
-        self._checks.suspect(req, came_from=came_from)
+        self._health_checker.suspect(req, source_role=source_role)
 
     def wake(self) -> None:
         """Do nothing: no backend hangs on a stream here."""
 
     async def run(self) -> None:
         """Judge until cancelled."""
-        await self._checks.run()
+        await self._health_checker.run()
 
-    def _shows(self, backend: wire.Backend) -> bool:
+    def _is_committed(self, backend: wire.Backend) -> bool:
         member = self._state.members.get(backend.agent_id)
         if member is None or member.replica != self._node_id:
             return False
--- a/wigeonscale/control/replica_membership.py
+++ b/wigeonscale/control/replica_membership.py
@@ -22,16 +22,16 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-INTERVAL_S = 0.5
+CHECK_INTERVAL_S = 0.5
 # Elections end well before; a replica that hears no leader for so long is cut off, or
 # was taken out.
-LONELY_S = 3.0
+NO_LEADER_TIMEOUT_S = 3.0
 # Silence after which a member may be replaced. Restarts take a second or two.
 REPLACE_AFTER_S = 3.0
 # Fewer members bear no loss.
-LEAST_MEMBERS = 3
+MIN_MEMBERS = 3
 # A single voter could admit nobody: see ``replication/admission.py``.
-LEAST_HEARD = 2
+MIN_RESPONSIVE_VOTERS = 2
 CALL_TIMEOUT_S = 1.0
 
 logger = logging.getLogger(__name__)
@@ -41,14 +41,14 @@
     members: Sequence[Member],
     silences: Mapping[str, float],
     *,
-    joining: bool,
+    has_candidate: bool,
 ) -> str | None:
     """Return the member that the leader should take out now, or None.
 
     Args:
         members: All members.
         silences: Seconds since each other member was heard, by node id.
-        joining: Whether another replica waits to be added.
+        has_candidate: Whether another replica waits to be added.
 
     Returns:
         Node id of the member silent for longest, if it was silent for
@@ -57,20 +57,20 @@
 
     Example:
         >>> trio = [Member(name, "") for name in "abc"]
-        >>> member_to_remove(trio, {"b": 0.1, "c": 9.0}, joining=True)
+        >>> member_to_remove(trio, {"b": 0.1, "c": 9.0}, has_candidate=True)
         'c'
-        >>> member_to_remove(trio, {"b": 0.1, "c": 9.0}, joining=False)
+        >>> member_to_remove(trio, {"b": 0.1, "c": 9.0}, has_candidate=False)
     """
     silent = {
         member.node_id: silences[member.node_id]
         for member in members
         if silences.get(member.node_id, 0.0) > REPLACE_AFTER_S
     }
-    if not silent or len(members) - (not joining) < LEAST_MEMBERS:
+    if not silent or len(members) - (not has_candidate) < MIN_MEMBERS:
         return None
-    heard = sum(m.voting for m in members if m.node_id not in silent)
-    staying = sum(m.voting for m in members) - 1
-    if heard <= staying // 2 or heard < LEAST_HEARD:
+    responsive = sum(m.voting for m in members if m.node_id not in silent)
+    remaining = sum(m.voting for m in members) - 1
+    if responsive <= remaining // 2 or responsive < MIN_RESPONSIVE_VOTERS:
         return None
     return max(silent, key=silent.get)
 
@@ -101,27 +101,27 @@
         tls: TlsFiles | None = None,
         dial: Callable | None = None,
     ):
-        self._me = wire.JoinRequest(node_id=node_id, address=address)
+        self._join_request = wire.JoinRequest(node_id=node_id, address=address)
         self._seeds = tuple(seeds)
         self._replica = replica
         self._commands = commands
         self._clock = clock
         self._tls = tls
-        self._dial = dial or self._call
-        self._told: tuple[str, ...] = ()
-        self._led_since: dict[str, float] = {}
-        self._changing = asyncio.Lock()
+        self._dial = dial or self._send_join
+        self._reported_addresses: tuple[str, ...] = ()
+        self._tracked_since: dict[str, float] = {}
+        self._change_lock = asyncio.Lock()
 
     async def run(self) -> None:
         """Join, and tend the members, until cancelled."""
         while True:
-            await self._clock.sleep(INTERVAL_S)
+            await self._clock.sleep(CHECK_INTERVAL_S)
             self._commands.follow_addresses(self._addresses())
             if self._replica.role is Role.LEADER:
-                await self._tend()
+                await self._review_members()
                 continue
-            self._led_since.clear()
-            if self._is_lonely():
+            self._tracked_since.clear()
+            if self._has_no_leader():
                 await self._ask_to_join()
 
     def follow_seeds(self, seeds: Sequence[str]) -> None:
@@ -149,33 +149,37 @@
         if self._replica.role is not Role.LEADER:
             return reply
         reply.taken = any(m.node_id == req.node_id for m in members)
-        if not reply.taken and not self._changing.locked():
-            async with self._changing:
-                reply.taken = await self._take_in(req)
+        if not reply.taken and not self._change_lock.locked():
+            async with self._change_lock:
+                reply.taken = await self._admit(req)
         return reply
 
     def _addresses(self) -> list[str]:
         known = [member.address for member in self._replica.members()]
-        return list(dict.fromkeys([*known, *self._told, *self._seeds]))
+        return list(dict.fromkeys([*known, *self._reported_addresses, *self._seeds]))
 
-    def _is_lonely(self) -> bool:
-        return self._replica.leader_silence() > LONELY_S
+    def _has_no_leader(self) -> bool:
+        return self._replica.leader_silence() > NO_LEADER_TIMEOUT_S
 
     async def _ask_to_join(self) -> None:
         for address in self._addresses():
-            if address == self._me.address:
+            if address == self._join_request.address:
                 continue
-            reply = await self._dial(address, self._me)
+            reply = await self._dial(address, self._join_request)
             if reply is None:
                 continue
-            self._told = tuple(reply.control) or self._told
+            self._reported_addresses = tuple(reply.control) or self._reported_addresses
             if not reply.taken and reply.leader not in ("", address):
-                reply = await self._dial(reply.leader, self._me)
+                reply = await self._dial(reply.leader, self._join_request)
             if reply is not None and reply.taken:
-                logger.info("replica %s is taken in by %s", self._me.node_id, address)
+                logger.info(
+                    "replica %s is taken in by %s", self._join_request.node_id, address
+                )
                 return
 
-    async def _call(self, address: str, req: wire.JoinRequest) -> wire.JoinReply | None:
+    async def _send_join(
+        self, address: str, req: wire.JoinRequest
+    ) -> wire.JoinReply | None:
         try:
             async with open_channel(address, tls=self._tls) as channel:
                 stub = wire_pb2_grpc.ControlStub(channel)
@@ -184,38 +188,40 @@
             logger.info("replica %s not asked to join: %s", address, exc.code())
             return None
 
-    async def _tend(self) -> None:
-        if self._changing.locked():
+    async def _review_members(self) -> None:
+        if self._change_lock.locked():
             return
-        async with self._changing:
-            await self._remove_silent(joining=False)
+        async with self._change_lock:
+            await self._remove_silent(has_candidate=False)
 
-    async def _take_in(self, req: wire.JoinRequest) -> bool:
-        await self._remove_silent(joining=True)
-        return await self._change(add=Member(req.node_id, req.address))
+    async def _admit(self, req: wire.JoinRequest) -> bool:
+        await self._remove_silent(has_candidate=True)
+        return await self._change_members(add=Member(req.node_id, req.address))
 
-    async def _remove_silent(self, *, joining: bool) -> None:
+    async def _remove_silent(self, *, has_candidate: bool) -> None:
         members = self._replica.members()
         silences = self._silences(members)
-        name = member_to_remove(members, silences, joining=joining)
+        name = member_to_remove(members, silences, has_candidate=has_candidate)
         if name is not None:
             logger.warning(
                 "replica %s is taken out, silent %.1f s", name, silences[name]
             )
-            await self._change(remove=name)
+            await self._change_members(remove=name)
 
     def _silences(self, members: Sequence[Member]) -> dict[str, float]:
         """Return for how long each other member was silent towards this leader."""
         now = self._clock.now()
-        others = [m.node_id for m in members if m.node_id != self._me.node_id]
+        others = [m.node_id for m in members if m.node_id != self._join_request.node_id]
         # One that this leader leads for a moment only may well be about to answer.
-        self._led_since = {name: self._led_since.get(name, now) for name in others}
+        self._tracked_since = {
+            name: self._tracked_since.get(name, now) for name in others
+        }
         return {
-            name: min(self._replica.peer_silence(name), now - self._led_since[name])
+            name: min(self._replica.peer_silence(name), now - self._tracked_since[name])
             for name in others
         }
 
-    async def _change(self, **change: object) -> bool:
+    async def _change_members(self, **change: object) -> bool:
         try:
             await self._replica.change_voters(**change)
         except WigeonscaleError as exc:
--- a/wigeonscale/control/rule_changes.py
+++ b/wigeonscale/control/rule_changes.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from wigeonscale.control.documents import ApplyRequest, RollbackRequest
+from wigeonscale.control.admin_requests import ApplyRequest, RollbackRequest
 from wigeonscale.errors import ErrorKind, SettingsError, WigeonscaleError
 from wigeonscale.rules import (
     EMPTY_DOCUMENT,
@@ -38,7 +38,9 @@
     if body.changes:
         return await _patch_command(configuration, base, body)
     # Only sections that differ from the operator's base are read.
-    document = await _made(parse_document, body.document, base=base or EMPTY_DOCUMENT)
+    document = await _run_in_thread(
+        parse_document, body.document, base=base or EMPTY_DOCUMENT
+    )
     return await _document_command(
         configuration, body.base_revision, document, body.operator, body.operation_id
     )
@@ -102,7 +104,7 @@
     )
     # Without the base it is a conflict, or the first answer is still known.
     if base is not None:
-        document = await _made(patch_document, base, apply.changes)
+        document = await _run_in_thread(patch_document, base, apply.changes)
         if document.digest != body.digest:
             raise WigeonscaleError(
                 ErrorKind.INVALID_DOCUMENT,
@@ -120,7 +122,7 @@
     return wire.Command(operation_id=name, apply_config=apply)
 
 
-async def _made(make, *args, **options) -> Document:
+async def _run_in_thread(make, *args, **options) -> Document:
     try:
         # In a thread: a long document would delay the replica's heartbeats.
         return await asyncio.to_thread(make, *args, **options)
--- a/wigeonscale/control/service.py
+++ b/wigeonscale/control/service.py
@@ -8,7 +8,7 @@
 
 import grpc
 
-from wigeonscale.control.announcing import keep_announced
+from wigeonscale.control.announcements import commit_announcements
 from wigeonscale.control.commands import Commands
 from wigeonscale.control.hub import Hub
 from wigeonscale.control.liveness import Liveness
@@ -68,14 +68,14 @@
             async with asyncio.TaskGroup() as group:
                 tasks = [group.create_task(self._write(watcher, context))]
                 if watcher.role == AGENT:
-                    announcing = keep_announced(
+                    committing = commit_announcements(
                         node_id=self._node_id,
                         watcher=watcher,
                         hub=self._hub,
                         commands=self._commands,
                         clock=self._clock,
                     )
-                    tasks.append(group.create_task(announcing))
+                    tasks.append(group.create_task(committing))
                 await self._read(watcher, request_iterator)
                 for task in tasks:
                     task.cancel()
@@ -131,16 +131,16 @@
         match req.WhichOneof("body"):
             case "heartbeat":
                 watcher.applied_revision = req.heartbeat.applied_revision
-                watcher.unanswered = (req.heartbeat, watcher.last_message_at)
+                watcher.pending_heartbeat = (req.heartbeat, watcher.last_message_at)
                 if req.heartbeat.HasField("loads"):
                     watcher.loads = req.heartbeat.loads
                 watcher.wake.set()
             case "announce" if req.announce.agent_id == watcher.node_id:
                 self._hub.announce(watcher, req.announce)
             case "order_result":
-                self._hub.note_order_result(watcher, req.order_result)
+                self._hub.handle_order_result(watcher, req.order_result)
             case "suspect":
-                self._liveness.suspect(req.suspect, came_from=watcher.role)
+                self._liveness.suspect(req.suspect, source_role=watcher.role)
             case other:
                 logger.warning("message %s of %s ignored", other, watcher.node_id)
 
@@ -148,5 +148,5 @@
         while True:
             await watcher.wake.wait()
             watcher.wake.clear()
-            for event in self._hub.due(watcher):
+            for event in self._hub.pending_events(watcher):
                 await context.write(event)
--- a/wigeonscale/control/settle_timer.py
+++ b/wigeonscale/control/settle_timer.py
@@ -9,7 +9,7 @@
 from wigeonscale.ports import Clock
 
 # New chains wait at most this many settling times, however often engines join.
-LONGEST_WAIT = 10
+MAX_SETTLE_PERIODS = 10
 
 
 class SettleTimer:
@@ -54,7 +54,7 @@
     def may_load(self) -> bool:
         """Return whether new chains may be made of engines that have to load."""
         waited_s = self._clock.now() - self._waiting_since
-        return self._is_quiet() or waited_s >= LONGEST_WAIT * self._settle_s
+        return self._is_quiet() or waited_s >= MAX_SETTLE_PERIODS * self._settle_s
 
     def may_rebuild(self) -> bool:
         """Return whether chains that serve may be rebuilt."""
--- a/wigeonscale/control/suspicion.py
+++ b/wigeonscale/control/suspicion.py
@@ -11,7 +11,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-TELL_TIMEOUT_S = 2.0
+FORWARD_TIMEOUT_S = 2.0
 CONTROL = "control"
 
 logger = logging.getLogger(__name__)
@@ -38,7 +38,7 @@
     hello = wire.Hello(node_id=node_id, role=CONTROL)
     try:
         async with (
-            asyncio.timeout(TELL_TIMEOUT_S),
+            asyncio.timeout(FORWARD_TIMEOUT_S),
             open_channel(address, tls=tls) as channel,
         ):
             call = wire_pb2_grpc.ControlStub(channel).Watch()
--- a/wigeonscale/control/tests/keeper.py
+++ b/wigeonscale/control/tests/layer_assigner_case.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 
 from wigeonscale.control import Commands, LayerAssigner
-from wigeonscale.control.tests.support import StandInReplica
+from wigeonscale.control.tests.support import FakeReplica
 from wigeonscale.ports.orders import EngineStatus, OrderOutcome
 from wigeonscale.routes import Accelerator, EngineProfile, RouteTable, Service
 from wigeonscale.state import ControlState
@@ -23,7 +23,7 @@
 TABLE = RouteTable(number=1, services={"m": Service(name="m", engine=PROFILE)})
 
 
-class Engines:
+class FakeEngines:
     """Engines that carry out orders, unless a test says otherwise."""
 
     def __init__(self):
@@ -63,18 +63,18 @@
         self.starts[address] = started_ms
 
 
-class KeeperCase(AsyncTestCase):
+class LayerAssignerCase(AsyncTestCase):
     async def prepare(self):
         self.clock = ManualClock()
         self.state = ControlState()
-        self.replica = StandInReplica(state=self.state, clock=self.clock)
-        self.engines = Engines()
+        self.replica = FakeReplica(state=self.state, clock=self.clock)
+        self.engines = FakeEngines()
         self.commands = Commands(
             replica=self.replica, addresses=["127.0.0.1:1"], clock=self.clock
         )
         self.addCleanup(self.commands.close)
         self.fresh = True
-        self.keeper = LayerAssigner(
+        self.assigner = LayerAssigner(
             state=self.state,
             replica=self.replica,
             clock=self.clock,
@@ -83,7 +83,7 @@
             table=lambda: TABLE,
             is_fresh=lambda: self.fresh,
         )
-        self.task = asyncio.create_task(self.keeper.run())
+        self.task = asyncio.create_task(self.assigner.run())
         self.addCleanup(self.stop)
 
     async def stop(self):
--- a/wigeonscale/control/tests/support.py
+++ b/wigeonscale/control/tests/support.py
@@ -35,7 +35,7 @@
         await asyncio.wait(others, timeout=HANDLERS_END_S)
 
 
-class StandInReplica:
+class FakeReplica:
     """Applies each proposal at once; tests set its role and freshness."""
 
     def __init__(self, *, state, clock):
@@ -79,13 +79,13 @@
         return self._state.apply(self._state.index + 1, self.term, data)
 
 
-class Parts:
+class ControlFixture:
     """The control parts of one replica, named c1, over a stand-in log."""
 
     def __init__(self, *, clock=None, loads=4, addresses=("127.0.0.1:1",)):
         self.clock = clock or ManualClock()
         self.state = ControlState()
-        self.replica = StandInReplica(state=self.state, clock=self.clock)
+        self.replica = FakeReplica(state=self.state, clock=self.clock)
         self.metrics = Metrics()
         self.commands = Commands(
             replica=self.replica,
--- a/wigeonscale/control/tests/test_admin.py
+++ b/wigeonscale/control/tests/test_admin.py
@@ -11,8 +11,8 @@
 
 from wigeonscale.adapters.health import bound_address, start_http
 from wigeonscale.control import Admin, admin
-from wigeonscale.control.documents import ApplyRequest
-from wigeonscale.control.tests.support import Parts
+from wigeonscale.control.admin_requests import ApplyRequest
+from wigeonscale.control.tests.support import ControlFixture
 from wigeonscale.errors import ErrorKind
 from wigeonscale.replication import Role
 from wigeonscale.rules import diff_documents, editing, parse_document
@@ -26,14 +26,14 @@
     token_digest = ""
 
     async def prepare(self):
-        self.parts = Parts()
-        self.addCleanup(self.parts.hub.close)
+        self.fixture = ControlFixture()
+        self.addCleanup(self.fixture.hub.close)
         pages = Admin(
             node_id="c1",
-            state=self.parts.state,
-            replica=self.parts.replica,
-            hub=self.parts.hub,
-            commands=self.parts.commands,
+            state=self.fixture.state,
+            replica=self.fixture.replica,
+            hub=self.fixture.hub,
+            commands=self.fixture.commands,
             token_digest=self.token_digest,
         )
         runner = await start_http("127.0.0.1:0", pages.routes(), lambda: True)
@@ -90,7 +90,7 @@
         services = "".join(f"[service s{n}]\n" for n in range(500))
         await self.apply(DOCUMENT + services)
         await self.apply(DOCUMENT + services + "[service x]\n", base=1, operation="b")
-        command = self.parts.replica.proposed[-1]
+        command = self.fixture.replica.proposed[-1]
         self.assertEqual(["service x"], [c.name for c in command.apply_config.changes])
         self.assertLess(command.ByteSize(), 200)
 
@@ -125,7 +125,7 @@
             self.assertEqual((200, 2), await self.status_and_revision(asked))
         asked = self.apply(new, base=1, operation="b")
         self.assertEqual((200, 2), await self.status_and_revision(asked))
-        self.assertEqual(2, self.parts.state.configuration.revision)
+        self.assertEqual(2, self.fixture.state.configuration.revision)
         late = self.patch(DOCUMENT, DOCUMENT + "[service y]\n", operation="c")
         self.assertEqual((409, "revision-conflict"), await self.status_and_kind(late))
 
@@ -137,7 +137,7 @@
         for fields in ({"digest": ""}, {"document": new}, {"changes": []}):
             bad = self.patch(DOCUMENT, new, **fields)
             self.assertEqual((400, "bad-request"), await self.status_and_kind(bad))
-        self.assertEqual(1, len(self.parts.replica.proposed))
+        self.assertEqual(1, len(self.fixture.replica.proposed))
 
     async def test_base_that_is_not_kept_is_a_conflict(self):
         await self.apply()
@@ -150,7 +150,7 @@
         for body in ({}, {"base_revision": -1}, {"base_revision": "0"}):
             refused = await self.status_and_kind(self.post("rules/apply", **body))
             self.assertEqual((400, "bad-request"), refused)
-        self.assertEqual([], self.parts.replica.proposed)
+        self.assertEqual([], self.fixture.replica.proposed)
 
     async def test_long_documents_are_taken_up_to_a_bound(self):
         long = DOCUMENT + "# comment\n" * 150_000
@@ -173,7 +173,7 @@
     async def test_drain(self):
         unknown = self.post("drain", agent_id="a", draining=True, operation_id="x")
         self.assertEqual((404, "not-found"), await self.status_and_kind(unknown))
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         status, _ = await self.post(
             "drain", agent_id="a", draining=True, operation_id="y"
         )
@@ -182,15 +182,15 @@
         self.assertEqual((200, True), (status, backend["drained"]))
 
     async def test_follower_names_the_leader(self):
-        self.parts.replica.role = Role.FOLLOWER
-        self.parts.replica.leader_address = "10.0.0.9:7000"
+        self.fixture.replica.role = Role.FOLLOWER
+        self.fixture.replica.leader_address = "10.0.0.9:7000"
         status, body = await self.apply()
         self.assertEqual((421, "not-leader"), (status, body["error"]["kind"]))
         self.assertIn("10.0.0.9:7000", body["error"]["message"])
         self.assertIn("retry_after", body["error"])
 
     async def test_replica_that_is_not_fresh_shows_its_status_only(self):
-        self.parts.replica.stale_s = None
+        self.fixture.replica.stale_s = None
         for page in ("rules", "rules/history", "backends", "pipelines"):
             refused = await self.status_and_kind(self.get(page))
             self.assertEqual((503, ErrorKind.NO_QUORUM), refused)
@@ -198,16 +198,16 @@
         self.assertEqual((200, False), (status, shown["fresh"]))
 
     async def test_unexpected_failure_is_an_answer_too(self):
-        self.parts.hub.watchers.add(None)
+        self.fixture.hub.watchers.add(None)
         status, body = await self.get("status")
-        self.parts.hub.watchers.discard(None)
+        self.fixture.hub.watchers.discard(None)
         error = body["error"]
         self.assertEqual(
             (500, "internal", "unknown"), (status, error["kind"], error["run"])
         )
 
     async def test_status_names_watchers(self):
-        watcher = self.parts.watcher("e7")
+        watcher = self.fixture.watcher("e7")
         watcher.applied_revision = 4
         _, shown = await self.get("status")
         (only,) = shown["watchers"]
--- a/wigeonscale/control/tests/test_claim_expiry.py
+++ b/wigeonscale/control/tests/test_claim_expiry.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from wigeonscale.control import run_claim_expiry
-from wigeonscale.control.tests.support import Parts
+from wigeonscale.control.tests.support import ControlFixture
 from wigeonscale.errors import ErrorKind
 from wigeonscale.replication import Role
 from wigeonscale.testing import AsyncTestCase
@@ -14,34 +14,34 @@
 
 class ExpiryTest(AsyncTestCase):
     async def test_only_the_leader_expires_and_only_by_age(self):
-        parts = Parts()
-        self.addCleanup(parts.hub.close)
-        await parts.announce("a")
-        await self.claim(parts, "old")
+        fixture = ControlFixture()
+        self.addCleanup(fixture.hub.close)
+        await fixture.announce("a")
+        await self.claim(fixture, "old")
         task = asyncio.create_task(
             run_claim_expiry(
-                state=parts.state,
-                replica=parts.replica,
-                commands=parts.commands,
-                clock=parts.clock,
+                state=fixture.state,
+                replica=fixture.replica,
+                commands=fixture.commands,
+                clock=fixture.clock,
                 claim_age_s=AGE_S,
             )
         )
-        await parts.clock.advance(AGE_S / 2)
-        await self.claim(parts, "new")
-        parts.replica.role = Role.FOLLOWER
-        await parts.clock.advance(AGE_S * 0.6)
-        self.assertEqual(2, len(parts.state.claims))
+        await fixture.clock.advance(AGE_S / 2)
+        await self.claim(fixture, "new")
+        fixture.replica.role = Role.FOLLOWER
+        await fixture.clock.advance(AGE_S * 0.6)
+        self.assertEqual(2, len(fixture.state.claims))
         tried = {"command": "expire", "kind": ErrorKind.NOT_LEADER}
-        self.assertEqual(0, parts.metrics.commands.value(**tried))
-        parts.replica.role = Role.LEADER
-        await parts.clock.advance(AGE_S / 10)
-        self.assertEqual(1, len(parts.state.claims))
-        self.assertIsNotNone(parts.state.claims.find("o", "new"))
+        self.assertEqual(0, fixture.metrics.commands.value(**tried))
+        fixture.replica.role = Role.LEADER
+        await fixture.clock.advance(AGE_S / 10)
+        self.assertEqual(1, len(fixture.state.claims))
+        self.assertIsNotNone(fixture.state.claims.find("o", "new"))
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    async def claim(self, parts, key):
+    async def claim(self, fixture, key):
         claim = wire.Claim(
             organisation="o",
             key=key,
@@ -49,5 +49,5 @@
             agent_id="a",
             agent_incarnation=1,
         )
-        result = await parts.run(claim=claim)
+        result = await fixture.run(claim=claim)
         self.assertTrue(result.granted)
--- a/wigeonscale/control/tests/test_layer_assigner.py
+++ b/wigeonscale/control/tests/test_layer_assigner.py
@@ -1,9 +1,9 @@
-from wigeonscale.control.tests.keeper import KeeperCase
+from wigeonscale.control.tests.layer_assigner_case import LayerAssignerCase
 from wigeonscale.ports.orders import OrderOutcome
 from wigeonscale.replication import Role
 
 
-class FirstPlanTest(KeeperCase):
+class FirstPlanTest(LayerAssignerCase):
     async def test_waits_until_the_engines_have_announced_themselves(self):
         await self.announce("e1")
         await self.clock.advance(0.5)
@@ -41,7 +41,7 @@
         self.assertTrue(self.engines.orders[-1][3] > before)
 
 
-class LostAnswerTest(KeeperCase):
+class LostAnswerTest(LayerAssignerCase):
     async def test_asks_the_engine_before_it_orders_again(self):
         self.engines.outcomes["e1"] = OrderOutcome.UNKNOWN
         await self.announce_all("e1", "e2")
@@ -69,7 +69,7 @@
         return name, first, end, expected
 
 
-class MendTest(KeeperCase):
+class TakeoverTest(LayerAssignerCase):
     async def test_neighbours_take_over_from_a_silent_engine(self):
         await self.announce("e1", 0, 4)
         await self.announce("e2", 4, 7, silent=True)
@@ -112,7 +112,7 @@
         self.assertEqual([], self.engines.asked)
 
 
-class RestartTest(KeeperCase):
+class RestartTest(LayerAssignerCase):
     """An engine that starts again under its name holds nothing, and counts anew."""
 
     async def serving(self):
--- a/wigeonscale/control/tests/test_layer_assigner_load.py
+++ b/wigeonscale/control/tests/test_layer_assigner_load.py
@@ -1,11 +1,11 @@
 """Thousands of engines, and a new leader after a loss of all control."""
 
 from wigeonscale.control import layer_assigner
-from wigeonscale.control.tests.keeper import KeeperCase
+from wigeonscale.control.tests.layer_assigner_case import LayerAssignerCase
 from wigeonscale.ports.orders import OrderOutcome
 
 
-class ManyEnginesTest(KeeperCase):
+class ManyEnginesTest(LayerAssignerCase):
     """Thousands of engines announce themselves within a heartbeat.
 
     An exchange takes the leader 2 ms of its processor; what is not answered within
@@ -19,18 +19,18 @@
     async def prepare(self):
         await super().prepare()
         self.free_at = self.clock.now()
-        self.place_at_once = self.engines.place
+        self.place_without_delay = self.engines.place
         self.engines.place = self.place
-        self.under_way = self.most_under_way = 0
+        self.in_flight = self.max_in_flight = 0
 
     async def place(self, address, **order):
-        self.under_way += 1
-        self.most_under_way = max(self.most_under_way, self.under_way)
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         self.free_at = max(self.free_at, self.clock.now()) + self.EXCHANGE_S
         takes_s = self.free_at - self.clock.now()
-        outcome = await self.place_at_once(address, **order)
+        outcome = await self.place_without_delay(address, **order)
         await self.clock.sleep(min(takes_s, self.LIMIT_S))
-        self.under_way -= 1
+        self.in_flight -= 1
         return outcome if takes_s <= self.LIMIT_S else OrderOutcome.UNKNOWN
 
     async def test_each_is_ordered_once(self):
@@ -41,10 +41,10 @@
         self.assertEqual(set(names), set(self.engines.held))
         # Nobody had to be asked what became of an order.
         self.assertEqual([], self.engines.asked)
-        self.assertTrue(self.most_under_way <= 100, self.most_under_way)
+        self.assertTrue(self.max_in_flight <= 100, self.max_in_flight)
 
 
-class FirstLookTest(KeeperCase):
+class FirstPlanCostTest(LayerAssignerCase):
     """The first plan of many engines names nearly all of them.
 
     Whether a domain is whole was asked for each engine of the plan, and looked at all
@@ -55,22 +55,22 @@
     ENGINES = 600
 
     async def test_each_domain_is_looked_at_once(self):
-        looks = []
-        is_whole = layer_assigner._is_whole
+        calls = []
+        has_all_layers = layer_assigner._has_all_layers
 
         def counted(backends, domain, layers):
-            looks.append(domain)
-            return is_whole(backends, domain, layers)
+            calls.append(domain)
+            return has_all_layers(backends, domain, layers)
 
-        layer_assigner._is_whole = counted
-        self.addCleanup(setattr, layer_assigner, "_is_whole", is_whole)
+        layer_assigner._has_all_layers = counted
+        self.addCleanup(setattr, layer_assigner, "_has_all_layers", has_all_layers)
         await self.announce_all(*[f"e{number}" for number in range(self.ENGINES)])
         await self.clock.advance(1.2)
         self.assertTrue(len(self.engines.orders) > 50)
-        self.assertTrue(len(looks) <= 1, f"{len(looks)} looks at one domain")
+        self.assertTrue(len(calls) <= 1, f"{len(calls)} looks at one domain")
 
 
-class FormerLeaderTest(KeeperCase):
+class FormerLeaderTest(LayerAssignerCase):
     """A new leader plans before it has heard what its predecessor ordered.
 
     Two engines had just loaded what the former leader gave them. The new one still
--- a/wigeonscale/control/tests/test_orders.py
+++ b/wigeonscale/control/tests/test_orders.py
@@ -47,7 +47,7 @@
         self.assertEqual([], self.released())
 
 
-class WarmSparesTest(AsyncTestCase):
+class SpareLoadsTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
         self.machine = Machine()
--- a/wigeonscale/control/tests/test_placement_loop.py
+++ b/wigeonscale/control/tests/test_placement_loop.py
@@ -3,8 +3,8 @@
 import asyncio
 from unittest import mock
 
-from wigeonscale.control import PlacementLoop, engines, placement_loop
-from wigeonscale.control.tests.support import Parts
+from wigeonscale.control import PlacementLoop, engine_specs, placement_loop
+from wigeonscale.control.tests.support import ControlFixture
 from wigeonscale.state.tests.support import DOCUMENT
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.wire import wire_pb2 as wire
@@ -17,22 +17,22 @@
 
 class PlanningWorkTest(AsyncTestCase):
     async def prepare(self):
-        self.parts = Parts()
-        self.addCleanup(self.parts.hub.close)
+        self.fixture = ControlFixture()
+        self.addCleanup(self.fixture.hub.close)
         self.plans = self.count(placement_loop, "plan_placement")
-        self.readings = self.count(engines, "engine_spec")
+        self.readings = self.count(engine_specs, "engine_spec")
         loop = PlacementLoop(
-            state=self.parts.state,
-            replica=self.parts.replica,
-            hub=self.parts.hub,
-            commands=self.parts.commands,
-            clock=self.parts.clock,
+            state=self.fixture.state,
+            replica=self.fixture.replica,
+            hub=self.fixture.hub,
+            commands=self.fixture.commands,
+            clock=self.fixture.clock,
         )
         task = asyncio.create_task(loop.run())
         await self.apply(DOCUMENT)
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         async with asyncio.timeout(LIMIT_S):
-            while not self.parts.state.chains.planned():
+            while not self.fixture.state.chains.planned():
                 await self.pass_time(TICK_S)
         await self.pass_time(SETTLED_S)
 
@@ -58,14 +58,14 @@
 
     async def pass_time(self, seconds):
         for _ in range(int(seconds / TICK_S)):
-            await self.parts.clock.advance(TICK_S)
+            await self.fixture.clock.advance(TICK_S)
             # Lets a planning thread hand back its plan.
             await asyncio.sleep(0.001)
 
     async def apply(self, document):
-        base = self.parts.state.configuration.revision
+        base = self.fixture.state.configuration.revision
         config = wire.ApplyConfig(base_revision=base, document=document)
-        await self.parts.run(apply_config=config)
+        await self.fixture.run(apply_config=config)
 
     async def plans_after(self, command):
         """Return how many plans and readings of an engine a command leads to."""
@@ -85,7 +85,7 @@
                 agent_incarnation=1,
             )
             self.assertEqual(
-                (0, 0), await self.plans_after(self.parts.run(claim=claim))
+                (0, 0), await self.plans_after(self.fixture.run(claim=claim))
             )
 
     async def test_rules_lead_to_no_plan_but_pipelines_do(self):
@@ -99,17 +99,17 @@
 
     async def test_only_the_engine_that_changed_is_read_again(self):
         for number in range(20):
-            await self.parts.announce(f"b{number}")
+            await self.fixture.announce(f"b{number}")
         await self.pass_time(SETTLED_S)
-        plans, readings = await self.plans_after(self.parts.announce("c"))
+        plans, readings = await self.plans_after(self.fixture.announce("c"))
         self.assertGreaterEqual(plans, 1)
         self.assertEqual(1, readings)
 
     async def test_restored_state_is_read_as_a_whole(self):
-        await self.parts.announce("b")
-        snapshot = self.parts.state.snapshot()
+        await self.fixture.announce("b")
+        snapshot = self.fixture.state.snapshot()
 
         async def restore():
-            self.parts.state.restore(snapshot)
+            self.fixture.state.restore(snapshot)
 
         self.assertEqual(2, (await self.plans_after(restore()))[1])
--- a/wigeonscale/control/tests/test_planning.py
+++ b/wigeonscale/control/tests/test_planning.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from wigeonscale.control import PlacementLoop
-from wigeonscale.control.tests.support import Parts
+from wigeonscale.control.tests.support import ControlFixture
 from wigeonscale.errors import ErrorKind
 from wigeonscale.replication import Role
 from wigeonscale.state.tests.support import DOCUMENT, chain
@@ -17,19 +17,19 @@
 
 class PlacementTest(AsyncTestCase):
     async def prepare(self):
-        self.parts = Parts()
-        self.addCleanup(self.parts.hub.close)
-        self.state = self.parts.state
+        self.fixture = ControlFixture()
+        self.addCleanup(self.fixture.hub.close)
+        self.state = self.fixture.state
         self.lead()
 
     def lead(self, **options):
         """Start a loop."""
         loop = PlacementLoop(
             state=self.state,
-            replica=self.parts.replica,
-            hub=self.parts.hub,
-            commands=self.parts.commands,
-            clock=self.parts.clock,
+            replica=self.fixture.replica,
+            hub=self.fixture.hub,
+            commands=self.fixture.commands,
+            clock=self.fixture.clock,
             drain_s=DRAIN_S,
             **options,
         )
@@ -45,19 +45,19 @@
     async def apply(self, document=DOCUMENT):
         base = self.state.configuration.revision
         config = wire.ApplyConfig(base_revision=base, document=document)
-        await self.parts.run(apply_config=config)
+        await self.fixture.run(apply_config=config)
 
     async def until(self, condition):
         """Wait for the planning thread by events, with time passing meanwhile."""
         async with asyncio.timeout(LIMIT_S):
             while not condition():
-                await self.parts.clock.advance(0.05)
+                await self.fixture.clock.advance(0.05)
                 await asyncio.sleep(0.001)
 
     async def settle(self):
         """Wait until planning from the present state changed nothing."""
         for _ in range(20):
-            await self.parts.clock.advance(0.25)
+            await self.fixture.clock.advance(0.25)
             await asyncio.sleep(0.001)
 
     def planned(self):
@@ -67,13 +67,13 @@
         for each in self.planned():
             for stage in each.stages:
                 layers = (stage.first_layer, stage.last_layer)
-                await self.parts.announce(
+                await self.fixture.announce(
                     stage.agent_id, layers=layers, version=each.version
                 )
 
     async def test_engines_become_a_chain(self):
         await self.apply()
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         await self.until(lambda: len(self.planned()) == 1)
         (only,) = self.planned()
         self.assertEqual(("proof", "m"), (only.pipeline, only.model))
@@ -84,13 +84,13 @@
         wanted = "layers = 12\nreplicas = {}"
         await self.apply(DOCUMENT.replace("layers = 4", wanted.format(1)))
         for agent_id in "abcd":
-            await self.parts.announce(agent_id)
+            await self.fixture.announce(agent_id)
         await self.until(lambda: len(self.stages()) == 4)
         await self.load_all()
         (before,) = self.planned()
         await self.apply(DOCUMENT.replace("layers = 4", wanted.format(2)))
         for agent_id in "ef":
-            await self.parts.announce(agent_id)
+            await self.fixture.announce(agent_id)
         await self.until(lambda: len(self.planned()) == 2)
         kept = self.state.chains.get(before.chain_id)
         self.assertEqual(before.epoch + 1, kept.epoch)
@@ -103,16 +103,16 @@
         self.lead(rebuild_after_s=REBUILD_AFTER_S)
         wanted = "layers = 12\nreplicas = 2"
         for agent_id in "abcdef":
-            await self.parts.announce(agent_id)
+            await self.fixture.announce(agent_id)
         await self.apply(DOCUMENT.replace("layers = 4", wanted))
         await self.until(lambda: len(self.planned()) == 2)
         await self.load_all()
         before = self.planned()
         for agent_id in "ghijkl":
-            await self.parts.announce(agent_id)
+            await self.fixture.announce(agent_id)
         await self.settle()
         self.assertEqual(before, self.planned())
-        await self.parts.clock.advance(REBUILD_AFTER_S)
+        await self.fixture.clock.advance(REBUILD_AFTER_S)
         await self.until(lambda: before != self.planned())
         await self.settle()
         self.assertEqual([1, 2], sorted(each.epoch for each in self.planned()))
@@ -129,8 +129,8 @@
         await self.stop()
         self.lead(spares=1)
         for agent_id in "ab":
-            await self.parts.announce(agent_id, layer_capacity=4)
-        await self.parts.announce("c", layer_capacity=3)
+            await self.fixture.announce(agent_id, layer_capacity=4)
+        await self.fixture.announce("c", layer_capacity=3)
         await self.apply()
         await self.until(lambda: self.planned())
         self.assertEqual(2, len(self.stages()))
@@ -139,8 +139,8 @@
     async def test_serving_chain_ends_its_work_before_its_engines_are_used(self):
         two = DOCUMENT.replace("layers = 4", "layers = 4\nreplicas = 2")
         await self.apply(two)
-        await self.parts.announce("a")
-        await self.parts.announce("b")
+        await self.fixture.announce("a")
+        await self.fixture.announce("b")
         await self.until(lambda: len(self.planned()) == 2)
         await self.load_all()
         other = "[pipeline other]\nmodel = m\nlayers = 4\n\n"
@@ -149,48 +149,48 @@
         await self.settle()
         self.assertEqual(["proof", "proof"], [c.pipeline for c in self.planned()])
         self.assertEqual([False, True], sorted(c.retiring for c in self.planned()))
-        await self.parts.clock.advance(DRAIN_S)
+        await self.fixture.clock.advance(DRAIN_S)
         await self.until(lambda: {"other"} < {c.pipeline for c in self.planned()})
         self.assertEqual([False, False], [c.retiring for c in self.planned()])
 
     async def test_retiring_chain_that_breaks_is_removed_at_once(self):
         await self.apply()
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         await self.until(lambda: len(self.planned()) == 1)
         await self.load_all()
         await self.apply("")
         await self.until(lambda: any(each.retiring for each in self.planned()))
         end = wire.EndIncarnation(agent_id="a", incarnation=1)
-        await self.parts.run(end_incarnation=end)
+        await self.fixture.run(end_incarnation=end)
         await self.until(lambda: not self.planned())
 
     async def test_only_a_fresh_leader_places(self):
-        self.parts.replica.role = Role.FOLLOWER
+        self.fixture.replica.role = Role.FOLLOWER
         await self.apply_as_leader()
         await self.settle()
         self.assertEqual([], self.planned())
         tried = {"command": "place", "kind": ErrorKind.NOT_LEADER}
-        self.assertEqual(0, self.parts.metrics.commands.value(**tried))
-        self.parts.replica.role = Role.LEADER
-        self.parts.replica.stale_s = None
+        self.assertEqual(0, self.fixture.metrics.commands.value(**tried))
+        self.fixture.replica.role = Role.LEADER
+        self.fixture.replica.stale_s = None
         await self.settle()
         self.assertEqual([], self.planned())
-        self.parts.replica.stale_s = 0.0
+        self.fixture.replica.stale_s = 0.0
         await self.until(lambda: len(self.planned()) == 1)
 
     async def apply_as_leader(self):
-        self.parts.replica.role = Role.LEADER
+        self.fixture.replica.role = Role.LEADER
         await self.apply()
-        await self.parts.announce("a")
-        self.parts.replica.role = Role.FOLLOWER
+        await self.fixture.announce("a")
+        self.fixture.replica.role = Role.FOLLOWER
 
     async def test_lost_stage_gets_a_spare(self):
         await self.apply()
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         await self.until(lambda: len(self.planned()) == 1)
-        await self.parts.announce("s")
+        await self.fixture.announce("s")
         end = wire.EndIncarnation(agent_id="a", incarnation=1)
-        await self.parts.run(end_incarnation=end)
+        await self.fixture.run(end_incarnation=end)
         await self.until(lambda: self.stages() == ["s"])
 
     def stages(self):
@@ -199,9 +199,9 @@
     async def test_draining_stage_stays_until_its_spare_is_loaded(self):
         await self.apply()
         await self.start_chain_of_two()
-        await self.parts.announce("s", address="spare")
+        await self.fixture.announce("s", address="spare")
         drain = wire.DrainBackend(agent_id="b", draining=True)
-        await self.parts.run(drain=drain)
+        await self.fixture.run(drain=drain)
         await self.until(lambda: self.stages() == ["a", "s"])
         (only,) = self.state.chains
         self.assertEqual((1, True), (only.epoch, only.ready))
@@ -212,32 +212,32 @@
         self.assertEqual(["a", "s"], self.stages())
 
     async def start_chain_of_two(self):
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         await self.until(lambda: len(self.planned()) == 1)
-        await self.parts.announce("b")
+        await self.fixture.announce("b")
         old = self.planned()[0].chain_id
         place = wire.PlaceChains(
             chains=[chain("proof-two", 1, ("a", 0, 1), ("b", 2, 3))],
             removed=[old],
             base_index=self.state.placement_index,
         )
-        result = await self.parts.run(place=place)
+        result = await self.fixture.run(place=place)
         self.assertEqual("", result.kind)
         await self.load_all()
 
     async def test_draining_head_stays(self):
         await self.apply()
         await self.start_chain_of_two()
-        await self.parts.announce("s", layer_capacity=2)
-        await self.parts.run(drain=wire.DrainBackend(agent_id="a", draining=True))
+        await self.fixture.announce("s", layer_capacity=2)
+        await self.fixture.run(drain=wire.DrainBackend(agent_id="a", draining=True))
         await self.settle()
         self.assertEqual(["a", "b"], self.stages())
 
     async def test_new_version_is_loaded_one_chain_at_a_time(self):
         document = DOCUMENT.replace("layers = 4", "layers = 4\nreplicas = 2")
         await self.apply(document)
-        await self.parts.announce("a")
-        await self.parts.announce("b")
+        await self.fixture.announce("a")
+        await self.fixture.announce("b")
         await self.until(lambda: len(self.planned()) == 2)
         await self.load_all()
         upgraded = document.replace("layers = 4", "layers = 4\nversion = v2")
@@ -253,23 +253,23 @@
 
     async def test_engine_that_does_not_answer_its_agent_is_replaced(self):
         await self.apply()
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         await self.until(lambda: len(self.planned()) == 1)
         gone = wire.Backend(agent_id="a", incarnation=1, kind=wire.ENGINE, model="m")
-        await self.parts.run(announce=wire.Announce(backend=gone, replica="c1"))
-        await self.parts.announce("s")
+        await self.fixture.run(announce=wire.Announce(backend=gone, replica="c1"))
+        await self.fixture.announce("s")
         await self.until(lambda: self.stages() == ["s"])
 
     async def test_refused_plan_is_made_again(self):
         await self.apply()
-        self.parts.replica.fails = "no quorum"
-        await self.parts_announce_despite_failure("a")
+        self.fixture.replica.fails = "no quorum"
+        await self.announce_despite_failure("a")
         await self.settle()
         self.assertEqual([], self.planned())
-        self.parts.replica.fails = None
+        self.fixture.replica.fails = None
         await self.until(lambda: len(self.planned()) == 1)
 
-    async def parts_announce_despite_failure(self, agent_id):
-        failure, self.parts.replica.fails = self.parts.replica.fails, None
-        await self.parts.announce(agent_id)
-        self.parts.replica.fails = failure
+    async def announce_despite_failure(self, agent_id):
+        failure, self.fixture.replica.fails = self.fixture.replica.fails, None
+        await self.fixture.announce(agent_id)
+        self.fixture.replica.fails = failure
--- a/wigeonscale/control/tests/test_probe.py
+++ b/wigeonscale/control/tests/test_probe.py
@@ -5,7 +5,7 @@
 from wigeonscale.adapters.channels import new_server
 from wigeonscale.agent.servicer import AgentServicer
 from wigeonscale.control import probe_agent
-from wigeonscale.control.probe import PROBE_AGAIN_S, Probes
+from wigeonscale.control.probe import PROBE_INTERVAL_S, ProbeCache
 from wigeonscale.ports import ProbeAnswer, SystemClock
 from wigeonscale.testing import AsyncTestCase, ManualClock, rpcs_ended
 from wigeonscale.wire import wire_pb2 as wire
@@ -60,7 +60,9 @@
     async def prepare(self):
         self.clock = ManualClock()
         self.asked = []
-        self.probes = Probes(probe=self.probe, clock=self.clock, on_answer=lambda: None)
+        self.probes = ProbeCache(
+            probe=self.probe, clock=self.clock, on_answer=lambda: None
+        )
         self.addCleanup(self.probes.close)
 
     async def probe(self, address):
@@ -82,14 +84,14 @@
         self.assertEqual((None, 1), await self.answer(0.0))
         await self.reply(ProbeAnswer.ANSWERED)
         self.assertEqual((ProbeAnswer.ANSWERED, 1), await self.answer(0.0))
-        await self.clock.advance(PROBE_AGAIN_S)
+        await self.clock.advance(PROBE_INTERVAL_S)
         self.assertEqual((ProbeAnswer.ANSWERED, 2), await self.answer(0.0))
-        await self.clock.advance(PROBE_AGAIN_S)
-        doubted_at = self.clock.now()
-        self.assertEqual((None, 2), await self.answer(doubted_at))
+        await self.clock.advance(PROBE_INTERVAL_S)
+        suspected_at = self.clock.now()
+        self.assertEqual((None, 2), await self.answer(suspected_at))
         await self.reply(ProbeAnswer.ANSWERED)
-        self.assertEqual((None, 3), await self.answer(doubted_at))
+        self.assertEqual((None, 3), await self.answer(suspected_at))
         await self.reply(ProbeAnswer.REFUSED)
-        self.assertEqual((ProbeAnswer.REFUSED, 3), await self.answer(doubted_at))
-        self.probes.keep(set())
-        self.assertEqual((None, 4), await self.answer(doubted_at))
+        self.assertEqual((ProbeAnswer.REFUSED, 3), await self.answer(suspected_at))
+        self.probes.retain(set())
+        self.assertEqual((None, 4), await self.answer(suspected_at))
--- a/wigeonscale/control/tests/test_registry.py
+++ b/wigeonscale/control/tests/test_registry.py
@@ -1,7 +1,7 @@
 import asyncio
 
 from wigeonscale.control import Commands, Registry
-from wigeonscale.control.tests.support import StandInReplica
+from wigeonscale.control.tests.support import FakeReplica
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.ports import EngineSign, ProbeAnswer
 from wigeonscale.replication import Role
@@ -21,7 +21,7 @@
     async def prepare(self):
         self.clock = ManualClock()
         self.state = ControlState()
-        self.replica = StandInReplica(state=self.state, clock=self.clock)
+        self.replica = FakeReplica(state=self.state, clock=self.clock)
         self.commands = Commands(
             replica=self.replica, addresses=["127.0.0.1:1"], clock=self.clock
         )
@@ -160,7 +160,7 @@
 class SuspicionTest(RegistryCase):
     async def test_silent_once_it_answers_no_probe(self):
         await self.registry.announce(backend(), 1)
-        self.registry.suspect(wire.Suspect(agent_id="i-1"), came_from="entry")
+        self.registry.suspect(wire.Suspect(agent_id="i-1"), source_role="entry")
         await self.clock.advance(0.5)
         self.assertTrue(self.member().backend.silent)
 
@@ -168,7 +168,7 @@
         # Streams through a crashed engine stand still until entries hear of it.
         await self.registry.announce(backend(), 1)
         self.refusing.add("i-1:80")
-        self.registry.suspect(wire.Suspect(agent_id="i-1"), came_from="entry")
+        self.registry.suspect(wire.Suspect(agent_id="i-1"), source_role="entry")
         await self.clock.advance(0)
         self.assertTrue(self.member().backend.silent)
 
@@ -179,7 +179,7 @@
         hint = wire.Suspect(agent_id="i-1", is_hint=True)
         for _ in range(10):
             for _ in range(23):
-                self.registry.suspect(hint, came_from="entry")
+                self.registry.suspect(hint, source_role="entry")
             await self.clock.advance(0.1)
         self.assertEqual(["i-1:80"], self.probed)
 
@@ -187,19 +187,19 @@
         await self.registry.announce(backend(), 1)
         self.answering.add("i-1:80")
         for _ in range(3):
-            self.registry.suspect(wire.Suspect(agent_id="i-1"), came_from="entry")
+            self.registry.suspect(wire.Suspect(agent_id="i-1"), source_role="entry")
             await self.clock.advance(0.1)
         self.assertEqual(3, len(self.probed))
 
     async def test_one_that_answers_is_left_alone(self):
         await self.registry.announce(backend(), 1)
         self.answering.add("i-1:80")
-        self.registry.suspect(wire.Suspect(agent_id="i-1"), came_from="entry")
+        self.registry.suspect(wire.Suspect(agent_id="i-1"), source_role="entry")
         await self.clock.advance(0.5)
         self.assertFalse(self.member().backend.silent)
 
     async def test_unknown_names_are_ignored(self):
-        self.registry.suspect(wire.Suspect(agent_id="nobody"), came_from="entry")
+        self.registry.suspect(wire.Suspect(agent_id="nobody"), source_role="entry")
         await self.clock.advance(0.5)
         self.assertEqual([], self.replica.proposed)
 
@@ -256,7 +256,7 @@
         await self.registry.announce(start(100), 1)
         await self.registry.announce(start(200), 1)
         suspicion = wire.Suspect(agent_id="i-1", incarnation=100)
-        self.registry.suspect(suspicion, came_from="entry")
+        self.registry.suspect(suspicion, source_role="entry")
         await self.clock.advance(0.5)
         self.assertEqual([], self.probed)
 
@@ -264,14 +264,14 @@
         await self.registry.announce(start(100), 1)
         self.replaced.add(("i-1:80", 100))
         suspicion = wire.Suspect(agent_id="i-1", incarnation=100)
-        self.registry.suspect(suspicion, came_from="entry")
+        self.registry.suspect(suspicion, source_role="entry")
         await self.clock.advance(0)
         self.assertTrue(self.member().backend.silent)
         await self.registry.announce(start(200), 1)
         self.assertFalse(self.member().backend.silent)
 
 
-class StrangerTest(RegistryCase):
+class ForeignHeartbeatTest(RegistryCase):
     """Heartbeats of other writers name no backend server to use."""
 
     async def refused(self, each):
@@ -314,7 +314,7 @@
 
     async def hint(self):
         hint = wire.Suspect(agent_id="i-1", incarnation=1, is_hint=True)
-        self.registry.suspect(hint, came_from="entry")
+        self.registry.suspect(hint, source_role="entry")
         await self.clock.advance(0)
 
     async def prepare(self):
@@ -356,7 +356,7 @@
         self.answering.add("i-2:80")
         self.paces["i-2:80"] = 8.0
         hint = wire.Suspect(agent_id="i-2", incarnation=100, is_hint=True)
-        self.registry.suspect(hint, came_from="entry")
+        self.registry.suspect(hint, source_role="entry")
         await self.clock.advance(0)
         self.assertEqual(8, self.member("i-2").backend.slowness)
         await self.registry.announce(start(200, "i-2"), 1)
--- a/wigeonscale/control/tests/test_replica_membership.py
+++ b/wigeonscale/control/tests/test_replica_membership.py
@@ -2,7 +2,7 @@
 
 from wigeonscale.control import Commands, ReplicaMembership
 from wigeonscale.control.replica_membership import member_to_remove
-from wigeonscale.control.tests.support import StandInReplica
+from wigeonscale.control.tests.support import FakeReplica
 from wigeonscale.replication import Member, Role
 from wigeonscale.state import ControlState
 from wigeonscale.testing import AsyncTestCase, ManualClock
@@ -17,36 +17,40 @@
     def test_one_of_three_only_when_another_waits(self):
         silences = {"b": 0.1, "c": 9.0}
         trio = members("abc")
-        self.assertIsNone(member_to_remove(trio, silences, joining=False))
-        self.assertEqual("c", member_to_remove(trio, silences, joining=True))
+        self.assertIsNone(member_to_remove(trio, silences, has_candidate=False))
+        self.assertEqual("c", member_to_remove(trio, silences, has_candidate=True))
 
     def test_a_fourth_that_is_silent(self):
         silences = {"b": 0.1, "c": 9.0, "d": 0.1}
         self.assertEqual(
-            "c", member_to_remove(members("abcd"), silences, joining=False)
+            "c", member_to_remove(members("abcd"), silences, has_candidate=False)
         )
 
     def test_never_while_the_rest_is_no_majority(self):
         silences = {"b": 9.0, "c": 8.0}
-        self.assertIsNone(member_to_remove(members("abc"), silences, joining=True))
+        self.assertIsNone(
+            member_to_remove(members("abc"), silences, has_candidate=True)
+        )
 
     def test_a_short_silence_is_none(self):
         silences = {"b": 0.1, "c": 2.0}
-        self.assertIsNone(member_to_remove(members("abc"), silences, joining=True))
+        self.assertIsNone(
+            member_to_remove(members("abc"), silences, has_candidate=True)
+        )
 
     def test_longest_silence_first(self):
         silences = {"b": 0.1, "c": 5.0, "d": 9.0, "e": 0.1}
         self.assertEqual(
-            "d", member_to_remove(members("abcde"), silences, joining=False)
+            "d", member_to_remove(members("abcde"), silences, has_candidate=False)
         )
 
     def test_one_without_a_vote_is_no_majority(self):
         silences = {"b": 9.0, "c": 0.1}
         trio = members("abc", waiting="c")
-        self.assertIsNone(member_to_remove(trio, silences, joining=True))
+        self.assertIsNone(member_to_remove(trio, silences, has_candidate=True))
 
 
-class MemberReplica(StandInReplica):
+class MemberReplica(FakeReplica):
     """Its members can be changed; it hears a leader if a test says so."""
 
     def __init__(self, **fields):
@@ -64,7 +68,7 @@
             self.peers.append(Member(add.node_id, add.address, voting=False))
 
 
-class JoiningCase(AsyncTestCase):
+class MembershipCase(AsyncTestCase):
     async def prepare(self):
         self.clock = ManualClock()
         state = ControlState()
@@ -76,7 +80,7 @@
         self.addCleanup(self.commands.close)
         self.asked = []
         self.replies = {}
-        self.joining = ReplicaMembership(
+        self.membership = ReplicaMembership(
             node_id="a",
             address="a",
             seeds=["a", "b", "s"],
@@ -85,7 +89,7 @@
             clock=self.clock,
             dial=self.dial,
         )
-        self.task = asyncio.create_task(self.joining.run())
+        self.task = asyncio.create_task(self.membership.run())
         self.addCleanup(self.stop)
 
     async def stop(self):
@@ -97,25 +101,25 @@
         return self.replies.get(address)
 
 
-class LeaderTest(JoiningCase):
+class LeaderTest(MembershipCase):
     async def test_takes_in_a_replica_once(self):
         self.replica.silences = {"b": 0.0, "c": 0.0, "d": 0.0}
         req = wire.JoinRequest(node_id="d", address="d")
         for _ in range(2):
-            self.assertTrue((await self.joining.answer(req)).taken)
+            self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["d"], self.replica.changes)
 
     async def test_in_place_of_one_that_is_gone(self):
         self.replica.silences = {"b": 0.0, "c": 60.0, "d": 0.0}
         await self.clock.advance(4.0)
         req = wire.JoinRequest(node_id="d", address="d")
-        self.assertTrue((await self.joining.answer(req)).taken)
+        self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["-c", "d"], self.replica.changes)
 
     async def test_a_new_leader_gives_members_time_to_speak(self):
         self.replica.silences = {"b": 0.0, "c": 60.0, "d": 0.0}
         req = wire.JoinRequest(node_id="d", address="d")
-        self.assertTrue((await self.joining.answer(req)).taken)
+        self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["d"], self.replica.changes)
         await self.clock.advance(4.0)
         self.assertEqual(["d", "-c"], self.replica.changes)
@@ -123,13 +127,13 @@
     async def test_a_follower_names_the_leader(self):
         self.replica.role = Role.FOLLOWER
         self.replica.leader_address = "b"
-        reply = await self.joining.answer(wire.JoinRequest(node_id="d", address="d"))
+        reply = await self.membership.answer(wire.JoinRequest(node_id="d", address="d"))
         self.assertFalse(reply.taken)
         self.assertEqual("b", reply.leader)
         self.assertEqual(["a", "b", "c"], list(reply.control))
 
 
-class LonelyTest(JoiningCase):
+class NoLeaderTest(MembershipCase):
     async def prepare(self):
         await super().prepare()
         self.replica.role = Role.FOLLOWER
@@ -147,6 +151,6 @@
 
     async def test_new_seeds_of_the_settings(self):
         self.replica.silence_of_leader = 5.0
-        self.joining.follow_seeds(["n"])
+        self.membership.follow_seeds(["n"])
         await self.clock.advance(0.6)
         self.assertEqual(["b", "c", "n"], self.asked)
--- a/wigeonscale/control/tests/test_service.py
+++ b/wigeonscale/control/tests/test_service.py
@@ -7,7 +7,11 @@
 
 from wigeonscale.adapters.channels import open_channel
 from wigeonscale.control import Commands, forward_suspicion
-from wigeonscale.control.tests.support import Parts, StandInReplica, handlers_ended
+from wigeonscale.control.tests.support import (
+    ControlFixture,
+    FakeReplica,
+    handlers_ended,
+)
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.membership import ControlClient
 from wigeonscale.ports import SystemClock
@@ -22,10 +26,10 @@
 
 class ServiceCase(AsyncTestCase):
     async def prepare(self):
-        self.parts = Parts(clock=SystemClock())
-        self.addCleanup(self.parts.hub.close)
-        self.state = self.parts.state
-        server, self.address = await self.parts.serve()
+        self.fixture = ControlFixture(clock=SystemClock())
+        self.addCleanup(self.fixture.hub.close)
+        self.state = self.fixture.state
+        server, self.address = await self.fixture.serve()
         self.addCleanup(handlers_ended)
         self.addCleanup(server.stop, None)
 
@@ -64,12 +68,12 @@
         config = wire.ApplyConfig(document=DOCUMENT)
         await client.submit(wire.Command(apply_config=config))
         await self.until(lambda: client.revision == 1 and client.lease_valid())
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         await self.until(lambda: "a" in client.members.backends)
         self.assertEqual(
             self.state.configuration.document.digest, client.document.digest
         )
-        (watcher,) = self.parts.hub.watchers
+        (watcher,) = self.fixture.hub.watchers
         await self.until(lambda: watcher.applied_revision == 1)
 
     async def test_agent_announces_obeys_and_is_told_of_its_end(self):
@@ -90,10 +94,10 @@
         await client.ready()
         await self.until(lambda: self.state.members.holds("a", 7))
         self.assertEqual("c1", self.state.members.get("a").replica)
-        await self.parts.run(drain=wire.DrainBackend(agent_id="a", draining=True))
+        await self.fixture.run(drain=wire.DrainBackend(agent_id="a", draining=True))
         await self.until(lambda: orders and orders[-1].drain)
         end = wire.EndIncarnation(agent_id="a", incarnation=7)
-        await self.parts.run(end_incarnation=end)
+        await self.fixture.run(end_incarnation=end)
         await self.until(lambda: 7 in ended)
         client.announce_changed()
         await self.until(lambda: len(ended) == 2)
@@ -104,13 +108,13 @@
         client = self.client("a", "agent", announce=lambda: backend)
         await client.ready()
         await self.until(lambda: self.state.members.holds("a", 7))
-        count = len(self.parts.replica.proposed)
-        watcher = self.parts.hub.agent("a", 7)
+        count = len(self.fixture.replica.proposed)
+        watcher = self.fixture.hub.agent("a", 7)
         first = watcher.announced
         client.announce_changed()
         await self.until(lambda: watcher.announced is not first)
-        await self.until(lambda: watcher.announcement is None)
-        self.assertEqual(count, len(self.parts.replica.proposed))
+        await self.until(lambda: watcher.pending_announcement is None)
+        self.assertEqual(count, len(self.fixture.replica.proposed))
 
     async def test_replica_to_which_the_agent_still_speaks_holds_it(self):
         backend = engine("a", 7)
@@ -118,7 +122,7 @@
         await client.ready()
         await self.until(lambda: self.state.members.holds("a", 7))
         late = wire.Announce(backend=backend, replica="c2")
-        await self.parts.run(announce=late)
+        await self.fixture.run(announce=late)
         self.assertEqual("c2", self.state.members.get("a").replica)
         await self.until(lambda: self.state.members.get("a").replica == "c1")
 
@@ -152,20 +156,20 @@
             self.assertEqual(0, len(self.state.members))
 
     async def test_floor_is_told_only_by_a_replica_with_a_vote(self):
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         async with open_channel(self.address) as channel:
             stub = wire_pb2_grpc.ControlStub(channel)
             reply = await stub.Floor(wire.FloorRequest())
             self.assertEqual(("c1", 1, 1), (reply.node_id, reply.term, reply.index))
-            self.parts.replica.may_vote = False
+            self.fixture.replica.may_vote = False
             call = stub.Floor(wire.FloorRequest())
             self.assertEqual(grpc.StatusCode.UNAVAILABLE, await call.code())
 
     async def test_suspicion_is_taken_from_another_replica(self):
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         suspicion = wire.Suspect(agent_id="a", incarnation=1)
         self.assertTrue(await forward_suspicion("c2", self.address, suspicion))
-        self.assertIn(("a", 1), self.parts.liveness._suspected_at)
+        self.assertIn(("a", 1), self.fixture.liveness._suspected_at)
         self.assertFalse(await forward_suspicion("c2", "127.0.0.1:1", suspicion))
 
 
@@ -174,26 +178,26 @@
 
     async def prepare(self):
         await super().prepare()
-        follower = StandInReplica(state=self.state, clock=SystemClock())
+        follower = FakeReplica(state=self.state, clock=SystemClock())
         follower.role = Role.FOLLOWER
         follower.leader_address = self.address
         self.follower = Commands(
             replica=follower,
             addresses=[self.address],
             clock=SystemClock(),
-            metrics=self.parts.metrics,
+            metrics=self.fixture.metrics,
         )
         self.addCleanup(self.follower.close)
 
     async def test_follower_forwards_to_the_leader(self):
         drain = wire.DrainBackend(agent_id="a", draining=True)
-        await self.parts.announce("a")
+        await self.fixture.announce("a")
         await self.follower.submit(wire.Command(drain=drain))
         self.assertTrue(self.state.members.is_drained("a"))
 
     async def test_refusal_of_a_forwarded_command_is_raised(self):
         drain = wire.DrainBackend(agent_id="a", draining=True)
-        for commands in (self.follower, self.parts.commands):
+        for commands in (self.follower, self.fixture.commands):
             exc = None
             try:
                 await commands.submit(wire.Command(drain=drain))
@@ -208,6 +212,6 @@
 
     async def test_leader_stamps_the_time(self):
         command = wire.Command(wall_ms=5, expire=wire.ExpireClaims())
-        await self.parts.commands.propose(command)
-        stamped = self.parts.replica.proposed[-1]
+        await self.fixture.commands.propose(command)
+        stamped = self.fixture.replica.proposed[-1]
         self.assertGreater(stamped.wall_ms, 1_000_000_000_000)
--- a/wigeonscale/control/tests/test_settle_timer.py
+++ b/wigeonscale/control/tests/test_settle_timer.py
@@ -1,6 +1,6 @@
 """When engines that come and go have settled."""
 
-from wigeonscale.control.settle_timer import LONGEST_WAIT, SettleTimer
+from wigeonscale.control.settle_timer import MAX_SETTLE_PERIODS, SettleTimer
 from wigeonscale.placement import EngineSpec
 from wigeonscale.testing import AsyncTestCase, ManualClock
 
@@ -12,35 +12,35 @@
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
-        self.settling = SettleTimer(
+        self.timer = SettleTimer(
             clock=self.clock, settle_s=SETTLE_S, rebuild_after_s=REBUILD_AFTER_S
         )
 
     def observe(self, count):
-        self.settling.observe([EngineSpec(f"e{n}", 1, "", "a") for n in range(count)])
+        self.timer.observe([EngineSpec(f"e{n}", 1, "", "a") for n in range(count)])
 
     async def test_new_chains_wait_until_no_engine_joins(self):
         for count in (1, 2, 3):
             self.observe(count)
             await self.clock.advance(SETTLE_S / 2)
             self.observe(count)
-            self.assertFalse(self.settling.may_load())
+            self.assertFalse(self.timer.may_load())
         await self.clock.advance(SETTLE_S / 2)
-        self.assertTrue(self.settling.may_load())
+        self.assertTrue(self.timer.may_load())
 
     async def test_engines_that_never_stop_joining_do_not_hold_up_chains(self):
-        for count in range(1, 2 * LONGEST_WAIT + 1):
-            self.assertFalse(count > 1 and self.settling.may_load())
+        for count in range(1, 2 * MAX_SETTLE_PERIODS + 1):
+            self.assertFalse(count > 1 and self.timer.may_load())
             self.observe(count)
             await self.clock.advance(SETTLE_S / 2)
-        self.assertTrue(self.settling.may_load())
+        self.assertTrue(self.timer.may_load())
 
     async def test_serving_chains_wait_longer_and_after_losses_too(self):
         self.observe(3)
         await self.clock.advance(REBUILD_AFTER_S)
-        self.assertTrue(self.settling.may_rebuild())
+        self.assertTrue(self.timer.may_rebuild())
         self.observe(2)
-        self.assertTrue(self.settling.may_load())
-        self.assertFalse(self.settling.may_rebuild())
+        self.assertTrue(self.timer.may_load())
+        self.assertFalse(self.timer.may_rebuild())
         await self.clock.advance(REBUILD_AFTER_S)
-        self.assertTrue(self.settling.may_rebuild())
+        self.assertTrue(self.timer.may_rebuild())
--- a/wigeonscale/control/watcher.py
+++ b/wigeonscale/control/watcher.py
@@ -25,7 +25,7 @@
         role: ``entry``, ``agent`` or ``control``.
         http_address: ip:port of its pages.
         position: Index of the members it knows; None for none.
-        is_told_members: Whether it was told members on this stream.
+        has_sent_members: Whether it was told members on this stream.
         revision: Configuration revision it was told.
         document_number: Number of the numbered document it was told; 0 for none.
         crashes_index: Log index of the crash records it was told; 0 for none.
@@ -36,10 +36,10 @@
         announced: Newest announcement, or None.
         sent_load: Load order it was sent and that is still due, or None.
         sent_drain: Operator's drain as it was last told here; None before.
-        load_since: Instant at which ``sent_load`` was first sent.
+        load_sent_at: Instant at which ``sent_load`` was first sent.
         failed_orders: Failures since the last order that was done.
-        order_due_at: Instant at which an unchanged order is pushed again.
-        ended: Incarnation it must be told has ended; 0 for none.
+        load_resend_at: Instant at which an unchanged order is pushed again.
+        ended_incarnation: Incarnation it must be told has ended; 0 for none.
         loads: What an entry has in progress by its newest heartbeat; None if it does
             not tell.
         unanswered: Newest heartbeat without a lease, with its arrival, or None.
@@ -51,24 +51,24 @@
         self.node_id = hello.node_id
         self.role = hello.role
         self.http_address = hello.http_address
-        self.position: int | None = hello.known_index or None
-        self.is_told_members = False
+        self.members_index: int | None = hello.known_index or None
+        self.has_sent_members = False
         self.revision = hello.known_revision
         self.document_number = hello.known_document
         self.crashes_index = hello.known_crashes
         self.applied_revision = hello.known_revision
         self.last_message_at = clock.now()
         self.incarnation = 0
-        self.announcement: wire.Backend | None = None
+        self.pending_announcement: wire.Backend | None = None
         self.announced: wire.Backend | None = None
         self.sent_load: wire.LoadLayers | None = None
         self.sent_drain: bool | None = None
-        self.load_since = 0.0
-        self.order_due_at = 0.0
+        self.load_sent_at = 0.0
+        self.load_resend_at = 0.0
         self.failed_orders = 0
-        self.ended = 0
+        self.ended_incarnation = 0
         self.loads: wire.Loads | None = None
-        self.unanswered: tuple[wire.Heartbeat, float] | None = None
+        self.pending_heartbeat: tuple[wire.Heartbeat, float] | None = None
         self.wake = asyncio.Event()
         self.announce_wake = asyncio.Event()
         self.wake.set()
