--- a/wigeonscale/control/settling.py
+++ b/wigeonscale/control/settle_timer.py
@@ -1,6 +1,6 @@
 """Lets announcements settle before chains are planned from them."""
 
-__all__ = ["Settling"]
+__all__ = ["SettleTimer"]
 
 import math
 from collections.abc import Iterable
@@ -9,10 +9,10 @@
 from wigeonscale.ports import Clock
 
 # New chains wait at most this many settling times, however often engines join.
-LONGEST_WAIT = 10
+MAX_SETTLE_PERIODS = 10
 
 
-class Settling:
+class SettleTimer:
     """Knows since when no engine has come or gone.
 
     Engines that start together announce themselves one after the other. Chains made
@@ -54,7 +54,7 @@
     def may_load(self) -> bool:
         """Return whether new chains may be made of engines that have to load."""
         waited_s = self._clock.now() - self._waiting_since
-        return self._is_quiet() or waited_s >= LONGEST_WAIT * self._settle_s
+        return self._is_quiet() or waited_s >= MAX_SETTLE_PERIODS * self._settle_s
 
     def may_rebuild(self) -> bool:
         """Return whether chains that serve may be rebuilt."""
--- a/wigeonscale/control/suspicion.py
+++ b/wigeonscale/control/suspicion.py
@@ -1,6 +1,6 @@
 """Passes a suspicion on to the replica that an agent is attached to."""
 
-__all__ = ["tell_replica"]
+__all__ = ["forward_suspicion"]
 
 import asyncio
 import logging
@@ -11,13 +11,13 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-TELL_TIMEOUT_S = 2.0
+FORWARD_TIMEOUT_S = 2.0
 CONTROL = "control"
 
 logger = logging.getLogger(__name__)
 
 
-async def tell_replica(
+async def forward_suspicion(
     node_id: str,
     address: str,
     suspicion: wire.Suspect,
@@ -38,7 +38,7 @@
     hello = wire.Hello(node_id=node_id, role=CONTROL)
     try:
         async with (
-            asyncio.timeout(TELL_TIMEOUT_S),
+            asyncio.timeout(FORWARD_TIMEOUT_S),
             open_channel(address, tls=tls) as channel,
         ):
             call = wire_pb2_grpc.ControlStub(channel).Watch()
