--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,15 +1,16 @@
 r"""Compares ways of one decision: deployments x days x seeds x ways, in pairs.
 
 A way is a commit, or a commit with other values of named constants, such as
-``HEAD:wigeonscale/direct/stalls.py:QUIET_S=0.2``. Each way gets a checkout of its own
-below ``--work``; each play is one run of the users' bench (``--bench``), whose report
-becomes one JSON line in ``--rows``. A row that is there is not played again, so that a
-stopped comparison goes on where it was. The processor time of plays is not charged.
+``HEAD:wigeonscale/direct/stalls.py:STALL_TIMEOUT_S=0.2``. Each way gets a checkout of
+its own below ``--work``; each play is one run of the users' bench (``--bench``), whose
+report becomes one JSON line in ``--rows``. A row that is there is not played again, so
+that a stopped comparison goes on where it was. The processor time of plays is not
+charged.
 
 Example:
     python -m bench.ways --bench PATH --work ../ways --rows rows.jsonl \
         --site a.toml --day trouble-1 --seed 1 --seed 2 \
-        --way old=HEAD --way new=HEAD:wigeonscale/direct/stalls.py:QUIET_S=0.2
+        --way old=HEAD --way new=HEAD:wigeonscale/direct/stalls.py:STALL_TIMEOUT_S=0.2
 """
 
 __all__ = ["compare", "main"]
--- a/wigeonscale/daemons/direct_entry.py
+++ b/wigeonscale/daemons/direct_entry.py
@@ -24,17 +24,17 @@
     stop_bound_s,
 )
 from wigeonscale.direct import (
-    Beliefs,
+    AdmissionQueue,
+    BackendRateLimits,
+    BackendTracker,
     DirectService,
+    EntryContext,
     Fleet,
     Notices,
-    RoomQueue,
-    SendBudget,
-    SendLimits,
-    StallWatch,
-    Surroundings,
+    SharedRetryBudget,
+    StallDetector,
     read_fleet,
-    replaced_starts,
+    replaced_incarnations,
 )
 from wigeonscale.errors import SettingsError
 from wigeonscale.membership import Change, ControlClient
@@ -65,7 +65,7 @@
 
     Args:
         control: Link to control.
-        beliefs: Told which backend servers exist.
+        tracker: Told which backend servers exist.
         notices: Told likewise.
         limits: Told likewise.
 
@@ -79,9 +79,9 @@
         self,
         *,
         control: ControlClient,
-        beliefs: Beliefs,
+        tracker: BackendTracker,
         notices: Notices,
-        limits: SendLimits,
+        limits: BackendRateLimits,
     ):
         self.table = RouteTable()
         self.is_complete = asyncio.Event()
@@ -89,7 +89,7 @@
         self._has_members = False
         self._backends: list[wire.Backend] = []
         self._control = control
-        self._beliefs = beliefs
+        self._tracker = tracker
         self._notices = notices
         self._limits = limits
         control.changes.subscribe(self._take)
@@ -104,7 +104,7 @@
             self.is_complete.set()
 
     def _take_members(self, backends: list[wire.Backend]) -> None:
-        ended = replaced_starts(self._backends, backends)
+        ended = replaced_incarnations(self._backends, backends)
         self._backends = backends
         self.fleet = read_fleet(backends)
         for backend_id in ended:
@@ -113,9 +113,9 @@
                 backend_id,
                 extra=log_fields(outcome="former start is lost"),
             )
-            self._beliefs.note_lost(backend_id)
-        self._beliefs.keep_only(self.fleet.by_id)
-        there = [*self.fleet.by_id, *self.fleet.leaving]
+            self._tracker.note_lost(backend_id)
+        self._tracker.keep_only(self.fleet.by_id)
+        there = [*self.fleet.by_id, *self.fleet.draining]
         self._notices.keep_only(there)
         self._limits.keep_only(there)
         self._has_members = True
@@ -150,10 +150,12 @@
     """
     setup_logging(cfg.log_level, cfg.name)
     clock = SystemClock()
-    beliefs = Beliefs(clock=clock)
-    limits = SendLimits(name=cfg.name, clock=clock, entries=lambda: control.entries)
+    tracker = BackendTracker(clock=clock)
+    limits = BackendRateLimits(
+        name=cfg.name, clock=clock, entries=lambda: control.entries
+    )
     notices = Notices(clock=clock, limits=limits)
-    budget = SendBudget(
+    budget = SharedRetryBudget(
         clock=clock,
         ratio=cfg.retry_ratio,
         slack=cfg.retry_slack,
@@ -170,10 +172,10 @@
         cfg,
         clock,
         crashes,
-        loads=lambda: told_loads(around),
-        on_loads=lambda totals: take_totals(around, totals),
+        loads=lambda: told_loads(ctx),
+        on_loads=lambda totals: take_totals(ctx, totals),
     )
-    known = _Known(control=control, beliefs=beliefs, notices=notices, limits=limits)
+    known = _Known(control=control, tracker=tracker, notices=notices, limits=limits)
     stopping: list[bool] = []
 
     def may_serve() -> bool:
@@ -193,8 +195,8 @@
             control.suspect(server.name, server.incarnation, is_hint=is_hint)
 
     orders = HttpEngineOrders(session=session)
-    stalls = StallWatch(
-        beliefs=beliefs,
+    stalls = StallDetector(
+        tracker=tracker,
         clock=clock,
         orders=orders,
         fleet=lambda: known.fleet,
@@ -204,9 +206,9 @@
         delay_s=lambda domain: known.table.delay_ms(cfg.domain, domain) / MILLISECONDS,
     )
     control.changes.subscribe(lambda change: stalls.check())
-    around = Surroundings(
+    ctx = EntryContext(
         exchange=HttpExchange(session=session),
-        beliefs=beliefs,
+        tracker=tracker,
         budget=budget,
         clock=clock,
         domain=cfg.domain,
@@ -216,13 +218,13 @@
         rng=random.Random(),
         orders=orders,
         stalls=stalls,
-        waiting=RoomQueue(clock=clock),
+        admission_queue=AdmissionQueue(clock=clock),
         crashes=crashes,
         notices=notices,
         limits=limits,
     )
     service = DirectService(
-        around=around,
+        ctx=ctx,
         table=lambda: known.table,
         known=known.is_complete,
         may_serve=may_serve,
--- a/wigeonscale/daemons/load_words.py
+++ b/wigeonscale/daemons/load_words.py
@@ -2,26 +2,26 @@
 
 __all__ = ["take_totals", "told_loads"]
 
-from wigeonscale.direct import NamedLimit, Surroundings
+from wigeonscale.direct import EntryContext, NamedLimit
 from wigeonscale.wire import wire_pb2 as wire
 
 MILLISECONDS = 1000.0
 
 
-def told_loads(around: Surroundings) -> wire.Loads:
+def told_loads(ctx: EntryContext) -> wire.Loads:
     """Return what this entry has in progress and has sent lately, and note it as told.
 
     Args:
-        around: What the flows of the entry share.
+        ctx: What the flows of the entry share.
     """
     return wire.Loads(
         loads=[
             wire.Load(backend_id=name, running=running, token_layers=int(token_layers))
-            for name, (running, token_layers) in around.beliefs.told_loads().items()
+            for name, (running, token_layers) in ctx.tracker.report_loads().items()
         ],
         sends=[
             wire.ServiceSends(service=name, requests=requests, further=further)
-            for name, (requests, further) in around.budget.told_sends().items()
+            for name, (requests, further) in ctx.budget.report_sends().items()
         ],
         limits=[
             wire.NamedLimit(
@@ -33,23 +33,23 @@
                     for name, requests in limit.demands.items()
                 ],
             )
-            for limit in around.limits.told()
+            for limit in ctx.limits.report()
         ],
         tellers=1,
     )
 
 
-def take_totals(around: Surroundings, totals: wire.Loads) -> None:
+def take_totals(ctx: EntryContext, totals: wire.Loads) -> None:
     """Take in what all entries told, this one included.
 
     Args:
-        around: What the flows of the entry share.
+        ctx: What the flows of the entry share.
         totals: Sums over the entries.
     """
-    around.beliefs.take_totals(
+    ctx.tracker.apply_totals(
         {each.backend_id: (each.running, each.token_layers) for each in totals.loads}
     )
-    around.budget.take_totals(
+    ctx.budget.apply_totals(
         {each.service: (each.requests, each.further) for each in totals.sends}
     )
     limits = [
@@ -61,4 +61,4 @@
         )
         for each in totals.limits
     ]
-    around.limits.take(limits, tellers=totals.tellers)
+    ctx.limits.apply_reports(limits, tellers=totals.tellers)
--- a/wigeonscale/daemons/tests/named_limits.py
+++ b/wigeonscale/daemons/tests/named_limits.py
@@ -9,8 +9,8 @@
 from wigeonscale.control.load_board import LoadBoard
 from wigeonscale.daemons.load_words import take_totals, told_loads
 from wigeonscale.direct.stream import relay_stream
-from wigeonscale.direct.tests.fakes import FakeStream, Sink
-from wigeonscale.direct.tests.support import MODEL, Parts, engine, event
+from wigeonscale.direct.tests.fakes import FakeSink, FakeStream
+from wigeonscale.direct.tests.support import MODEL, EntryHarness, engine, event
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.ports.exchange import ServerNotice
 from wigeonscale.routes import Repeat
@@ -97,31 +97,31 @@
         engines = [engine(f"i-{name}", 0, 10, domain=name) for name in DOMAINS]
         self._entries = []
         for number in range(count):
-            parts = Parts(
+            harness = EntryHarness(
                 *engines,
                 entries=count,
                 domain=DOMAINS[number % len(DOMAINS)],
                 clock=self.clock,
                 name=f"entry-{number}",
             )
-            around = dataclasses.replace(
-                parts.around, exchange=self.servers.at(f"entry-{number}")
+            ctx = dataclasses.replace(
+                harness.ctx, exchange=self.servers.at(f"entry-{number}")
             )
             hello = wire.Hello(node_id=f"entry-{number}", role="entry")
             watcher = Watcher(hello=hello, clock=self.clock)
             watchers[number % replicas].append(watcher)
-            self._entries.append((parts, around, watcher))
+            self._entries.append((harness, ctx, watcher))
         self._asking = set()
         self._speaking = [
             asyncio.create_task(
                 self._speak(
-                    around,
+                    ctx,
                     watcher,
                     self._boards[number % replicas],
                     number * WORD_S / count,
                 )
             )
-            for number, (_, around, watcher) in enumerate(self._entries)
+            for number, (_, ctx, watcher) in enumerate(self._entries)
         ]
         self._speaking.append(asyncio.create_task(self._pass_on()))
 
@@ -129,25 +129,25 @@
         """Let callers ask for so long."""
         until = self.clock.now() + seconds
         while self.clock.now() < until:
-            for parts, around, _ in self._entries:
+            for harness, ctx, _ in self._entries:
                 if self._rng.random() < self.requests_per_s * STEP_S:
-                    task = asyncio.create_task(self._ask(parts, around))
+                    task = asyncio.create_task(self._ask(harness, ctx))
                     self._asking.add(task)
                     task.add_done_callback(self._asking.discard)
             await self.clock.advance(STEP_S)
 
     def send_now_and_then(self, backend_id, every_s):
         """Let each entry send to an engine as if it were the cheapest for once."""
-        for _, around, _ in self._entries:
-            task = asyncio.create_task(self._send(around, backend_id, every_s))
+        for _, ctx, _ in self._entries:
+            task = asyncio.create_task(self._send(ctx, backend_id, every_s))
             self._speaking.append(task)
 
-    async def _send(self, around, backend_id, every_s):
+    async def _send(self, ctx, backend_id, every_s):
         while True:
-            if around.notices.may_send(backend_id):
-                around.limits.note_sent(backend_id)
+            if ctx.notices.may_send(backend_id):
+                ctx.limits.note_sent(backend_id)
             else:
-                around.limits.note_wanted(backend_id)
+                ctx.limits.note_demand(backend_id)
             await self.clock.sleep(every_s)
 
     async def close(self):
@@ -183,10 +183,10 @@
         ]
         return max(counts, default=0) - (FACTOR * WINDOW_S * limit_per_s + SLACK)
 
-    async def _ask(self, parts, around):
-        job = parts.job(Repeat.STREAM, service=MODEL, left_s=20.0, resumable=True)
+    async def _ask(self, harness, ctx):
+        job = harness.job(Repeat.STREAM, service=MODEL, left_s=20.0, resumable=True)
         try:
-            await relay_stream(around, job, Sink())
+            await relay_stream(ctx, job, FakeSink())
             self.answered += 1
         except WigeonscaleError as exc:
             self.refusals.append(exc)
@@ -203,10 +203,10 @@
                     board.take("leader", total)
             await self.clock.sleep(PASS_ON_S)
 
-    async def _speak(self, around, watcher, board, begins_s):
+    async def _speak(self, ctx, watcher, board, begins_s):
         await self.clock.sleep(begins_s)
         while True:
-            watcher.loads = told_loads(around)
+            watcher.loads = told_loads(ctx)
             watcher.heard_at = self.clock.now()
-            take_totals(around, board.total())
+            take_totals(ctx, board.total())
             await self.clock.sleep(WORD_S)
--- a/wigeonscale/direct/__init__.py
+++ b/wigeonscale/direct/__init__.py
@@ -2,31 +2,31 @@
 
 __all__ = [
     "BackendServer",
-    "Beliefs",
+    "BackendTracker",
     "DirectService",
     "Fleet",
     "NamedLimit",
     "Notices",
-    "RoomQueue",
-    "SendBudget",
-    "SendLimits",
-    "StallWatch",
-    "Surroundings",
+    "AdmissionQueue",
+    "SharedRetryBudget",
+    "BackendRateLimits",
+    "StallDetector",
+    "EntryContext",
     "read_fleet",
-    "replaced_starts",
+    "replaced_incarnations",
 ]
 
-from wigeonscale.direct.beliefs import Beliefs
-from wigeonscale.direct.budget import SendBudget
+from wigeonscale.direct.admission_queue import AdmissionQueue
+from wigeonscale.direct.backend_tracker import BackendTracker
 from wigeonscale.direct.fleet import (
     BackendServer,
     Fleet,
     read_fleet,
-    replaced_starts,
+    replaced_incarnations,
 )
-from wigeonscale.direct.job import Surroundings
+from wigeonscale.direct.job import EntryContext
 from wigeonscale.direct.notices import Notices
-from wigeonscale.direct.room_queue import RoomQueue
-from wigeonscale.direct.send_limits import NamedLimit, SendLimits
+from wigeonscale.direct.rate_limits import BackendRateLimits, NamedLimit
+from wigeonscale.direct.retry_budget import SharedRetryBudget
 from wigeonscale.direct.service import DirectService
-from wigeonscale.direct.stalls import StallWatch
+from wigeonscale.direct.stalls import StallDetector
--- a/wigeonscale/direct/admission.py
+++ b/wigeonscale/direct/admission.py
@@ -14,7 +14,7 @@
     path_costs,
 )
 from wigeonscale.direct.fleet import BackendServer
-from wigeonscale.direct.job import Job, Surroundings
+from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.layers import LayerRange, Part, find_detour
 
@@ -41,7 +41,7 @@
 
 
 def choose_path_for(
-    around: Surroundings,
+    ctx: EntryContext,
     job: Job,
     *,
     lost: Container[str],
@@ -58,23 +58,23 @@
     they take is shared by demand.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: The request.
         lost: Engines that must not be on it.
         ran_at: First engines of the paths that may have run it.
     """
     held: set[str] = set()
     while True:
-        choice = _choose_unheld(around, job, lost=lost, held=held, ran_at=ran_at)
+        choice = _choose_unheld(ctx, job, lost=lost, held=held, ran_at=ran_at)
         first = choice.path[0].backend_id if choice.path else ""
-        if not first or around.notices.may_send(first):
+        if not first or ctx.notices.may_send(first):
             return dataclasses.replace(choice, held=tuple(sorted(held)))
-        around.limits.note_wanted(first)
+        ctx.limits.note_demand(first)
         held.add(first)
 
 
 def _choose_unheld(
-    around: Surroundings,
+    ctx: EntryContext,
     job: Job,
     *,
     lost: Container[str],
@@ -85,10 +85,10 @@
     engine = job.service.engine
     servers = [
         server
-        for server in around.fleet().by_service.get(job.service.name, ())
+        for server in ctx.fleet().by_service.get(job.service.name, ())
         if server.backend_id not in held
         # It ends under what it gets from now on, wherever it stands on a path.
-        and not around.notices.is_leaving(server.backend_id)
+        and not ctx.notices.is_leaving(server.backend_id)
     ]
     if len(ran_at) >= job.route.max_attempts:
         # Of the engines that take requests in, only those that had this one before.
@@ -98,28 +98,28 @@
             if server.layers.first > 0 or server.backend_id in ran_at
         ]
     if engine is None or not engine.layers:
-        return PathChoice(_choose_whole(around, servers, lost))
+        return PathChoice(_choose_whole(ctx, servers, lost))
     costs = path_costs(
         engine,
         job.req.generation,
-        beliefs=around.beliefs,
-        entries=around.entries(),
+        tracker=ctx.tracker,
+        entries=ctx.entries(),
     )
-    path = choose_path(servers, engine, costs, domain=around.domain, lost=lost)
-    fleet = around.fleet()
+    path = choose_path(servers, engine, costs, domain=ctx.domain, lost=lost)
+    fleet = ctx.fleet()
     token_ms = sum(
         costs.token(fleet.by_id[part.backend_id], part.layers.count)
         for part in path or ()
     )
     return PathChoice(
         path,
-        full=_full_engines(around, path or (), costs),
+        full=_full_engines(ctx, path or (), costs),
         event_s=token_ms * engine.event_tokens / 1000.0,
     )
 
 
 def choose_detour(
-    around: Surroundings, job: Job, path: Sequence[Part]
+    ctx: EntryContext, job: Job, path: Sequence[Part]
 ) -> list[Part] | None:
     """Return the path on which a run goes on without its lost engines.
 
@@ -128,20 +128,20 @@
     attempt and no share of the retry budget is spent.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: The request.
         path: The path with engines that are lost.
 
     Returns:
         The path, or None: its first engine is lost, or nobody near holds the layers.
     """
-    fleet = around.fleet()
+    fleet = ctx.fleet()
     lost = {
         part.backend_id
         for part in path
         if part.backend_id not in fleet.by_id
         or fleet.by_id[part.backend_id].is_silent
-        or around.beliefs.is_avoided(part.backend_id)
+        or ctx.tracker.is_avoided(part.backend_id)
     }
     first = path[0].backend_id
     if not lost or first in lost:
@@ -149,8 +149,8 @@
     costs = path_costs(
         job.service.engine,
         job.req.generation,
-        beliefs=around.beliefs,
-        entries=around.entries(),
+        tracker=ctx.tracker,
+        entries=ctx.entries(),
     )
     domain = fleet.by_id[first].domain
     near = [
@@ -158,8 +158,8 @@
         for server in fleet.by_service.get(job.service.name, ())
         if server.domain == domain
         and not server.is_silent
-        and not around.beliefs.is_avoided(server.backend_id)
-        and not around.notices.is_leaving(server.backend_id)
+        and not ctx.tracker.is_avoided(server.backend_id)
+        and not ctx.notices.is_leaving(server.backend_id)
     ]
     return find_detour(path, near, lost=lost, part_cost=costs.part)
 
@@ -188,25 +188,25 @@
 
 
 def _full_engines(
-    around: Surroundings, path: Sequence[Part], costs: PathCosts
+    ctx: EntryContext, path: Sequence[Part], costs: PathCosts
 ) -> tuple[str, ...]:
-    fleet = around.fleet()
+    fleet = ctx.fleet()
     return tuple(
         part.backend_id
         for part in path
-        if not costs.has_room(fleet.by_id[part.backend_id], part.layers.count)
+        if not costs.has_capacity(fleet.by_id[part.backend_id], part.layers.count)
     )
 
 
 def _choose_whole(
-    around: Surroundings, servers: Sequence[BackendServer], lost: Container[str]
+    ctx: EntryContext, servers: Sequence[BackendServer], lost: Container[str]
 ) -> list[Part] | None:
     """Return a path of one server, where each serves alone."""
     server = choose_server(
         servers,
-        beliefs=around.beliefs,
-        domain=around.domain,
-        entries=around.entries(),
+        tracker=ctx.tracker,
+        domain=ctx.domain,
+        entries=ctx.entries(),
         tried=lost,
     )
     return [Part(server.backend_id, LayerRange(0, 0))] if server else None
--- a/wigeonscale/direct/room_queue.py
+++ b/wigeonscale/direct/admission_queue.py
@@ -13,7 +13,7 @@
 behind those that still can be in time, and is served late instead of never.
 """
 
-__all__ = ["ROOM_PATIENCE_S", "ROOM_WAIT_S", "RoomQueue"]
+__all__ = ["MAX_QUEUE_WAIT_S", "ROOM_WAIT_S", "AdmissionQueue"]
 
 import asyncio
 import itertools
@@ -27,12 +27,12 @@
 ROOM_WAIT_S = 0.25
 # Longest wait: callers leave after two seconds without an event, and most of a herd
 # that is turned away has no further try.
-ROOM_PATIENCE_S = 1.5
+MAX_QUEUE_WAIT_S = 1.5
 # Room at the engines is looked for this often; of 25 answers a second in a domain one
 # ends every 40 ms.
-ROOM_STEP_S = 0.04
+QUEUE_POLL_INTERVAL_S = 0.04
 # Time of a usual answer until this entry has seen some: 160 tokens at 13 ms each.
-USUAL_ANSWER_S = 2.0
+INITIAL_RESPONSE_TIME_S = 2.0
 # Weight of the newest in the time of a usual answer; about ten count. Answers of one
 # deployment take twice as long as on another, and all of one as its engines fill up.
 ANSWER_WEIGHT = 0.1
@@ -47,7 +47,7 @@
 MOST_WAITING = 32
 
 
-class RoomQueue:
+class AdmissionQueue:
     """The order in which this entry's requests get the room that comes free.
 
     Args:
@@ -62,7 +62,7 @@
         self._clock = clock
         self._moved = asyncio.Event()
         self._got_room = 1.0
-        self._usual_answer_s = USUAL_ANSWER_S
+        self._usual_answer_s = INITIAL_RESPONSE_TIME_S
         self._queue: FairQueue[int] = FairQueue(limit=MOST_WAITING, clock=clock)
         self._next: int | None = None
         self._places = itertools.count()
@@ -89,7 +89,7 @@
         """
         share = min(1.0, self._got_room / ENOUGH_GOT_ROOM)
         # One always waits, to see whether there is room again.
-        most = 1 + int(share * running * ROOM_PATIENCE_S / self._usual_answer_s)
+        most = 1 + int(share * running * MAX_QUEUE_WAIT_S / self._usual_answer_s)
         if len(self) >= most:
             raise WigeonscaleError(
                 ErrorKind.OVERLOADED, f"{len(self)} requests wait for room already"
@@ -133,7 +133,7 @@
 
     async def wait(self) -> None:
         """Wait until it is time to look for room again."""
-        sleep = asyncio.ensure_future(self._clock.sleep(ROOM_STEP_S))
+        sleep = asyncio.ensure_future(self._clock.sleep(QUEUE_POLL_INTERVAL_S))
         moved = asyncio.ensure_future(self._moved.wait())
         try:
             await asyncio.wait({sleep, moved}, return_when=asyncio.FIRST_COMPLETED)
--- a/wigeonscale/direct/beliefs.py
+++ b/wigeonscale/direct/backend_tracker.py
@@ -1,6 +1,6 @@
 """What this entry knows of backend servers from its own requests."""
 
-__all__ = ["Belief", "Beliefs"]
+__all__ = ["Belief", "BackendTracker"]
 
 import math
 from collections.abc import Collection, Iterable, Mapping
@@ -43,7 +43,7 @@
     touched_at: float = 0.0
 
 
-class Beliefs:
+class BackendTracker:
     """Beliefs by the name of the incarnation.
 
     Args:
@@ -52,7 +52,7 @@
 
     def __init__(self, *, clock: Clock):
         self._clock = clock
-        self._beliefs: dict[str, Belief] = {}
+        self._states: dict[str, Belief] = {}
         self._told: dict[str, tuple[int, float]] = {}
         self._others: dict[str, tuple[int, float]] = {}
         self._others_at = float("-inf")
@@ -61,12 +61,12 @@
 
     def of(self, backend_id: str) -> Belief:
         """Return what is known of a backend server."""
-        belief = self._beliefs.get(backend_id)
+        belief = self._states.get(backend_id)
         if belief is None:
-            belief = self._beliefs[backend_id] = Belief()
+            belief = self._states[backend_id] = Belief()
         return belief
 
-    def told_loads(self) -> dict[str, tuple[int, float]]:
+    def report_loads(self) -> dict[str, tuple[int, float]]:
         """Return this entry's own load by backend server, and remember it as told.
 
         Returns:
@@ -75,7 +75,7 @@
         self._told = self._own_loads()
         return self._told
 
-    def take_totals(self, totals: Mapping[str, tuple[int, float]]) -> None:
+    def apply_totals(self, totals: Mapping[str, tuple[int, float]]) -> None:
         """Take in what all entries have in progress, this one included.
 
         Args:
@@ -97,7 +97,7 @@
     def _own_loads(self) -> dict[str, tuple[int, float]]:
         return {
             name: (len(belief.runs), belief.token_layers)
-            for name, belief in self._beliefs.items()
+            for name, belief in self._states.items()
             if belief.runs
         }
 
@@ -113,7 +113,7 @@
         Returns:
             Sends, and tokens times layers.
         """
-        belief = self._beliefs.get(backend_id)
+        belief = self._states.get(backend_id)
         running = len(belief.runs) if belief is not None else 0
         token_layers = belief.token_layers if belief is not None else 0.0
         if math.isinf(self._others_at):
@@ -135,12 +135,12 @@
 
     def is_avoided(self, backend_id: str) -> bool:
         """Return whether a backend server is left alone for now."""
-        belief = self._beliefs.get(backend_id)
+        belief = self._states.get(backend_id)
         return belief is not None and self._clock.now() < belief.avoid_until
 
     def runs_on(self, backend_id: str) -> Collection[Run]:
         """Return this entry's sends in progress on a backend server."""
-        belief = self._beliefs.get(backend_id)
+        belief = self._states.get(backend_id)
         return belief.runs if belief is not None else ()
 
     def begin(self, run: Run) -> None:
@@ -204,10 +204,10 @@
         """
         existing = set(backend_ids)
         oldest = self._clock.now() - FORGET_S
-        for name, belief in list(self._beliefs.items()):
+        for name, belief in list(self._states.items()):
             is_idle = not belief.runs and belief.touched_at < oldest
             if name not in existing and is_idle:
-                del self._beliefs[name]
+                del self._states[name]
 
     def _avoid(self, backend_id: str, seconds: float) -> None:
         belief = self.of(backend_id)
--- a/wigeonscale/direct/choice.py
+++ b/wigeonscale/direct/choice.py
@@ -1,12 +1,18 @@
 """Where a request goes: decisions on plain data, without input or output."""
 
-__all__ = ["PathCosts", "choose_path", "choose_server", "path_costs", "room_of"]
+__all__ = [
+    "PathCosts",
+    "choose_path",
+    "choose_server",
+    "path_costs",
+    "kv_cache_capacity",
+]
 
 import math
 from collections.abc import Callable, Container, Sequence
 from dataclasses import dataclass
 
-from wigeonscale.direct.beliefs import Beliefs
+from wigeonscale.direct.backend_tracker import BackendTracker
 from wigeonscale.direct.fleet import BackendServer
 from wigeonscale.layers import Part, find_path
 from wigeonscale.ports.exchange import Generation
@@ -54,7 +60,7 @@
 def choose_server(
     servers: Sequence[BackendServer],
     *,
-    beliefs: Beliefs,
+    tracker: BackendTracker,
     domain: str,
     entries: int,
     tried: Container[str] = (),
@@ -63,19 +69,19 @@
 
     Args:
         servers: Those of the service.
-        beliefs: What is known of them.
+        tracker: What is known of them.
         domain: The entry's own failure domain.
         entries: Entries that send alike.
         tried: Names of incarnations that this request was sent to already.
     """
 
     def rank(server: BackendServer) -> tuple[float, str]:
-        running, _ = beliefs.load_of(server.backend_id, entries)
-        failures = beliefs.of(server.backend_id).failures
+        running, _ = tracker.load_of(server.backend_id, entries)
+        failures = tracker.of(server.backend_id).failures
         cost = running / server.slots + FAILURE * failures
         if server.domain != domain:
             cost += OTHER_DOMAIN
-        if server.is_silent or beliefs.is_avoided(server.backend_id):
+        if server.is_silent or tracker.is_avoided(server.backend_id):
             cost += LAST_RESORT
         return cost, server.backend_id
 
@@ -91,15 +97,15 @@
         part: Cost of running so many layers on an engine.
         hop: Cost of going from one failure domain to another.
         token: Time of one token on an engine that runs so many layers.
-        has_room: Whether an engine holds one more request of usual size in so many of
-            its layers.
+        has_capacity: Whether an engine holds one more request of usual size in so many
+            of its layers.
         far_start: Cost of beginning in another failure domain than the entry's own.
     """
 
     part: Callable[[BackendServer, int], float]
     hop: Callable[[str, str], float]
     token: Callable[[BackendServer, int], float]
-    has_room: Callable[[BackendServer, int], bool]
+    has_capacity: Callable[[BackendServer, int], bool]
     far_start: float
 
 
@@ -124,7 +130,7 @@
     engine: EngineProfile,
     generation: Generation,
     *,
-    beliefs: Beliefs,
+    tracker: BackendTracker,
     entries: int,
 ) -> PathCosts:
     """Return the costs of one generation.
@@ -132,7 +138,7 @@
     Args:
         engine: What its engines need.
         generation: Sizes of the request.
-        beliefs: What is known of the engines.
+        tracker: What is known of the engines.
         entries: Entries that send alike: what the others have in progress is
             inferred from what this one has.
 
@@ -168,7 +174,7 @@
         kind = engine.accelerators.get(server.accelerator)
         if kind is None:
             return _EngineCosts(0.0, 0.0, AVOIDED_MS, -1.0)
-        others, taken = beliefs.load_of(server.backend_id, entries)
+        others, taken = tracker.load_of(server.backend_id, entries)
         step_ms = (
             engine.step_ms
             + engine.sequence_ms * (others + 1)
@@ -178,8 +184,8 @@
         # of all paths through them wait for them.
         token_ms = server.slowness * kind.pace * step_ms / engine.layers
         reading_ms = kind.read_factor * read_ms * (1 + others / 8)
-        is_left_alone = server.is_silent or beliefs.is_avoided(server.backend_id)
-        free = FULL_SHARE * room_of(engine, server, kind.size_mb) - taken
+        is_left_alone = server.is_silent or tracker.is_avoided(server.backend_id)
+        free = FULL_SHARE * kv_cache_capacity(engine, server, kind.size_mb) - taken
         # Load pattern: all requests of a domain pass few first engines, which run as
         # many as they have slots and let the others wait, whatever their memory.
         if server.layers.first == 0 and engine.slots and others >= engine.slots:
@@ -199,7 +205,7 @@
     def token(server: BackendServer, layers: int) -> float:
         return costs_of(server).token_ms * layers + NEAR_HOP_MS
 
-    def has_room(server: BackendServer, layers: int) -> bool:
+    def has_capacity(server: BackendServer, layers: int) -> bool:
         return layers <= costs_of(server).most_layers
 
     def hop(here: str, there: str) -> float:
@@ -207,7 +213,7 @@
             return 0.0
         return FAR_HOP_BASE_MS + engine.delay_ms(here, there) * answer + transfer_ms
 
-    return PathCosts(part, hop, token, has_room, _far_start_ms(engine))
+    return PathCosts(part, hop, token, has_capacity, _far_start_ms(engine))
 
 
 def choose_path(
@@ -250,7 +256,9 @@
     return max(FAR_START_MS, FAR_START_ANSWERS * answer_ms)
 
 
-def room_of(engine: EngineProfile, server: BackendServer, size_mb: float) -> float:
+def kv_cache_capacity(
+    engine: EngineProfile, server: BackendServer, size_mb: float
+) -> float:
     """Return the tokens times layers that an engine has memory for."""
     free_mb = size_mb - server.layers.count * engine.layer_mb
     return free_mb * MEGABIT / (engine.token_bytes / engine.layers)
--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -19,7 +19,7 @@
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.crashes import BEGINNING_S, refusal_of
-from wigeonscale.direct.job import Job, Surroundings
+from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.runs import Run
 from wigeonscale.errors import RunState
 
@@ -27,12 +27,12 @@
 
 
 def check_not_crashing(
-    around: Surroundings, job: Job, *, may_have_run: bool = False
+    ctx: EntryContext, job: Job, *, may_have_run: bool = False
 ) -> None:
     """Refuse a request under which too many backend servers have ended.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: The request.
         may_have_run: Whether an earlier send of it may have run.
 
@@ -40,28 +40,28 @@
         WigeonscaleError: ``CRASHES_BACKENDS``, with word when it may be tried again.
     """
     run_state = RunState.UNKNOWN if may_have_run else RunState.NOT_RUN
-    refusal = refusal_of(around.crashes, job.fingerprint, run_state=run_state)
+    refusal = refusal_of(ctx.crashes, job.fingerprint, run_state=run_state)
     if refusal is not None:
         raise refusal
 
 
-def note_broken_run(around: Surroundings, job: Job, run: Run) -> None:
+def note_broken_run(ctx: EntryContext, job: Job, run: Run) -> None:
     """Take in that the first backend server of a run broke it off.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: Its request.
         run: The run.
     """
     first = run.backend_ids[0]
-    around.crashes.note_broken(first)
-    if _note_lost(around, job, run, first):
+    ctx.crashes.note_broken(first)
+    if _note_lost(ctx, job, run, first):
         # Whether it has ended is known once control has asked it.
-        around.suspect(first)
+        ctx.suspect(first)
 
 
 def note_given_up_run(
-    around: Surroundings, job: Job, run: Run, backend_ids: Iterable[str]
+    ctx: EntryContext, job: Job, run: Run, backend_ids: Iterable[str]
 ) -> None:
     """Take in that a run was taken off backend servers that may be lost.
 
@@ -70,22 +70,22 @@
     were never there.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: Its request.
         run: The run.
         backend_ids: Those servers.
     """
     for backend_id in backend_ids:
-        if not around.crashes.was_broken(backend_id, before=run.sent_at):
-            _note_lost(around, job, run, backend_id)
+        if not ctx.crashes.was_broken(backend_id, before=run.sent_at):
+            _note_lost(ctx, job, run, backend_id)
 
 
-def _note_lost(around: Surroundings, job: Job, run: Run, backend_id: str) -> bool:
+def _note_lost(ctx: EntryContext, job: Job, run: Run, backend_id: str) -> bool:
     """Return whether a server may have crashed by a run, and nobody said so yet."""
     if not _is_beginning(run):
-        note_ran(around, job)
+        note_ran(ctx, job)
         return False
-    if not around.crashes.note_lost(job.fingerprint, backend_id):
+    if not ctx.crashes.note_lost(job.fingerprint, backend_id):
         return False
     logger.info(
         "run lost as it began",
@@ -100,25 +100,25 @@
     return True
 
 
-def note_ran(around: Surroundings, job: Job) -> None:
+def note_ran(ctx: EntryContext, job: Job) -> None:
     """Take in that a run of a request went well beyond its beginning."""
-    around.crashes.note_ran(job.fingerprint)
+    ctx.crashes.note_ran(job.fingerprint)
 
 
-def where_others_begin(around: Surroundings, job: Job) -> set[str]:
+def where_others_begin(ctx: EntryContext, job: Job) -> set[str]:
     """Return the backend servers where other suspects begin, if this is one itself.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: The request.
 
     Notes:
         Linear in the runs of this entry, for suspects only. Suspects of other entries
         are not seen.
     """
-    if not around.crashes.is_suspect(job.fingerprint):
+    if not ctx.crashes.is_suspect(job.fingerprint):
         return set()
-    servers = around.fleet().by_service.get(job.service.name, ())
+    servers = ctx.fleet().by_service.get(job.service.name, ())
     return {
         server.backend_id
         for server in servers
@@ -126,8 +126,8 @@
             run.backend_ids[0] == server.backend_id
             and run.fingerprint != job.fingerprint
             and _is_beginning(run)
-            and around.crashes.is_suspect(run.fingerprint)
-            for run in around.beliefs.runs_on(server.backend_id)
+            and ctx.crashes.is_suspect(run.fingerprint)
+            for run in ctx.tracker.runs_on(server.backend_id)
         )
     }
 
--- a/wigeonscale/direct/detour.py
+++ b/wigeonscale/direct/detour.py
@@ -8,7 +8,7 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.admission import choose_detour
 from wigeonscale.direct.crashing import note_given_up_run
-from wigeonscale.direct.job import Job, Surroundings
+from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.runs import Run
 from wigeonscale.layers import Part
 from wigeonscale.ports.orders import OrderOutcome
@@ -22,13 +22,11 @@
     return {part.backend_id: float(tokens * part.layers.count) for part in path}
 
 
-async def change_path(
-    around: Surroundings, job: Job, run: Run, path: list[Part]
-) -> bool:
+async def change_path(ctx: EntryContext, job: Job, run: Run, path: list[Part]) -> bool:
     """Take a run off its lost engines while it goes on.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: The request.
         run: Its send in progress.
         path: Where that runs; changed in place with it.
@@ -36,17 +34,17 @@
     Returns:
         Whether it was done; else the request has to be sent anew.
     """
-    detour = choose_detour(around, job, path)
+    detour = choose_detour(ctx, job, path)
     if detour is None:
         return False
     kept = {part.backend_id for part in detour}
     lost = [part.backend_id for part in path if part.backend_id not in kept]
-    note_given_up_run(around, job, run, lost)
-    if around.crashes.refused_for(job.fingerprint):
+    note_given_up_run(ctx, job, run, lost)
+    if ctx.crashes.refused_for(job.fingerprint):
         # Not handed to further engines; the flow refuses it.
         return False
-    fleet = around.fleet()
-    outcome = await around.orders.change_path(
+    fleet = ctx.fleet()
+    outcome = await ctx.orders.change_path(
         fleet.by_id[path[0].backend_id].address,
         request_id=job.req.request_id,
         path=detour,
@@ -59,12 +57,12 @@
             request_id=job.req.request_id,
             outcome=outcome,
             path=",".join(part.backend_id for part in detour),
-            quiet_s=round(around.clock.now() - run.progress_at, 3),
+            quiet_s=round(ctx.clock.now() - run.progress_at, 3),
         ),
     )
     if is_done:
         path[:] = detour
-        around.beliefs.replace(
+        ctx.tracker.replace(
             run, tuple(part.backend_id for part in detour), memory_of(job, detour)
         )
     return is_done
--- a/wigeonscale/direct/fleet.py
+++ b/wigeonscale/direct/fleet.py
@@ -1,6 +1,6 @@
 """Backend servers as an entry sees them, by service."""
 
-__all__ = ["BackendServer", "Fleet", "read_fleet", "replaced_starts"]
+__all__ = ["BackendServer", "Fleet", "read_fleet", "replaced_incarnations"]
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -55,25 +55,25 @@
         by_service: Those of each service.
         by_id: All by the name of their incarnation.
         by_address: All by address.
-        leaving: Those that get no new work but finish what they have, by the name of
+        draining: Those that get no new work but finish what they have, by the name of
             their incarnation.
     """
 
     by_service: Mapping[str, tuple[BackendServer, ...]] = field(default_factory=dict)
     by_id: Mapping[str, BackendServer] = field(default_factory=dict)
     by_address: Mapping[str, BackendServer] = field(default_factory=dict)
-    leaving: Mapping[str, BackendServer] = field(default_factory=dict)
+    draining: Mapping[str, BackendServer] = field(default_factory=dict)
 
     def has_ended(self, backend_id: str) -> bool:
         """Return whether an incarnation is gone, or silent, without leaving."""
         server = self.by_id.get(backend_id)
         if server is not None:
             return server.is_silent
-        return backend_id not in self.leaving
+        return backend_id not in self.draining
 
     def find(self, backend_id: str) -> BackendServer | None:
         """Return a backend server, also one that is leaving, or None."""
-        return self.by_id.get(backend_id) or self.leaving.get(backend_id)
+        return self.by_id.get(backend_id) or self.draining.get(backend_id)
 
 
 def read_fleet(backends: Iterable[wire.Backend]) -> Fleet:
@@ -82,9 +82,9 @@
     Args:
         backends: Announced backend servers.
     """
-    servers, leaving = [], []
+    servers, draining = [], []
     for each in backends:
-        (leaving if each.draining else servers).append(_server(each))
+        (draining if each.draining else servers).append(_server(each))
     by_service: dict[str, list[BackendServer]] = {}
     for server in servers:
         by_service.setdefault(server.service, []).append(server)
@@ -92,7 +92,7 @@
         by_service={name: tuple(group) for name, group in by_service.items()},
         by_id={server.backend_id: server for server in servers},
         by_address={server.address: server for server in servers},
-        leaving={server.backend_id: server for server in leaving},
+        draining={server.backend_id: server for server in draining},
     )
 
 
@@ -114,7 +114,7 @@
     )
 
 
-def replaced_starts(
+def replaced_incarnations(
     before: Iterable[wire.Backend], now: Iterable[wire.Backend]
 ) -> list[str]:
     """Return the names of incarnations that have ended since a later one is there.
--- a/wigeonscale/direct/job.py
+++ b/wigeonscale/direct/job.py
@@ -1,19 +1,19 @@
 """One request on its way, and what every flow needs."""
 
-__all__ = ["Job", "Surroundings"]
+__all__ = ["Job", "EntryContext"]
 
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from wigeonscale.crashes import CrashBook, request_fingerprint
-from wigeonscale.direct.beliefs import Beliefs
-from wigeonscale.direct.budget import SendBudget
+from wigeonscale.direct.admission_queue import AdmissionQueue
+from wigeonscale.direct.backend_tracker import BackendTracker
 from wigeonscale.direct.fleet import Fleet
 from wigeonscale.direct.notices import Notices
-from wigeonscale.direct.room_queue import RoomQueue
-from wigeonscale.direct.send_limits import SendLimits
-from wigeonscale.direct.stalls import StallWatch
+from wigeonscale.direct.rate_limits import BackendRateLimits
+from wigeonscale.direct.retry_budget import SharedRetryBudget
+from wigeonscale.direct.stalls import StallDetector
 from wigeonscale.ports import Clock
 from wigeonscale.ports.exchange import BackendCall, CallerRequest, Exchange
 from wigeonscale.ports.orders import EngineOrders
@@ -21,12 +21,12 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Surroundings:
+class EntryContext:
     """What the flows of one entry share.
 
     Attributes:
         exchange: Port to the backend servers.
-        beliefs: What is known of them.
+        tracker: What is known of them.
         budget: Bounds further sends.
         clock: Clock port.
         domain: The entry's own failure domain.
@@ -36,15 +36,15 @@
         rng: Source of randomness, to spread those that are told to come back.
         orders: Port to the engines' orders.
         stalls: Ends the waits of generations that stand still.
-        waiting: Requests that wait for room at the engines.
+        admission_queue: Requests that wait for room at the engines.
         crashes: Which requests are refused since backend servers crash under them.
         notices: What backend servers say of themselves.
         limits: This entry's part of the limits that they name.
     """
 
     exchange: Exchange
-    beliefs: Beliefs
-    budget: SendBudget
+    tracker: BackendTracker
+    budget: SharedRetryBudget
     clock: Clock
     domain: str
     fleet: Callable[[], Fleet]
@@ -52,11 +52,11 @@
     suspect: Callable[[str], None]
     rng: random.Random
     orders: EngineOrders
-    stalls: StallWatch
-    waiting: RoomQueue
+    stalls: StallDetector
+    admission_queue: AdmissionQueue
     crashes: CrashBook
     notices: Notices
-    limits: SendLimits
+    limits: BackendRateLimits
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/wigeonscale/direct/next_path.py
+++ b/wigeonscale/direct/next_path.py
@@ -7,10 +7,10 @@
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.admission import PathChoice, choose_path_for, no_room
+from wigeonscale.direct.admission_queue import MAX_QUEUE_WAIT_S, ROOM_WAIT_S
 from wigeonscale.direct.crashing import where_others_begin
-from wigeonscale.direct.job import Job, Surroundings
+from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.progress import Progress
-from wigeonscale.direct.room_queue import ROOM_PATIENCE_S, ROOM_WAIT_S
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
 # Word to callers when no path is whole: a lost engine is found and its layers are
@@ -26,11 +26,11 @@
 logger = logging.getLogger(__name__)
 
 
-async def next_path(around: Surroundings, job: Job, progress: Progress) -> PathChoice:
+async def next_path(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
     """Return the path of the next send; there is one.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: The request.
         progress: How far it has come: what would be lost to its caller is finished,
             also where engines are full.
@@ -39,103 +39,101 @@
         WigeonscaleError: ``NO_BACKEND``: no path is whole; ``OVERLOADED``: there is
             one, but no room.
     """
-    await _until_apart(around, job, progress)
+    await _until_apart(ctx, job, progress)
     if progress.must_go_on:
-        return await _find_path(around, job, progress)
-    return await _find_room(around, job, progress)
+        return await _find_path(ctx, job, progress)
+    return await _find_room(ctx, job, progress)
 
 
-async def _until_apart(around: Surroundings, job: Job, progress: Progress) -> None:
+async def _until_apart(ctx: EntryContext, job: Job, progress: Progress) -> None:
     """Wait until a suspect can go on apart from others, or long enough."""
-    give_up_at = min(around.clock.now() + APART_WAIT_S, job.ends_at)
+    give_up_at = min(ctx.clock.now() + APART_WAIT_S, job.ends_at)
     while (
-        where_others_begin(around, job)
-        and _choose_apart(around, job, progress) is None
-        and around.clock.now() < give_up_at
+        where_others_begin(ctx, job)
+        and _choose_apart(ctx, job, progress) is None
+        and ctx.clock.now() < give_up_at
     ):
-        await around.clock.sleep(PATH_STEP_S)
+        await ctx.clock.sleep(PATH_STEP_S)
 
 
-async def _find_path(around: Surroundings, job: Job, progress: Progress) -> PathChoice:
+async def _find_path(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
     """Return a path, as soon as there is one, also where engines are full."""
-    give_up_at = min(around.clock.now() + PATH_WAIT_S, job.ends_at)
+    give_up_at = min(ctx.clock.now() + PATH_WAIT_S, job.ends_at)
     while True:
-        choice = _choose(around, job, progress)
+        choice = _choose(ctx, job, progress)
         if choice.path is not None:
             return choice
-        if around.clock.now() >= give_up_at:
+        if ctx.clock.now() >= give_up_at:
             raise _no_path(job, progress)
-        await around.clock.sleep(PATH_STEP_S)
+        await ctx.clock.sleep(PATH_STEP_S)
 
 
-async def _find_room(around: Surroundings, job: Job, progress: Progress) -> PathChoice:
+async def _find_room(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
     """Return the path of an answer that is not begun, all of it with room."""
-    choice = _choose(around, job, progress)
-    if choice.path is None and _held_for_s(around, choice) > ROOM_PATIENCE_S:
-        raise _no_room(around, job, progress, choice)
-    if choice.path is not None and not choice.full and not len(around.waiting):
+    choice = _choose(ctx, job, progress)
+    if choice.path is None and _held_for_s(ctx, choice) > MAX_QUEUE_WAIT_S:
+        raise _no_room(ctx, job, progress, choice)
+    if choice.path is not None and not choice.full and not len(ctx.admission_queue):
         return choice
-    place = _enter(around, job, progress)
-    began_at = around.clock.now()
+    place = _enter(ctx, job, progress)
+    began_at = ctx.clock.now()
     late_at = began_at + ROOM_WAIT_S
-    give_up_at = min(began_at + ROOM_PATIENCE_S, job.ends_at)
+    give_up_at = min(began_at + MAX_QUEUE_WAIT_S, job.ends_at)
     got_room = None
     try:
         while True:
-            if around.waiting.is_next(place):
-                choice = _choose(around, job, progress)
+            if ctx.admission_queue.is_next(place):
+                choice = _choose(ctx, job, progress)
                 if choice.path is not None and not choice.full:
                     got_room = True
                     break
-            now = around.clock.now()
+            now = ctx.clock.now()
             if now >= give_up_at:
                 got_room = False
-                raise _no_room(around, job, progress, choice)
+                raise _no_room(ctx, job, progress, choice)
             if now >= late_at:
-                around.waiting.step_back(place)
+                ctx.admission_queue.step_back(place)
                 late_at = give_up_at
-            await around.waiting.wait()
+            await ctx.admission_queue.wait()
     finally:
-        around.waiting.leave(place, got_room=got_room)
+        ctx.admission_queue.leave(place, got_room=got_room)
     logger.info(
         "waited for room",
         extra=log_fields(
             request_id=job.req.request_id,
             outcome="room",
-            waited_s=round(around.clock.now() - began_at, 3),
+            waited_s=round(ctx.clock.now() - began_at, 3),
         ),
     )
     return choice
 
 
-def _enter(around: Surroundings, job: Job, progress: Progress) -> int:
+def _enter(ctx: EntryContext, job: Job, progress: Progress) -> int:
     """Return the place of a request among those that wait for room."""
     try:
-        return around.waiting.enter(
+        return ctx.admission_queue.enter(
             organisation=job.organisation_name,
             priority=job.priority,
-            running=around.stalls.running,
+            running=ctx.stalls.running,
         )
     except WigeonscaleError as exc:
         may_have_run = bool(progress.ran_at)
-        raise no_room(exc.message, may_have_run=may_have_run, rng=around.rng) from None
+        raise no_room(exc.message, may_have_run=may_have_run, rng=ctx.rng) from None
 
 
-def _choose(around: Surroundings, job: Job, progress: Progress) -> PathChoice:
-    return _choose_apart(around, job, progress) or choose_path_for(
-        around, job, lost=progress.lost, ran_at=progress.ran_at
+def _choose(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
+    return _choose_apart(ctx, job, progress) or choose_path_for(
+        ctx, job, lost=progress.lost, ran_at=progress.ran_at
     )
 
 
-def _choose_apart(
-    around: Surroundings, job: Job, progress: Progress
-) -> PathChoice | None:
+def _choose_apart(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice | None:
     """Return a path that begins where no other suspect does, for a suspect."""
-    others = where_others_begin(around, job)
+    others = where_others_begin(ctx, job)
     if not others:
         return None
     lost = progress.lost | others
-    choice = choose_path_for(around, job, lost=lost, ran_at=progress.ran_at)
+    choice = choose_path_for(ctx, job, lost=lost, ran_at=progress.ran_at)
     return choice if choice.path is not None else None
 
 
@@ -149,22 +147,22 @@
 
 
 def _no_room(
-    around: Surroundings, job: Job, progress: Progress, choice: PathChoice
+    ctx: EntryContext, job: Job, progress: Progress, choice: PathChoice
 ) -> WigeonscaleError:
     if choice.path is None and not choice.held:
         return _no_path(job, progress)
-    held_for_s = _held_for_s(around, choice)
+    held_for_s = _held_for_s(ctx, choice)
     return no_room(
         f"no room for one more at {', '.join(choice.full or choice.held)}",
         may_have_run=bool(progress.ran_at),
-        rng=around.rng,
+        rng=ctx.rng,
         least_wait_s=held_for_s if math.isfinite(held_for_s) else 0.0,
     )
 
 
-def _held_for_s(around: Surroundings, choice: PathChoice) -> float:
+def _held_for_s(ctx: EntryContext, choice: PathChoice) -> float:
     """Return the time until a path may be had that none is, in seconds."""
     if choice.path is not None:
         return 0.0
-    waits_s = [around.notices.free_in_s(name) for name in choice.held]
+    waits_s = [ctx.notices.free_in_s(name) for name in choice.held]
     return min(waits_s, default=math.inf)
--- a/wigeonscale/direct/notices.py
+++ b/wigeonscale/direct/notices.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.direct.send_limits import SendLimits
+from wigeonscale.direct.rate_limits import BackendRateLimits
 from wigeonscale.ports import Clock
 from wigeonscale.ports.exchange import ServerNotice
 
@@ -26,7 +26,7 @@
         limits: This entry's part of the limits that they name.
     """
 
-    def __init__(self, *, clock: Clock, limits: SendLimits):
+    def __init__(self, *, clock: Clock, limits: BackendRateLimits):
         self._clock = clock
         self._limits = limits
         self._newest: dict[str, ServerNotice] = {}
--- a/wigeonscale/direct/plain.py
+++ b/wigeonscale/direct/plain.py
@@ -16,7 +16,7 @@
     where_others_begin,
 )
 from wigeonscale.direct.fleet import BackendServer
-from wigeonscale.direct.job import Job, Surroundings
+from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.runs import Run
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.ports.exchange import ExchangeError, Fate, WholeAnswer
@@ -31,11 +31,11 @@
 logger = logging.getLogger(__name__)
 
 
-async def call_plain(around: Surroundings, job: Job) -> WholeAnswer:
+async def call_plain(ctx: EntryContext, job: Job) -> WholeAnswer:
     """Return the answer of a backend server.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: The request.
 
     Raises:
@@ -48,18 +48,18 @@
     failed: WholeAnswer | None = None
     while True:
         if failed is None:
-            check_not_crashing(around, job, may_have_run=may_have_run)
-        server = _next_server(around, job, tried)
+            check_not_crashing(ctx, job, may_have_run=may_have_run)
+        server = _next_server(ctx, job, tried)
         if server is None or attempts >= job.route.max_attempts:
             break
-        if attempts and not around.budget.try_spend(job.service.name):
+        if attempts and not ctx.budget.try_spend(job.service.name):
             break
         tried.add(server.backend_id)
         attempts += 1
         try:
-            answer = await _send(around, job, server)
+            answer = await _send(ctx, job, server)
         except ExchangeError as exc:
-            _note(around, job, server, exc)
+            _note(ctx, job, server, exc)
             if exc.fate is Fate.NOT_SENT:
                 attempts -= 1
                 continue
@@ -68,7 +68,7 @@
                 break
             continue
         is_failure = answer.head.status >= 500
-        around.beliefs.note_outcome(server.backend_id, failed=is_failure)
+        ctx.tracker.note_outcome(server.backend_id, failed=is_failure)
         if not is_failure:
             return answer
         logger.info(
@@ -78,7 +78,7 @@
                 backend=server.backend_id,
                 status=answer.head.status,
                 attempts=attempts,
-                failures=round(around.beliefs.of(server.backend_id).failures, 3),
+                failures=round(ctx.tracker.of(server.backend_id).failures, 3),
                 outcome="may go on" if job.route.is_idempotent else "handed on",
             ),
         )
@@ -87,64 +87,62 @@
             return answer
     if failed is not None:
         return failed
-    raise _gave_up(around, job, may_have_run)
+    raise _gave_up(ctx, job, may_have_run)
 
 
-def _next_server(
-    around: Surroundings, job: Job, tried: set[str]
-) -> BackendServer | None:
+def _next_server(ctx: EntryContext, job: Job, tried: set[str]) -> BackendServer | None:
     def choose(tried: set[str]) -> BackendServer | None:
         while True:
             server = choose_server(
-                around.fleet().by_service.get(job.service.name, ()),
-                beliefs=around.beliefs,
-                domain=around.domain,
-                entries=around.entries(),
+                ctx.fleet().by_service.get(job.service.name, ()),
+                tracker=ctx.tracker,
+                domain=ctx.domain,
+                entries=ctx.entries(),
                 tried=tried,
             )
-            if server is None or around.notices.may_send(server.backend_id):
+            if server is None or ctx.notices.may_send(server.backend_id):
                 return server
-            around.limits.note_wanted(server.backend_id)
+            ctx.limits.note_demand(server.backend_id)
             tried = tried | {server.backend_id}
 
     # Few servers run a plain service: apart from other suspects only where it can be.
-    return choose(tried | where_others_begin(around, job)) or choose(tried)
+    return choose(tried | where_others_begin(ctx, job)) or choose(tried)
 
 
-async def _send(around: Surroundings, job: Job, server: BackendServer) -> WholeAnswer:
-    now = around.clock.now()
+async def _send(ctx: EntryContext, job: Job, server: BackendServer) -> WholeAnswer:
+    now = ctx.clock.now()
     left_s = job.ends_at - now
     if left_s <= 0:
         raise ExchangeError(Fate.NOT_SENT, "no time is left")
     limit_s = left_s * FIRST_TRY_SHARE if _may_try_again(job) else left_s
     call = job.call(now=now, address=server.address, backend_id=server.name)
     run = Run((server.backend_id,), fingerprint=job.fingerprint)
-    around.crashes.note_sent(job.fingerprint)
-    around.beliefs.begin(run)
-    around.limits.note_sent(server.backend_id)
+    ctx.crashes.note_sent(job.fingerprint)
+    ctx.tracker.begin(run)
+    ctx.limits.note_sent(server.backend_id)
     note_notice = functools.partial(
-        around.notices.note,
+        ctx.notices.note,
         server.backend_id,
         request_id=job.req.request_id,
         sent_at=now,
     )
     try:
         async with asyncio.timeout(limit_s):
-            answer = await around.exchange.call(call)
+            answer = await ctx.exchange.call(call)
         note_notice(answer.head.notice)
-        note_ran(around, job)
+        note_ran(ctx, job)
         return answer
     except ExchangeError as exc:
         note_notice(exc.notice)
         if exc.fate is Fate.UNKNOWN:
-            note_broken_run(around, job, run)
+            note_broken_run(ctx, job, run)
         raise
     except TimeoutError:
         raise ExchangeError(
             Fate.UNKNOWN, f"{server.address} did not answer in {limit_s:.3f} s"
         ) from None
     finally:
-        around.beliefs.end(run)
+        ctx.tracker.end(run)
 
 
 def _may_try_again(job: Job) -> bool:
@@ -152,14 +150,14 @@
 
 
 def _note(
-    around: Surroundings, job: Job, server: BackendServer, exc: ExchangeError
+    ctx: EntryContext, job: Job, server: BackendServer, exc: ExchangeError
 ) -> None:
-    around.beliefs.note_outcome(server.backend_id, failed=True)
+    ctx.tracker.note_outcome(server.backend_id, failed=True)
     if exc.fate is Fate.NOT_RUN and not exc.is_stranger:
-        around.beliefs.note_refused(server.backend_id)
+        ctx.tracker.note_refused(server.backend_id)
     elif exc.fate is Fate.NOT_SENT or exc.is_stranger:
-        around.beliefs.note_lost(server.backend_id)
-        around.suspect(server.backend_id)
+        ctx.tracker.note_lost(server.backend_id)
+        ctx.suspect(server.backend_id)
     logger.info(
         "send failed: %s",
         exc.message,
@@ -173,8 +171,8 @@
     )
 
 
-def _gave_up(around: Surroundings, job: Job, may_have_run: bool) -> WigeonscaleError:
-    is_late = around.clock.now() >= job.ends_at
+def _gave_up(ctx: EntryContext, job: Job, may_have_run: bool) -> WigeonscaleError:
+    is_late = ctx.clock.now() >= job.ends_at
     if may_have_run:
         kind = ErrorKind.DEADLINE_EXCEEDED if is_late else ErrorKind.BACKEND_FAILED
         return WigeonscaleError(
@@ -185,13 +183,13 @@
     return WigeonscaleError(
         ErrorKind.NO_BACKEND,
         f"no backend server of {job.service.name} took it",
-        retry_after=max(RETRY_AFTER_S, _all_held_for_s(around, job)),
+        retry_after=max(RETRY_AFTER_S, _all_held_for_s(ctx, job)),
     )
 
 
-def _all_held_for_s(around: Surroundings, job: Job) -> float:
+def _all_held_for_s(ctx: EntryContext, job: Job) -> float:
     """Return the time until a server of the service wants requests; 0 if unknown."""
-    servers = around.fleet().by_service.get(job.service.name, ())
-    waits_s = [around.notices.free_in_s(server.backend_id) for server in servers]
+    servers = ctx.fleet().by_service.get(job.service.name, ())
+    waits_s = [ctx.notices.free_in_s(server.backend_id) for server in servers]
     least_s = min(waits_s, default=0.0)
     return least_s if math.isfinite(least_s) else 0.0
--- a/wigeonscale/direct/send_limits.py
+++ b/wigeonscale/direct/rate_limits.py
@@ -1,6 +1,6 @@
 """How much this entry may send to a backend server that names a limit."""
 
-__all__ = ["NamedLimit", "SendLimits"]
+__all__ = ["NamedLimit", "BackendRateLimits"]
 
 import logging
 import math
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.direct.beliefs import TOTALS_FRESH_S
+from wigeonscale.direct.backend_tracker import TOTALS_FRESH_S
 from wigeonscale.limits import sharers
 from wigeonscale.ports import Clock
 
@@ -72,7 +72,7 @@
     next_at: float = 0.0
 
 
-class SendLimits:
+class BackendRateLimits:
     """This entry's part of the limits that backend servers name.
 
     Load pattern: an engine in need is as near and as empty as ever, so that all entries
@@ -93,7 +93,7 @@
 
     Example:
         >>> from wigeonscale.testing import ManualClock
-        >>> limits = SendLimits(name="e", clock=ManualClock(), entries=lambda: 1)
+        >>> limits = BackendRateLimits(name="e", clock=ManualClock(), entries=lambda: 1)
         >>> limits.note("i-1", 1.0, sent_at=1000.0)
         >>> limits.may_send("i-1"), limits.may_send("i-2")
         (False, True)
@@ -148,7 +148,7 @@
             due_at = max(due_at, self._heard_all_at + TOTALS_FRESH_S + interval_s)
         return max(0.0, due_at - self._clock.now())
 
-    def note_wanted(self, backend_id: str) -> None:
+    def note_demand(self, backend_id: str) -> None:
         """Note that this entry has work for a backend server that names a limit."""
         limit = self._limits.get(backend_id)
         if limit is not None:
@@ -165,7 +165,7 @@
         if math.isfinite(interval_s):
             limit.next_at = max(limit.next_at, now) + interval_s
 
-    def told(self) -> list[NamedLimit]:
+    def report(self) -> list[NamedLimit]:
         """Return what the other entries must know of the limits."""
         now = self._clock.now()
         self._limits = {
@@ -184,7 +184,7 @@
             if (demand := self._demand(limit)) or limit.is_own
         ]
 
-    def take(self, limits: Iterable[NamedLimit], *, tellers: int) -> None:
+    def apply_reports(self, limits: Iterable[NamedLimit], *, tellers: int) -> None:
         """Take in what the entries told, this one included.
 
         Load pattern: control has no leader for some seconds, and each replica knows
--- a/wigeonscale/direct/budget.py
+++ b/wigeonscale/direct/retry_budget.py
@@ -1,6 +1,6 @@
 """This entry's part of the budget of further sends, by service."""
 
-__all__ = ["SendBudget"]
+__all__ = ["SharedRetryBudget"]
 
 from collections import deque
 from collections.abc import Callable, Mapping
@@ -31,7 +31,7 @@
     further: int = 0
 
 
-class SendBudget:
+class SharedRetryBudget:
     """Bounds sends beyond the first of each request, over a sliding window.
 
     All entries together may send ``ratio`` of their requests and ``slack`` more.
@@ -50,7 +50,7 @@
 
     Example:
         >>> from wigeonscale.testing import ManualClock
-        >>> budget = SendBudget(
+        >>> budget = SharedRetryBudget(
         ...     clock=ManualClock(), ratio=0.0, slack=3, window_s=10, entries=lambda: 1
         ... )
         >>> [budget.try_spend("s") for _ in range(3)]
@@ -83,7 +83,7 @@
         """Count a request."""
         self._recent(self._requests, service).append(self._clock.now())
 
-    def told_sends(self) -> dict[str, tuple[int, int]]:
+    def report_sends(self) -> dict[str, tuple[int, int]]:
         """Return this entry's counts over the window, and remember them as told.
 
         Returns:
@@ -98,7 +98,7 @@
         }
         return self._told
 
-    def take_totals(self, totals: Mapping[str, tuple[int, int]]) -> None:
+    def apply_totals(self, totals: Mapping[str, tuple[int, int]]) -> None:
         """Take in the counts of all entries, this one included.
 
         Args:
--- a/wigeonscale/direct/service.py
+++ b/wigeonscale/direct/service.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.direct.job import Job, Surroundings
+from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.plain import call_plain
 from wigeonscale.direct.progress import Progress
 from wigeonscale.direct.stream import relay_stream
@@ -39,7 +39,7 @@
     """Answers the requests of one entry.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         table: Returns the route table in force; number 0 before any.
         known: Set once the table and the backend servers are known.
         may_serve: Returns whether what is known may still be acted on.
@@ -49,13 +49,13 @@
     def __init__(
         self,
         *,
-        around: Surroundings,
+        ctx: EntryContext,
         table: Callable[[], RouteTable],
         known: asyncio.Event,
         may_serve: Callable[[], bool],
         rng: random.Random,
     ):
-        self._around = around
+        self._around = ctx
         self._table = table
         self._known = known
         self._may_serve = may_serve
@@ -81,9 +81,9 @@
                 retry_after=NOT_READY_RETRY_S,
             )
         job = self._job(req)
-        around = self._around
-        left_s = job.ends_at - around.clock.now()
-        around.budget.record(job.service.name)
+        ctx = self._around
+        left_s = job.ends_at - ctx.clock.now()
+        ctx.budget.record(job.service.name)
         limit = asyncio.timeout(left_s)
         try:
             async with limit:
@@ -104,7 +104,7 @@
                 route=job.route.name,
                 service=job.service.name,
                 table=self._table().number,
-                took_s=round(around.clock.now() - req.arrived_at, 4),
+                took_s=round(ctx.clock.now() - req.arrived_at, 4),
                 **pauses,
             ),
         )
--- a/wigeonscale/direct/stalls.py
+++ b/wigeonscale/direct/stalls.py
@@ -8,7 +8,7 @@
 before that question, by probes of all engines of the path.
 """
 
-__all__ = ["StallWatch"]
+__all__ = ["StallDetector"]
 
 import asyncio
 import logging
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.direct.beliefs import Beliefs
+from wigeonscale.direct.backend_tracker import BackendTracker
 from wigeonscale.direct.fleet import Fleet
 from wigeonscale.direct.probing import EngineProbes
 from wigeonscale.direct.runs import Run
@@ -26,7 +26,7 @@
 CHECK_S = 0.02
 # Events come every 30 to 60 ms, and first ones within 150 ms, on a sound path with
 # usual load; a pause over 200 ms is late already.
-QUIET_S = 0.25
+STALL_TIMEOUT_S = 0.25
 QUIET_FIRST_S = 0.4
 # A path is named to control, and its engines are probed, once so many of its own
 # intervals between events are over, and this time at least: a probe, the news of it and
@@ -67,11 +67,11 @@
 logger = logging.getLogger(__name__)
 
 
-class StallWatch:
+class StallDetector:
     """Watches the runs of generations.
 
     Args:
-        beliefs: Told which engines are lost; it ends the waits of their runs.
+        tracker: Told which engines are lost; it ends the waits of their runs.
         clock: Clock port.
         orders: Asks engines how they are.
         fleet: Returns the backend servers as of now.
@@ -84,7 +84,7 @@
     def __init__(
         self,
         *,
-        beliefs: Beliefs,
+        tracker: BackendTracker,
         clock: Clock,
         orders: EngineOrders,
         fleet: Callable[[], Fleet],
@@ -93,7 +93,7 @@
         reach: Reach,
         delay_s: Callable[[str], float] = lambda domain: 0.0,
     ):
-        self._beliefs = beliefs
+        self._tracker = tracker
         self._clock = clock
         self._orders = orders
         self._fleet = fleet
@@ -184,7 +184,7 @@
                 run.leave_lost()
             elif quiet_s > HOPELESS_S and self._is_hopeless(run, now):
                 run.end_wait()
-            elif quiet_s > (QUIET_S if run.has_begun else QUIET_FIRST_S):
+            elif quiet_s > (STALL_TIMEOUT_S if run.has_begun else QUIET_FIRST_S):
                 heads.add(run.backend_ids[0])
         for head in heads:
             self._ask(head, now)
@@ -212,14 +212,14 @@
         now = self._clock.now()
         return self.is_behind or any(
             run.has_begun and not _is_quiet(run, now)
-            for run in self._beliefs.runs_on(name)
+            for run in self._tracker.runs_on(name)
         )
 
     def _heard_since(self, instant: float) -> bool:
         return any(run.progress_at > instant for run in self._runs if run.has_begun)
 
     def _note_lost(self, name: str) -> None:
-        self._beliefs.note_lost(name)
+        self._tracker.note_lost(name)
         self._suspect(name)
 
     def _is_hopeless(self, run: Run, now: float) -> bool:
@@ -227,7 +227,7 @@
         if now - self._sound_at.get(head, float("-inf")) > SOUND_S:
             return True
         others = [r for r in self._runs if r is not run and r.backend_ids[0] == head]
-        moving = sum(now - other.progress_at < QUIET_S for other in others)
+        moving = sum(now - other.progress_at < STALL_TIMEOUT_S for other in others)
         return 2 * moving >= len(others)
 
     def _ask(self, head: str, now: float) -> None:
@@ -242,7 +242,7 @@
         fleet = self._fleet()
         server = fleet.by_id.get(head)
         if server is None:
-            self._beliefs.note_lost(head)
+            self._tracker.note_lost(head)
             return
         status = await self._orders.status(server.address, limit_s=HEAD_ANSWER_S)
         if status is None:
--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -21,7 +21,7 @@
     note_ran,
 )
 from wigeonscale.direct.detour import change_path, memory_of
-from wigeonscale.direct.job import Job, Surroundings
+from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.next_path import NO_PATH_RETRY_S, next_path
 from wigeonscale.direct.progress import Progress
 from wigeonscale.direct.runs import Run
@@ -37,7 +37,7 @@
 )
 
 # Sends of one request in all: refusals that did not run do not count as attempts.
-MOST_SENDS = 6
+MAX_SENDS = 6
 # A stream that was begun waits this long, in such steps, until the budget of further
 # sends allows it one: word of what all entries have left comes twice a second, and
 # callers leave after two seconds without an event.
@@ -47,11 +47,11 @@
 logger = logging.getLogger(__name__)
 
 
-async def relay_stream(around: Surroundings, job: Job, sink: AnswerSink) -> Progress:
+async def relay_stream(ctx: EntryContext, job: Job, sink: AnswerSink) -> Progress:
     """Relay a generation to its caller, whole or not at all.
 
     Args:
-        around: What the flows share.
+        ctx: What the flows share.
         job: The request.
         sink: Where the answer goes.
 
@@ -64,21 +64,21 @@
     progress = Progress(last_id=job.req.last_event_id)
     while True:
         # Before it waits for a path, and again when it has one.
-        check_not_crashing(around, job, may_have_run=bool(progress.ran_at))
-        choice = await next_path(around, job, progress)
-        check_not_crashing(around, job, may_have_run=bool(progress.ran_at))
+        check_not_crashing(ctx, job, may_have_run=bool(progress.ran_at))
+        choice = await next_path(ctx, job, progress)
+        check_not_crashing(ctx, job, may_have_run=bool(progress.ran_at))
         path = choice.path
         progress.sends += 1
         try:
-            if await _try_path(around, job, sink, progress, choice):
+            if await _try_path(ctx, job, sink, progress, choice):
                 return progress
         except ExchangeError as exc:
-            _note_failure(around, job, progress, path, exc)
-            await _wait_until_may_go_on(around, job, progress, exc)
+            _note_failure(ctx, job, progress, path, exc)
+            await _wait_until_may_go_on(ctx, job, progress, exc)
 
 
 async def _try_path(
-    around: Surroundings,
+    ctx: EntryContext,
     job: Job,
     sink: AnswerSink,
     progress: Progress,
@@ -86,9 +86,9 @@
 ) -> bool:
     """Relay one run; return True once the caller has the whole answer."""
     path = choice.path
-    fleet = around.fleet()
+    fleet = ctx.fleet()
     servers = [fleet.by_id[part.backend_id] for part in path]
-    now = around.clock.now()
+    now = ctx.clock.now()
     if now >= job.ends_at:
         raise ExchangeError(Fate.NOT_SENT, "no time is left")
     is_split = path[0].layers.count > 0
@@ -108,7 +108,7 @@
         sent_at=now,
     )
     if is_split:
-        run.move = functools.partial(_move, around, job, progress, run, path)
+        run.move = functools.partial(_move, ctx, job, progress, run, path)
     logger.info(
         "generation sent",
         extra=log_fields(
@@ -121,38 +121,38 @@
             held_back=",".join(choice.held),
         ),
     )
-    around.crashes.note_sent(job.fingerprint)
-    around.beliefs.begin(run)
+    ctx.crashes.note_sent(job.fingerprint)
+    ctx.tracker.begin(run)
     first = servers[0].backend_id
-    around.limits.note_sent(first)
+    ctx.limits.note_sent(first)
     note_notice = functools.partial(
-        around.notices.note, first, request_id=job.req.request_id, sent_at=now
+        ctx.notices.note, first, request_id=job.req.request_id, sent_at=now
     )
     try:
         # Ended by the watch over all streams, not by a time of its own.
         async with asyncio.timeout(None) as run.watch:
-            around.stalls.add(run)
-            async with around.exchange.open(call) as stream:
+            ctx.stalls.add(run)
+            async with ctx.exchange.open(call) as stream:
                 note_notice(stream.head.notice)
                 progress.ran_at.add(first)
-                is_whole = await _relay_events(around, job, sink, progress, run, stream)
-        around.beliefs.note_outcome(first, failed=False)
+                is_whole = await _relay_events(ctx, job, sink, progress, run, stream)
+        ctx.tracker.note_outcome(first, failed=False)
         if call.after_event is None:
-            around.waiting.note_answer(around.clock.now() - now)
-        note_ran(around, job)
+            ctx.admission_queue.note_answer(ctx.clock.now() - now)
+        note_ran(ctx, job)
         return is_whole
     except ExchangeError as exc:
         note_notice(exc.notice)
         if exc.fate is Fate.UNKNOWN:
-            note_broken_run(around, job, run)
+            note_broken_run(ctx, job, run)
             if not run.has_begun:
-                around.beliefs.note_unanswered(first)
+                ctx.tracker.note_unanswered(first)
         raise
     except TimeoutError:
         if not run.watch.expired():
             raise
-        note_given_up_run(around, job, run, (first,))
-        quiet_s = around.clock.now() - run.progress_at
+        note_given_up_run(ctx, job, run, (first,))
+        quiet_s = ctx.clock.now() - run.progress_at
         raise ExchangeError(
             Fate.UNKNOWN, f"no event from {servers[0].address} for {quiet_s:.2f} s"
         ) from None
@@ -160,20 +160,20 @@
         run.watch = None
         if run.moving is not None:
             run.moving.cancel()
-        around.stalls.remove(run)
-        around.beliefs.end(run)
+        ctx.stalls.remove(run)
+        ctx.tracker.end(run)
 
 
 async def _move(
-    around: Surroundings, job: Job, progress: Progress, run: Run, path: list[Part]
+    ctx: EntryContext, job: Job, progress: Progress, run: Run, path: list[Part]
 ) -> bool:
-    is_done = await change_path(around, job, run, path)
+    is_done = await change_path(ctx, job, run, path)
     progress.moves += is_done
     return is_done
 
 
 async def _relay_events(
-    around: Surroundings,
+    ctx: EntryContext,
     job: Job,
     sink: AnswerSink,
     progress: Progress,
@@ -184,14 +184,14 @@
         return await _relay_failure(sink, progress, stream)
     async with aclosing(stream.events()) as events:
         async for event in events:
-            run.note_progress(around.clock.now())
+            run.note_progress(ctx.clock.now())
             if not _is_next(progress, event):
                 continue
             if not progress.is_begun:
                 progress.is_begun = True
                 await sink.begin(stream.head)
             await sink.write(event.data)
-            progress.note_event(around.clock.now(), event.event_id)
+            progress.note_event(ctx.clock.now(), event.event_id)
     if not progress.is_begun:
         progress.is_begun = True
         await sink.begin(stream.head)
@@ -227,7 +227,7 @@
 
 
 def _note_failure(
-    around: Surroundings,
+    ctx: EntryContext,
     job: Job,
     progress: Progress,
     path: list[Part],
@@ -236,18 +236,18 @@
     if exc.fate is Fate.UNKNOWN:
         # Also where not even the head of an answer came.
         progress.ran_at.add(path[0].backend_id)
-    blamed = _blamed(around, path, exc)
+    blamed = _blamed(ctx, path, exc)
     if blamed and exc.fate is Fate.NOT_RUN and not exc.is_stranger:
-        around.beliefs.note_refused(blamed)
+        ctx.tracker.note_refused(blamed)
         if exc.at_fault:
             # It may lack room, or be gone: a probe by control tells.
-            around.suspect(blamed)
-    elif blamed and exc.fate is Fate.NOT_SENT and around.stalls.is_behind:
+            ctx.suspect(blamed)
+    elif blamed and exc.fate is Fate.NOT_SENT and ctx.stalls.is_behind:
         # This process was too late to see the connection open.
-        around.beliefs.note_refused(blamed)
+        ctx.tracker.note_refused(blamed)
     elif blamed:
-        around.beliefs.note_lost(blamed)
-        around.suspect(blamed)
+        ctx.tracker.note_lost(blamed)
+        ctx.suspect(blamed)
     if blamed:
         progress.lost.add(blamed)
     logger.info(
@@ -263,16 +263,16 @@
     )
 
 
-def _blamed(around: Surroundings, path: list[Part], exc: ExchangeError) -> str:
+def _blamed(ctx: EntryContext, path: list[Part], exc: ExchangeError) -> str:
     """Return the engine that a failure speaks against; empty for none in particular."""
-    named = around.fleet().by_address.get(exc.at_fault)
+    named = ctx.fleet().by_address.get(exc.at_fault)
     if named is not None:
         return named.backend_id
     return "" if exc.fate is Fate.UNKNOWN else path[0].backend_id
 
 
 async def _wait_until_may_go_on(
-    around: Surroundings, job: Job, progress: Progress, exc: ExchangeError
+    ctx: EntryContext, job: Job, progress: Progress, exc: ExchangeError
 ) -> None:
     """Return once the request may be sent once more.
 
@@ -283,14 +283,14 @@
     Raises:
         WigeonscaleError: Its final answer: it is not to be sent again.
     """
-    began_at = around.clock.now()
+    began_at = ctx.clock.now()
     give_up_at = min(began_at + SEND_WAIT_S, job.ends_at)
-    is_allowed = _may_go_on(around, job, progress)
+    is_allowed = _may_go_on(ctx, job, progress)
     waits = progress.must_go_on and _may_repeat(job, progress)
-    while not is_allowed and waits and around.clock.now() < give_up_at:
-        await around.clock.sleep(SEND_STEP_S)
-        is_allowed = _may_go_on(around, job, progress)
-    waited_s = around.clock.now() - began_at
+    while not is_allowed and waits and ctx.clock.now() < give_up_at:
+        await ctx.clock.sleep(SEND_STEP_S)
+        is_allowed = _may_go_on(ctx, job, progress)
+    waited_s = ctx.clock.now() - began_at
     if waited_s > 0 or not is_allowed:
         logger.info(
             "budget of further sends",
@@ -303,27 +303,27 @@
             ),
         )
     if not is_allowed:
-        raise _final_answer(around, job, progress, exc)
+        raise _final_answer(ctx, job, progress, exc)
 
 
 def _may_repeat(job: Job, progress: Progress) -> bool:
-    if progress.sends >= MOST_SENDS:
+    if progress.sends >= MAX_SENDS:
         return False
     return job.route.is_idempotent or not progress.ran_at
 
 
-def _may_go_on(around: Surroundings, job: Job, progress: Progress) -> bool:
+def _may_go_on(ctx: EntryContext, job: Job, progress: Progress) -> bool:
     """Take one further send from the budget; return whether it may be made."""
-    if around.clock.now() >= job.ends_at or not _may_repeat(job, progress):
+    if ctx.clock.now() >= job.ends_at or not _may_repeat(job, progress):
         return False
-    return around.budget.try_spend(job.service.name, is_begun=progress.must_go_on)
+    return ctx.budget.try_spend(job.service.name, is_begun=progress.must_go_on)
 
 
 def _final_answer(
-    around: Surroundings, job: Job, progress: Progress, exc: ExchangeError
+    ctx: EntryContext, job: Job, progress: Progress, exc: ExchangeError
 ) -> WigeonscaleError:
     may_have_run = bool(progress.ran_at)
-    if around.clock.now() >= job.ends_at:
+    if ctx.clock.now() >= job.ends_at:
         kind = ErrorKind.DEADLINE_EXCEEDED
     else:
         kind = ErrorKind.BACKEND_FAILED if may_have_run else ErrorKind.NO_BACKEND
--- a/wigeonscale/direct/tests/fakes.py
+++ b/wigeonscale/direct/tests/fakes.py
@@ -68,7 +68,7 @@
             yield each
 
 
-class Sink:
+class FakeSink:
     """What a caller got."""
 
     def __init__(self):
--- a/wigeonscale/direct/tests/support.py
+++ b/wigeonscale/direct/tests/support.py
@@ -4,19 +4,19 @@
 
 from wigeonscale.crashes import CrashBook
 from wigeonscale.direct import (
+    AdmissionQueue,
+    BackendRateLimits,
     BackendServer,
-    Beliefs,
+    BackendTracker,
+    EntryContext,
     Fleet,
     Notices,
-    RoomQueue,
-    SendBudget,
-    SendLimits,
-    StallWatch,
-    Surroundings,
+    SharedRetryBudget,
+    StallDetector,
 )
 from wigeonscale.direct.job import Job
 from wigeonscale.direct.stream import relay_stream
-from wigeonscale.direct.tests.fakes import FakeExchange, FakeOrders, FakeReach, Sink
+from wigeonscale.direct.tests.fakes import FakeExchange, FakeOrders, FakeReach, FakeSink
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.layers import LayerRange
 from wigeonscale.ports.exchange import (
@@ -101,7 +101,7 @@
     return StreamEvent(number, b"id: %d\n\n" % number)
 
 
-class Parts:
+class EntryHarness:
     """An entry's flows over stand-ins."""
 
     def __init__(
@@ -109,7 +109,7 @@
     ):
         self.clock = clock or ManualClock()
         self.exchange = FakeExchange()
-        self.beliefs = Beliefs(clock=self.clock)
+        self.tracker = BackendTracker(clock=self.clock)
         self.orders = FakeOrders()
         self.reach = FakeReach(self.clock)
         self.suspected = []
@@ -117,8 +117,8 @@
         self.fleet = fleet(*servers)
         # One way to each failure domain, in seconds.
         self.delays_s = {}
-        self.stalls = StallWatch(
-            beliefs=self.beliefs,
+        self.stalls = StallDetector(
+            tracker=self.tracker,
             clock=self.clock,
             orders=self.orders,
             fleet=lambda: self.fleet,
@@ -127,11 +127,11 @@
             reach=self.reach,
             delay_s=lambda domain: self.delays_s.get(domain, 0.0),
         )
-        limits = SendLimits(name=name, clock=self.clock, entries=lambda: entries)
-        self.around = Surroundings(
+        limits = BackendRateLimits(name=name, clock=self.clock, entries=lambda: entries)
+        self.ctx = EntryContext(
             exchange=self.exchange,
-            beliefs=self.beliefs,
-            budget=SendBudget(
+            tracker=self.tracker,
+            budget=SharedRetryBudget(
                 clock=self.clock,
                 ratio=0.0,
                 slack=slack,
@@ -146,7 +146,7 @@
             rng=random.Random(1),
             orders=self.orders,
             stalls=self.stalls,
-            waiting=RoomQueue(clock=self.clock),
+            admission_queue=AdmissionQueue(clock=self.clock),
             crashes=CrashBook(
                 clock=self.clock,
                 is_serving=lambda name: name in self.fleet.by_id,
@@ -207,19 +207,19 @@
 
 class StreamCase(AsyncTestCase):
     async def prepare(self):
-        self.parts = Parts(
+        self.harness = EntryHarness(
             engine("a1", 0, 5),
             engine("a2", 5, 10),
             engine("b1", 0, 5, domain="b"),
             engine("b2", 5, 10, domain="b"),
         )
-        self.exchange = self.parts.exchange
-        self.sink = Sink()
+        self.exchange = self.harness.exchange
+        self.sink = FakeSink()
 
     def relay(self, **fields):
         fields.setdefault("resumable", True)
-        job = self.parts.job(Repeat.STREAM, service=MODEL, left_s=20.0, **fields)
-        return relay_stream(self.parts.around, job, self.sink)
+        job = self.harness.job(Repeat.STREAM, service=MODEL, left_s=20.0, **fields)
+        return relay_stream(self.harness.ctx, job, self.sink)
 
     async def refused(self, **fields):
         try:
@@ -235,5 +235,5 @@
         for _ in range(500):
             if condition():
                 return
-            await self.parts.clock.advance(0.01)
+            await self.harness.clock.advance(0.01)
         self.fail("the condition never held")
--- a/wigeonscale/direct/tests/test_budget.py
+++ b/wigeonscale/direct/tests/test_budget.py
@@ -1,11 +1,11 @@
-from wigeonscale.direct import SendBudget
+from wigeonscale.direct import SharedRetryBudget
 from wigeonscale.testing import AsyncTestCase, ManualClock
 
 
 class BudgetTest(AsyncTestCase):
     def budget(self, *, ratio, slack, entries=1):
         self.clock = ManualClock()
-        return SendBudget(
+        return SharedRetryBudget(
             clock=self.clock,
             ratio=ratio,
             slack=slack,
@@ -47,7 +47,7 @@
     def __init__(self, count):
         self.clock = ManualClock()
         self.budgets = [
-            SendBudget(
+            SharedRetryBudget(
                 clock=self.clock,
                 ratio=self.RATIO,
                 slack=self.SLACK,
@@ -65,12 +65,12 @@
         return self.RATIO * self.REQUESTS * len(self.budgets) + self.SLACK
 
     def sums(self):
-        told = [budget.told_sends()["s"] for budget in self.budgets]
+        told = [budget.report_sends()["s"] for budget in self.budgets]
         return {"s": (sum(r for r, _ in told), sum(f for _, f in told))}
 
     def tell(self, sums):
         for budget in self.budgets:
-            budget.take_totals(sums)
+            budget.apply_totals(sums)
 
 
 class CommonRestTest(AsyncTestCase):
--- a/wigeonscale/direct/tests/test_choice.py
+++ b/wigeonscale/direct/tests/test_choice.py
@@ -1,6 +1,6 @@
 from dataclasses import replace
 
-from wigeonscale.direct import Beliefs
+from wigeonscale.direct import BackendTracker
 from wigeonscale.direct.choice import (
     FULL_SHARE,
     choose_path,
@@ -20,12 +20,12 @@
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
-        self.beliefs = Beliefs(clock=self.clock)
+        self.tracker = BackendTracker(clock=self.clock)
         self.servers = [server("near"), server("far", domain="b")]
 
     def chosen(self, **fields):
         fields.setdefault("entries", 1)
-        got = choose_server(self.servers, beliefs=self.beliefs, domain="a", **fields)
+        got = choose_server(self.servers, tracker=self.tracker, domain="a", **fields)
         return got and got.backend_id
 
     def test_own_domain_first(self):
@@ -33,29 +33,29 @@
 
     def test_spills_over_when_half_full(self):
         for _ in range(3):
-            self.beliefs.begin(Run(("near",)))
+            self.tracker.begin(Run(("near",)))
         self.assertEqual("far", self.chosen())
 
     async def test_load_of_the_other_entries_is_inferred(self):
         # Control told it once, and is cut off since.
-        self.beliefs.take_totals({})
+        self.tracker.apply_totals({})
         await self.clock.advance(5)
-        self.beliefs.begin(Run(("near",)))
+        self.tracker.begin(Run(("near",)))
         self.assertEqual("near", self.chosen(entries=1))
         self.assertEqual("far", self.chosen(entries=4))
 
     def test_one_that_fails_part_of_its_requests(self):
         for _ in range(5):
-            self.beliefs.note_outcome("near", failed=True)
+            self.tracker.note_outcome("near", failed=True)
         self.assertEqual("far", self.chosen())
 
     def test_lost_one_only_as_the_last_resort(self):
-        self.beliefs.note_lost("near")
+        self.tracker.note_lost("near")
         self.assertEqual("far", self.chosen())
         self.assertEqual("near", self.chosen(tried={"far"}))
 
     async def test_lost_one_is_tried_again_later(self):
-        self.beliefs.note_lost("near")
+        self.tracker.note_lost("near")
         await self.clock.advance(10)
         self.assertEqual("near", self.chosen())
 
@@ -67,7 +67,7 @@
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
-        self.beliefs = Beliefs(clock=self.clock)
+        self.tracker = BackendTracker(clock=self.clock)
         self.servers = [
             server(f"{domain}{i}", "model", domain=domain, layers=(5 * i, 5 * i + 5))
             for domain in "abc"
@@ -75,7 +75,7 @@
         ]
 
     def chosen(self, **fields):
-        costs = path_costs(ENGINE, SIZES, beliefs=self.beliefs, entries=1)
+        costs = path_costs(ENGINE, SIZES, tracker=self.tracker, entries=1)
         path = choose_path(self.servers, ENGINE, costs, domain="a", **fields)
         return path and [part.backend_id for part in path]
 
@@ -83,7 +83,7 @@
         self.assertEqual(["a0", "a1"], self.chosen())
 
     def test_whole_path_of_another_domain_before_one_that_crosses(self):
-        self.beliefs.note_lost("a1")
+        self.tracker.note_lost("a1")
         self.assertEqual(["b0", "b1"], self.chosen())
 
     def test_crosses_when_no_domain_is_whole(self):
@@ -92,18 +92,18 @@
 
     def test_full_engines_are_left_for_another_domain(self):
         room = FULL_SHARE * (5000 - 500) * 1e6 / 1e5
-        self.beliefs.begin(Run(("a0",), {"a0": room}))
+        self.tracker.begin(Run(("a0",), {"a0": room}))
         self.assertEqual(["b0", "b1"], self.chosen())
 
     def test_costs_of_a_part_add_up_by_layers(self):
-        costs = path_costs(ENGINE, SIZES, beliefs=self.beliefs, entries=1)
+        costs = path_costs(ENGINE, SIZES, tracker=self.tracker, entries=1)
         server = self.servers[0]
         # 20 tokens of 1.01 ms and 1 ms of reading for all 10 layers, and 20 short hops.
         self.assertAlmostEqual(0.5 * 21.2 + 2.0, costs.part(server, 5))
         self.assertAlmostEqual(0.505 + 0.1, costs.token(server, 5))
         # 45,000 tokens in one layer, 1.1 of them, and 120 a request: 412 layers.
-        self.assertTrue(costs.has_room(server, 412))
-        self.assertFalse(costs.has_room(server, 413))
+        self.assertTrue(costs.has_capacity(server, 412))
+        self.assertFalse(costs.has_capacity(server, 413))
         self.assertAlmostEqual(
             20_000.0 + 41.3 * 21.2 + 2.0, costs.part(server, 413), places=3
         )
@@ -115,7 +115,7 @@
             for i in range(5)
         ]
         for full in ("a2", "a3", "a4", "b0", "b1"):
-            self.beliefs.begin(Run((full,), {full: 1e9}))
+            self.tracker.begin(Run((full,), {full: 1e9}))
         self.assertEqual([f"b{i}" for i in range(5)], self.chosen())
 
     def test_slow_engines_are_left_for_another_domain(self):
@@ -128,12 +128,12 @@
     def test_first_engine_is_full_with_its_slots_taken(self):
         # Memory for 45 of them, slots for 8.
         for _ in range(ENGINE.slots):
-            self.beliefs.begin(Run(("a0", "a1")))
+            self.tracker.begin(Run(("a0", "a1")))
         self.assertEqual(["b0", "b1"], self.chosen())
 
     def test_slots_of_later_engines_do_not_bind(self):
         for _ in range(ENGINE.slots):
-            self.beliefs.begin(Run(("a1",)))
+            self.tracker.begin(Run(("a1",)))
         self.assertEqual(["a0", "a1"], self.chosen())
 
     def test_a_faster_domain_is_left_to_its_own_entries(self):
@@ -150,13 +150,13 @@
             for each in self.servers
         ]
         sizes = Generation(prompt=100, most=400, expected=100)
-        costs = path_costs(engine, sizes, beliefs=self.beliefs, entries=1)
+        costs = path_costs(engine, sizes, tracker=self.tracker, entries=1)
         path = choose_path(servers, engine, costs, domain="a")
         self.assertEqual(["a0", "a1"], [part.backend_id for part in path])
 
     def test_avoided_ones_when_nothing_else_is_left(self):
         for each in self.servers:
-            self.beliefs.note_lost(each.backend_id)
+            self.tracker.note_lost(each.backend_id)
         self.assertEqual(["a0", "a1"], self.chosen())
 
     def test_no_path(self):
--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -5,7 +5,7 @@
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.fakes import FakeExchange
 from wigeonscale.direct.tests.support import (
-    Parts,
+    EntryHarness,
     StreamCase,
     answer,
     engine,
@@ -20,11 +20,11 @@
 HANG = FakeExchange.HANG
 
 
-def know(parts, job, *names):
+def know(harness, job, *names):
     known = KnownCrashes(
         fingerprint=job.fingerprint, backends=names, age_s=0.0, span_s=9.0
     )
-    parts.around.crashes.take([known])
+    harness.ctx.crashes.take([known])
 
 
 class Ending:
@@ -32,19 +32,19 @@
 
     def end(self, *names):
         for name in names:
-            old = self.parts.fleet.by_id[name]
+            old = self.harness.fleet.by_id[name]
             first, end = old.layers
             gone = engine(name, first, end, domain=old.domain, is_silent=True)
-            self.parts.fleet.by_id[name] = gone
-        self.parts.around.crashes.look()
+            self.harness.fleet.by_id[name] = gone
+        self.harness.ctx.crashes.look()
 
 
 class RefusedStreamTest(Ending, StreamCase):
     def job(self, body=b"", **fields):
-        return self.parts.job(body=body, **fields)
+        return self.harness.job(body=body, **fields)
 
     async def test_refused_at_once_and_not_sent(self):
-        know(self.parts, self.job(), "x1", "x2", "x3")
+        know(self.harness, self.job(), "x1", "x2", "x3")
         exc = await self.refused()
         self.assertEqual(ErrorKind.CRASHES_BACKENDS, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
@@ -52,13 +52,13 @@
         self.assertEqual([], self.exchange.sent_to)
 
     async def test_another_body_is_another_request(self):
-        know(self.parts, self.job(), "x1", "x2", "x3")
+        know(self.harness, self.job(), "x1", "x2", "x3")
         self.exchange.script("a1", [event(1)])
         await self.relay(body=b"another")
         self.assertEqual([1], self.got())
 
     async def test_the_third_crash_is_the_last_send(self):
-        know(self.parts, self.job(), "x1", "x2")
+        know(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", unknown())
         exc = await self.refused()
         self.assertEqual(["a1"], self.exchange.sent_to)
@@ -70,44 +70,44 @@
         self.exchange.script("a1", unknown())
         self.exchange.script("b1", [event(1)])
         await self.relay()
-        self.assertEqual(["a1"], self.parts.suspected)
+        self.assertEqual(["a1"], self.harness.suspected)
 
     async def test_a_run_that_went_on_is_not_to_blame(self):
         future = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [event(1), future, event(2), unknown()], [event(3)])
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.got() == [1])
-        await self.parts.clock.advance(BEGINNING_S)
+        await self.harness.clock.advance(BEGINNING_S)
         future.set_result(None)
         await self.until(task.done)
         await task
-        self.assertFalse(self.parts.around.crashes.is_suspect(self.job().fingerprint))
+        self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
     async def test_sent_to_an_engine_that_is_gone_already_it_is_not_to_blame(self):
         """Its connection is still being refused when it is taken off the engine."""
-        self.parts.around.crashes.note_broken("a1")
-        await self.parts.clock.advance(0.01)
+        self.harness.ctx.crashes.note_broken("a1")
+        await self.harness.clock.advance(0.01)
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.exchange.calls)
         self.end("a1")
-        self.parts.beliefs.note_lost("a1")
+        self.harness.tracker.note_lost("a1")
         await self.until(task.done)
         await task
-        self.assertFalse(self.parts.around.crashes.is_suspect(self.job().fingerprint))
+        self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
     async def test_taken_off_an_engine_that_others_saw_end_it_is_suspected(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [HANG])
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.exchange.calls)
-        await self.parts.clock.advance(0.01)
-        self.parts.around.crashes.note_broken("a1")
+        await self.harness.clock.advance(0.01)
+        self.harness.ctx.crashes.note_broken("a1")
         self.end("a1")
-        self.parts.beliefs.note_lost("a1")
+        self.harness.tracker.note_lost("a1")
         await self.until(lambda: len(self.exchange.calls) == 2)
-        self.assertTrue(self.parts.around.crashes.is_suspect(self.job().fingerprint))
+        self.assertTrue(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
@@ -118,35 +118,35 @@
         self.exchange.script("b1", [HANG])
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.got() == [1])
-        await self.parts.clock.advance(BEGINNING_S)
-        self.parts.stalls.note_late(BEGINNING_S)
+        await self.harness.clock.advance(BEGINNING_S)
+        self.harness.stalls.note_late(BEGINNING_S)
         future.set_result(None)
         await self.until(lambda: len(self.exchange.calls) == 2)
-        self.assertTrue(self.parts.around.crashes.is_suspect(self.job().fingerprint))
+        self.assertTrue(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
     async def test_served_in_the_end_it_is_cleared(self):
-        know(self.parts, self.job(), "x1", "x2")
+        know(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", [event(1)])
         await self.relay()
-        self.assertFalse(self.parts.around.crashes.is_suspect(self.job().fingerprint))
+        self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
     async def test_lost_layers_of_a_path_are_not_handed_on(self):
         """An engine behind the first one ends, and others hold its layers."""
-        self.parts.fleet.by_id["a3"] = spare = engine("a3", 5, 10)
-        self.parts.fleet.by_service["model"] += (spare,)
-        know(self.parts, self.job(), "x1", "x2")
+        self.harness.fleet.by_id["a3"] = spare = engine("a3", 5, 10)
+        self.harness.fleet.by_service["model"] += (spare,)
+        know(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", [HANG])
         task = asyncio.create_task(self.refused())
         await self.until(lambda: self.exchange.calls)
         second = self.exchange.calls[0].path[1].backend_id
         self.end(second)
-        self.parts.beliefs.note_lost(second)
+        self.harness.tracker.note_lost(second)
         await self.until(task.done)
         exc = await task
         self.assertEqual(ErrorKind.CRASHES_BACKENDS, exc.kind)
-        self.assertEqual([], self.parts.orders.moved)
+        self.assertEqual([], self.harness.orders.moved)
 
 
 class KeptApartTest(Ending, StreamCase):
@@ -154,10 +154,10 @@
 
     async def prepare(self):
         await super().prepare()
-        self.one = self.parts.job(body=b"one")
-        self.two = self.parts.job(body=b"two")
+        self.one = self.harness.job(body=b"one")
+        self.two = self.harness.job(body=b"two")
         for job in (self.one, self.two):
-            know(self.parts, job, "x1")
+            know(self.harness, job, "x1")
 
     async def test_they_go_on_at_different_first_engines(self):
         self.exchange.script("a1", [HANG])
@@ -170,23 +170,23 @@
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
 
     async def test_one_waits_where_there_is_no_other(self):
-        self.parts.fleet.by_service["model"] = tuple(
-            self.parts.fleet.by_id[name] for name in ("a1", "a2")
+        self.harness.fleet.by_service["model"] = tuple(
+            self.harness.fleet.by_id[name] for name in ("a1", "a2")
         )
         begun = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [event(1), begun, event(2)], [event(1)])
         first = asyncio.create_task(self.relay(body=b"one"))
         await self.until(lambda: self.exchange.calls)
         second = asyncio.create_task(self.relay(body=b"two"))
-        await self.parts.clock.advance(BEGINNING_S / 2)
+        await self.harness.clock.advance(BEGINNING_S / 2)
         self.assertEqual(1, len(self.exchange.calls))
         await self.until(second.done)
         begun.set_result(None)
         await asyncio.gather(first, second)
 
     async def test_it_does_not_wait_for_ever(self):
-        self.parts.fleet.by_service["model"] = tuple(
-            self.parts.fleet.by_id[name] for name in ("a1", "a2")
+        self.harness.fleet.by_service["model"] = tuple(
+            self.harness.fleet.by_id[name] for name in ("a1", "a2")
         )
         self.exchange.script("a1", [HANG], [event(1)])
         first = asyncio.create_task(self.relay(body=b"one"))
@@ -209,54 +209,54 @@
 
 class RefusedPlainTest(AsyncTestCase):
     async def prepare(self):
-        self.parts = Parts(*(server(f"s{n}") for n in range(5)))
-        self.exchange = self.parts.exchange
+        self.harness = EntryHarness(*(server(f"s{n}") for n in range(5)))
+        self.exchange = self.harness.exchange
 
     async def test_refused_before_it_is_sent(self):
-        job = self.parts.job()
-        know(self.parts, job, "x1", "x2", "x3")
+        job = self.harness.job()
+        know(self.harness, job, "x1", "x2", "x3")
         exc = await self.failed(job)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
         self.assertEqual([], self.exchange.sent_to)
 
     async def test_the_third_crash_is_the_last_send(self):
-        job = self.parts.job(max_attempts=5)
-        know(self.parts, job, "x1")
-        for name in self.parts.fleet.by_id:
+        job = self.harness.job(max_attempts=5)
+        know(self.harness, job, "x1")
+        for name in self.harness.fleet.by_id:
             self.exchange.script(name, unknown())
         exc = await self.failed(job)
         self.assertEqual(2, len(self.exchange.sent_to))
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
-        self.assertEqual(self.exchange.sent_to, self.parts.suspected)
+        self.assertEqual(self.exchange.sent_to, self.harness.suspected)
 
     async def test_an_answer_that_is_there_is_delivered(self):
-        job = self.parts.job()
-        for name in self.parts.fleet.by_id:
+        job = self.harness.job()
+        for name in self.harness.fleet.by_id:
             self.exchange.script(name, answer(500, b"why"), unknown())
-        book = self.parts.around.crashes
+        book = self.harness.ctx.crashes
         # Control's word comes while the first server still works on it.
         book.refused_for = lambda _: 5.0 if self.exchange.calls else 0.0
-        got = await call_plain(self.parts.around, job)
+        got = await call_plain(self.harness.ctx, job)
         self.assertEqual(answer(500, b"why"), got)
 
     async def test_what_was_not_sent_is_no_crash(self):
-        job = self.parts.job()
-        for name in self.parts.fleet.by_id:
+        job = self.harness.job()
+        for name in self.harness.fleet.by_id:
             self.exchange.script(name, ExchangeError(Fate.NOT_SENT, "nobody there"))
         await self.failed(job)
-        self.assertFalse(self.parts.around.crashes.is_suspect(job.fingerprint))
+        self.assertFalse(self.harness.ctx.crashes.is_suspect(job.fingerprint))
 
     async def test_suspects_go_to_different_servers(self):
-        jobs = [self.parts.job(body=body) for body in (b"one", b"two")]
+        jobs = [self.harness.job(body=body) for body in (b"one", b"two")]
         for job in jobs:
-            know(self.parts, job, "x1")
-        for name in self.parts.fleet.by_id:
+            know(self.harness, job, "x1")
+        for name in self.harness.fleet.by_id:
             self.exchange.script(name, HANG)
         # All of the others are full, so that both would go to the same one.
         for name in ("s1", "s2", "s3", "s4"):
             for _ in range(9):
-                self.parts.beliefs.begin(Run((name,)))
-        tasks = [asyncio.create_task(call_plain(self.parts.around, j)) for j in jobs]
+                self.harness.tracker.begin(Run((name,)))
+        tasks = [asyncio.create_task(call_plain(self.harness.ctx, j)) for j in jobs]
         for _ in range(10):
             await asyncio.sleep(0)
         for task in tasks:
@@ -265,16 +265,16 @@
         self.assertEqual(["s0", "s1"], self.exchange.sent_to)
 
     async def test_answered_it_is_cleared(self):
-        job = self.parts.job()
-        know(self.parts, job, "x1", "x2")
-        for name in self.parts.fleet.by_id:
+        job = self.harness.job()
+        know(self.harness, job, "x1", "x2")
+        for name in self.harness.fleet.by_id:
             self.exchange.script(name, answer())
-        await call_plain(self.parts.around, job)
-        self.assertFalse(self.parts.around.crashes.is_suspect(job.fingerprint))
+        await call_plain(self.harness.ctx, job)
+        self.assertFalse(self.harness.ctx.crashes.is_suspect(job.fingerprint))
 
     async def failed(self, job):
         try:
-            await call_plain(self.parts.around, job)
+            await call_plain(self.harness.ctx, job)
         except WigeonscaleError as exc:
             return exc
         self.fail("it was answered")
--- a/wigeonscale/direct/tests/test_crashing_load.py
+++ b/wigeonscale/direct/tests/test_crashing_load.py
@@ -10,8 +10,8 @@
 
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.stream import relay_stream
-from wigeonscale.direct.tests.fakes import FakeStream, Sink
-from wigeonscale.direct.tests.support import MODEL, Parts, engine, event, unknown
+from wigeonscale.direct.tests.fakes import FakeSink, FakeStream
+from wigeonscale.direct.tests.support import MODEL, EntryHarness, engine, event, unknown
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.routes import Repeat
 from wigeonscale.testing import AsyncTestCase
@@ -31,9 +31,9 @@
         crashed: Engines that did.
     """
 
-    def __init__(self, parts):
+    def __init__(self, harness):
         self.crashed = []
-        self._parts = parts
+        self._parts = harness
         self._ends = {name: asyncio.Event() for _, name in ENGINES}
 
     @asynccontextmanager
@@ -76,17 +76,17 @@
 
 class LostTogetherTest(AsyncTestCase):
     async def prepare(self):
-        self.parts = Parts(*(engine(name, 0, 10, domain=d) for d, name in ENGINES))
+        self.harness = EntryHarness(
+            *(engine(name, 0, 10, domain=d) for d, name in ENGINES)
+        )
         for busy, (_, name) in enumerate(ENGINES):
             for _ in range(busy):
-                self.parts.beliefs.begin(Run((name,)))
-        self.engines = CrashingEngines(self.parts)
-        self.parts.around = dataclasses.replace(
-            self.parts.around, exchange=self.engines
-        )
+                self.harness.tracker.begin(Run((name,)))
+        self.engines = CrashingEngines(self.harness)
+        self.harness.ctx = dataclasses.replace(self.harness.ctx, exchange=self.engines)
 
     async def ask(self, body):
-        job = self.parts.job(
+        job = self.harness.job(
             Repeat.STREAM,
             body=body,
             service=MODEL,
@@ -94,9 +94,9 @@
             resumable=True,
             max_attempts=9,
         )
-        sink = Sink()
+        sink = FakeSink()
         try:
-            await relay_stream(self.parts.around, job, sink)
+            await relay_stream(self.harness.ctx, job, sink)
         except WigeonscaleError as exc:
             return exc.kind
         return sink.is_whole
@@ -105,7 +105,7 @@
         bodies = [CRASHING, b"one", b"two", b"three"]
         tasks = [asyncio.create_task(self.ask(body)) for body in bodies]
         while not all(task.done() for task in tasks):
-            await self.parts.clock.advance(0.01)
+            await self.harness.clock.advance(0.01)
         self.assertEqual(3, len(self.engines.crashed))
         self.assertEqual(
             [ErrorKind.CRASHES_BACKENDS, True, True, True],
--- a/wigeonscale/direct/tests/test_fleet.py
+++ b/wigeonscale/direct/tests/test_fleet.py
@@ -1,6 +1,6 @@
 """Tests of what an entry makes of the members that control tells."""
 
-from wigeonscale.direct import read_fleet, replaced_starts
+from wigeonscale.direct import read_fleet, replaced_incarnations
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -42,7 +42,7 @@
     def test_started_again_under_its_name(self):
         self.assertEqual(
             ["i-1@100"],
-            replaced_starts(
+            replaced_incarnations(
                 [backend("i-1", 100), backend("i-2", 100)],
                 [backend("i-1", 200), backend("i-2", 100)],
             ),
@@ -50,15 +50,15 @@
 
     def test_also_where_the_new_start_leaves_at_once(self):
         now = [backend("i-1", 200, draining=True)]
-        self.assertEqual(["i-1@100"], replaced_starts([backend("i-1", 100)], now))
+        self.assertEqual(["i-1@100"], replaced_incarnations([backend("i-1", 100)], now))
 
     def test_another_one_at_its_address(self):
         now = [backend("i-2", 200, address="i-1:80")]
-        self.assertEqual(["i-1@100"], replaced_starts([backend("i-1", 100)], now))
+        self.assertEqual(["i-1@100"], replaced_incarnations([backend("i-1", 100)], now))
 
     def test_one_that_is_gone_finishes_what_it_has(self):
-        self.assertEqual([], replaced_starts([backend("i-1", 100)], []))
+        self.assertEqual([], replaced_incarnations([backend("i-1", 100)], []))
 
     def test_a_change_of_the_same_start_ends_nothing(self):
         now = [backend("i-1", 100, silent=True)]
-        self.assertEqual([], replaced_starts([backend("i-1", 100)], now))
+        self.assertEqual([], replaced_incarnations([backend("i-1", 100)], now))
--- a/wigeonscale/direct/tests/test_full.py
+++ b/wigeonscale/direct/tests/test_full.py
@@ -1,7 +1,7 @@
 import asyncio
 
+from wigeonscale.direct.admission_queue import MAX_QUEUE_WAIT_S, ROOM_WAIT_S
 from wigeonscale.direct.choice import FULL_SHARE
-from wigeonscale.direct.room_queue import ROOM_PATIENCE_S, ROOM_WAIT_S
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.support import (
     ENGINE,
@@ -22,63 +22,63 @@
         room = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
         runs = [Run((name,), {name: room}) for name in names]
         for run in runs:
-            self.parts.beliefs.begin(run)
+            self.harness.tracker.begin(run)
         return runs
 
     async def test_room_that_comes_free_in_a_moment_is_waited_for(self):
         runs = self.fill("a1", "b2")
         self.exchange.script("a1", [event(1)])
         task = asyncio.create_task(self.relay())
-        await self.parts.clock.advance(0.1)
+        await self.harness.clock.advance(0.1)
         self.assertEqual([], self.exchange.calls)
-        self.parts.beliefs.end(runs[0])
-        await self.parts.clock.advance(0.05)
+        self.harness.tracker.end(runs[0])
+        await self.harness.clock.advance(0.05)
         await task
         self.assertEqual([1], self.got())
-        self.assertEqual(0, len(self.parts.around.waiting))
+        self.assertEqual(0, len(self.harness.ctx.admission_queue))
 
     async def test_turned_away_before_its_caller_leaves_with_word_when_to_return(self):
         self.fill("a1", "b2")
         task = asyncio.create_task(self.refused())
         # Callers leave after two seconds without an event.
-        await self.parts.clock.advance(ROOM_PATIENCE_S + 0.05)
-        self.assertTrue(ROOM_PATIENCE_S + 0.05 < 2.0)
+        await self.harness.clock.advance(MAX_QUEUE_WAIT_S + 0.05)
+        self.assertTrue(MAX_QUEUE_WAIT_S + 0.05 < 2.0)
         self.assertTrue(task.done())
         exc = await task
         self.assertEqual(ErrorKind.OVERLOADED, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
         self.assertTrue(0.4 <= exc.retry_after <= 1.4)
         self.assertEqual([], self.exchange.calls)
-        self.assertEqual(0, len(self.parts.around.waiting))
+        self.assertEqual(0, len(self.harness.ctx.admission_queue))
 
     async def test_turned_away_at_once_where_enough_wait_already(self):
         self.fill("a1", "b2")
         waiting = asyncio.create_task(self.refused())
-        await self.parts.clock.advance(0)
+        await self.harness.clock.advance(0)
         # No time passes in this one.
         exc = await self.refused()
         self.assertEqual(ErrorKind.OVERLOADED, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
         self.assertTrue(0.4 <= exc.retry_after <= 1.4)
-        await self.parts.clock.advance(ROOM_PATIENCE_S + 0.05)
+        await self.harness.clock.advance(MAX_QUEUE_WAIT_S + 0.05)
         await waiting
 
     async def test_room_that_comes_late_is_taken_late(self):
         runs = self.fill("a1", "b2")
         self.exchange.script("a1", [event(1)])
         task = asyncio.create_task(self.relay())
-        await self.parts.clock.advance(ROOM_WAIT_S + 0.5)
-        self.parts.beliefs.end(runs[0])
-        await self.parts.clock.advance(0.05)
+        await self.harness.clock.advance(ROOM_WAIT_S + 0.5)
+        self.harness.tracker.end(runs[0])
+        await self.harness.clock.advance(0.05)
         await task
         self.assertEqual([1], self.got())
 
     async def test_a_path_that_breaks_meanwhile_is_named_as_the_cause(self):
         self.fill("a1", "b2")
         task = asyncio.create_task(self.refused())
-        await self.parts.clock.advance(0.1)
-        self.parts.fleet = fleet(engine("a1", 0, 5))
-        await self.parts.clock.advance(ROOM_PATIENCE_S)
+        await self.harness.clock.advance(0.1)
+        self.harness.fleet = fleet(engine("a1", 0, 5))
+        await self.harness.clock.advance(MAX_QUEUE_WAIT_S)
         exc = await task
         self.assertEqual(ErrorKind.NO_BACKEND, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
@@ -86,10 +86,10 @@
     async def test_a_caller_that_leaves_gives_its_place_back(self):
         self.fill("a1", "b2")
         task = asyncio.create_task(self.relay())
-        await self.parts.clock.advance(0.1)
+        await self.harness.clock.advance(0.1)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        self.assertEqual(0, len(self.parts.around.waiting))
+        self.assertEqual(0, len(self.harness.ctx.admission_queue))
 
     async def test_another_domain_with_room_takes_it(self):
         self.fill("a2")
@@ -116,7 +116,7 @@
         await self.until(lambda: self.exchange.calls)
         self.fill("a1", "a2", "b1", "b2")
         gate.set_result(None)
-        await self.parts.clock.advance(0.1)
+        await self.harness.clock.advance(0.1)
         await task
         self.assertEqual([1], self.got())
 
@@ -124,7 +124,7 @@
         room = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
         usual = 5 * (ENGINE.usual_prompt + ENGINE.usual_answer)
         for name in ("a1", "b1"):
-            self.parts.beliefs.begin(Run((name,), {name: room - usual}))
+            self.harness.tracker.begin(Run((name,), {name: room - usual}))
         self.exchange.script("a1", [event(1)])
         await self.relay(generation=Generation(prompt=5000, most=900, expected=900))
         self.assertEqual([1], self.got())
--- a/wigeonscale/direct/tests/test_leaving.py
+++ b/wigeonscale/direct/tests/test_leaving.py
@@ -7,8 +7,8 @@
 
 from wigeonscale.direct.plain import call_plain
 from wigeonscale.direct.stream import relay_stream
-from wigeonscale.direct.tests.fakes import FakeStream, Sink
-from wigeonscale.direct.tests.support import MODEL, Parts, engine, event, server
+from wigeonscale.direct.tests.fakes import FakeSink, FakeStream
+from wigeonscale.direct.tests.support import MODEL, EntryHarness, engine, event, server
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.ports.exchange import AnswerHead, ServerNotice, WholeAnswer
 from wigeonscale.routes import Repeat
@@ -19,48 +19,50 @@
 
 class LeavingTest(AsyncTestCase):
     def entry_of(self, *servers):
-        self.parts = Parts(*servers)
-        return self.parts
+        self.harness = EntryHarness(*servers)
+        return self.harness
 
     async def stream(self):
-        job = self.parts.job(Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0)
-        await relay_stream(self.parts.around, job, Sink())
+        job = self.harness.job(
+            Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0
+        )
+        await relay_stream(self.harness.ctx, job, FakeSink())
 
     def hear(self, name):
-        self.parts.around.notices.note(
-            name, LEAVES.notice, request_id="r0", sent_at=self.parts.clock.now()
+        self.harness.ctx.notices.note(
+            name, LEAVES.notice, request_id="r0", sent_at=self.harness.clock.now()
         )
 
     async def test_first_engine_of_the_nearest_path(self):
-        parts = self.entry_of(engine("a", 0, 10), engine("b", 0, 10, domain="b"))
+        harness = self.entry_of(engine("a", 0, 10), engine("b", 0, 10, domain="b"))
         stream = FakeStream([event(1)])
         stream.head = LEAVES
-        parts.exchange.script("a", stream)
-        parts.exchange.script("b", [event(1)], [event(1)])
+        harness.exchange.script("a", stream)
+        harness.exchange.script("b", [event(1)], [event(1)])
         for _ in range(3):
             await self.stream()
-        self.assertEqual(["a", "b", "b"], parts.exchange.sent_to)
+        self.assertEqual(["a", "b", "b"], harness.exchange.sent_to)
 
     async def test_engine_inside_a_path(self):
-        parts = self.entry_of(
+        harness = self.entry_of(
             engine("a1", 0, 5), engine("a2", 5, 10), engine("a3", 5, 10)
         )
-        parts.exchange.script("a1", [event(1)], [event(1)])
+        harness.exchange.script("a1", [event(1)], [event(1)])
         self.hear("a2")
         await self.stream()
-        (call,) = parts.exchange.calls
+        (call,) = harness.exchange.calls
         self.assertEqual(["a1", "a3"], [part.backend_id for part in call.path])
 
     async def test_plain_server(self):
-        parts = self.entry_of(server("p1"), server("p2"))
-        parts.exchange.script("p1", WholeAnswer(LEAVES, b"whole"))
-        parts.exchange.script("p2", *[WholeAnswer(AnswerHead(200, ()), b"")] * 2)
+        harness = self.entry_of(server("p1"), server("p2"))
+        harness.exchange.script("p1", WholeAnswer(LEAVES, b"whole"))
+        harness.exchange.script("p2", *[WholeAnswer(AnswerHead(200, ()), b"")] * 2)
         for _ in range(3):
-            await call_plain(parts.around, parts.job())
-        self.assertEqual(["p1", "p2", "p2"], parts.exchange.sent_to)
+            await call_plain(harness.ctx, harness.job())
+        self.assertEqual(["p1", "p2", "p2"], harness.exchange.sent_to)
 
     async def test_nobody_else_is_there(self):
-        parts = self.entry_of(engine("a", 0, 10))
+        harness = self.entry_of(engine("a", 0, 10))
         self.hear("a")
         try:
             await self.stream()
@@ -69,14 +71,14 @@
                 (ErrorKind.NO_BACKEND, RunState.NOT_RUN), (exc.kind, exc.run_state)
             )
             self.assertTrue(exc.retry_after > 0)
-        self.assertEqual([], parts.exchange.sent_to)
+        self.assertEqual([], harness.exchange.sent_to)
 
     async def test_it_still_leaves_when_an_answer_from_before_comes(self):
-        parts = self.entry_of(server("p1"), server("p2"))
+        harness = self.entry_of(server("p1"), server("p2"))
         self.hear("p1")
-        parts.around.notices.note(
-            "p1", ServerNotice(), request_id="r0", sent_at=parts.clock.now() - 1.0
+        harness.ctx.notices.note(
+            "p1", ServerNotice(), request_id="r0", sent_at=harness.clock.now() - 1.0
         )
-        parts.exchange.script("p2", WholeAnswer(AnswerHead(200, ()), b""))
-        await call_plain(parts.around, parts.job())
-        self.assertEqual(["p2"], parts.exchange.sent_to)
+        harness.exchange.script("p2", WholeAnswer(AnswerHead(200, ()), b""))
+        await call_plain(harness.ctx, harness.job())
+        self.assertEqual(["p2"], harness.exchange.sent_to)
--- a/wigeonscale/direct/tests/test_notices.py
+++ b/wigeonscale/direct/tests/test_notices.py
@@ -1,9 +1,9 @@
 from wigeonscale.direct.plain import call_plain
 from wigeonscale.direct.stream import relay_stream
-from wigeonscale.direct.tests.fakes import Sink
+from wigeonscale.direct.tests.fakes import FakeSink
 from wigeonscale.direct.tests.support import (
     MODEL,
-    Parts,
+    EntryHarness,
     engine,
     event,
     not_run,
@@ -23,10 +23,10 @@
 class NoticesTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
-        self.parts = Parts()
+        self.harness = EntryHarness()
 
     def test_one_line_for_each_change(self):
-        notices = self.parts.around.notices
+        notices = self.harness.ctx.notices
         with self.assertLogs("wigeonscale.direct.notices") as logs:
             for notice in (LIMITED, LIMITED, None, ServerNotice()):
                 notices.note("i-1", notice, request_id="r1", sent_at=0.0)
@@ -34,7 +34,7 @@
         self.assertEqual(ServerNotice(), notices.of("i-1"))
 
     def test_those_that_are_gone_are_forgotten(self):
-        notices = self.parts.around.notices
+        notices = self.harness.ctx.notices
         for name in ("i-1", "i-2"):
             notices.note(name, LIMITED, request_id="r1", sent_at=0.0)
         notices.keep_only(["i-2"])
@@ -46,18 +46,18 @@
     """Every answer is heard, also one that refuses."""
 
     async def test_plain(self):
-        parts = Parts(server("p1"), server("p2"))
-        parts.exchange.script("p1", not_run(notice=ServerNotice(rest_s=2.0)))
-        parts.exchange.script("p2", answer(LIMITED))
-        await call_plain(parts.around, parts.job())
-        self.assertEqual(2.0, parts.around.notices.of("p1").rest_s)
-        self.assertEqual(LIMITED, parts.around.notices.of("p2"))
+        harness = EntryHarness(server("p1"), server("p2"))
+        harness.exchange.script("p1", not_run(notice=ServerNotice(rest_s=2.0)))
+        harness.exchange.script("p2", answer(LIMITED))
+        await call_plain(harness.ctx, harness.job())
+        self.assertEqual(2.0, harness.ctx.notices.of("p1").rest_s)
+        self.assertEqual(LIMITED, harness.ctx.notices.of("p2"))
 
     async def test_stream(self):
-        parts = Parts(engine("a", 0, 10), engine("b", 0, 10, domain="b"))
-        parts.exchange.script("a", not_run(notice=ServerNotice(is_leaving=True)))
-        parts.exchange.script("b", [event(1)])
-        job = parts.job(Repeat.STREAM, service=MODEL, resumable=True)
-        await relay_stream(parts.around, job, Sink())
-        self.assertTrue(parts.around.notices.of("a").is_leaving)
-        self.assertEqual(ServerNotice(), parts.around.notices.of("b"))
+        harness = EntryHarness(engine("a", 0, 10), engine("b", 0, 10, domain="b"))
+        harness.exchange.script("a", not_run(notice=ServerNotice(is_leaving=True)))
+        harness.exchange.script("b", [event(1)])
+        job = harness.job(Repeat.STREAM, service=MODEL, resumable=True)
+        await relay_stream(harness.ctx, job, FakeSink())
+        self.assertTrue(harness.ctx.notices.of("a").is_leaving)
+        self.assertEqual(ServerNotice(), harness.ctx.notices.of("b"))
--- a/wigeonscale/direct/tests/test_plain.py
+++ b/wigeonscale/direct/tests/test_plain.py
@@ -1,7 +1,7 @@
 from wigeonscale.direct.plain import call_plain
 from wigeonscale.direct.tests.fakes import FakeExchange
 from wigeonscale.direct.tests.support import (
-    Parts,
+    EntryHarness,
     answer,
     not_run,
     not_sent,
@@ -15,11 +15,11 @@
 
 class PlainCase(AsyncTestCase):
     async def prepare(self):
-        self.parts = Parts(server("one"), server("two", domain="b"))
-        self.exchange = self.parts.exchange
+        self.harness = EntryHarness(server("one"), server("two", domain="b"))
+        self.exchange = self.harness.exchange
 
     async def call(self, *args, **fields):
-        return await call_plain(self.parts.around, self.parts.job(*args, **fields))
+        return await call_plain(self.harness.ctx, self.harness.job(*args, **fields))
 
     async def refused(self, *args, **fields):
         try:
@@ -56,8 +56,8 @@
         self.assertEqual(["one"], self.exchange.sent_to)
 
     async def test_no_second_send_beyond_the_budget(self):
-        self.parts = Parts(server("one"), server("two"), slack=0)
-        self.exchange = self.parts.exchange
+        self.harness = EntryHarness(server("one"), server("two"), slack=0)
+        self.exchange = self.harness.exchange
         self.exchange.script("one", not_run())
         exc = await self.refused()
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
@@ -90,7 +90,7 @@
         self.exchange.script("one", not_sent())
         self.exchange.script("two", answer())
         self.assertEqual(answer(), await self.call(Repeat.UNSAFE, max_attempts=1))
-        self.assertEqual(["one"], self.parts.suspected)
+        self.assertEqual(["one"], self.harness.suspected)
 
     async def test_sent_on_when_the_server_says_it_did_not_run(self):
         self.exchange.script("one", not_run())
@@ -105,7 +105,7 @@
         self.assertIsNotNone(exc.retry_after)
 
     async def test_no_server_at_all(self):
-        self.parts.fleet = Parts().fleet
+        self.harness.fleet = EntryHarness().fleet
         exc = await self.refused()
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
         self.assertEqual([], self.exchange.calls)
--- a/wigeonscale/direct/tests/test_probing.py
+++ b/wigeonscale/direct/tests/test_probing.py
@@ -2,7 +2,7 @@
 
 from wigeonscale.direct.probing import MOST_IN_A_ROUND
 from wigeonscale.direct.runs import Run
-from wigeonscale.direct.tests.fakes import FakeExchange, Sink
+from wigeonscale.direct.tests.fakes import FakeExchange, FakeSink
 from wigeonscale.direct.tests.support import StreamCase, engine, event, fleet
 from wigeonscale.ports import ProbeAnswer
 
@@ -17,7 +17,7 @@
 
     async def stream_until_dark(self, name, *, streams=5):
         """Begin streams on a1 and a2, and stop all of them after a few events."""
-        self.sinks = [Sink() for _ in range(streams)]
+        self.sinks = [FakeSink() for _ in range(streams)]
         self.gates = []
         self.tasks = []
         for sink in self.sinks:
@@ -30,15 +30,15 @@
             self.gates.append(gates)
             self.sink = sink
             self.tasks.append(asyncio.create_task(self.relay()))
-        self.watch = asyncio.create_task(self.parts.stalls.run())
-        await self.parts.clock.advance(0)
+        self.watch = asyncio.create_task(self.harness.stalls.run())
+        await self.harness.clock.advance(0)
         for number in range(4):
-            await self.parts.clock.advance(0.035)
+            await self.harness.clock.advance(0.035)
             for gates in self.gates:
                 gates[number].set_result(None)
-            await self.parts.clock.advance(0)
-        self.parts.reach.dark = {name}
-        return self.parts.clock.now()
+            await self.harness.clock.advance(0)
+        self.harness.reach.dark = {name}
+        return self.harness.clock.now()
 
     async def end(self):
         for task in (*self.tasks, self.watch):
@@ -50,100 +50,100 @@
             await self.prepare()
             dark_at = await self.stream_until_dark(f"{name}:80")
             await self.until(lambda: all(task.done() for task in self.tasks))
-            waited_s = self.parts.clock.now() - dark_at
+            waited_s = self.harness.clock.now() - dark_at
             await self.end()
             self.assertTrue(waited_s <= FOUND_WITHIN_S, (name, waited_s))
-            self.assertEqual([name], self.parts.suspected)
+            self.assertEqual([name], self.harness.suspected)
             self.assertTrue(all(sink.is_whole for sink in self.sinks))
 
     async def test_engines_that_answer_keep_their_streams(self):
         await self.stream_until_dark("nobody")
-        await self.parts.clock.advance(0.2)
+        await self.harness.clock.advance(0.2)
         await self.end()
-        self.assertEqual([], self.parts.suspected)
+        self.assertEqual([], self.harness.suspected)
         self.assertEqual(5, len(self.exchange.calls))
         # One probe each, not one a look and stream.
-        self.assertEqual(["a1:80", "a2:80"], sorted(self.parts.reach.probed))
+        self.assertEqual(["a1:80", "a2:80"], sorted(self.harness.reach.probed))
 
     async def test_nobody_is_blamed_where_nobody_can_be_reached(self):
         await self.stream_until_dark("a1:80")
-        self.parts.reach.dark = {"a1:80", "a2:80"}
-        await self.parts.clock.advance(0.22)
+        self.harness.reach.dark = {"a1:80", "a2:80"}
+        await self.harness.clock.advance(0.22)
         await self.end()
-        self.assertEqual([], self.parts.suspected)
+        self.assertEqual([], self.harness.suspected)
 
     async def test_neighbours_that_go_dark_together_while_other_streams_move(self):
         dark_at = await self.stream_until_dark("a1:80", streams=1)
-        self.parts.reach.dark = {"a1:80", "a2:80"}
+        self.harness.reach.dark = {"a1:80", "a2:80"}
         other = Run(("b1", "b2"), events=1)
-        self.parts.stalls.add(other)
-        while not self.parts.suspected and self.parts.clock.now() < dark_at + 0.2:
-            other.progress_at = self.parts.clock.now()
-            await self.parts.clock.advance(0.01)
+        self.harness.stalls.add(other)
+        while not self.harness.suspected and self.harness.clock.now() < dark_at + 0.2:
+            other.progress_at = self.harness.clock.now()
+            await self.harness.clock.advance(0.01)
         await self.end()
-        self.assertEqual({"a1", "a2"}, set(self.parts.suspected))
+        self.assertEqual({"a1", "a2"}, set(self.harness.suspected))
 
     async def test_an_engine_far_away_has_longer_to_answer(self):
         # A region 50 ms away: a connection takes 100 ms.
         for delay_s, blamed in ((0.05, []), (0.0, ["a2"])):
             await self.prepare()
             await self.stream_until_dark("nobody")
-            self.parts.reach.answer_s["a2:80"] = 0.105
-            self.parts.delays_s["a"] = delay_s
-            await self.parts.clock.advance(0.25)
+            self.harness.reach.answer_s["a2:80"] = 0.105
+            self.harness.delays_s["a"] = delay_s
+            await self.harness.clock.advance(0.25)
             await self.end()
-            self.assertEqual(blamed, self.parts.suspected)
+            self.assertEqual(blamed, self.harness.suspected)
 
     async def test_many_quiet_paths_are_not_asked_all_at_once(self):
         """Half of the runs pass a dark engine; it is asked among the first."""
         names = [f"x{number:02}" for number in range(40)]
-        self.parts.fleet = fleet(*[engine(name, 0, 10) for name in [*names, "dark"]])
-        now = self.parts.clock.now()
+        self.harness.fleet = fleet(*[engine(name, 0, 10) for name in [*names, "dark"]])
+        now = self.harness.clock.now()
         for number, name in enumerate(names):
             path = (name, "dark") if number % 2 else (name,)
-            self.parts.stalls.add(Run(path, events=9, began_at=now, progress_at=now))
-        await self.parts.clock.advance(0.1)
-        self.parts.stalls.check()
-        await self.parts.clock.advance(0.1)
-        self.assertIn("dark:80", self.parts.reach.probed)
-        self.assertEqual(MOST_IN_A_ROUND, len(set(self.parts.reach.probed)))
+            self.harness.stalls.add(Run(path, events=9, began_at=now, progress_at=now))
+        await self.harness.clock.advance(0.1)
+        self.harness.stalls.check()
+        await self.harness.clock.advance(0.1)
+        self.assertIn("dark:80", self.harness.reach.probed)
+        self.assertEqual(MOST_IN_A_ROUND, len(set(self.harness.reach.probed)))
 
     async def test_a_lost_packet_is_no_lost_engine(self):
         await self.stream_until_dark("a2:80")
         # The first probe is lost on its way, the next one is answered.
-        await self.until(lambda: "a2:80" in self.parts.reach.probed)
-        self.parts.reach.dark = set()
-        await self.parts.clock.advance(0.12)
+        await self.until(lambda: "a2:80" in self.harness.reach.probed)
+        self.harness.reach.dark = set()
+        await self.harness.clock.advance(0.12)
         await self.end()
-        self.assertEqual([], self.parts.suspected)
+        self.assertEqual([], self.harness.suspected)
 
     async def test_streams_that_move_again_meanwhile_stay(self):
         await self.stream_until_dark("a2:80")
-        await self.until(lambda: "a2:80" in self.parts.reach.probed)
-        for run in self.parts.beliefs.runs_on("a2"):
-            run.note_progress(self.parts.clock.now() + 0.09)
-        await self.parts.clock.advance(0.12)
+        await self.until(lambda: "a2:80" in self.harness.reach.probed)
+        for run in self.harness.tracker.runs_on("a2"):
+            run.note_progress(self.harness.clock.now() + 0.09)
+        await self.harness.clock.advance(0.12)
         await self.end()
-        self.assertEqual([], self.parts.suspected)
+        self.assertEqual([], self.harness.suspected)
 
     async def test_one_that_has_ended_is_left_at_once(self):
         dark_at = await self.stream_until_dark("nobody")
-        self.parts.reach.answers["a2:80"] = ProbeAnswer.REFUSED
+        self.harness.reach.answers["a2:80"] = ProbeAnswer.REFUSED
         await self.until(lambda: all(task.done() for task in self.tasks))
-        waited_s = self.parts.clock.now() - dark_at
+        waited_s = self.harness.clock.now() - dark_at
         await self.end()
         self.assertTrue(waited_s < 0.15, waited_s)
-        self.assertEqual(["a2"], self.parts.suspected)
+        self.assertEqual(["a2"], self.harness.suspected)
 
     async def test_before_the_first_event(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
-        self.parts.reach.dark = {"a1:80"}
+        self.harness.reach.dark = {"a1:80"}
         task = asyncio.create_task(self.relay())
-        watch = asyncio.create_task(self.parts.stalls.run())
-        began_at = self.parts.clock.now()
+        watch = asyncio.create_task(self.harness.stalls.run())
+        began_at = self.harness.clock.now()
         await self.until(task.done)
-        waited_s = self.parts.clock.now() - began_at
+        waited_s = self.harness.clock.now() - began_at
         watch.cancel()
         await asyncio.gather(task, watch, return_exceptions=True)
         self.assertEqual([1], self.got())
@@ -152,27 +152,27 @@
 
     async def test_busy_engines_are_not_asked_all_the_time(self):
         await self.stream_until_dark("nobody")
-        await self.parts.clock.advance(3.0)
+        await self.harness.clock.advance(3.0)
         await self.end()
-        asked = len(self.parts.reach.probed)
+        asked = len(self.harness.reach.probed)
         # Two engines, once a second each at most.
         self.assertTrue(2 <= asked <= 8, asked)
 
     async def test_not_while_the_entry_itself_is_behind(self):
         runs = [Run(("a1", "a2"), usual_s=0.04) for _ in range(3)]
         for run in runs:
-            self.parts.beliefs.begin(run)
-            run.note_progress(self.parts.clock.now())
-            self.parts.stalls.add(run)
-        await self.parts.clock.advance(0.2)
-        self.parts.reach.dark = {"a2:80"}
-        self.parts.stalls.check()
-        self.parts.stalls.note_late(0.2)
-        await self.parts.clock.advance(0.12)
-        self.assertEqual([], self.parts.suspected)
+            self.harness.tracker.begin(run)
+            run.note_progress(self.harness.clock.now())
+            self.harness.stalls.add(run)
+        await self.harness.clock.advance(0.2)
+        self.harness.reach.dark = {"a2:80"}
+        self.harness.stalls.check()
+        self.harness.stalls.note_late(0.2)
+        await self.harness.clock.advance(0.12)
+        self.assertEqual([], self.harness.suspected)
         # Nor does it ask any more.
-        asked = len(self.parts.reach.probed)
-        await self.parts.clock.advance(0.5)
-        self.parts.stalls.check()
-        await self.parts.clock.advance(0.12)
-        self.assertEqual(asked, len(self.parts.reach.probed))
+        asked = len(self.harness.reach.probed)
+        await self.harness.clock.advance(0.5)
+        self.harness.stalls.check()
+        await self.harness.clock.advance(0.12)
+        self.assertEqual(asked, len(self.harness.reach.probed))
--- a/wigeonscale/direct/tests/test_rests.py
+++ b/wigeonscale/direct/tests/test_rests.py
@@ -12,10 +12,10 @@
 
 from wigeonscale.direct.plain import call_plain
 from wigeonscale.direct.stream import relay_stream
-from wigeonscale.direct.tests.fakes import Sink
+from wigeonscale.direct.tests.fakes import FakeSink
 from wigeonscale.direct.tests.support import (
     MODEL,
-    Parts,
+    EntryHarness,
     answer,
     engine,
     event,
@@ -39,53 +39,53 @@
 
 
 class RestTest(AsyncTestCase):
-    async def ask(self, parts, flow):
+    async def ask(self, harness, flow):
         for _ in range(REQUESTS):
             asking = asyncio.create_task(flow())
-            await parts.clock.advance(STEP_S)
+            await harness.clock.advance(STEP_S)
             await asyncio.gather(asking, return_exceptions=True)
 
-    def sends_in_rest(self, parts, name, sent_at):
+    def sends_in_rest(self, harness, name, sent_at):
         first = next(at for at, to in sent_at if to == name)
         return sum(to == name and first < at < first + REST_S for at, to in sent_at)
 
     def entry_of(self, *servers):
-        parts = Parts(*servers)
+        harness = EntryHarness(*servers)
         sent_at = []
-        open_stream = parts.exchange.open
+        open_stream = harness.exchange.open
 
         def open_noted(call):
-            sent_at.append((parts.clock.now(), call.backend_id))
+            sent_at.append((harness.clock.now(), call.backend_id))
             return open_stream(call)
 
-        parts.exchange.open = open_noted
-        return parts, sent_at
+        harness.exchange.open = open_noted
+        return harness, sent_at
 
     async def test_the_first_engine_of_the_nearest_path(self):
-        parts, sent_at = self.entry_of(
+        harness, sent_at = self.entry_of(
             engine("a", 0, 10), engine("b", 0, 10, domain="b")
         )
-        parts.exchange.script("a", *[asks_for_rest() for _ in range(REQUESTS)])
-        parts.exchange.script("b", *[[event(1)] for _ in range(REQUESTS)])
+        harness.exchange.script("a", *[asks_for_rest() for _ in range(REQUESTS)])
+        harness.exchange.script("b", *[[event(1)] for _ in range(REQUESTS)])
 
         async def flow():
-            job = parts.job(Repeat.STREAM, service=MODEL, resumable=True)
-            await relay_stream(parts.around, job, Sink())
+            job = harness.job(Repeat.STREAM, service=MODEL, resumable=True)
+            await relay_stream(harness.ctx, job, FakeSink())
 
-        await self.ask(parts, flow)
-        sends = self.sends_in_rest(parts, "a", sent_at)
+        await self.ask(harness, flow)
+        sends = self.sends_in_rest(harness, "a", sent_at)
         self.assertTrue(sends <= BORNE, f"{sends} sends while it rested")
         self.assertEqual(REQUESTS, sum(to == "b" for _, to in sent_at))
 
     async def test_the_only_engine_for_longer_than_callers_wait(self):
-        parts, _ = self.entry_of(engine("a", 0, 10))
-        parts.exchange.script("a", asks_for_rest())
-        sink = Sink()
+        harness, _ = self.entry_of(engine("a", 0, 10))
+        harness.exchange.script("a", asks_for_rest())
+        sink = FakeSink()
         for _ in range(2):
-            job = parts.job(Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0)
+            job = harness.job(Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0)
             try:
                 # No time passes: neither of them is held back.
-                await relay_stream(parts.around, job, sink)
+                await relay_stream(harness.ctx, job, sink)
             except WigeonscaleError as exc:
                 refused = exc
         self.assertEqual(
@@ -94,43 +94,43 @@
         self.assertTrue(refused.retry_after >= REST_S)
 
     async def test_the_only_engine_for_a_moment(self):
-        parts, sent_at = self.entry_of(engine("a", 0, 10))
+        harness, sent_at = self.entry_of(engine("a", 0, 10))
         moment = not_run(notice=ServerNotice(rest_s=0.5))
-        parts.exchange.script("a", moment, [event(1)])
-        sink = Sink()
+        harness.exchange.script("a", moment, [event(1)])
+        sink = FakeSink()
         for _ in range(2):
-            job = parts.job(Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0)
-            asking = asyncio.create_task(relay_stream(parts.around, job, sink))
-            await parts.clock.advance(0.6)
+            job = harness.job(Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0)
+            asking = asyncio.create_task(relay_stream(harness.ctx, job, sink))
+            await harness.clock.advance(0.6)
             await asyncio.gather(asking, return_exceptions=True)
         self.assertTrue(sink.is_whole)
         (first, _), (second, _) = sent_at[:2]
         self.assertTrue(second - first >= 0.5)
 
     async def test_a_shorter_rest_does_not_end_a_longer_one(self):
-        parts, _ = self.entry_of(engine("a", 0, 10))
+        harness, _ = self.entry_of(engine("a", 0, 10))
         for rest_s in (REST_S, 0.1):
-            parts.around.notices.note(
+            harness.ctx.notices.note(
                 "a", ServerNotice(rest_s=rest_s), request_id="r", sent_at=0.0
             )
-        self.assertEqual(REST_S, parts.around.notices.free_in_s("a"))
-        await parts.clock.advance(REST_S)
-        self.assertTrue(parts.around.notices.may_send("a"))
+        self.assertEqual(REST_S, harness.ctx.notices.free_in_s("a"))
+        await harness.clock.advance(REST_S)
+        self.assertTrue(harness.ctx.notices.may_send("a"))
 
     async def test_the_only_plain_server(self):
-        parts, sent_at = self.entry_of(server("p"))
-        parts.exchange.script("p", *[asks_for_rest() for _ in range(REQUESTS)])
-        parts.exchange.script("p", *[answer() for _ in range(REQUESTS)])
+        harness, sent_at = self.entry_of(server("p"))
+        harness.exchange.script("p", *[asks_for_rest() for _ in range(REQUESTS)])
+        harness.exchange.script("p", *[answer() for _ in range(REQUESTS)])
         refusals = []
 
         async def flow():
             try:
-                await call_plain(parts.around, parts.job())
+                await call_plain(harness.ctx, harness.job())
             except WigeonscaleError as exc:
                 refusals.append(exc)
 
-        await self.ask(parts, flow)
-        sends = self.sends_in_rest(parts, "p", sent_at)
+        await self.ask(harness, flow)
+        sends = self.sends_in_rest(harness, "p", sent_at)
         self.assertTrue(sends <= BORNE, f"{sends} sends while it rested")
         # Each caller is told when it is worth coming back.
         first = refusals[0].retry_after
--- a/wigeonscale/direct/tests/test_room_queue.py
+++ b/wigeonscale/direct/tests/test_room_queue.py
@@ -3,12 +3,12 @@
 import itertools
 import random
 
-from wigeonscale.direct import RoomQueue
-from wigeonscale.direct.room_queue import (
-    ROOM_PATIENCE_S,
-    ROOM_STEP_S,
+from wigeonscale.direct import AdmissionQueue
+from wigeonscale.direct.admission_queue import (
+    INITIAL_RESPONSE_TIME_S,
+    MAX_QUEUE_WAIT_S,
+    QUEUE_POLL_INTERVAL_S,
     ROOM_WAIT_S,
-    USUAL_ANSWER_S,
 )
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.testing import AsyncTestCase, ManualClock
@@ -19,7 +19,7 @@
 class OrderTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
-        self.queue = RoomQueue(clock=ManualClock())
+        self.queue = AdmissionQueue(clock=ManualClock())
 
     def enter(self, organisation="o", priority=1, running=MANY):
         return self.queue.enter(
@@ -49,7 +49,7 @@
         self.assertTrue(self.served([*large, small]).index(small) <= 2)
 
     def test_as_many_wait_as_room_comes_free_for(self):
-        running = int(3 * USUAL_ANSWER_S / ROOM_PATIENCE_S)
+        running = int(3 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S)
         for _ in range(4):
             self.enter(running=running)
         try:
@@ -66,7 +66,7 @@
             self.queue.leave(self.enter(), got_room=False)
         self.enter()
         try:
-            self.enter(running=int(5 * USUAL_ANSWER_S / ROOM_PATIENCE_S) + 1)
+            self.enter(running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1)
         except WigeonscaleError as exc:
             self.assertEqual(ErrorKind.OVERLOADED, exc.kind)
         else:
@@ -76,19 +76,19 @@
         for got_room in [False] * 20 + [True] * 20:
             self.queue.leave(self.enter(), got_room=got_room)
         for _ in range(5):
-            self.enter(running=int(5 * USUAL_ANSWER_S / ROOM_PATIENCE_S) + 1)
+            self.enter(running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1)
         self.assertEqual(5, len(self.queue))
 
     def test_fewer_wait_where_answers_take_longer(self):
-        running = int(5 * USUAL_ANSWER_S / ROOM_PATIENCE_S) + 1
+        running = int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1
         for _ in range(40):
-            self.queue.note_answer(5 * USUAL_ANSWER_S)
+            self.queue.note_answer(5 * INITIAL_RESPONSE_TIME_S)
         places = [self.enter(running=running) for _ in range(2)]
         self.assertRaises(WigeonscaleError, self.enter, running=running)
         for place in places:
             self.queue.leave(place, got_room=True)
         for _ in range(40):
-            self.queue.note_answer(USUAL_ANSWER_S)
+            self.queue.note_answer(INITIAL_RESPONSE_TIME_S)
         for _ in range(5):
             self.enter(running=running)
 
@@ -128,7 +128,7 @@
         for _ in range(20):
             self.queue.leave(self.enter(), got_room=None)
         for _ in range(5):
-            self.enter(running=int(5 * USUAL_ANSWER_S / ROOM_PATIENCE_S) + 1)
+            self.enter(running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1)
 
     def test_one_that_leaves_holds_nobody_up(self):
         places = [self.enter() for _ in range(3)]
@@ -141,7 +141,7 @@
 class WaitTest(AsyncTestCase):
     async def prepare(self):
         self.clock = ManualClock()
-        self.queue = RoomQueue(clock=self.clock)
+        self.queue = AdmissionQueue(clock=self.clock)
         self.first, self.second = (
             self.queue.enter(organisation="o", priority=1, running=MANY)
             for _ in range(2)
@@ -149,9 +149,9 @@
 
     async def test_room_is_looked_for_again_after_a_step(self):
         waiting = asyncio.create_task(self.queue.wait())
-        await self.clock.advance(ROOM_STEP_S / 2)
+        await self.clock.advance(QUEUE_POLL_INTERVAL_S / 2)
         self.assertFalse(waiting.done())
-        await self.clock.advance(ROOM_STEP_S / 2)
+        await self.clock.advance(QUEUE_POLL_INTERVAL_S / 2)
         await waiting
 
     async def test_once_one_has_room_the_next_looks_at_once(self):
@@ -215,7 +215,7 @@
     HERD_S = 0.5
 
     def __init__(
-        self, *, waits, patience_s=ROOM_PATIENCE_S, herd=0, requests_per_s=18.0
+        self, *, waits, patience_s=MAX_QUEUE_WAIT_S, herd=0, requests_per_s=18.0
     ):
         self.asked = self.served = self.in_time = 0
         self._waits = waits
@@ -223,7 +223,7 @@
         self._herd = herd
         self._requests_per_s = requests_per_s
         self._rng = random.Random(7)
-        self._queue = RoomQueue(clock=ManualClock(start=0.0))
+        self._queue = AdmissionQueue(clock=ManualClock(start=0.0))
         self._running = 0
         self._events = []
         self._order = itertools.count()
--- a/wigeonscale/direct/tests/test_send_limits.py
+++ b/wigeonscale/direct/tests/test_send_limits.py
@@ -1,5 +1,5 @@
-from wigeonscale.direct import NamedLimit, SendLimits
-from wigeonscale.direct.send_limits import MOST_WANTED
+from wigeonscale.direct import BackendRateLimits, NamedLimit
+from wigeonscale.direct.rate_limits import MOST_WANTED
 from wigeonscale.testing import AsyncTestCase, ManualClock
 
 WORD_S = 0.5
@@ -20,7 +20,7 @@
         self.limits = self.new("one")
 
     def new(self, name, *, entries=4):
-        return SendLimits(name=name, clock=self.clock, entries=lambda: entries)
+        return BackendRateLimits(name=name, clock=self.clock, entries=lambda: entries)
 
     def named(self, per_s):
         self.limits.note("i", per_s, sent_at=self.clock.now())
@@ -30,7 +30,9 @@
         sent = 0
         for step in range(round(seconds / step_s)):
             if demands is not None and step % round(WORD_S / step_s) == 0:
-                self.limits.take([word(None, age_s=None, demands=demands)], tellers=4)
+                self.limits.apply_reports(
+                    [word(None, age_s=None, demands=demands)], tellers=4
+                )
             if self.limits.may_send("i"):
                 self.limits.note_sent("i")
                 sent += 1
@@ -41,7 +43,7 @@
         self.assertTrue(self.limits.may_send("i"))
         self.limits.note_sent("i")
         self.assertTrue(self.limits.may_send("i"))
-        self.assertEqual([], self.limits.told())
+        self.assertEqual([], self.limits.report())
 
     async def test_one_that_is_alone_uses_most_of_it(self):
         self.named(10.0)
@@ -52,7 +54,9 @@
         self.named(20.0)
         await self.sent_in(1.0, demands=alike("one"))
         await self.clock.advance(1.0)
-        self.limits.take([word(None, age_s=None, demands=alike("one"))], tellers=4)
+        self.limits.apply_reports(
+            [word(None, age_s=None, demands=alike("one"))], tellers=4
+        )
         for _ in range(5):
             self.assertTrue(self.limits.may_send("i"))
             self.limits.note_sent("i")
@@ -67,7 +71,7 @@
         owners = 0
         for name in names:
             limits = self.new(name)
-            limits.take([word(1.0, demands=alike(*names))], tellers=4)
+            limits.apply_reports([word(1.0, demands=alike(*names))], tellers=4)
             owners += limits.free_in_s("i") < 100.0
         self.assertEqual(2, owners)
 
@@ -78,9 +82,9 @@
 
     async def test_a_larger_share_is_not_waited_for_as_long_as_a_small_one(self):
         self.named(2.0)
-        self.limits.take([word(2.0, demands={"one": 1, "two": 63})], tellers=4)
+        self.limits.apply_reports([word(2.0, demands={"one": 1, "two": 63})], tellers=4)
         self.assertTrue(self.limits.free_in_s("i") > 20.0)
-        self.limits.take([word(2.0, demands={"one": 64, "two": 1})], tellers=4)
+        self.limits.apply_reports([word(2.0, demands={"one": 64, "two": 1})], tellers=4)
         self.assertTrue(self.limits.free_in_s("i") < 1.0)
 
     async def test_without_word_from_control_each_takes_an_equal_part(self):
@@ -91,7 +95,7 @@
     async def test_control_is_lost_in_between(self):
         # Those that do not share it now would all begin at once.
         self.named(2.0)
-        self.limits.take([word(2.0, demands=alike("two"))], tellers=4)
+        self.limits.apply_reports([word(2.0, demands=alike("two"))], tellers=4)
         self.assertEqual(0, await self.sent_in(2.5))
         await self.clock.advance(0.1)
         self.assertEqual(0, await self.sent_in(2.0))
@@ -100,21 +104,23 @@
     async def test_word_of_some_entries_changes_no_share(self):
         self.named(2.0)
         everybody = alike("one", "two", "three", "four")
-        self.limits.take([word(2.0, demands=everybody)], tellers=4)
+        self.limits.apply_reports([word(2.0, demands=everybody)], tellers=4)
         before_s = self.limits.free_in_s("i")
-        self.limits.take([word(2.0, demands=alike("one"))], tellers=3)
+        self.limits.apply_reports([word(2.0, demands=alike("one"))], tellers=3)
         self.assertEqual(before_s, self.limits.free_in_s("i"))
         await self.clock.advance(3.0)
-        self.limits.take([word(2.0, demands=alike("one"))], tellers=3)
+        self.limits.apply_reports([word(2.0, demands=alike("one"))], tellers=3)
         # By then it takes what each would get if all sent.
         self.assertTrue(self.limits.free_in_s("i") >= 1.9)
 
     async def test_who_begins_to_share_it_waits_its_turn(self):
         self.named(2.0)
-        self.limits.take([word(2.0, demands=alike("two", "three"))], tellers=4)
+        self.limits.apply_reports([word(2.0, demands=alike("two", "three"))], tellers=4)
         await self.clock.advance(1.0)
         self.assertFalse(self.limits.may_send("i"))
-        self.limits.take([word(2.0, demands=alike("one", "two", "three"))], tellers=4)
+        self.limits.apply_reports(
+            [word(2.0, demands=alike("one", "two", "three"))], tellers=4
+        )
         self.assertFalse(self.limits.may_send("i"))
         self.assertTrue(1.8 <= self.limits.free_in_s("i") <= 1.9)
 
@@ -122,10 +128,10 @@
         self.named(1.0)
         self.named(None)
         self.assertTrue(self.limits.may_send("i"))
-        (told,) = self.limits.told()
+        (told,) = self.limits.report()
         self.assertIsNone(told.per_s)
         await self.clock.advance(60.0)
-        self.assertEqual([], self.limits.told())
+        self.assertEqual([], self.limits.report())
 
     async def test_an_answer_from_before_does_not_end_it(self):
         sent_at = self.clock.now()
@@ -135,23 +141,23 @@
         self.assertFalse(self.limits.may_send("i"))
 
     async def test_others_tell_that_it_began_and_ended(self):
-        self.limits.take([word(1.0, age_s=0.3)], tellers=4)
+        self.limits.apply_reports([word(1.0, age_s=0.3)], tellers=4)
         self.assertFalse(self.limits.may_send("i"))
         # It has nothing of its own to tell, but that it has work for the server.
-        self.assertEqual([], self.limits.told())
-        self.limits.note_wanted("i")
-        (told,) = self.limits.told()
+        self.assertEqual([], self.limits.report())
+        self.limits.note_demand("i")
+        (told,) = self.limits.report()
         self.assertEqual((None, {"one": 1}), (told.age_s, told.demands))
         await self.clock.advance(1.0)
-        self.limits.take([word(None, age_s=0.1)], tellers=4)
+        self.limits.apply_reports([word(None, age_s=0.1)], tellers=4)
         self.assertTrue(self.limits.may_send("i"))
 
     async def test_older_word_changes_nothing(self):
         self.named(None)
-        self.limits.take([word(None, age_s=0.1)], tellers=4)
+        self.limits.apply_reports([word(None, age_s=0.1)], tellers=4)
         self.named(1.0)
         await self.clock.advance(1.0)
-        self.limits.take([word(None, age_s=5.0)], tellers=4)
+        self.limits.apply_reports([word(None, age_s=5.0)], tellers=4)
         self.assertFalse(self.limits.may_send("i"))
 
     async def test_nothing_at_all_is_asked_now_and_then(self):
@@ -161,19 +167,19 @@
 
     async def test_it_is_wanted_for_some_seconds(self):
         self.named(1.0)
-        self.assertEqual({}, self.limits.told()[0].demands)
-        self.limits.note_wanted("i")
+        self.assertEqual({}, self.limits.report()[0].demands)
+        self.limits.note_demand("i")
         self.limits.note_sent("i")
-        self.assertEqual({"one": 2}, self.limits.told()[0].demands)
+        self.assertEqual({"one": 2}, self.limits.report()[0].demands)
         await self.clock.advance(6.0)
-        self.assertEqual({}, self.limits.told()[0].demands)
+        self.assertEqual({}, self.limits.report()[0].demands)
 
     def test_what_is_wanted_is_counted_up_to_a_bound(self):
         # An entry that is cut off from control tells nobody and forgets nothing.
         self.named(1.0)
         for _ in range(3 * MOST_WANTED):
-            self.limits.note_wanted("i")
-        self.assertEqual({"one": MOST_WANTED}, self.limits.told()[0].demands)
+            self.limits.note_demand("i")
+        self.assertEqual({"one": MOST_WANTED}, self.limits.report()[0].demands)
 
     async def test_those_that_are_gone_are_forgotten(self):
         self.named(1.0)
--- a/wigeonscale/direct/tests/test_service.py
+++ b/wigeonscale/direct/tests/test_service.py
@@ -3,8 +3,8 @@
 
 from wigeonscale.direct import DirectService
 from wigeonscale.direct.progress import Progress
-from wigeonscale.direct.tests.fakes import FakeExchange, Sink
-from wigeonscale.direct.tests.support import Parts, answer, event, server
+from wigeonscale.direct.tests.fakes import FakeExchange, FakeSink
+from wigeonscale.direct.tests.support import EntryHarness, answer, event, server
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.ports.exchange import CallerRequest
 from wigeonscale.routes import (
@@ -40,15 +40,15 @@
 
 class ServiceCase(AsyncTestCase):
     async def prepare(self):
-        self.parts = Parts(server("one"))
-        self.exchange = self.parts.exchange
+        self.harness = EntryHarness(server("one"))
+        self.exchange = self.harness.exchange
         self.table = TABLE
         self.known = asyncio.Event()
         self.known.set()
         self.confirmed = True
-        self.sink = Sink()
+        self.sink = FakeSink()
         self.service = DirectService(
-            around=self.parts.around,
+            ctx=self.harness.ctx,
             table=lambda: self.table,
             known=self.known,
             may_serve=lambda: self.confirmed,
@@ -63,7 +63,7 @@
             path="/p",
             headers=(),
             body=b"",
-            arrived_at=self.parts.clock.now(),
+            arrived_at=self.harness.clock.now(),
             **fields,
         )
         return self.service.serve(req, self.sink)
--- a/wigeonscale/direct/tests/test_stalls.py
+++ b/wigeonscale/direct/tests/test_stalls.py
@@ -1,7 +1,7 @@
 import asyncio
 
 from wigeonscale.direct.runs import Run
-from wigeonscale.direct.tests.fakes import FakeExchange, Sink
+from wigeonscale.direct.tests.fakes import FakeExchange, FakeSink
 from wigeonscale.direct.tests.support import StreamCase, engine, event, fleet, not_sent
 from wigeonscale.ports.orders import OrderOutcome
 
@@ -14,13 +14,13 @@
     async def test_all_streams_leave_the_engine_that_is_named(self):
         self.exchange.script("a1", *[[event(1), HANG] for _ in range(5)])
         self.exchange.script("b1", *[[event(2), event(3)] for _ in range(5)])
-        self.parts.orders.held_up_by["a1:80"] = ["a2:80"] * 5
-        sinks = [Sink() for _ in range(5)]
+        self.harness.orders.held_up_by["a1:80"] = ["a2:80"] * 5
+        sinks = [FakeSink() for _ in range(5)]
         tasks = []
         for sink in sinks:
             self.sink = sink
             tasks.append(asyncio.create_task(self.relay()))
-        watch = asyncio.create_task(self.parts.stalls.run())
+        watch = asyncio.create_task(self.harness.stalls.run())
         await self.until(lambda: all(task.done() for task in tasks))
         watch.cancel()
         await asyncio.gather(*tasks, watch, return_exceptions=True)
@@ -28,33 +28,33 @@
             self.assertEqual(b"id: 1\n\nid: 2\n\nid: 3\n\n", sink.data)
             self.assertTrue(sink.is_whole)
         # One question for all of them; the engine is named to control.
-        self.assertEqual(["a1:80"], self.parts.orders.asked)
-        self.assertEqual(["a2"], self.parts.suspected)
-        waited_s = self.parts.clock.now() - 1000.0
+        self.assertEqual(["a1:80"], self.harness.orders.asked)
+        self.assertEqual(["a2"], self.harness.suspected)
+        waited_s = self.harness.clock.now() - 1000.0
         self.assertTrue(waited_s < 1.0, waited_s)
 
     async def test_first_engine_does_not_answer(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
-        self.parts.orders.held_up_by["a1:80"] = None
+        self.harness.orders.held_up_by["a1:80"] = None
         task = asyncio.create_task(self.relay())
-        watch = asyncio.create_task(self.parts.stalls.run())
+        watch = asyncio.create_task(self.harness.stalls.run())
         await self.until(task.done)
         watch.cancel()
         await asyncio.gather(task, watch, return_exceptions=True)
         self.assertEqual([1], self.got())
-        self.assertEqual(["a1"], self.parts.suspected)
+        self.assertEqual(["a1"], self.harness.suspected)
         # With 0.7 s, as orders have, its streams stood still for 0.95 s.
-        self.assertTrue(max(self.parts.orders.limits) <= 0.3)
+        self.assertTrue(max(self.harness.orders.limits) <= 0.3)
 
     async def test_busy_but_sound_engines_are_waited_for(self):
         """All streams stand still: another path would only read them once more."""
         self.exchange.script("a1", *[[event(1), HANG] for _ in range(3)])
         tasks = [asyncio.create_task(self.relay()) for _ in range(3)]
-        watch = asyncio.create_task(self.parts.stalls.run())
-        await self.parts.clock.advance(1.9)
+        watch = asyncio.create_task(self.harness.stalls.run())
+        await self.harness.clock.advance(1.9)
         self.assertEqual(3, len(self.exchange.calls))
-        self.assertEqual([], self.parts.suspected)
+        self.assertEqual([], self.harness.suspected)
         for task in (*tasks, watch):
             task.cancel()
         await asyncio.gather(*tasks, watch, return_exceptions=True)
@@ -63,15 +63,15 @@
         self.exchange.script("a1", [event(1), HANG])
         self.exchange.script("a1", [event(2)])
         task = asyncio.create_task(self.relay())
-        watch = asyncio.create_task(self.parts.stalls.run())
-        await self.parts.clock.advance(0)
+        watch = asyncio.create_task(self.harness.stalls.run())
+        await self.harness.clock.advance(0)
         others = [Run(("a1",), events=1) for _ in range(2)]
         for other in others:
-            self.parts.stalls.add(other)
+            self.harness.stalls.add(other)
         for _ in range(200):
             for other in others:
-                other.progress_at = self.parts.clock.now()
-            await self.parts.clock.advance(0.01)
+                other.progress_at = self.harness.clock.now()
+            await self.harness.clock.advance(0.01)
             if task.done():
                 break
         watch.cancel()
@@ -82,10 +82,10 @@
         # Control probes them: one that has crashed refuses, and all entries hear of it.
         self.exchange.script("a1", [event(1), HANG])
         task = asyncio.create_task(self.relay())
-        watch = asyncio.create_task(self.parts.stalls.run())
-        await self.parts.clock.advance(0.15)
-        self.assertEqual({"a1", "a2"}, set(self.parts.hinted))
-        self.assertEqual([], self.parts.suspected)
+        watch = asyncio.create_task(self.harness.stalls.run())
+        await self.harness.clock.advance(0.15)
+        self.assertEqual({"a1", "a2"}, set(self.harness.hinted))
+        self.assertEqual([], self.harness.suspected)
         task.cancel()
         watch.cancel()
         await asyncio.gather(task, watch, return_exceptions=True)
@@ -93,13 +93,13 @@
     async def test_engines_through_which_others_move_are_not_named(self):
         self.exchange.script("a1", [event(1), HANG])
         task = asyncio.create_task(self.relay())
-        await self.parts.clock.advance(0.15)
-        other = Run(("a1", "b2"), events=1, progress_at=self.parts.clock.now())
-        self.parts.stalls.add(other)
-        self.parts.stalls.check()
+        await self.harness.clock.advance(0.15)
+        other = Run(("a1", "b2"), events=1, progress_at=self.harness.clock.now())
+        self.harness.stalls.add(other)
+        self.harness.stalls.check()
         # It is probed, too, and answers.
-        await self.parts.clock.advance(0)
-        self.assertEqual({"a2"}, set(self.parts.hinted))
+        await self.harness.clock.advance(0)
+        self.assertEqual({"a2"}, set(self.harness.hinted))
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
@@ -107,18 +107,18 @@
         self.exchange.script("a1", [event(1), HANG])
         self.exchange.script("b1", [event(2)])
         task = asyncio.create_task(self.relay())
-        await self.parts.clock.advance(0.2)
-        self.parts.fleet = fleet(
+        await self.harness.clock.advance(0.2)
+        self.harness.fleet = fleet(
             engine("a1", 0, 5),
             engine("a2", 5, 10, is_silent=True),
             engine("b1", 0, 5, domain="b"),
             engine("b2", 5, 10, domain="b"),
         )
-        self.parts.stalls.check()
+        self.harness.stalls.check()
         await self.until(task.done)
         await task
         self.assertEqual([1, 2], self.got())
-        self.assertEqual([], self.parts.orders.asked)
+        self.assertEqual([], self.harness.orders.asked)
 
 
 class DetourTest(StreamCase):
@@ -126,7 +126,7 @@
 
     async def prepare(self):
         await super().prepare()
-        self.parts.fleet = self.fleet_now()
+        self.harness.fleet = self.fleet_now()
         self.gate = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [event(1), self.gate, event(2)])
         self.exchange.script("b1", [event(2)])
@@ -146,10 +146,10 @@
     async def lose(self, name):
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.sink.data)
-        await self.parts.clock.advance(0.1)
-        self.parts.fleet = self.fleet_now(lost=name)
-        self.parts.stalls.check()
-        await self.parts.clock.advance(0)
+        await self.harness.clock.advance(0.1)
+        self.harness.fleet = self.fleet_now(lost=name)
+        self.harness.stalls.check()
+        await self.harness.clock.advance(0)
         if not self.gate.done():
             # Its connection was kept, and the new path brings the rest.
             self.gate.set_result(None)
@@ -159,25 +159,25 @@
         self.assertTrue(self.sink.is_whole)
 
     async def test_goes_on_along_another_path_in_the_same_run(self):
-        self.parts.orders.move_outcome = OrderOutcome.BEGUN
+        self.harness.orders.move_outcome = OrderOutcome.BEGUN
         await self.lose("a2")
-        self.assertEqual([("a1:80", "r1", ["a1", "a3"])], self.parts.orders.moved)
+        self.assertEqual([("a1:80", "r1", ["a1", "a3"])], self.harness.orders.moved)
         self.assertEqual(["a1"], self.exchange.sent_to)
         # What it took of memory is given back where it ran at last.
         for name in ("a1", "a2", "a3"):
-            self.assertEqual((0, 0.0), self.parts.beliefs.load_of(name, 1))
+            self.assertEqual((0, 0.0), self.harness.tracker.load_of(name, 1))
 
     async def test_sent_anew_where_the_engine_refuses_the_order(self):
-        self.parts.orders.move_outcome = OrderOutcome.MISFIT
+        self.harness.orders.move_outcome = OrderOutcome.MISFIT
         self.exchange.script("a1", [event(2)])
         await self.lose("a2")
         paths = [[p.backend_id for p in call.path] for call in self.exchange.calls]
         self.assertEqual([["a1", "a2"], ["a1", "a3"]], paths)
 
     async def test_sent_elsewhere_where_the_first_engine_is_lost(self):
-        self.parts.orders.move_outcome = OrderOutcome.BEGUN
+        self.harness.orders.move_outcome = OrderOutcome.BEGUN
         await self.lose("a1")
-        self.assertEqual([], self.parts.orders.moved)
+        self.assertEqual([], self.harness.orders.moved)
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
 
 
@@ -186,27 +186,27 @@
 
     def run_on(self, *names, gap_s, usual_s=0.04):
         run = Run(names, usual_s=usual_s)
-        self.parts.stalls.add(run)
-        now = self.parts.clock.now()
+        self.harness.stalls.add(run)
+        now = self.harness.clock.now()
         for number in range(5):
             run.note_progress(now - (4 - number) * gap_s)
         return run
 
     async def test_named_to_control_though_events_come(self):
         self.run_on("a1", "a2", gap_s=0.2)
-        self.parts.stalls.check()
-        self.assertEqual({"a1", "a2"}, set(self.parts.hinted))
+        self.harness.stalls.check()
+        self.assertEqual({"a1", "a2"}, set(self.harness.hinted))
 
     async def test_one_that_another_path_is_as_fast_as_usual_through_is_not(self):
         self.run_on("a1", "a2", gap_s=0.2)
         self.run_on("a1", "b2", gap_s=0.04)
-        self.parts.stalls.check()
-        self.assertEqual({"a2"}, set(self.parts.hinted))
+        self.harness.stalls.check()
+        self.assertEqual({"a2"}, set(self.harness.hinted))
 
     async def test_what_load_explains_is_not_slow(self):
         self.run_on("a1", "a2", gap_s=0.2, usual_s=0.1)
-        self.parts.stalls.check()
-        self.assertEqual([], self.parts.hinted)
+        self.harness.stalls.check()
+        self.assertEqual([], self.harness.hinted)
 
     async def test_the_latest_events_count(self):
         run = self.run_on("a1", "a2", gap_s=0.2)
@@ -221,61 +221,61 @@
     async def test_what_was_not_read_meanwhile_is_not_held_against_engines(self):
         runs = [Run(("a1", "a2"), usual_s=0.04) for _ in range(3)]
         for run in runs:
-            self.parts.beliefs.begin(run)
-            run.note_progress(self.parts.clock.now())
-            self.parts.stalls.add(run)
-        await self.parts.clock.advance(1.5)
-        self.parts.stalls.note_late(1.47)
-        self.parts.stalls.check()
-        await self.parts.clock.advance(0)
-        self.assertEqual([], self.parts.hinted)
-        self.assertEqual([], self.parts.orders.asked)
-        self.assertFalse(self.parts.beliefs.is_avoided("a1"))
+            self.harness.tracker.begin(run)
+            run.note_progress(self.harness.clock.now())
+            self.harness.stalls.add(run)
+        await self.harness.clock.advance(1.5)
+        self.harness.stalls.note_late(1.47)
+        self.harness.stalls.check()
+        await self.harness.clock.advance(0)
+        self.assertEqual([], self.harness.hinted)
+        self.assertEqual([], self.harness.orders.asked)
+        self.assertFalse(self.harness.tracker.is_avoided("a1"))
 
     async def test_a_short_hold_up_of_the_entry_is_no_quiet_of_engines(self):
         """A large document is read: nothing else is for some 65 ms."""
         run = Run(("a1", "a2"), usual_s=0.04)
-        self.parts.beliefs.begin(run)
+        self.harness.tracker.begin(run)
         for _ in range(5):
-            run.note_progress(self.parts.clock.now())
-            await self.parts.clock.advance(0.035)
-        self.parts.stalls.add(run)
-        await self.parts.clock.advance(0.065)
-        self.parts.stalls.note_late(0.065)
-        self.parts.stalls.check()
-        await self.parts.clock.advance(0)
-        self.assertEqual([], self.parts.reach.probed)
-        self.assertEqual([], self.parts.hinted)
-        self.assertFalse(self.parts.stalls.is_behind)
+            run.note_progress(self.harness.clock.now())
+            await self.harness.clock.advance(0.035)
+        self.harness.stalls.add(run)
+        await self.harness.clock.advance(0.065)
+        self.harness.stalls.note_late(0.065)
+        self.harness.stalls.check()
+        await self.harness.clock.advance(0)
+        self.assertEqual([], self.harness.reach.probed)
+        self.assertEqual([], self.harness.hinted)
+        self.assertFalse(self.harness.stalls.is_behind)
 
     async def test_quiet_engines_are_found_soon_after(self):
         run = Run(("a1", "a2"))
-        self.parts.beliefs.begin(run)
-        run.note_progress(self.parts.clock.now())
-        self.parts.stalls.add(run)
-        await self.parts.clock.advance(1.5)
-        self.parts.stalls.note_late(1.47)
-        await self.parts.clock.advance(0.3)
-        self.parts.stalls.check()
-        await self.parts.clock.advance(0)
-        self.assertEqual(["a1:80"], self.parts.orders.asked)
+        self.harness.tracker.begin(run)
+        run.note_progress(self.harness.clock.now())
+        self.harness.stalls.add(run)
+        await self.harness.clock.advance(1.5)
+        self.harness.stalls.note_late(1.47)
+        await self.harness.clock.advance(0.3)
+        self.harness.stalls.check()
+        await self.harness.clock.advance(0)
+        self.assertEqual(["a1:80"], self.harness.orders.asked)
 
     async def test_a_look_in_time_changes_nothing(self):
         run = Run(("a1", "a2"))
-        run.note_progress(self.parts.clock.now())
-        self.parts.stalls.add(run)
+        run.note_progress(self.harness.clock.now())
+        self.harness.stalls.add(run)
         before = run.progress_at
-        await self.parts.clock.advance(0.05)
-        self.parts.stalls.note_late(0.02)
+        await self.harness.clock.advance(0.05)
+        self.harness.stalls.note_late(0.02)
         self.assertEqual(before, run.progress_at)
-        self.assertFalse(self.parts.stalls.is_behind)
+        self.assertFalse(self.harness.stalls.is_behind)
 
     async def test_a_connection_that_opened_too_late_to_be_seen(self):
         self.exchange.script("a1", not_sent(), [event(1)])
         self.exchange.script("b1", [event(1)])
-        self.parts.stalls.note_late(0.4)
+        self.harness.stalls.note_late(0.4)
         await self.relay()
-        self.assertTrue(self.parts.beliefs.is_avoided("a1"))
-        await self.parts.clock.advance(0.5)
-        self.assertFalse(self.parts.beliefs.is_avoided("a1"))
-        self.assertEqual([], self.parts.suspected)
+        self.assertTrue(self.harness.tracker.is_avoided("a1"))
+        await self.harness.clock.advance(0.5)
+        self.assertFalse(self.harness.tracker.is_avoided("a1"))
+        self.assertEqual([], self.harness.suspected)
--- a/wigeonscale/direct/tests/test_start.py
+++ b/wigeonscale/direct/tests/test_start.py
@@ -5,7 +5,7 @@
 from wigeonscale.direct.admission import choose_path_for
 from wigeonscale.direct.choice import FULL_SHARE
 from wigeonscale.direct.runs import Run
-from wigeonscale.direct.tests.support import ENGINE, MODEL, Parts, engine
+from wigeonscale.direct.tests.support import ENGINE, MODEL, EntryHarness, engine
 from wigeonscale.ports.exchange import Generation
 from wigeonscale.routes import Repeat
 from wigeonscale.testing import AsyncTestCase
@@ -31,7 +31,7 @@
             for first in (0, LAYERS)
         ]
         self.entries = [
-            Parts(*servers, entries=ENTRIES, domain="ab"[number % 2])
+            EntryHarness(*servers, entries=ENTRIES, domain="ab"[number % 2])
             for number in range(ENTRIES)
         ]
         rng = random.Random(3)
@@ -39,21 +39,21 @@
         self.herd = rng.choices(self.entries, weights, k=HERD)
         self.taken = {server.backend_id: 0.0 for server in servers}
 
-    def send(self, parts):
+    def send(self, harness):
         """Begin one request; return whether there was room for it."""
-        job = parts.job(Repeat.STREAM, service=MODEL, generation=SIZES)
-        choice = choose_path_for(parts.around, job, lost=(), ran_at=())
+        job = harness.job(Repeat.STREAM, service=MODEL, generation=SIZES)
+        choice = choose_path_for(harness.ctx, job, lost=(), ran_at=())
         if choice.full:
             return False
         tokens = job.req.generation.prompt + job.req.generation.expected
         layers = {p.backend_id: float(tokens * p.layers.count) for p in choice.path}
-        parts.beliefs.begin(Run(tuple(layers), layers))
+        harness.tracker.begin(Run(tuple(layers), layers))
         for name, token_layers in layers.items():
             self.taken[name] += token_layers
         return True
 
     async def test_nobody_is_turned_away_from_empty_engines(self):
-        served = sum(self.send(parts) for parts in self.herd)
+        served = sum(self.send(harness) for harness in self.herd)
         self.assertEqual(HERD, served)
         free_mb = ENGINE.accelerators["k"].size_mb - LAYERS * ENGINE.layer_mb
         room = free_mb * 1e6 / (ENGINE.token_bytes / ENGINE.layers)
--- a/wigeonscale/direct/tests/test_stream.py
+++ b/wigeonscale/direct/tests/test_stream.py
@@ -3,7 +3,7 @@
 from wigeonscale.direct.choice import FULL_SHARE
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.stream import relay_stream
-from wigeonscale.direct.tests.fakes import Sink
+from wigeonscale.direct.tests.fakes import FakeSink
 from wigeonscale.direct.tests.support import (
     StreamCase,
     answer,
@@ -66,13 +66,13 @@
         self.exchange.script("b1", [event(1)])
         await self.relay()
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
-        self.assertEqual(["a2"], self.parts.suspected)
+        self.assertEqual(["a2"], self.harness.suspected)
 
     async def test_first_engine_out_of_reach(self):
         self.exchange.script("a1", not_sent())
         self.exchange.script("b1", [event(1)])
         await self.relay(resumable=False)
-        self.assertEqual(["a1"], self.parts.suspected)
+        self.assertEqual(["a1"], self.harness.suspected)
 
 
 class NothingLeftToSendTest(StreamCase):
@@ -80,9 +80,9 @@
 
     async def prepare(self):
         await super().prepare()
-        self.budget = self.parts.around.budget
-        self.budget.told_sends()
-        self.budget.take_totals({"model": (0, 100)})
+        self.budget = self.harness.ctx.budget
+        self.budget.report_sends()
+        self.budget.apply_totals({"model": (0, 100)})
         while self.budget.try_spend("model"):
             pass
 
@@ -90,10 +90,10 @@
         self.exchange.script("a1", [event(1), unknown()], [event(2)])
         relaying = asyncio.create_task(self.relay())
         await self.until(lambda: self.got() == [1])
-        await self.parts.clock.advance(0.4)
+        await self.harness.clock.advance(0.4)
         self.assertFalse(relaying.done())
-        self.budget.told_sends()
-        self.budget.take_totals({"model": (0, 45)})
+        self.budget.report_sends()
+        self.budget.apply_totals({"model": (0, 45)})
         await self.until(relaying.done)
         await relaying
         self.assertEqual([1, 2], self.got())
@@ -101,19 +101,19 @@
     async def test_it_is_given_up_before_its_caller_leaves(self):
         self.exchange.script("a1", [event(1), unknown()])
         relaying = asyncio.create_task(self.refused())
-        began_at = self.parts.clock.now()
+        began_at = self.harness.clock.now()
         await self.until(relaying.done)
-        self.assertTrue(self.parts.clock.now() - began_at < 1.3)
+        self.assertTrue(self.harness.clock.now() - began_at < 1.3)
         self.assertEqual(RunState.UNKNOWN, (await relaying).run_state)
 
     async def test_one_that_broke_before_its_first_event_waits_too(self):
         # It may have run, so that its caller cannot be told to come back.
         self.exchange.script("a1", unknown(), [event(1)])
         relaying = asyncio.create_task(self.relay())
-        await self.parts.clock.advance(0.4)
+        await self.harness.clock.advance(0.4)
         self.assertFalse(relaying.done())
-        self.budget.told_sends()
-        self.budget.take_totals({"model": (0, 45)})
+        self.budget.report_sends()
+        self.budget.apply_totals({"model": (0, 45)})
         await self.until(relaying.done)
         await relaying
         self.assertEqual([1], self.got())
@@ -129,13 +129,13 @@
     """A stream whose service does not split a model over engines."""
 
     async def test_relayed_as_it_comes_and_resumed_elsewhere(self):
-        self.parts.fleet = fleet(server("p1"), server("p2", domain="b"))
+        self.harness.fleet = fleet(server("p1"), server("p2", domain="b"))
         self.exchange.script("p1", [event(1), not_sent()])
         self.exchange.script("p2", [event(2)])
-        job = self.parts.job(
+        job = self.harness.job(
             Repeat.STREAM, service=Service(name="plain"), resumable=True, left_s=9.0
         )
-        await relay_stream(self.parts.around, job, self.sink)
+        await relay_stream(self.harness.ctx, job, self.sink)
         self.assertEqual([1, 2], self.got())
         self.assertEqual([(), ()], [call.path for call in self.exchange.calls])
 
@@ -172,7 +172,7 @@
         await self.until(lambda: self.exchange.calls)
         room = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
         for name in ("a1", "b1"):
-            self.parts.beliefs.begin(Run((name,), {name: room}))
+            self.harness.tracker.begin(Run((name,), {name: room}))
         gate.set_result(None)
         await self.until(task.done)
         exc = await task
@@ -180,7 +180,7 @@
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
 
     async def test_no_path_is_said_at_once(self):
-        self.parts.fleet = fleet(engine("a1", 0, 5))
+        self.harness.fleet = fleet(engine("a1", 0, 5))
         exc = await self.refused()
         self.assertEqual(ErrorKind.NO_BACKEND, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
@@ -188,8 +188,8 @@
         self.assertEqual([], self.exchange.calls)
 
     async def test_no_more_first_engines_than_attempts(self):
-        self.parts.fleet = fleet(
-            *self.parts.fleet.by_id.values(),
+        self.harness.fleet = fleet(
+            *self.harness.fleet.by_id.values(),
             engine("c1", 0, 5, domain="c"),
             engine("c2", 5, 10, domain="c"),
         )
@@ -204,8 +204,8 @@
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
 
     async def test_back_to_a_first_engine_that_had_it_before(self):
-        self.parts.fleet = fleet(
-            *self.parts.fleet.by_id.values(),
+        self.harness.fleet = fleet(
+            *self.harness.fleet.by_id.values(),
             engine("c1", 0, 5, domain="c"),
             engine("c2", 5, 10, domain="c"),
         )
@@ -231,14 +231,14 @@
     async def fail_at_a1(self):
         self.exchange.script("a1", unknown())
         self.exchange.script("b1", [event(1)])
-        self.sink = Sink()
+        self.sink = FakeSink()
         await self.relay()
         self.assertEqual([1], self.got())
         self.assertEqual(["a1", "b1"], self.exchange.sent_to[-2:])
 
     async def relay_at(self, name):
         self.exchange.script(name, [event(1)])
-        self.sink = Sink()
+        self.sink = FakeSink()
         await self.relay()
         self.assertEqual(name, self.exchange.sent_to[-1])
 
@@ -249,18 +249,18 @@
 
     async def test_it_is_tried_again_soon_and_left_alone_for_longer(self):
         await self.fail_at_a1()
-        await self.parts.clock.advance(0.5)
+        await self.harness.clock.advance(0.5)
         await self.fail_at_a1()
-        await self.parts.clock.advance(3.0)
+        await self.harness.clock.advance(3.0)
         await self.relay_at("b1")
-        await self.parts.clock.advance(1.5)
+        await self.harness.clock.advance(1.5)
         await self.relay_at("a1")
 
     async def test_one_that_serves_again_is_trusted_again(self):
         await self.fail_at_a1()
-        await self.parts.clock.advance(0.5)
+        await self.harness.clock.advance(0.5)
         for _ in range(8):
             await self.relay_at("a1")
         await self.fail_at_a1()
-        await self.parts.clock.advance(0.5)
+        await self.harness.clock.advance(0.5)
         await self.relay_at("a1")
--- a/wigeonscale/lab/engines.py
+++ b/wigeonscale/lab/engines.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from wigeonscale.direct.choice import NEAR_HOP_MS, room_of
+from wigeonscale.direct.choice import NEAR_HOP_MS, kv_cache_capacity
 from wigeonscale.direct.fleet import BackendServer
 from wigeonscale.layers import Part
 from wigeonscale.routes import EngineProfile
@@ -73,7 +73,7 @@
 
     def __post_init__(self):
         kind = self.profile.accelerators[self.server.accelerator]
-        self.room = room_of(self.profile, self.server, kind.size_mb)
+        self.room = kv_cache_capacity(self.profile, self.server, kind.size_mb)
 
     @property
     def used(self) -> float:
--- a/wigeonscale/lab/play.py
+++ b/wigeonscale/lab/play.py
@@ -1,9 +1,9 @@
 """Plays a scenario: many entries that decide apart before the same engines.
 
 Entries run the product's own decisions (:mod:`wigeonscale.direct.choice`,
-:mod:`wigeonscale.direct.beliefs`, :mod:`wigeonscale.layers`) on what they know, as old
-as in the product. Everything is drawn from one seed; the same seed gives the same
-figures.
+:mod:`wigeonscale.direct.backend_tracker`, :mod:`wigeonscale.layers`) on what they
+know, as old as in the product. Everything is drawn from one seed; the same seed gives
+the same figures.
 """
 
 __all__ = ["play"]
@@ -13,11 +13,15 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from wigeonscale.direct import Beliefs
+from wigeonscale.direct import BackendTracker
+from wigeonscale.direct.admission_queue import (
+    INITIAL_RESPONSE_TIME_S,
+    MAX_QUEUE_WAIT_S,
+    QUEUE_POLL_INTERVAL_S,
+)
 from wigeonscale.direct.choice import choose_path, path_costs
-from wigeonscale.direct.room_queue import ROOM_PATIENCE_S, ROOM_STEP_S, USUAL_ANSWER_S
 from wigeonscale.direct.runs import Run
-from wigeonscale.direct.stream import MOST_SENDS
+from wigeonscale.direct.stream import MAX_SENDS
 from wigeonscale.lab.callers import draw_count, draw_sizes
 from wigeonscale.lab.engines import EngineModel, ModelRun, advance, start, stop
 from wigeonscale.lab.figures import WINDOW_S, Figures, Window
@@ -66,7 +70,7 @@
 class _Entry:
     """One entry: what it believes, and its requests that wait for room."""
 
-    beliefs: Beliefs
+    tracker: BackendTracker
     domain: str
     running: int = 0
     waiting: int = 0
@@ -118,12 +122,12 @@
         self._figures = Figures()
         self._engines = planned_engines(scenario)
         self._entries = [
-            _Entry(Beliefs(clock=self._clock), domain)
+            _Entry(BackendTracker(clock=self._clock), domain)
             for domain, count in scenario.entries.items()
             for _ in range(count)
         ]
         self._words = Words(
-            [entry.beliefs for entry in self._entries],
+            [entry.tracker for entry in self._entries],
             interval_s=scenario.word_s,
             rng=self._rng,
         )
@@ -162,7 +166,7 @@
             self._count_answer(self._running.pop(run))
 
     def _count_answer(self, req: _Request) -> None:
-        req.entry.beliefs.end(req.held)
+        req.entry.tracker.end(req.held)
         req.entry.running -= 1
         first_s = req.run.first_token_at - req.asked_at
         if req.run.is_late or first_s > AIM_S:
@@ -195,7 +199,7 @@
         costs = path_costs(
             self._scenario.model,
             req.told,
-            beliefs=req.entry.beliefs,
+            tracker=req.entry.tracker,
             entries=len(self._entries),
         )
         path = choose_path(
@@ -206,7 +210,9 @@
             lost=req.refused_by,
         )
         is_full = any(
-            not costs.has_room(self._engines[part.backend_id].server, part.layers.count)
+            not costs.has_capacity(
+                self._engines[part.backend_id].server, part.layers.count
+            )
             for part in path or ()
         )
         return path, is_full
@@ -215,7 +221,7 @@
         """Send a request until an engine takes it, or it waits or is given up."""
         while True:
             path, is_full = self._choose(req)
-            if path is None or req.sends >= MOST_SENDS:
+            if path is None or req.sends >= MAX_SENDS:
                 self._give_up(req)
                 return
             if is_full and not req.is_begun:
@@ -228,7 +234,7 @@
                 self._hold(req, path)
                 return
             self._figures.turned_away += not self._engines[refuser].is_lost
-            req.entry.beliefs.note_refused(refuser)
+            req.entry.tracker.note_refused(refuser)
             req.refused_by.add(refuser)
 
     def _hold(self, req: _Request, path: Sequence[Part]) -> None:
@@ -237,7 +243,7 @@
             tuple(part.backend_id for part in path),
             {part.backend_id: float(tokens * part.layers.count) for part in path},
         )
-        req.entry.beliefs.begin(req.held)
+        req.entry.tracker.begin(req.held)
         req.entry.running += 1
         self._running[req.run] = req
 
@@ -247,16 +253,16 @@
         if req.waits_until is None:
             # As the product's queue where those before got room.
             if entry.waiting >= 1 + int(
-                entry.running * ROOM_PATIENCE_S / USUAL_ANSWER_S
+                entry.running * MAX_QUEUE_WAIT_S / INITIAL_RESPONSE_TIME_S
             ):
                 self._give_up(req)
                 return
             entry.waiting += 1
-            req.waits_until = now + ROOM_PATIENCE_S
+            req.waits_until = now + MAX_QUEUE_WAIT_S
         if now >= req.waits_until:
             self._give_up(req)
             return
-        self._waiting.append((now + ROOM_STEP_S, next(self._order), req))
+        self._waiting.append((now + QUEUE_POLL_INTERVAL_S, next(self._order), req))
 
     def _look_for_room(self) -> None:
         due = [each for each in self._waiting if each[0] <= self._clock.at]
@@ -314,7 +320,7 @@
                 continue
             stop(run, self._engines)
             del self._running[run]
-            req.entry.beliefs.end(req.held)
+            req.entry.tracker.end(req.held)
             req.entry.running -= 1
             run.is_late = True
             run.is_waiting = False
--- a/wigeonscale/lab/words.py
+++ b/wigeonscale/lab/words.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Sequence
 
-from wigeonscale.direct import Beliefs
+from wigeonscale.direct import BackendTracker
 
 # From an entry's word until another hears it: the replicas pass sums on among them a
 # few times a second.
@@ -24,12 +24,16 @@
     """
 
     def __init__(
-        self, entries: Sequence[Beliefs], *, interval_s: float, rng: random.Random
+        self,
+        entries: Sequence[BackendTracker],
+        *,
+        interval_s: float,
+        rng: random.Random,
     ):
         self._interval_s = interval_s
         self._due = [(rng.random() * interval_s, entry) for entry in entries]
-        self._under_way: list[tuple[float, Beliefs, _Loads]] = []
-        self._board: dict[Beliefs, _Loads] = {}
+        self._under_way: list[tuple[float, BackendTracker, _Loads]] = []
+        self._board: dict[BackendTracker, _Loads] = {}
 
     def pass_on(self, now: float) -> None:
         """Let the words of an instant go out and arrive.
@@ -45,10 +49,10 @@
                 self._due[number] = due_at + self._interval_s, entry
                 self._exchange(entry, now)
 
-    def _exchange(self, entry: Beliefs, now: float) -> None:
-        told = dict(entry.told_loads())
+    def _exchange(self, entry: BackendTracker, now: float) -> None:
+        told = dict(entry.report_loads())
         self._under_way.append((now + PASS_ON_S, entry, told))
-        entry.take_totals(_sum([*(self._board | {entry: told}).values()]))
+        entry.apply_totals(_sum([*(self._board | {entry: told}).values()]))
 
 
 def _sum(loads: Sequence[_Loads]) -> _Loads:
