--- a/wigeonscale/limits/__init__.py
+++ b/wigeonscale/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: limits per organisation, fair queueing and refusal under overload."""
+"""Admission control: organisation limits, fair queueing and load shedding."""
 
 __all__ = [
     "ConcurrencyGuard",
--- a/wigeonscale/limits/deadline.py
+++ b/wigeonscale/limits/deadline.py
@@ -1,4 +1,4 @@
-"""Refusal at once of requests that cannot be answered in time."""
+"""Early refusal of requests that cannot meet their deadline."""
 
 __all__ = ["check_deadline", "jitter_retry_after"]
 
@@ -16,22 +16,22 @@
     deadline_s: float | None,
     rng: random.Random | None = None,
 ) -> None:
-    """Refuse a request whose estimated answer comes after its deadline.
+    """Refuse a request that is estimated to complete after its deadline.
 
     Args:
-        wait_s: Estimated seconds until it starts.
-        service_s: Estimated seconds from its start to its whole answer.
-        deadline_s: Seconds until its deadline; None for no deadline.
-        rng: Spreads the times at which the refused come back; None: no spread.
+        wait_s: Estimated queueing time, in seconds.
+        service_s: Estimated service time, in seconds.
+        deadline_s: Seconds until the deadline; None for no deadline.
+        rng: Source of the jitter of ``retry_after``; None for no jitter.
 
     Raises:
-        WigeonscaleError: ``OVERLOADED``, not run, with ``retry_after`` the time
-            after which the present backlog leaves room for the request.
+        WigeonscaleError: ``OVERLOADED``, not run; ``retry_after`` is the time after
+            which the current backlog has drained far enough for the request.
     """
     if deadline_s is None or wait_s + service_s <= deadline_s:
         return
     late_s = wait_s + service_s - deadline_s
-    # A deadline shorter than the service alone is not helped by waiting longer.
+    # If the deadline is shorter than the service time, a longer wait does not help.
     drain_s = min(late_s, wait_s)
     raise WigeonscaleError(
         ErrorKind.OVERLOADED,
@@ -42,11 +42,11 @@
 
 
 def jitter_retry_after(seconds: float, rng: random.Random | None = None) -> float:
-    """Return a time to come back, spread so that not all come at once.
+    """Return a retry delay with jitter, so that refused clients do not retry at once.
 
     Args:
-        seconds: Earliest time at which a retry is worth while.
-        rng: Source of the spread; None for none.
+        seconds: Earliest useful delay, in seconds.
+        rng: Source of the jitter; None for no jitter.
 
     Returns:
         Seconds, between one and two times the larger of ``seconds`` and
--- a/wigeonscale/limits/fair_queue.py
+++ b/wigeonscale/limits/fair_queue.py
@@ -1,4 +1,4 @@
-"""The bounded queue before a backend server: priority, then fair share."""
+"""Bounded queue in front of a backend server: by priority, then by fair share."""
 
 __all__ = ["FairQueue"]
 
@@ -10,18 +10,18 @@
 from wigeonscale.limits.fair_scheduler import FairScheduler, Item, QueueEntry
 from wigeonscale.ports import Clock, SystemClock
 
-# An organisation may hold at most this many times the room left, so that one
-# with a long backlog always leaves room for those that come later.
+# An organisation may occupy at most this many times the free space of the queue, so
+# that a long backlog always leaves space for other organisations.
 DYNAMIC_THRESHOLD_FACTOR = 8.0
 
 
 class FairQueue(Generic[Item]):
-    """Higher priority first, then start-time fair queueing over organisations.
+    """Strict priorities, with start-time fair queueing over organisations in each.
 
     Args:
         quantum: Cost of one turn of an organisation with share 1.
-        limit: Most items held.
-        clock: Clock port; None for this machine's clock.
+        limit: Maximum number of items.
+        clock: Clock port; None for the system clock.
 
     Example:
         >>> queue = FairQueue(limit=8)
@@ -68,16 +68,16 @@
         """Queue an item.
 
         Args:
-            item: Hashable, not queued yet.
-            organisation: Whose turn it uses.
-            priority: Larger goes first.
-            cost: What it takes of a turn, in the unit of ``quantum``.
+            item: Hashable; must not be queued already.
+            organisation: Organisation that the item is accounted to.
+            priority: Higher priorities are served first.
+            cost: Cost of the item, in the unit of ``quantum``.
             share: Weight of the organisation.
-            deadline: Latest useful start, as a reading of the clock's ``now``.
+            deadline: Latest useful start time, on the clock's ``now`` scale.
 
         Raises:
-            WigeonscaleError: ``OVERLOADED`` when the queue is full, or the
-                organisation holds so much of it that the others lack room.
+            WigeonscaleError: ``OVERLOADED`` if the queue is full, or if the
+                organisation occupies too much of it.
         """
         self._check_room(organisation)
         entry = QueueEntry(item, organisation, priority, cost)
@@ -90,7 +90,7 @@
             heapq.heappush(self._deadlines, (deadline, next(self._order), entry))
 
     def pop(self) -> Item | None:
-        """Take the next item whose deadline has not passed; None for none."""
+        """Remove and return the next item within its deadline; None if empty."""
         self._drop_expired()
         if not self._schedulers:
             return None
@@ -99,7 +99,7 @@
         return entry.item
 
     def remove(self, item: Item) -> bool:
-        """Take an item out of its turn; returns whether it was queued."""
+        """Remove an item; return whether it was queued."""
         entry = self._entries.get(item)
         if entry is None:
             return False
@@ -107,23 +107,24 @@
         return True
 
     def take_expired(self) -> list[Item]:
-        """Return, once, the items dropped at their deadline, to be refused."""
+        """Return the items that have expired since the last call, to be refused."""
         self._drop_expired()
         expired, self._expired = self._expired, []
         return expired
 
     def ahead(self, organisation: str, *, priority: int = 0, share: float = 1.0) -> int:
-        """Return how many queued items would start before a new one.
+        """Return how many queued items would be served before a new one.
 
         Args:
-            organisation: Whose item it would be.
-            priority: Its priority.
+            organisation: Organisation of the new item.
+            priority: Priority of the new item.
             share: Weight of the organisation.
 
         Notes:
-            Counts every item of higher priority, and of each other organisation at
-            most what its share lets through while the own backlog is served.
-            Costs one step per priority, and per organisation at this one.
+            Counts all items of higher priority, those of this organisation, and of
+            each other organisation at most what its share allows before the new item
+            is served. Linear in the priorities, and in the organisations at this
+            priority.
         """
         higher = sum(
             len(scheduler)
--- a/wigeonscale/limits/fair_scheduler.py
+++ b/wigeonscale/limits/fair_scheduler.py
@@ -1,4 +1,4 @@
-"""The order of turns among the organisations that wait at one priority."""
+"""Start-time fair queueing among the organisations at one priority."""
 
 __all__ = ["FairScheduler", "Item", "QueueEntry"]
 
@@ -12,14 +12,14 @@
 Item = TypeVar("Item", bound=Hashable)
 
 MIN_SHARE = 1e-3
-# Turns that an organisation may save up while it asks for less than its share.
+# Credit, in turns, that an organisation gains while it uses less than its share.
 MAX_CREDIT_TURNS = 4.0
 MIN_TAGS_TO_PRUNE = 256
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class QueueEntry(Generic[Item]):
-    """A queued item with what decides its turn."""
+    """A queued item with its scheduling attributes."""
 
     item: Item
     organisation: str
@@ -35,20 +35,21 @@
 
 
 class FairScheduler(Generic[Item]):
-    """Serves the organisation that had the least so far, by share.
+    """Serves the organisation with the least service relative to its share.
 
-    Each organisation has a tag that grows by cost over share with each item served;
-    the smallest tag is next. One that begins to wait starts from its old tag, but
-    at most ``MAX_CREDIT_TURNS`` behind the largest tag served: it is ahead of those
-    that take more than their share, and cannot save up more than that.
+    Each organisation has a start tag (virtual time) that grows by cost over share with
+    each item served; the smallest tag is served next. When an organisation becomes
+    backlogged it resumes from its previous tag, but at most ``MAX_CREDIT_TURNS`` turns
+    behind the current virtual time. It thus precedes organisations that use more than
+    their share, and its credit is bounded.
 
     Args:
         quantum: Cost of one turn of an organisation with share 1.
 
     Notes:
-        Push and pop cost the logarithm of the organisations that wait. Goyal, Vin
-        and Cheng, "Start-time fair queueing", IEEE/ACM Transactions on Networking,
-        1997, with a bounded credit.
+        Adding and popping cost the logarithm of the number of backlogged
+        organisations. Goyal, Vin and Cheng, "Start-time fair queueing", IEEE/ACM
+        Transactions on Networking, 1997, with a bounded credit.
     """
 
     def __init__(self, *, quantum: float):
@@ -65,7 +66,7 @@
         return self._count
 
     def add(self, entry: QueueEntry[Item], share: float) -> None:
-        """Queue an entry for its organisation, whose weight is ``share``."""
+        """Queue an entry; ``share`` is the weight of its organisation."""
         backlog = self._waiting.get(entry.organisation)
         if backlog is None:
             backlog = _Backlog(share, self._first_tag(entry.organisation))
@@ -76,7 +77,7 @@
         self._count += 1
 
     def discard(self, entry: QueueEntry[Item]) -> None:
-        """Take out an entry that is queued."""
+        """Remove a queued entry."""
         backlog = self._waiting[entry.organisation]
         del backlog.entries[entry.item]
         self._count -= 1
@@ -85,11 +86,11 @@
             self._store_tag(entry.organisation, backlog.tag)
 
     def pop(self) -> QueueEntry[Item]:
-        """Take out the entry whose turn it is; there must be one."""
+        """Remove and return the next entry; the scheduler must not be empty."""
         while True:
             tag, _, organisation = heapq.heappop(self._heap)
             backlog = self._waiting.get(organisation)
-            # Places of backlogs that have gone since are passed over.
+            # Skip stale heap items: the backlog has ended or has a newer tag.
             if backlog is not None and backlog.tag == tag:
                 break
         entry = next(iter(backlog.entries.values()))
@@ -101,10 +102,10 @@
         return entry
 
     def ahead(self, organisation: str, share: float) -> int:
-        """Return how many entries come before a new one of the organisation.
+        """Return how many entries precede a new one of the organisation.
 
         Notes:
-            One step per organisation that waits. Costs are taken as 1.
+            Linear in the backlogged organisations. Assumes that each entry costs 1.
         """
         own = self._waiting.get(organisation)
         count = len(own.entries) if own else 0
--- a/wigeonscale/limits/guard.py
+++ b/wigeonscale/limits/guard.py
@@ -1,4 +1,4 @@
-"""A limit on concurrency that follows the backend server's best throughput."""
+"""An adaptive concurrency limit that tracks the best throughput of a server."""
 
 __all__ = ["ConcurrencyGuard"]
 
@@ -9,9 +9,10 @@
 LEVEL_RATIO = 0.75
 MIN_SAMPLES = 200
 RETRY_LEVEL_AFTER_S = 300.0
-# A lower level must be better by this share, since a higher one queues less.
+# Relative gain in throughput at which a lower level is preferred to a higher one. The
+# higher one is kept otherwise, since fewer requests queue there.
 MIN_THROUGHPUT_GAIN = 0.05
-# Keeps quotients finite for requests that took no time or no work.
+# Keeps quotients finite for requests with zero time or zero work.
 EPSILON = 1e-9
 
 
@@ -39,23 +40,23 @@
 
 
 class ConcurrencyGuard:
-    """Finds the concurrency beyond which throughput falls, and stays below it.
+    """Finds the concurrency beyond which throughput falls, and limits to it.
 
-    A backend server that batches gets slower with each request taken at once; past
-    some number, as when its cache memory runs out, its throughput collapses. The
-    guard keeps the mean time per unit of work at levels of concurrency, each
-    ``LEVEL_RATIO`` of the next, and allows the level of the largest throughput. It
-    restricts only on evidence that a higher level is worse, and tries that again
-    after ``RETRY_LEVEL_AFTER_S`` seconds. A full server is tried at the next lower
-    level once.
+    A backend server that batches slows down with each concurrent request. Beyond
+    some concurrency, for example when its cache memory is exhausted, its throughput
+    collapses. The guard records the mean time per unit of work at several levels of
+    concurrency, each ``LEVEL_RATIO`` of the next, and selects the level with the
+    highest throughput. It lowers the limit only if a higher level was measured to be
+    worse, and measures that level again after ``RETRY_LEVEL_AFTER_S`` seconds. When
+    the limit has been reached, the next lower level is measured once.
 
     Args:
         clock: Clock port.
-        high: Largest limit, and the first one: the configured slots.
+        high: Highest and initial limit: the configured slots.
 
     Notes:
-        Constant time per request. By Little's law a level's throughput is its
-        concurrency over its time per request, so no windows of time are needed.
+        Constant time per request. By Little's law the throughput of a level is its
+        concurrency over its time per request, so no time windows are needed.
     """
 
     def __init__(self, *, clock: Clock, high: int):
@@ -67,16 +68,16 @@
 
     @property
     def limit(self) -> int:
-        """Requests to be run at once."""
+        """Maximum number of concurrent requests."""
         return self._levels[self._current].limit
 
     def finished(self, running: int, service_s: float, work: float = 1.0) -> None:
-        """Count one finished request.
+        """Record a finished request.
 
         Args:
-            running: Requests that ran at once when it started, itself included.
-            service_s: Seconds from its start to its end.
-            work: Its size, for example in tokens.
+            running: Concurrent requests when it started, including itself.
+            service_s: Service time, in seconds.
+            work: Size of the request, for example in tokens.
         """
         level = next(
             lv for lv in self._levels if lv.limit >= running or lv is self._top
--- a/wigeonscale/limits/organisations.py
+++ b/wigeonscale/limits/organisations.py
@@ -1,4 +1,4 @@
-"""Limits per organisation, each entry holding its share."""
+"""Concurrency and rate limits per organisation, divided equally among entries."""
 
 __all__ = ["OrganisationLimits", "Permit"]
 
@@ -13,22 +13,23 @@
 BURST_S = 1.0
 MIN_RECORDS_TO_SWEEP = 64
 INITIAL_SERVICE_S = 1.0
-# Rounding of the drained part must not refuse a request that is just due.
+# Tolerance for rounding errors of the leaky bucket, which must not refuse a request
+# that has just become due.
 BURST_TOLERANCE = 1e-9
 
 
 class Permit:
-    """The right to one request in progress; give it back with :meth:`release`.
+    """Permission for one request in progress; to be returned with :meth:`release`.
 
     Args:
-        release: Called once, at the first release.
+        release: Called once, on the first release.
     """
 
     def __init__(self, *, release: Callable[[], None]):
         self._release: Callable[[], None] | None = release
 
     def release(self) -> None:
-        """Give the permit back; further calls do nothing."""
+        """Return the permit; further calls do nothing."""
         release, self._release = self._release, None
         if release is not None:
             release()
@@ -45,7 +46,7 @@
     estimator: WaitEstimator
     updated: float
     in_progress: int = 0
-    # Part of the burst already used, in requests; it drains at the rate.
+    # Level of the leaky bucket, in requests; it drains at ``rate``.
     used: float = 0.0
     rate: float = 0.0
 
@@ -59,9 +60,9 @@
 
 
 class OrganisationLimits:
-    """Holds each organisation to its requests in progress and per second.
+    """Enforces limits on concurrent requests and on requests per second.
 
-    An entry enforces limit / entries, with the count of entries that it now
+    Each entry enforces the limit divided by the number of entries that it currently
     knows, so that no request waits for another process.
 
     Args:
@@ -69,9 +70,9 @@
         entries: Returns the number of entries that serve callers.
 
     Notes:
-        Constant time per request, amortised over the sweeps. Memory is one record
-        per organisation with requests in progress or a burst not yet drained, and
-        at most as many idle ones.
+        Amortised constant time per request. Memory is one record per organisation
+        with requests in progress or a bucket not yet drained, and at most as many
+        idle ones.
     """
 
     def __init__(self, *, clock: Clock, entries: Callable[[], int] = lambda: 1):
@@ -83,12 +84,13 @@
     def acquire(
         self, organisation: str, *, concurrency: int = 0, rate: float = 0.0
     ) -> Permit:
-        """Take the right to one request.
+        """Acquire a permit for one request.
 
         Args:
             organisation: Name of the caller's organisation.
-            concurrency: Its requests in progress over all entries; 0: no limit.
-            rate: Its requests per second over all entries; 0: no limit.
+            concurrency: Limit on its concurrent requests over all entries; 0 for no
+                limit.
+            rate: Limit on its requests per second over all entries; 0 for no limit.
 
         Returns:
             The permit, to be released when the request has ended.
@@ -105,7 +107,7 @@
         return Permit(release=lambda: self._release(usage, now))
 
     def in_progress(self, organisation: str) -> int:
-        """Return the requests of the organisation in progress here."""
+        """Return the organisation's requests in progress at this entry."""
         usage = self._usages.get(organisation)
         return usage.in_progress if usage else 0
 
@@ -135,8 +137,8 @@
     ) -> None:
         if concurrency <= 0:
             return
-        # Rounded up: an entry that could never let the organisation in is worse
-        # than a total that exceeds the limit by less than the number of entries.
+        # Rounded up: the total may exceed the limit by less than the number of
+        # entries, but no entry refuses all requests of the organisation.
         local_limit = math.ceil(concurrency / entries)
         if usage.in_progress >= local_limit:
             raise WigeonscaleError(
--- a/wigeonscale/limits/sharing.py
+++ b/wigeonscale/limits/sharing.py
@@ -1,4 +1,4 @@
-"""Which processes share a limit that holds for all of them together, and how."""
+"""Division of a global rate limit among the processes that send requests."""
 
 __all__ = ["share_weights"]
 
@@ -6,32 +6,39 @@
 import math
 from collections.abc import Mapping
 
-# Each that shares a limit may have a request ready at the same moment, beside what all
-# send at their even pace. So they are no more than the limit allows in this time, which
-# with four fifths of it over four seconds stays below one and a half times the limit.
+# Bound on the number of sharers, in seconds of the limit's rate. Each sharer may send
+# one request at the same moment, in addition to the even rate of all. If the even rate
+# is four fifths of the limit, the total over four seconds stays below one and a half
+# times the limit.
 SHARERS_PER_RATE_S = 2.5
-# Demands within the same power of this are about as much.
+# Demands are compared by their integer logarithm to this base, so that small
+# differences do not change who shares a limit.
 DEMAND_CLASS_BASE = 8
 
 
 def share_weights(
     limit_id: str, per_s: float, demands: Mapping[str, int]
 ) -> dict[str, int]:
-    """Return those that share a limit with their weights, the same for all that ask.
+    """Return the processes that share a rate limit, with their weights.
 
-    Load pattern: one process has most of the requests, many others one now and then.
-    So shares follow demand, and where they are too many those with far less have none.
-    Among those with about as much the choice is the same from moment to moment, since
-    who begins to share must wait until those before have sent what they had ready.
+    The result depends on the arguments only, so all processes compute the same one.
+
+    Load pattern: one process has most of the requests, many others send one now and
+    then. Weights therefore follow demand, and if there are too many processes, those
+    with far less demand get no share. Among processes of similar demand the choice is
+    stable over time (by hash), because a new sharer must wait until the previous ones
+    have sent the requests that they had ready.
 
     Args:
-        limit_id: What the limit is of; among equals, each has sharers of its own.
-        per_s: The limit, in requests a second.
-        demands: Requests of late, by process; one without any shares nothing.
+        limit_id: Identifies the limit; seeds the choice among processes of similar
+            demand.
+        per_s: The limit, in requests per second.
+        demands: Recent request counts by process; a process with none gets no share.
 
     Returns:
-        Weights by name, in the order of the names. Those of a union are among those of
-        its parts, so sums over parts may be cut down to them.
+        Weights by process name, sorted by name. The sharers of a union of demands are
+        a subset of the sharers of its parts, so partial sums may be reduced to the
+        sharers of each part.
 
     Example:
         >>> sharers("i-1", 1.0, {"one": 3, "two": 9, "three": 1, "four": 0})
@@ -57,5 +64,5 @@
 
 
 def _nearest_power_of_two(count: int) -> int:
-    """Return a power of two near a count, so that small changes move no share."""
+    """Return the power of two nearest to a count; hides small changes of demand."""
     return 2 ** round(math.log2(count))
