--- a/wigeonscale/routing/__init__.py
+++ b/wigeonscale/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of the backend server or pipeline replica for each request."""
+"""Load balancing over backend servers and pipeline replicas."""
 
 __all__ = [
     "Candidate",
--- a/wigeonscale/routing/budget.py
+++ b/wigeonscale/routing/budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of one entry: retries are a bounded share of first attempts."""
+"""The retry budget of one entry: limits retries to a share of first attempts."""
 
 __all__ = ["RetryBudget"]
 
@@ -8,16 +8,16 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of recent requests, so that storms die out.
+    """Limits retries to a share of recent requests, which prevents retry storms.
 
-    A token bucket: each first attempt earns ``ratio`` of a retry, and time earns
-    ``floor_per_s`` retries a second so that a quiet entry may still retry. Savings
-    are capped at what ``WINDOW_S`` seconds of recent traffic earn.
+    A token bucket: each first attempt adds ``ratio`` tokens, and ``floor_per_s``
+    tokens are added per second so that an entry with little traffic may still retry.
+    Unused tokens are limited to what ``WINDOW_S`` seconds of recent traffic add.
 
     Args:
         clock: Clock port.
-        ratio: Retries earned by one first attempt.
-        floor_per_s: Retries earned per second without any traffic.
+        ratio: Retries added by one first attempt.
+        floor_per_s: Retries added per second, regardless of traffic.
 
     Example:
         >>> from wigeonscale.testing import ManualClock
@@ -28,8 +28,8 @@
         (True, False)
 
     Notes:
-        Constant time and memory. With a ratio r the attempts per request are at
-        most 1 + r, whatever share of the attempts fails.
+        Constant time and memory. With a ratio r there are at most 1 + r attempts per
+        request on average, whatever share of the attempts fails.
     """
 
     def __init__(self, *, clock: Clock, ratio: float = 0.1, floor_per_s: float = 1.0):
@@ -41,12 +41,12 @@
         self._updated = clock.now()
 
     def record(self) -> None:
-        """Count one first attempt."""
+        """Record one first attempt."""
         self._refill()
         self._earned += self._ratio
 
     def try_spend(self) -> bool:
-        """Take one retry from the budget.
+        """Take one retry from the budget, if there is one.
 
         Returns:
             Whether the retry may be made.
@@ -64,7 +64,7 @@
         now = self._clock.now()
         elapsed = max(0.0, now - self._updated)
         self._updated = now
-        # Leaking in proportion caps the savings at WINDOW_S of recent traffic.
+        # The proportional leak limits the tokens to WINDOW_S seconds of traffic.
         self._earned *= max(0.0, 1.0 - elapsed / WINDOW_S)
         refill = elapsed * self._floor_per_s
         self._floor_tokens = min(
--- a/wigeonscale/routing/chooser.py
+++ b/wigeonscale/routing/chooser.py
@@ -1,4 +1,4 @@
-"""The choice of one candidate for one request."""
+"""Selection of one candidate for a request: by load, with prefix affinity."""
 
 __all__ = ["Chooser"]
 
@@ -13,9 +13,9 @@
 
 DEFAULT_SUBSET = 16
 MAX_CACHED_POOLS = 256
-# A request that must queue weighs as many running ones. The bound on the ratio is
-# a little below: affinity may crowd a server, but not make a request queue while
-# another server has room.
+# A queued request costs as much as this many running ones. The bound on the cost ratio
+# is slightly lower: prefix affinity may load a server more than others, but must not
+# make a request queue while another server has a free slot.
 QUEUED_WEIGHT = 24.0
 LOAD_RATIO_BOUND = 20.0
 FAILURE_WEIGHT = 2.0
@@ -25,23 +25,24 @@
 
 
 class Chooser:
-    """The least loaded of a bounded subset, with prefix affinity.
+    """Selects the least loaded candidate of a bounded subset, with prefix affinity.
 
-    A request with a prefix goes to a backend server that holds the prefix, or
-    else to the one that rendezvous hashing gives, among those whose cost is at most
-    ``LOAD_RATIO_BOUND`` times the smallest: affinity yields to load.
+    A request with a prefix goes to a backend server that holds the prefix, else to
+    the one selected by rendezvous hashing. Only servers whose cost is at most
+    ``LOAD_RATIO_BOUND`` times the lowest cost are considered, so that affinity does
+    not overload a server.
 
     Args:
         table: Load of the agents.
-        rng: Source of the random choices; its first number seeds the subset.
-        subset: Candidates used per target.
-        view: Prefixes known to be held; None for affinity by hash alone.
+        rng: Source of randomness; its first number seeds the subset.
+        subset: Maximum number of candidates used per target.
+        view: Prefixes held by servers; None for affinity by hash only.
 
     Notes:
-        A choice costs one hash per member of the subset when it has a prefix, else
-        constant time, in a :class:`CandidatePool` that is updated incrementally or
-        in a tuple: pass the same tuple object until the candidates change, since
-        a new one, as any other sequence, costs one hash per candidate.
+        Selection costs one hash per candidate of the subset if there is a prefix, else
+        constant time, given a :class:`CandidatePool` or a tuple. Pass the same tuple
+        object until the candidates change: a new tuple, or any other sequence, costs
+        one hash per candidate.
     """
 
     def __init__(
@@ -75,13 +76,13 @@
         """Return the candidate for one request.
 
         Args:
-            candidates: Where the request may go.
+            candidates: Candidates to select from.
             prefix: The prompt, or its first bytes; empty for no affinity.
-            organisation: Whose request it is; empty where it does not matter.
+            organisation: Organisation of the request; empty to ignore it.
             avoid: Ids of agents not to use.
 
         Returns:
-            The choice, or None when no candidate is usable.
+            The selected candidate, or None if no candidate is usable.
         """
         usable = self._usable(candidates, avoid)
         if not usable:
@@ -95,7 +96,7 @@
         return self._with_affinity(allowed, prefix_digest(prefix))
 
     def forget_absent(self, known: Container[str]) -> None:
-        """Drop what was learnt of agents that are gone.
+        """Drop the load and the prefixes of agents that have left.
 
         Args:
             known: Ids of the agents that are members.
@@ -105,7 +106,7 @@
             self._view.forget_absent(known)
 
     def clear_leaving(self, agent_id: str) -> None:
-        """Offer work again to an agent that had said that it leaves."""
+        """Use an agent again that had announced that it is leaving."""
         self._table.clear_leaving(agent_id)
 
     def _usable(self, candidates, avoid: frozenset[str]) -> list[Candidate]:
@@ -115,7 +116,8 @@
         usable = [c for c in pool.subset if self._is_usable(c, avoid)]
         if usable:
             return usable
-        # All of the subset is out, as after a lost domain: look at the others.
+        # No candidate of the subset is usable, for example after the loss of a failure
+        # domain: fall back to candidates outside of the subset.
         return [c for c in pool.ranked(4 * self._size) if self._is_usable(c, avoid)]
 
     def _is_usable(self, candidate: Candidate, avoid: frozenset[str]) -> bool:
@@ -132,7 +134,7 @@
             self._pools.move_to_end(id(candidates))
             return known[1]
         pool = self.new_pool(candidates)
-        # The tuple is kept too, so that its id cannot become another's.
+        # Keep a reference to the tuple, so that its id is not reused.
         self._pools[id(candidates)] = (candidates, pool)
         if len(self._pools) > MAX_CACHED_POOLS:
             self._pools.popitem(last=False)
@@ -140,22 +142,22 @@
 
     def _with_affinity(self, allowed: list[Candidate], digest: bytes) -> Candidate:
         if self._view is not None:
-            for candidate in allowed:  # the least cost first
+            for candidate in allowed:  # in the order of cost
                 if self._view.holds(candidate.agent_id, digest):
                     return candidate
         return max(allowed, key=lambda c: rendezvous_weight(digest, c.key, c.rate))
 
     def _cost(self, candidate: Candidate, organisation: str) -> float:
-        # Requests at the server over its rate, those that must queue weighing
-        # more. The soft bend allows for a backlog that is only an estimate.
+        # Requests at the server over its rate; queued requests have a higher weight.
+        # The threshold is smoothed because the backlog is only an estimate.
         agent_id = candidate.agent_id
         requests = self._table.backlog(agent_id) + 1
         queued = _softplus(requests - self._table.slots(agent_id))
-        # Servers share their slots by organisation, so where requests queue, those
-        # of one organisation are better off at different servers.
+        # Servers divide their slots among organisations. If requests queue, those of
+        # one organisation therefore wait less when spread over several servers.
         own = self._table.in_flight_of(agent_id, organisation) if organisation else 0
         weight = queued + own * min(1.0, queued)
-        # One that fails at once has no load, and must not draw all requests by it.
+        # A server that fails immediately appears idle and would attract all requests.
         weight += FAILURE_WEIGHT * self._table.failures(agent_id)
         return (requests + QUEUED_WEIGHT * weight) / max(candidate.rate, MIN_RATE)
 
--- a/wigeonscale/routing/load.py
+++ b/wigeonscale/routing/load.py
@@ -1,4 +1,4 @@
-"""What one entry knows of the load of each backend server."""
+"""Load of each backend server, as estimated by one entry."""
 
 __all__ = ["LoadTable", "LoadWordLike"]
 
@@ -12,23 +12,23 @@
 
 MAX_HISTORY_LENGTH = 128
 DEFAULT_SERVICE_S = 1.0
-# Slots of an agent that sent no word yet.
+# Slots assumed for an agent that has not sent a load word yet.
 DEFAULT_SLOTS = 32
-# How long what a word told of the others' load stays worth anything.
+# Time constant of the weight of a reported load.
 LOAD_WORD_DECAY_S = 1.0
-# Memory of the ratio of the others' load to the own.
+# Time constant of the means of the own load and of the load from other entries.
 RATIO_TIME_CONSTANT_S = 20.0
 MIN_OWN_MEAN = 0.1
-# How long an agent that said it leaves is passed over: after a restart it is only
-# heard again once it is used.
+# How long an agent that has announced to leave is avoided. A restarted agent sends a
+# load word only after it has been used, so the announcement must expire.
 LEAVING_TTL_S = 10.0
 FAILURE_DECAY_S = 5.0
-# What is left of the failures after one success.
+# Factor on the recent failures after one success.
 FAILURES_KEPT_ON_SUCCESS = 0.8
 
 
 class LoadWordLike(Protocol):
-    """The fields of the wire's LoadWord that are read here."""
+    """The fields of the wire message LoadWord that are used here."""
 
     running: int
     queued: int
@@ -54,20 +54,21 @@
 
 
 class LoadTable:
-    """Own requests in flight and last load word, by agent.
+    """Own requests in flight and last reported load, by agent.
 
-    A word tells the load from all entries at the time it was made. The own part of
-    a load is always known; the others' part is taken from the word while it is
-    fresh. As it ages, the estimate goes over to the own requests now in flight
-    times the usual ratio of the others' load to the own: all entries see much the
-    same, so they move alike, and an old word is worth less than that.
+    A load word reports the load from all entries at the time it was made. The load
+    from this entry is always known exactly; the load from other entries is taken from
+    the load word while that is recent. With the age of the load word the estimate
+    moves to the own requests in flight times the mean ratio of the other entries'
+    load to the own: all entries see similar traffic, so their loads change together,
+    and this is a better estimate than an old report.
 
     Args:
         clock: Clock port.
 
     Notes:
-        Every operation but :meth:`forget_absent` takes constant time. Memory is one
-        record per agent that was used and is still a member.
+        Every operation except :meth:`forget_absent` takes constant time. Memory is
+        one record per agent that was used and is still a member.
     """
 
     def __init__(self, *, clock: Clock):
@@ -75,12 +76,12 @@
         self._loads: dict[str, _Load] = {}
 
     def started(self, agent_id: str, organisation: str = "") -> None:
-        """Count one dispatch to the agent, made for an organisation."""
+        """Record the start of a dispatch to the agent for an organisation."""
         self._change(agent_id, 1)
         self._load(agent_id).organisations[organisation] += 1
 
     def finished(self, agent_id: str, organisation: str = "") -> None:
-        """Count the end of one dispatch to the agent."""
+        """Record the end of a dispatch to the agent."""
         self._change(agent_id, -1)
         counts = self._load(agent_id).organisations
         counts[organisation] -= 1
@@ -88,18 +89,18 @@
             del counts[organisation]
 
     def failed(self, agent_id: str) -> None:
-        """Count a dispatch that the agent's backend server failed."""
+        """Record a dispatch that failed at the agent's backend server."""
         recent = self.failures(agent_id)
         load = self._load(agent_id)
         load.failures = recent + 1.0
         load.failed_at = self._clock.now()
 
     def succeeded(self, agent_id: str) -> None:
-        """Count a dispatch that was answered whole."""
+        """Record a dispatch that was answered completely."""
         self._load(agent_id).failures *= FAILURES_KEPT_ON_SUCCESS
 
     def failures(self, agent_id: str) -> float:
-        """Return the recent failures; they fade with time and with success."""
+        """Return the recent failures, which decay with time and with successes."""
         load = self._loads.get(agent_id)
         if load is None or not load.failures:
             return 0.0
@@ -109,12 +110,14 @@
     def update_load(
         self, agent_id: str, load_word: LoadWordLike, *, age_s: float = 0.0
     ) -> None:
-        """Take in a load word.
+        """Update the load of an agent from its load word.
+
+        A load word older than the last one does not change the load from other entries.
 
         Args:
             agent_id: Sender.
             load_word: The load word.
-            age_s: Seconds since the load was as told.
+            age_s: Age of the load word, in seconds.
         """
         load = self._load(agent_id)
         now = self._clock.now()
@@ -131,7 +134,7 @@
         load.reported_at = reported_at
 
     def estimated_wait_s(self, agent_id: str) -> float:
-        """Return the estimated wait of a new request, in seconds."""
+        """Return the estimated queueing time of a new request, in seconds."""
         load = self._loads.get(agent_id)
         if load is None:
             return 0.0
@@ -139,44 +142,44 @@
         return max(0.0, excess) * load.service_s / load.slots
 
     def backlog(self, agent_id: str) -> float:
-        """Return the estimated requests running and queued at the agent."""
+        """Return the estimated number of requests running and queued at the agent."""
         load = self._loads.get(agent_id)
         if load is None:
             return 0.0
         return load.in_flight + self._others(load)
 
     def slots(self, agent_id: str) -> int:
-        """Return the requests that the agent serves at once."""
+        """Return the number of requests that the agent serves concurrently."""
         load = self._loads.get(agent_id)
         return load.slots if load else DEFAULT_SLOTS
 
     def leaving(self, agent_id: str) -> bool:
-        """Return whether the agent said lately that it takes no new work."""
+        """Return whether the agent has recently announced that it is leaving."""
         load = self._loads.get(agent_id)
         return load is not None and self._clock.now() < load.leaving_until
 
     def clear_leaving(self, agent_id: str) -> None:
-        """Take back the agent's word that it takes no new work."""
+        """Discard the agent's announcement that it is leaving."""
         load = self._loads.get(agent_id)
         if load is not None:
             load.leaving_until = -math.inf
 
     def in_flight(self, agent_id: str) -> int:
-        """Return this entry's own dispatches in progress at the agent."""
+        """Return the number of this entry's dispatches in progress at the agent."""
         load = self._loads.get(agent_id)
         return load.in_flight if load else 0
 
     def in_flight_of(self, agent_id: str, organisation: str) -> int:
-        """Return those that were made for the organisation."""
+        """Return the part of :meth:`in_flight` that belongs to the organisation."""
         load = self._loads.get(agent_id)
         return load.organisations.get(organisation, 0) if load else 0
 
     def forget(self, agent_id: str) -> None:
-        """Drop what is known of an agent that is gone."""
+        """Drop the record of an agent that has left."""
         self._loads.pop(agent_id, None)
 
     def forget_absent(self, known: Container[str]) -> None:
-        """Forget agents that are gone, once no own dispatch is in progress there.
+        """Drop agents that have left, unless own dispatches are in progress there.
 
         Args:
             known: Ids of the agents that are members.
--- a/wigeonscale/routing/prefixes.py
+++ b/wigeonscale/routing/prefixes.py
@@ -1,4 +1,4 @@
-"""Which backend servers hold which prompt prefixes, as far as events tell."""
+"""Index of the prompt prefixes cached by each backend server, from cache events."""
 
 __all__ = ["PrefixView", "prefix_digest"]
 
@@ -15,10 +15,10 @@
 
 
 def prefix_digest(prompt: bytes) -> bytes:
-    """Return the digest that names the prefix of a prompt; empty for none.
+    """Return the digest that identifies the prefix of a prompt; empty if no prompt.
 
     Args:
-        prompt: The whole prompt; its first ``AFFINITY_BYTES`` bytes count.
+        prompt: The whole prompt; only the first ``AFFINITY_BYTES`` bytes are used.
     """
     if not prompt:
         return b""
@@ -27,7 +27,7 @@
 
 
 class PrefixEventsLike(Protocol):
-    """The fields of the wire's PrefixEvents that are read here."""
+    """The fields of the wire message PrefixEvents that are used here."""
 
     full: bool
     number: int
@@ -42,29 +42,29 @@
 
 
 class PrefixView:
-    """Prefixes held by each agent's backend server, as cache events tell.
+    """Prefixes cached by each agent's backend server, according to cache events.
 
-    Events are numbered per agent. They come late, crossed and with gaps. A prefix
-    whose eviction was lost in a gap stays believed until a request for it has found
-    out, since that costs one miss; a gap of ``RESET_GAP_EVENTS`` events or more
-    forgets all of the agent's prefixes.
+    Events are numbered per agent. They may arrive late, out of order and with gaps. A
+    prefix whose eviction was lost in a gap stays in the view until a request for it has
+    missed, which costs no more than that one miss. A gap of ``RESET_GAP_EVENTS`` events
+    or more drops all prefixes of the agent.
 
     Notes:
-        Constant time per event and per question. At most ``PREFIXES_PER_AGENT``
-        prefixes held, and as many evicted, are kept per agent.
+        Constant time per event and per lookup. Per agent, at most
+        ``PREFIXES_PER_AGENT`` held and as many evicted prefixes are stored.
     """
 
     def __init__(self):
         self._caches: dict[str, _Cache] = {}
 
     def event(self, agent_id: str, number: int, digest: bytes, *, held: bool) -> None:
-        """Take in one cache event.
+        """Apply one cache event.
 
         Args:
             agent_id: Agent of the backend server.
-            number: The event's number; consecutive where none was lost.
+            number: Sequence number of the event; a gap means lost events.
             digest: Digest of the prefix.
-            held: True when stored, False when evicted.
+            held: True if the prefix was stored, False if it was evicted.
         """
         cache = self._caches.setdefault(agent_id, _Cache())
         last = number if cache.last_number is None else cache.last_number
@@ -77,11 +77,12 @@
             _record_event(cache, digest, number, held)
 
     def take(self, agent_id: str, message: PrefixEventsLike) -> None:
-        """Take in the cache events of one message.
+        """Apply the cache events of one message.
 
         Args:
             agent_id: Agent of the backend server.
-            message: The wire's PrefixEvents.
+            message: The wire message PrefixEvents; a full one replaces the agent's
+                prefixes.
         """
         if message.full:
             self._caches[agent_id] = cache = _Cache(last_number=message.number)
@@ -92,16 +93,16 @@
             self.event(agent_id, event.number, event.digest, held=event.held)
 
     def holds(self, agent_id: str, digest: bytes) -> bool:
-        """Return whether the agent's server is believed to hold the prefix."""
+        """Return whether the agent's server holds the prefix, as far as known."""
         cache = self._caches.get(agent_id)
         return cache is not None and digest in cache.held
 
     def forget(self, agent_id: str) -> None:
-        """Drop all that is known of an agent that is gone or restarted."""
+        """Drop the prefixes of an agent that has left or restarted."""
         self._caches.pop(agent_id, None)
 
     def forget_absent(self, known: Container[str]) -> None:
-        """Drop all that is known of agents that are not among the members."""
+        """Drop the prefixes of all agents that are not in ``known``."""
         for agent_id in [a for a in self._caches if a not in known]:
             self.forget(agent_id)
 
--- a/wigeonscale/routing/subset.py
+++ b/wigeonscale/routing/subset.py
@@ -1,4 +1,4 @@
-"""A bounded, stable subset of the candidates, spread over failure domains."""
+"""Subsetting: a bounded, stable set of candidates spread over failure domains."""
 
 __all__ = ["Candidate", "CandidatePool", "rendezvous_weight"]
 
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A pipeline replica or plain service that a request may go to.
+    """A pipeline replica or plain service that a request may be sent to.
 
     Attributes:
-        agent_id: Agent to dispatch to: the head of the chain, or the service's.
+        agent_id: Agent to dispatch to: the head of the chain, or the service's agent.
         key: Stable name of the replica, for example its chain id.
         rate: Planned rate, in any unit common to all candidates.
         domain: Failure domain of the agent.
@@ -30,21 +30,21 @@
 
 
 def rendezvous_weight(seed: bytes, key: str, rate: float = 1.0) -> float:
-    """Return the weight of ``key`` in the rendezvous drawn by ``seed``.
+    """Return the rendezvous (highest random weight) hash of a candidate.
 
     Args:
-        seed: Who draws.
+        seed: Identifies the chooser, or the key to be placed.
         key: Name of the candidate.
-        rate: Larger ones win in proportion.
+        rate: Capacity of the candidate; it wins in proportion.
 
     Returns:
-        A weight; the candidates with the largest ones win.
+        A weight; the candidate with the highest weight is selected.
 
     Notes:
-        Weighted rendezvous hashing: of several candidates each wins with a
-        probability proportional to its rate, and only the keys of a candidate
-        that left move. Thaler and Ravishankar, "Using name-based mappings to
-        increase hit rates", IEEE/ACM Transactions on Networking, 1998.
+        Weighted rendezvous hashing: each candidate is selected with a probability
+        proportional to its rate, and if a candidate is removed, only what was mapped
+        to it moves. Thaler and Ravishankar, "Using name-based mappings to increase
+        hit rates", IEEE/ACM Transactions on Networking, 1998.
     """
     raw = hashlib.blake2b(key.encode(), key=seed[:64], digest_size=HASH_BITS // 8)
     draw = (int.from_bytes(raw.digest(), "big") + 1) / (2**HASH_BITS + 1)
@@ -58,13 +58,13 @@
     subset takes the first of every domain, then the second, until it is full.
 
     Args:
-        seed: Names the entry, so that entries use different subsets.
-        size: Candidates in the subset.
-        candidates: The first members.
+        seed: Identifies the entry, so that entries use different subsets.
+        size: Maximum number of candidates in the subset.
+        candidates: Initial candidates.
 
     Notes:
         ``add`` and ``remove`` cost one hash, a binary search in the domain's
-        ranking and ``size`` steps; a change replaces at most one member of the
+        ranking and ``size`` steps; a change replaces at most one candidate of the
         subset per domain. Nothing else depends on the number of candidates.
     """
 
@@ -82,7 +82,7 @@
 
     @property
     def subset(self) -> tuple[Candidate, ...]:
-        """The candidates that this entry uses, best rendezvous weight first."""
+        """The candidates that this entry uses: the best of each domain first."""
         if self._subset is None:
             self._subset = tuple(
                 itertools.islice(self._interleave_domains(), self._size)
@@ -110,7 +110,7 @@
         self._subset = None
 
     def replace(self, candidates: Iterable[Candidate]) -> None:
-        """Make ``candidates`` the members, touching only what differs."""
+        """Replace all candidates; only those that differ are removed and added."""
         wanted = {candidate.key: candidate for candidate in candidates}
         for key in self._members.keys() - wanted.keys():
             self.remove(key)
@@ -119,7 +119,7 @@
                 self.add(candidate)
 
     def ranked(self, count: int) -> list[Candidate]:
-        """Return the first ``count`` candidates, the subset first."""
+        """Return the first ``count`` candidates, starting with the subset."""
         return list(itertools.islice(self._interleave_domains(), count))
 
     def _interleave_domains(self) -> Iterator[Candidate]:
