--- a/wigeonscale/crashes/__init__.py
+++ b/wigeonscale/crashes/__init__.py
@@ -1,4 +1,4 @@
-"""Requests under which backend servers crash: what is known of them."""
+"""Detection and refusal of requests that crash backend servers."""
 
 __all__ = [
     "CRASHES_TO_REFUSE",
--- a/wigeonscale/crashes/aborts.py
+++ b/wigeonscale/crashes/aborts.py
@@ -1,16 +1,16 @@
-"""When backend servers began to break off what runs on them."""
+"""Times at which backend servers started to abort their runs."""
 
 __all__ = ["AbortTimes"]
 
 from wigeonscale.ports import Clock
 
-# Breaks of one server within this time are of one event: streams of one connection each
-# end within some 10 ms.
+# Aborts of one server within this time belong to one failure: streams that have a
+# connection each end within some 10 ms.
 SAME_FAILURE_S = 1.0
 
 
 class AbortTimes:
-    """The first break of the newest event at each server.
+    """The first abort of the latest failure of each server.
 
     Args:
         clock: Clock port.
@@ -30,7 +30,7 @@
         self._first_abort_at: dict[str, float] = {}
 
     def note(self, backend_id: str) -> None:
-        """Take in that a backend server broke off a run."""
+        """Record that a backend server aborted a run."""
         now = self._clock.now()
         self._first_abort_at = {
             name: at
@@ -40,6 +40,6 @@
         self._first_abort_at.setdefault(backend_id, now)
 
     def was_aborting(self, backend_id: str, *, before: float) -> bool:
-        """Return whether a server was breaking runs off before a local instant."""
+        """Return whether a server had started to abort runs by a local instant."""
         first_abort_at = self._first_abort_at.get(backend_id)
         return first_abort_at is not None and first_abort_at <= before
--- a/wigeonscale/crashes/fingerprint.py
+++ b/wigeonscale/crashes/fingerprint.py
@@ -1,21 +1,21 @@
-"""What makes two requests the same although each has an id of its own."""
+"""Fingerprints, which identify repeated requests independent of their request ids."""
 
 __all__ = ["request_fingerprint"]
 
 import hashlib
 
-# Bytes of a fingerprint: among a million requests two share one with a chance under
-# 1e-16.
+# Size of a fingerprint. The probability of a collision among a million requests is
+# below 1e-16.
 FINGERPRINT_BYTES = 12
 
 
 def request_fingerprint(*, caller: str, method: str, path: str, body: bytes) -> bytes:
-    """Return what tells a request that comes again from all others.
+    """Return the fingerprint of a request, which is equal for repeated requests.
 
     Args:
-        caller: Name of the organisation that asks; empty for nobody known.
+        caller: Name of the calling organisation; empty if unknown.
         method: HTTP method.
-        path: Path with query, as it was sent.
+        path: Path with query, as sent.
         body: The whole body.
 
     Returns:
@@ -29,7 +29,7 @@
         False
 
     Notes:
-        Some 2 microseconds, and 1 more for each KB of the body.
+        Takes some 2 microseconds, and 1 more per KB of the body.
     """
     digest = hashlib.sha256()
     for part in (caller.encode(), method.encode(), path.encode()):
--- a/wigeonscale/crashes/policy.py
+++ b/wigeonscale/crashes/policy.py
@@ -1,8 +1,8 @@
-"""When a request is refused because backend servers crash under it.
+"""Rules for how long a request that crashes backend servers is refused.
 
-Load pattern: one request crashes each backend server that begins to run it, and comes
-again within seconds, at any entry and under another id. Each crash cuts off all that
-ran there, forty streams at a time.
+Load pattern: a request crashes each backend server that starts to run it, and is
+repeated within seconds, at any entry and under another id. Each crash interrupts all
+requests on that server, forty streams at a time.
 """
 
 __all__ = [
@@ -19,43 +19,46 @@
 
 from collections.abc import Iterable, Mapping, Set
 
-# One crash may be chance and hits whatever began there just then, one to four requests;
-# the users' rule lets a request crash three servers before it must be held back.
+# A single crash may be a coincidence, and makes suspects of all requests that had just
+# started there, one to four. By the users' rule a request may crash three servers
+# before it must be refused.
 CRASHES_TO_REFUSE = 3
-# A refused request is tried again once its time is over, since weights or a server may
-# have been mended: by the users' rule three times at most after the third crash.
+# Crashes recorded per request. It is retried when its refusal expires, since weights or
+# a server may have been repaired; by the users' rule at most three times after the
+# third crash.
 MAX_CRASHES_PER_REQUEST = 6
-# Engines are mended by people: the shortest time in which one reacts, in seconds, and
-# the factor by which each further crash prolongs it, up to three and a half days.
+# Engines are repaired by people. This is the shortest time in which a person reacts.
 INITIAL_REFUSAL_S = 600.0
+# Each further crash multiplies the refusal by this, up to three and a half days.
 REFUSAL_GROWTH_FACTOR = 8.0
-# A refusal that may hit the wrong request, in seconds: it is tried again once the fate
-# of the last runs is known, and the next crash settles it.
+# A refusal that may concern the wrong request. The request is retried once the outcome
+# of its last runs is known; the next crash shows whether it is the cause.
 UNCERTAIN_REFUSAL_S = 5.0
-# Servers that end within this time may have ended by one cause, such as the power of a
-# rack, under a request that many ask for: its copies run on several at once.
+# Servers that end within this time may have a common cause, such as a power failure of
+# a rack. Copies of a popular request then run on several of them at the same time.
 COMMON_CAUSE_S = 1.0
-# A request that is suspected only is forgotten after this long without another crash.
+# A request with too few crashes to be refused is dropped after this long without
+# another crash.
 SUSPECT_RETENTION_S = 600.0
-# Requests remembered. A crash adds those that had just begun at one engine, which are
-# as many as begin in some 0.15 s there, whatever the size of the fleet: one to four of
-# 27 a second over six first engines. With three servers one takes 65 bytes of control's
-# snapshot, 250 of its memory and 720 at each entry (traced allocations).
+# A crash adds the requests that had just started at one engine: as many as start there
+# in some 0.15 s, regardless of the size of the fleet, which was one to four at 27
+# requests a second over six first engines. A request with three servers takes 65 bytes
+# of control's snapshot, 250 of its memory and 720 at each entry (traced allocations).
 MAX_TRACKED_REQUESTS = 1024
-# A run whose events came over so long a time has not crashed its server by beginning.
-# Servers that crashed did so within 0.1 s of the run that they began last; a pass of an
-# engine under load takes as long again.
+# A run that has sent events for this long has not crashed its server by starting.
+# Servers crashed within 0.1 s after the start of their last run; a step of an engine
+# under load takes about as long again.
 START_CRASH_WINDOW_S = 0.25
 
 
 def refusal_s(crashes: int) -> float:
-    """Return for how long a request is refused after its last crash, in seconds.
+    """Return how long a request is refused after its last crash, in seconds.
 
     Args:
-        crashes: Backend servers that ended under it.
+        crashes: Number of backend servers that the request may have crashed.
 
     Returns:
-        0 while it is not refused.
+        The duration; 0 if the request is not refused.
 
     Example:
         >>> [refusal_s(crashes) for crashes in (2, 3, 4)]
@@ -72,20 +75,20 @@
     span_s: float,
     uncertain_s: float = UNCERTAIN_REFUSAL_S,
 ) -> float:
-    """Return for how long a request is refused, given what ended under others.
+    """Return how long a request is refused, considering the other suspects.
 
-    Load pattern: a request that comes at the same moments as the one that crashes the
-    servers is lost with it each time. A server that ended under both was crashed by
-    the one under which more ended.
+    Load pattern: a harmless request that is always sent together with one that crashes
+    servers is interrupted by each crash too. A crash with several suspects is
+    attributed to the suspect with the most crashes.
 
     Args:
-        ended: Backend servers that ended under the request.
+        ended: Backend servers that ended while they ran the request.
         rivals: The same for each other request that may be refused.
-        span_s: Time from the first of its crashes to the last, in seconds.
-        uncertain_s: Time of a refusal that may be wrong, in seconds.
+        span_s: Time from its first crash to its last, in seconds.
+        uncertain_s: Duration of a refusal that may be wrong, in seconds.
 
     Returns:
-        Seconds after its last crash; 0 while it is not refused.
+        Seconds after its last crash; 0 if the request is not refused.
 
     Example:
         >>> refusal_s_among({"a", "b", "c"}, [{"a", "b", "c", "d"}], span_s=9.0)
@@ -114,27 +117,27 @@
 
 
 def retention_s(crashes: int) -> float:
-    """Return for how long the crashes of a request are remembered, in seconds.
+    """Return how long the crashes of a request are kept, in seconds.
 
     Args:
-        crashes: Backend servers that ended under it.
+        crashes: Number of backend servers that the request may have crashed.
     """
     return max(SUSPECT_RETENTION_S, 2 * refusal_s(crashes))
 
 
 def next_to_evict(crashes: Mapping[bytes, int]) -> bytes:
-    """Return the request to forget where more are known than may be.
+    """Return the request to drop when there are more than are kept.
 
     Args:
-        crashes: Backend servers that ended under each request, in the order of the
-            last crash; not empty.
+        crashes: Number of crashes by request, in the order of the last crash; not
+            empty.
 
     Returns:
-        The oldest that is not refused, so that many that are suspected for once do
-        not wash out the few that are; else the oldest.
+        The oldest request that is not refused, so that many suspects with one crash do
+        not displace the few refused requests. If all are refused, the oldest.
 
     Notes:
-        Linear in the refused ones.
+        Linear in the number of refused requests.
     """
     for fingerprint, count in crashes.items():
         if count < CRASHES_TO_REFUSE:
--- a/wigeonscale/crashes/records.py
+++ b/wigeonscale/crashes/records.py
@@ -1,4 +1,4 @@
-"""What is known of one request under which backend servers crash, as plain data."""
+"""Data types for the crashes of one request."""
 
 __all__ = [
     "CrashReport",
@@ -19,13 +19,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KnownCrashes:
-    """Crashes under one request, as control tells them.
+    """The crashes attributed to one request in an update from control.
 
     Attributes:
-        fingerprint: What tells the request from all others.
-        backends: Incarnations that ended under it; none where it ran well since.
-        age_s: Time since the last of them, in seconds.
-        span_s: Time from the first of them to the last, in seconds.
+        fingerprint: Fingerprint of the request.
+        backends: Incarnations that ended while they ran the request; empty if the
+            request has completed without a crash since.
+        age_s: Time since the last crash, in seconds.
+        span_s: Time from the first crash to the last, in seconds.
     """
 
     fingerprint: bytes
@@ -36,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmedCrashes:
-    """What control told of one request.
+    """The crashes of one request that control has confirmed.
 
     Attributes:
-        names: Incarnations that ended under it.
+        backends: Incarnations that ended while they ran the request.
         first_at: Local instant of the first crash.
-        last_at: Local instant of the last one.
+        last_at: Local instant of the last crash.
     """
 
     backends: frozenset[str]
@@ -51,11 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashReport:
-    """What an entry has to tell control.
+    """Findings that an entry reports to control.
 
     Attributes:
-        crashes: Fingerprints with an incarnation that ended under each.
-        cleared: Fingerprints of requests that ran without a crash.
+        crashes: Pairs of a request's fingerprint and an incarnation that ended while it
+            ran the request.
+        cleared: Fingerprints of requests that completed without a crash.
     """
 
     crashes: tuple[tuple[bytes, str], ...]
@@ -64,12 +66,12 @@
 
 @dataclass(slots=True)
 class AbortedStart:
-    """An incarnation that this entry saw break off a run that had just begun.
+    """A run that an incarnation aborted just after its start, as seen by this entry.
 
     Attributes:
-        at: Local instant of it.
+        at: Local instant of the abort.
         has_ended: Whether the incarnation is known to have ended.
-        reported_at: Local instant at which it was handed out to be told; None before.
+        reported_at: Local instant at which it was put into a report; None before.
     """
 
     at: float
@@ -78,7 +80,7 @@
 
 
 def log_record(record: KnownCrashes) -> None:
-    """Log what control told of one request."""
+    """Log the crashes of one request from control's update."""
     crashes = len(record.backends)
     level = logging.WARNING if crashes >= CRASHES_TO_REFUSE else logging.INFO
     outcome = "refused" if crashes >= CRASHES_TO_REFUSE else "suspected"
--- a/wigeonscale/crashes/refusal.py
+++ b/wigeonscale/crashes/refusal.py
@@ -1,4 +1,4 @@
-"""The answer to a request under which too many backend servers have ended."""
+"""The error for a request that has crashed too many backend servers."""
 
 __all__ = ["refusal_of"]
 
@@ -9,15 +9,15 @@
 def refusal_of(
     tracker: CrashTracker, fingerprint: bytes, *, run_state: RunState = RunState.NOT_RUN
 ) -> WigeonscaleError | None:
-    """Return why a request must not be sent to a backend server, or None.
+    """Return the error with which a request is refused, or None if it may be sent.
 
     Args:
-        tracker: What this entry knows.
-        fingerprint: The request's.
-        run_state: What became of its earlier sends.
+        tracker: Crash records of this entry.
+        fingerprint: Fingerprint of the request.
+        run_state: State of the earlier attempts of the request.
 
     Returns:
-        An error with word when it may be tried again.
+        An error with ``retry_after``, or None.
     """
     refused_s = tracker.refusal_remaining_s(fingerprint)
     if refused_s <= 0:
--- a/wigeonscale/crashes/reporter.py
+++ b/wigeonscale/crashes/reporter.py
@@ -1,4 +1,4 @@
-"""Tells control what an entry found of requests under which servers crash."""
+"""Reports an entry's findings about crashing requests to control."""
 
 __all__ = ["report_crashes"]
 
@@ -11,9 +11,10 @@
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.ports import Clock
 
-# Crashes become known for several requests at once, in one change of the members.
+# One change of the membership confirms the crashes of several requests; the delay
+# collects them into one report.
 BATCH_DELAY_S = 0.02
-# Control gave no answer for three seconds already.
+# Short, since a failed submission has already taken three seconds.
 RETRY_DELAY_S = 0.5
 
 logger = logging.getLogger(__name__)
@@ -25,10 +26,10 @@
     submit: Callable[[CrashReport], Awaitable[None]],
     clock: Clock,
 ) -> None:
-    """Tell control what is found until cancelled.
+    """Report crashes to control until cancelled.
 
     Args:
-        tracker: What this entry knows.
+        tracker: Crash records of this entry.
         submit: Commits a report at control; raises :class:`WigeonscaleError` if that
             fails.
         clock: Clock port.
--- a/wigeonscale/crashes/tracker.py
+++ b/wigeonscale/crashes/tracker.py
@@ -1,4 +1,4 @@
-"""What one entry knows of requests under which backend servers crash."""
+"""One entry's record of requests that crash backend servers."""
 
 __all__ = ["CrashTracker"]
 
@@ -27,33 +27,39 @@
 )
 from wigeonscale.ports import Clock
 
-# A backend server that broke off a run counts as crashed if control finds it gone
-# within this time: a refused probe says so in 0.02 to 0.3 s, two unanswered ones later.
+# A backend server that aborted a run counts as crashed if control detects within this
+# time that it has ended: by a refused probe in 0.02 to 0.3 s, by two unanswered probes
+# later.
 CONFIRMATION_TIMEOUT_S = 3.0
-# What was told to control is remembered here until control's word of it is back.
+# How long a reported crash is kept here, until control's update that includes it has
+# arrived.
 REPORTED_RETENTION_S = 5.0
-# Records of one update that get a line each; an entry that starts may be told them all.
+# Records of one update that are logged individually. A starting entry may receive all
+# records in one update.
 MAX_LOGGED_RECORDS = 16
 
 logger = logging.getLogger(__name__)
 
 
 class CrashTracker:
-    """Decides which requests are refused since backend servers crash under them.
+    """Decides which requests are refused because they crash backend servers.
 
-    Many requests run on a server that crashes. Those count that had just begun there,
-    if the server is found to have ended; one that runs well later is cleared. What
-    each entry finds goes to control, and comes back to all of them.
+    Many requests run on a server when it crashes. Only those that had just started
+    there become suspects, and only if the server is confirmed to have ended. A suspect
+    that later completes without a crash is cleared. Each entry reports its findings to
+    control, which distributes them to all entries.
 
     Args:
         clock: Clock port.
         is_serving: Returns whether a backend server is known and not leaving.
-        has_ended: Returns whether an incarnation is known to be gone.
-        rng: Source of randomness: where a refusal is in doubt, the entries try the
-            request again one after another, and the first one's word holds the others.
+        has_ended: Returns whether an incarnation is known to have ended.
+        rng: Source of randomness for the length of uncertain refusals. It lets the
+            entries retry such a request one after another, so that the result of the
+            first retry reaches the others in time.
 
     Notes:
-        Bounded by :data:`~wigeonscale.crashes.MAX_TRACKED_REQUESTS`, and by time.
+        Memory is bounded by :data:`~wigeonscale.crashes.MAX_TRACKED_REQUESTS`, and
+        records expire.
     """
 
     def __init__(
@@ -69,17 +75,17 @@
         self._is_serving = is_serving
         self._has_ended = has_ended
         self._report_ready = asyncio.Event()
-        # In the order of the last change.
+        # In the order of the last update.
         self._confirmed: dict[bytes, ConfirmedCrashes] = {}
         self._aborted_starts: dict[bytes, dict[str, AbortedStart]] = {}
         self._cleared: set[bytes] = set()
-        # Last send of each request that was refused before.
+        # Last send of each request that has been refused before.
         self._retried_at: dict[bytes, float] = {}
         self._abort_times = AbortTimes(clock=clock)
 
     @property
     def refused(self) -> int:
-        """How many requests are refused just now by control's word."""
+        """Number of requests currently refused according to control's records."""
         now = self._clock.now()
         return sum(
             now < confirmed.last_at + refusal_s(len(confirmed.backends))
@@ -87,16 +93,16 @@
         )
 
     def is_suspect(self, fingerprint: bytes) -> bool:
-        """Return whether a backend server was lost as it began to run a request."""
+        """Return whether a request may have crashed a backend server."""
         if fingerprint in self._aborted_starts:
             self.confirm_crashes()
         return fingerprint in self._confirmed or fingerprint in self._aborted_starts
 
     def refusal_remaining_s(self, fingerprint: bytes) -> float:
-        """Return for how long a request is refused, in seconds; 0 if it is not.
+        """Return how much longer a request is refused, in seconds; 0 if it is not.
 
         Args:
-            fingerprint: The request's.
+            fingerprint: Fingerprint of the request.
         """
         if not self.is_suspect(fingerprint):
             return 0.0
@@ -107,7 +113,7 @@
         new = {n: abort for n, abort in aborts.items() if abort.has_ended}
         is_unconfirmed = len(new) < len(aborts)
         if is_unconfirmed and len(backends | aborts.keys()) >= CRASHES_TO_REFUSE:
-            # It is not known yet whether the last one ended or only broke off.
+            # It is not known yet whether the last server crashed or only aborted a run.
             return CONFIRMATION_TIMEOUT_S
         if len(backends | new.keys()) < CRASHES_TO_REFUSE:
             return 0.0
@@ -136,27 +142,27 @@
         return confirmed.backends if confirmed is not None else frozenset()
 
     def note_sent(self, fingerprint: bytes) -> None:
-        """Take in that a request is sent; one that was refused goes alone.
+        """Record that a request is sent; retries after a refusal are sent singly.
 
-        Load pattern: the time of a refusal ends, and several copies of the request
-        come at once. The fate of one says what becomes of the others.
+        Load pattern: a refusal expires, and several copies of the request arrive at
+        the same time. Only one is sent, and its outcome decides about the others.
 
         Args:
-            fingerprint: The request's.
+            fingerprint: Fingerprint of the request.
         """
         if len(self._confirmed_backends(fingerprint)) >= CRASHES_TO_REFUSE:
             self._retried_at[fingerprint] = self._clock.now()
 
     def note_lost(self, fingerprint: bytes, backend_id: str) -> bool:
-        """Take in that a backend server broke off a run that had just begun.
+        """Record that a backend server aborted a run that had just started.
 
         Args:
-            fingerprint: The request's.
-            backend_id: The incarnation.
+            fingerprint: Fingerprint of the request.
+            backend_id: Incarnation of the backend server.
 
         Returns:
-            Whether this is news of a server that may have crashed: one that is
-            leaving, or is not known any more, ends by intent.
+            True if this is a new suspicion of a crash. False if it was recorded before,
+            or if the server is leaving or no longer known: it then ended on purpose.
         """
         aborts = self._aborted_starts.get(fingerprint, {})
         if backend_id in aborts or backend_id in self._confirmed_backends(fingerprint):
@@ -171,15 +177,15 @@
         return True
 
     def note_abort(self, backend_id: str) -> None:
-        """Take in that a backend server broke off a run."""
+        """Record that a backend server aborted a run."""
         self._abort_times.note(backend_id)
 
     def was_aborting(self, backend_id: str, *, before: float) -> bool:
-        """Return whether a server was breaking runs off before a local instant."""
+        """Return whether a server had started to abort runs by a local instant."""
         return self._abort_times.was_aborting(backend_id, before=before)
 
     def note_ran(self, fingerprint: bytes) -> None:
-        """Take in that a request ran without a crash."""
+        """Record that a request completed without a crash, which clears it."""
         if not self.is_suspect(fingerprint):
             return
         backends = self._confirmed_backends(fingerprint)
@@ -198,10 +204,10 @@
         )
 
     def take(self, records: Iterable[KnownCrashes]) -> None:
-        """Take in what control tells.
+        """Apply an update from control.
 
         Args:
-            records: Requests whose crashes changed, in the order of the change.
+            records: Requests whose crashes changed, in the order of the changes.
         """
         now = self._clock.now()
         records = list(records)
@@ -223,7 +229,7 @@
             )
 
     def confirm_crashes(self) -> None:
-        """See which of the servers that broke runs off are known to have ended."""
+        """Check which servers that aborted runs have ended, and drop old records."""
         now = self._clock.now()
         for fingerprint, aborts in list(self._aborted_starts.items()):
             for backend_id, abort in list(aborts.items()):
@@ -252,11 +258,11 @@
         )
 
     async def wait_for_report(self) -> None:
-        """Wait until there is something to tell control."""
+        """Wait until there is something to report to control."""
         await self._report_ready.wait()
 
     def take_report(self) -> CrashReport:
-        """Return what is to be told, and take it as told."""
+        """Return what is to be reported, and mark it as reported."""
         self._report_ready.clear()
         now = self._clock.now()
         crashes = []
@@ -269,10 +275,10 @@
         return CrashReport(tuple(crashes), cleared)
 
     def restore_report(self, report: CrashReport) -> None:
-        """Take back that a report was told: control did not take it.
+        """Schedule a report again that could not be submitted to control.
 
         Args:
-            report: As :meth:`take_report` returned it.
+            report: The report, as returned by :meth:`take_report`.
         """
         for fingerprint, backend_id in report.crashes:
             abort = self._aborted_starts.get(fingerprint, {}).get(backend_id)
