--- a/wigeonscale/layers/__init__.py
+++ b/wigeonscale/layers/__init__.py
@@ -1,4 +1,4 @@
-"""Layers of a model over engines: who shall hold which, and a request's path."""
+"""Placement of a model's layers on engines, and the paths of requests over them."""
 
 __all__ = [
     "Holder",
--- a/wigeonscale/layers/model.py
+++ b/wigeonscale/layers/model.py
@@ -1,4 +1,4 @@
-"""Plain data on which engine holds which layers of a model."""
+"""Data types for the layers of a model and the engines that hold them."""
 
 __all__ = ["Holder", "LayerRange", "ModelSize", "Part", "set_throughput"]
 
@@ -9,28 +9,28 @@
 
 
 class LayerRange(NamedTuple):
-    """Layers from ``first`` up to, but without, ``end``."""
+    """A half-open range of layers, from ``first`` up to but excluding ``end``."""
 
     first: int
     end: int
 
     @property
     def count(self) -> int:
-        """How many layers it holds."""
+        """Number of layers in the range."""
         return self.end - self.first
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Holder:
-    """An engine with the layers that it holds, or is loading.
+    """An engine with the layers that it holds or is loading.
 
     Attributes:
         backend_id: Name of the engine's incarnation.
-        domain: Its failure domain.
-        size_mb: Memory for layers and requests together.
-        pace: Factor on the time of its steps; larger is slower.
-        held: Its layers; empty for none.
-        lasting: Whether it is to be counted on: heard of, and not leaving.
+        domain: Failure domain of the engine.
+        size_mb: Memory for layers and requests together, in MB.
+        pace: Factor on the duration of its steps; larger is slower.
+        held: Layers that it holds; an empty range for none.
+        is_available: Whether the plan may rely on it: it responds and is not leaving.
     """
 
     backend_id: str
@@ -46,13 +46,13 @@
     """Memory that a model and its requests need.
 
     Attributes:
-        layers: Layers of the model.
-        layer_mb: Memory of one layer.
-        token_mb: Memory of one token in one layer.
-        room_tokens: Tokens of requests that an engine should have room for.
-        request_tokens: Tokens of a usual request, prompt and answer; 0 if unknown.
-        slots: Requests that the first engine of a path runs at once; 0 for any.
-        slowdown: Share by which one more request lengthens each step.
+        layers: Number of layers of the model.
+        layer_mb: Memory of one layer, in MB.
+        token_mb: Memory of one token in one layer, in MB.
+        room_tokens: Tokens of requests that an engine should have memory for.
+        request_tokens: Tokens of a typical request, prompt and answer; 0 if unknown.
+        slots: Maximum concurrent requests of a path's first engine; 0 for no limit.
+        slowdown: Relative increase of the duration of each step per concurrent request.
     """
 
     layers: int
@@ -64,11 +64,11 @@
     slowdown: float = 0.0
 
     def capacity(self, size_mb: float, room_share: float) -> int:
-        """Return how many layers an engine holds beside its requests.
+        """Return how many layers fit on an engine beside the memory for requests.
 
         Args:
-            size_mb: Memory of the engine.
-            room_share: Share of ``room_tokens`` that it is left with.
+            size_mb: Memory of the engine, in MB.
+            room_share: Share of ``room_tokens`` to reserve for requests.
 
         Example:
             >>> size = ModelSize(
@@ -81,11 +81,11 @@
         return int(size_mb / per_layer_mb)
 
     def requests(self, size_mb: float, layers: int) -> float:
-        """Return how many usual requests an engine runs beside its layers.
+        """Return how many typical requests fit on an engine beside its layers.
 
         Args:
-            size_mb: Memory of the engine.
-            layers: Layers that it holds, one at least.
+            size_mb: Memory of the engine, in MB.
+            layers: Number of layers that it holds, at least one.
         """
         free_mb = max(0.0, size_mb - layers * self.layer_mb)
         tokens = free_mb / (layers * self.token_mb)
@@ -95,11 +95,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Layers that one engine runs on a path.
+    """The layers that one engine runs on a path.
 
     Attributes:
-        backend_id: The engine.
-        layers: Its part.
+        backend_id: Name of the engine's incarnation.
+        layers: Layers that it runs.
     """
 
     backend_id: str
@@ -109,13 +109,14 @@
 def set_throughput(
     wanted: Mapping[str, LayerRange], holders: Iterable[Holder], model: ModelSize
 ) -> float:
-    """Return the requests a second that a whole set serves, up to a constant factor.
+    """Return the throughput of a complete set of layers, up to a constant factor.
 
-    As many as its engines have memory for, over the time that a token takes along it.
+    It is the number of requests that its engines have memory for, divided by the time
+    that a token takes to pass all engines of the set.
 
     Args:
-        wanted: Ranges of the set by engine.
-        holders: Its engines, and any others.
+        wanted: Layers of the set by engine.
+        holders: Engines, including all of the set.
         model: Sizes of the model.
     """
     by_name = {holder.backend_id: holder for holder in holders}
--- a/wigeonscale/layers/path.py
+++ b/wigeonscale/layers/path.py
@@ -1,4 +1,4 @@
-"""The path of one request: engines that run every layer once, in order."""
+"""Search for a request's path: engines that run every layer once, in order."""
 
 __all__ = ["find_detour", "find_path"]
 
@@ -9,7 +9,7 @@
 
 from wigeonscale.layers.model import LayerRange, Part
 
-# The engines refuse longer paths.
+# Engines refuse paths with more parts.
 MAX_PARTS = 32
 
 
@@ -29,26 +29,27 @@
     hop_cost: Callable[[str, str], float],
     start_cost: Callable[[str], float],
 ) -> list[Part] | None:
-    """Return the cheapest path, or None when a layer is held by nobody.
+    """Return the cheapest path, or None if no engine holds one of the layers.
 
-    Load pattern: hundreds of engines in several failure domains, asked for with each
+    Load pattern: hundreds of engines in several failure domains, and one search per
     request on a small share of a core. Most paths stay in one domain, so each domain is
-    searched by itself, those that are dear to begin in only where they could cost less,
-    and all of them together only where a path that crosses could.
+    searched separately, in the order of the start cost and only while a cheaper path is
+    possible. All domains are searched together only if a path that crosses domains
+    could be cheaper.
 
     Args:
         holders: Engines that may be used.
-        layers: Layers of the model.
-        part_cost: Cost of running that many layers on an engine.
-        hop_cost: Cost of going from one failure domain to another.
-        start_cost: Cost of beginning in a failure domain.
+        layers: Number of layers of the model.
+        part_cost: Cost of running a number of layers on an engine.
+        hop_cost: Cost of a hop from one failure domain to another.
+        start_cost: Cost of starting in a failure domain.
 
     Returns:
-        Parts in order of layers; no engine stands twice.
+        Parts in the order of layers; no engine occurs twice.
 
     Notes:
-        A shortest path over the ends of the held ranges. Costs, for each domain,
-        boundaries times engines at a boundary times boundaries inside a range.
+        A shortest-path search over the boundaries of the held ranges. Per domain it
+        takes boundaries times engines at a boundary times boundaries within a range.
     """
     domains: dict[str, list[LayerHolder]] = {}
     for holder in holders:
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Costs:
-    """What a path costs; see :func:`find_path`."""
+    """Cost functions; see :func:`find_path`."""
 
     layers: int
     part: Callable[[LayerHolder, int], float]
@@ -85,14 +86,14 @@
 
 
 def _cheaper(one: _CostedPath | None, other: _CostedPath | None) -> _CostedPath | None:
-    """Return the cheaper of two paths, the first one if they cost the same."""
+    """Return the cheaper of two paths; the first one if they cost the same."""
     if one is None or (other is not None and other.cost < one.cost):
         return other
     return one
 
 
 def _least_crossing_cost(domains: Iterable[str], costs: _Costs) -> float:
-    """Return what a path that crosses domains costs at least."""
+    """Return a lower bound on the cost of a path that crosses domains."""
     pairs = itertools.permutations(domains, 2)
     hop = min(costs.hop(here, there) for here, there in pairs)
     return hop + min(costs.start(domain) for domain in domains)
@@ -107,7 +108,8 @@
         loop_engine = _first_engine_in_loop(found.parts)
         if loop_engine is None:
             return found
-        # It left an engine and came back to it: without what lies between it stays.
+        # The path leaves an engine and returns to it. Exclude the engine after it, so
+        # that the next path stays.
         usable = [holder for holder in usable if holder.backend_id != loop_engine]
 
 
@@ -121,17 +123,17 @@
     """Return a path with its lost engines replaced and all other parts unchanged.
 
     Args:
-        path: Parts in order of layers.
-        holders: Engines that may be used, all of one failure domain.
-        lost: Names of engines that must not be on it.
-        part_cost: Cost of running that many layers on an engine.
+        path: Parts in the order of layers.
+        holders: Engines that may be used, all in one failure domain.
+        lost: Names of engines that must not be used.
+        part_cost: Cost of running a number of layers on an engine.
 
     Returns:
-        Parts in order of layers, or None when others do not hold what was lost.
+        Parts in the order of layers, or None if no other engines hold the lost layers.
 
     Notes:
-        The parts that stay keep what they have of a request in memory; only the new
-        ones have to read it again.
+        The unchanged parts keep the request's state in memory; only the new parts have
+        to process the request again.
     """
     used = {part.backend_id for part in path}
     detour: list[Part] = []
@@ -154,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ClippedHolder:
-    """What an engine holds of a range of layers, counted from the range's first."""
+    """An engine's layers within a range, counted from the first layer of the range."""
 
     holder: LayerHolder
     layers: LayerRange
@@ -210,12 +212,15 @@
 
 
 def _shortest_path(holders: Sequence[LayerHolder], costs: _Costs) -> _CostedPath | None:
-    """Return the cheapest way from the first layer to the last, or None."""
+    """Return the cheapest path from the first layer to the last, or None.
+
+    An engine may occur on it twice.
+    """
     boundaries = {0, costs.layers}
     for holder in holders:
         boundaries.update(holder.layers)
     order = sorted(boundary for boundary in boundaries if 0 <= boundary <= costs.layers)
-    # Cheapest known way to a boundary in a domain: cost, step before it, last part.
+    # Cheapest known path to a boundary in a domain: cost, predecessor, last part.
     best = {0: {h.domain: (costs.start(h.domain), None, None) for h in holders}}
     by_first = sorted(holders, key=lambda holder: holder.layers.first)
     next_index = 0
@@ -238,13 +243,13 @@
 
 
 def _relax(best, holders, boundaries, costs) -> None:
-    """Take the ways that reach a boundary on along the engines that hold what follows.
+    """Extend the paths that reach a boundary by one part on each engine.
 
     Args:
-        best: Cheapest known ways by boundary and domain; changed in place.
+        best: Cheapest known paths by boundary and domain; changed in place.
         holders: Engines that hold the layer after the boundary.
         boundaries: The boundary, and those after it.
-        costs: What a path costs.
+        costs: Cost functions.
     """
     boundary, *stops = boundaries
     costs_by_domain = {domain: way[0] for domain, way in best[boundary].items()}
--- a/wigeonscale/layers/plan.py
+++ b/wigeonscale/layers/plan.py
@@ -1,17 +1,21 @@
-"""Which engine shall hold which layers.
-
-Load pattern: many small engines in a few failure domains, of which one may vanish at
-any moment, while each hop between domains costs far more than one inside. A token
-passes all engines of its path one after another, so the time of a stream, the memory
-that streams take and what one lost engine breaks all grow with slow engines and with
-long paths. So each domain with the memory for it holds a whole set of layers of its
-own, on its fastest engines, each filled only so far that it still holds many requests.
-Where the others can hold a second whole set, they do: then no single loss breaks a
-domain, and its requests have the memory of both. Else they hold copies for the case
-that one is lost. What is lost is mended inside
-its domain: by engines without layers, else by ones that hold copies only, else by the
-neighbours in layer order, else by a row of them that moves over. Nothing that serves is
-moved for a small gain, since a move reloads weights.
+"""Placement plan: which engine should hold which layers.
+
+Load pattern: many small engines in a few failure domains. A domain may be lost at any
+time, and a hop between domains costs far more than one within a domain. A token passes
+all engines of its path in sequence, so the duration of a stream, the memory that
+streams use and the number of streams that a lost engine interrupts all grow with slow
+engines and long paths.
+
+Each domain with enough memory therefore holds a complete set of layers on its fastest
+engines, and each engine keeps memory for many requests. If the other engines can hold
+a second complete set, they do: then the loss of one engine does not break the domain,
+and requests can use the memory of both sets. Otherwise the other engines hold copies
+of some layers, as a reserve.
+
+Lost layers are replaced within their domain: by engines without layers, else by
+engines whose layers others hold too, else by the neighbours in layer order, else by
+shifting a row of neighbours. Engines in use are not moved for a small gain, since a
+move reloads weights.
 """
 
 __all__ = ["plan_layers"]
@@ -21,34 +25,34 @@
 
 from wigeonscale.layers.model import Holder, LayerRange, ModelSize, set_throughput
 
-# Shares of the room for requests that engines are left with; the smaller ones only
-# where a set or a gap cannot be closed otherwise. With the last one an engine of 22 GB
-# holds some seven requests of 900 tokens.
+# Shares of ``room_tokens`` that engines reserve for requests. The smaller ones are used
+# only if a set or a gap cannot be completed otherwise. With the last one an engine of
+# 22 GB holds some seven requests of 900 tokens.
 ROOM_SHARES = (1.0, 0.75, 0.5, 0.3, 0.12)
-# Shares of the room that the engines of two whole sets may be left with. With less than
-# the smallest a set would hold too few requests to take over those of the other. With
-# more than 1 a set has more engines with fewer layers each: memory for requests grows
-# faster than the path gets slow, until the slots of its first engine bound it, at some
-# 1.9 with 96 slots and requests of 1,000 tokens.
+# Shares of ``room_tokens`` for the engines of two complete sets. With less than the
+# smallest share a set would hold too few requests to take over those of the other set.
+# With more than 1 a set has more engines with fewer layers each: memory for requests
+# grows faster than the latency of the path, until the slots of the first engine limit
+# it, at some 1.9 with 96 slots and requests of 1,000 tokens.
 TWO_SET_ROOM_SHARES = (2.0, 1.75, 1.5, 1.25, 1.0, 0.75, 0.5)
-# One engine more on a path costs as much as this many layers more on an engine: the
-# hop of each token, and one more engine whose loss breaks the path.
+# Cost of one more engine on a path, in layers: a hop for each token, and one more
+# engine whose loss breaks the path.
 ENGINE_COST_LAYERS = 2.0
 
 
 def plan_layers(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
-    """Return the layers that engines shall hold and do not hold yet.
+    """Return the layers that engines should load.
 
     Args:
-        holders: All engines of one model, with what they hold or are loading.
+        holders: All engines of one model, with the layers that they hold or load.
         model: Sizes of the model.
 
     Returns:
-        Wanted ranges by engine; those not named keep what they hold. A wanted range
-        never needs more than the engine's memory less a tenth of ``room_tokens``.
+        Wanted ranges by engine; engines not named keep their layers. A wanted range
+        leaves memory for at least a tenth of ``room_tokens``.
 
     Notes:
-        Costs engines times gaps. The same input gives the same plan.
+        Takes engines times gaps. Deterministic: the same input gives the same plan.
     """
     wanted: dict[str, LayerRange] = {}
     available = sorted(
@@ -64,7 +68,7 @@
 
 
 def _groups(holders: Sequence[Holder], model: ModelSize) -> list[list[Holder]]:
-    """Return the domains that hold a set of their own; the others together."""
+    """Return one group per domain that can hold a set, and one of all others."""
     domains: dict[str, list[Holder]] = {}
     for holder in holders:
         domains.setdefault(holder.domain, []).append(holder)
@@ -85,7 +89,7 @@
 
 
 def _initial_plan(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
-    """Return whole sets, the first on the fastest engines, and copies on the others."""
+    """Return one or two complete sets, and copies on the remaining engines."""
     wanted = _two_sets(holders, model)
     for room in ROOM_SHARES:
         wanted = wanted or _whole_set(holders, model, room)
@@ -94,10 +98,10 @@
 
 
 def _two_sets(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
-    """Return the two whole sets that serve most requests a second; empty for none.
+    """Return the two complete sets with the highest throughput; empty if impossible.
 
-    Load pattern: more requests than one set of the fastest engines has memory for,
-    while slower engines stand by with copies that no path needs.
+    Load pattern: there are more requests than one set on the fastest engines has memory
+    for, while slower engines would hold copies that no path uses.
     """
     best: dict[str, LayerRange] = {}
     best_rate = 0.0
@@ -118,12 +122,12 @@
 def _whole_set(
     holders: Sequence[Holder], model: ModelSize, room: float
 ) -> dict[str, LayerRange]:
-    """Return one whole set on the fastest engines; empty if they cannot hold it.
+    """Return one complete set on the fastest engines; empty if they cannot hold it.
 
     Args:
         holders: Engines that may hold it.
         model: Sizes of the model.
-        room: Share of the room for requests that each is left.
+        room: Share of ``room_tokens`` that each engine reserves for requests.
     """
     if not _can_hold(holders, model, room):
         return {}
@@ -140,14 +144,14 @@
         capacity = model.capacity(holder.size_mb, room)
         end = min(model.layers, reached + capacity)
         if end > reached:
-            # The last one is filled too: what it holds twice is a copy.
+            # The last engine is filled too: layers that overlap others are copies.
             wanted[holder.backend_id] = LayerRange(max(0, end - capacity), end)
             reached = end
     return wanted
 
 
 def _repair(holders: Sequence[Holder], model: ModelSize) -> dict[str, LayerRange]:
-    """Return the ranges that close gaps, and copies on engines without layers."""
+    """Return ranges that close the gaps, and copies on engines without layers."""
     empty = [holder for holder in holders if not holder.held.count]
     empty.sort(key=lambda h: (h.pace, h.backend_id))
     held = {h.backend_id: h.held for h in holders if h.held.count}
@@ -173,10 +177,11 @@
 def _redundant(
     holders: Sequence[Holder], held: dict[str, LayerRange], model: ModelSize
 ) -> Holder | None:
-    """Return an engine all of whose layers others hold too, or None.
+    """Return an engine all of whose layers are held by others too, or None.
 
-    The one whose layers are held most often, for requests go through it still, and it
-    loads new layers only once they are done; of these the slowest, then the largest.
+    Prefers the engine whose layers have the most copies, since requests may still use
+    it and it loads new layers only when they are done; then the slowest, then the
+    largest.
     """
     counts = _copy_counts(held.values(), model.layers)
 
@@ -211,7 +216,7 @@
 def _close_gap(
     gap: LayerRange, holders: Sequence[Holder], model: ModelSize
 ) -> dict[str, LayerRange]:
-    """Return the ranges with which the other engines of a domain close a gap."""
+    """Return ranges with which engines that hold layers already close a gap."""
     for share in ROOM_SHARES:
 
         def capacity(holder: Holder, share: float = share) -> int:
@@ -220,8 +225,8 @@
         extended = _extend_neighbours(gap, holders, capacity)
         if extended:
             return extended
-        # Nothing is lost by the layers that a row gives up while it moves over: the
-        # set of this domain is broken anyway.
+        # Shifting a row unloads layers, which does no harm: the set of this domain is
+        # incomplete anyway.
         rows = [
             _shift_up(gap, holders, capacity),
             _shift_down(gap, holders, capacity),
@@ -235,7 +240,10 @@
 def _extend_neighbours(
     gap: LayerRange, holders: Sequence[Holder], capacity: Callable[[Holder], int]
 ) -> dict[str, LayerRange]:
-    """Extend the engines at both ends of a gap, each by what it has room for."""
+    """Return longer ranges for the engines at both ends of a gap; empty if too small.
+
+    Each engine is extended by at most what it has memory for.
+    """
 
     def room(holder: Holder) -> int:
         return max(0, capacity(holder) - holder.held.count)
@@ -247,7 +255,7 @@
     room_above = room(above) if above else 0
     if room_below + room_above < gap.count:
         return {}
-    # In proportion to the room, so that both keep some for requests.
+    # Divided in proportion to the free memory, so that both keep some for requests.
     share = round(gap.count * room_below / (room_below + room_above))
     middle = first + min(room_below, max(gap.count - room_above, share))
     extended = {}
@@ -270,7 +278,7 @@
 def _shift_up(
     gap: LayerRange, holders: Sequence[Holder], capacity: Callable[[Holder], int]
 ) -> dict[str, LayerRange]:
-    """Move the row below a gap up; empty if it has not the room."""
+    """Return a shift of the engines below a gap upwards; empty if too small."""
     moved: dict[str, LayerRange] = {}
     first, end = gap
     while True:
@@ -288,7 +296,7 @@
 def _shift_down(
     gap: LayerRange, holders: Sequence[Holder], capacity: Callable[[Holder], int]
 ) -> dict[str, LayerRange]:
-    """Move the row above a gap down; empty if it has not the room."""
+    """Return a shift of the engines above a gap downwards; empty if too small."""
     moved: dict[str, LayerRange] = {}
     first, end = gap
     while True:
@@ -306,10 +314,10 @@
 def _extra_copies(
     spare: Iterable[Holder], held: dict[str, LayerRange], model: ModelSize
 ) -> dict[str, LayerRange]:
-    """Return copies of ranges, so that each layer is held by as many as possible."""
+    """Return copies for spare engines, placed where layers have the fewest copies."""
     wanted: dict[str, LayerRange] = {}
     counts = _copy_counts(held.values(), model.layers)
-    # Where the ranges that are held begin and end: a path changes engines there.
+    # Bounds of the held ranges, where paths change engines.
     starts = sorted({bound for held_range in held.values() for bound in held_range})
     for holder in spare:
         capacity = model.capacity(holder.size_mb, 1.0)
@@ -320,9 +328,10 @@
             window = counts[first : first + capacity]
             return sum(window) / len(window)
 
-        # Pulled back where it would reach beyond the last layer: room is not wasted.
+        # A range that would extend beyond the last layer is moved back, so that the
+        # engine's capacity is used completely.
         last = max(0, model.layers - capacity)
-        # It begins or ends where another range does.
+        # The range begins or ends at a bound of another range.
         bounds = {start - capacity for start in starts} | set(starts)
         firsts = (min(max(0, bound), last) for bound in bounds)
         first = min(firsts, key=lambda first: (copies(first), first))
@@ -334,7 +343,7 @@
 
 
 def _copy_counts(ranges: Iterable[LayerRange], layers: int) -> list[int]:
-    """Return how many of the ranges hold each layer."""
+    """Return the number of ranges that contain each layer."""
     counts = [0] * layers
     for held in ranges:
         for layer in range(*held):
