--- a/wigeonscale/crashes/records.py
+++ b/wigeonscale/crashes/records.py
@@ -86,7 +86,7 @@
     outcome = "refused" if crashes >= CRASHES_TO_REFUSE else "suspected"
     logger.log(
         level,
-        "%d backend servers ended under one request",
+        "%d backend servers crashed while running one request",
         crashes,
         extra=log_fields(
             fingerprint=record.fingerprint.hex(),
--- a/wigeonscale/crashes/refusal.py
+++ b/wigeonscale/crashes/refusal.py
@@ -24,7 +24,7 @@
         return None
     return WigeonscaleError(
         ErrorKind.CRASHES_BACKENDS,
-        f"backend servers ended under request {fingerprint.hex()} before",
+        f"request {fingerprint.hex()} has crashed several backend servers",
         run_state=run_state,
         retry_after=refused_s,
     )
--- a/wigeonscale/crashes/reporter.py
+++ b/wigeonscale/crashes/reporter.py
@@ -44,7 +44,7 @@
             await submit(report)
         except WigeonscaleError as exc:
             logger.warning(
-                "crashes not told to control: %s",
+                "could not report crashes to control, will retry: %s",
                 exc.message,
                 extra=log_fields(kind=exc.kind, crashes=len(report.crashes)),
             )
--- a/wigeonscale/crashes/tracker.py
+++ b/wigeonscale/crashes/tracker.py
@@ -196,7 +196,7 @@
             self._cleared.add(fingerprint)
             self._report_ready.set()
         logger.info(
-            "request is cleared of crashes",
+            "request completed without a crash, its crash records are removed",
             extra=log_fields(
                 fingerprint=fingerprint.hex(),
                 backends=sorted({*backends, *aborts}),
@@ -223,7 +223,7 @@
             log_record(record)
         if len(records) > MAX_LOGGED_RECORDS:
             logger.info(
-                "%d records of crashes taken in",
+                "applied %d crash records from control",
                 len(records),
                 extra=log_fields(outcome="known", refused=self.refused),
             )
@@ -252,7 +252,7 @@
         self, fingerprint: bytes, backend_id: str, outcome: str
     ) -> None:
         logger.info(
-            "%s broke off a request that had just begun",
+            "backend server %s aborted a request that had just started",
             backend_id,
             extra=log_fields(fingerprint=fingerprint.hex(), outcome=outcome),
         )
