--- a/wigeonscale/crashes/tests/test_fingerprint.py
+++ b/wigeonscale/crashes/tests/test_fingerprint.py
@@ -7,16 +7,16 @@
         request = {"caller": "a", "method": "POST", "path": "/p", "body": b"q"}
         return request_fingerprint(**(request | fields))
 
-    def test_the_same_request_again(self):
+    def test_equal_for_a_repeated_request(self):
         self.assertEqual(self.of(), self.of())
 
-    def test_any_part_makes_it_another(self):
+    def test_every_part_is_included(self):
         others = {
             self.of(caller="b"),
             self.of(method="GET"),
             self.of(path="/p?x=1"),
             self.of(body=b"r"),
-            # Nothing moves from one part into the next.
+            # Bytes moved from one part to the next change the fingerprint.
             self.of(caller="aP", method="OST"),
             self.of(path="/pq", body=b""),
         }
--- a/wigeonscale/layers/tests/test_path.py
+++ b/wigeonscale/layers/tests/test_path.py
@@ -44,7 +44,7 @@
         parts = path(engine("up", 5, 10), engine("low", 0, 5))
         self.assertEqual([("low", 0, 5), ("up", 5, 10)], shown(parts))
 
-    def test_overlap_goes_to_the_faster(self):
+    def test_overlap_runs_on_the_faster_engine(self):
         parts = path(engine("slow", 0, 8, cost=3.0), engine("fast", 4, 10))
         self.assertEqual([("slow", 0, 4), ("fast", 4, 10)], shown(parts))
 
@@ -57,7 +57,7 @@
         there = engine("there", 0, 10, domain="b")
         self.assertEqual([("here", 0, 10)], shown(path(here, there)))
 
-    def test_another_domain_where_the_own_is_slow(self):
+    def test_uses_another_domain_if_its_own_is_slow(self):
         here = engine("here", 0, 10, cost=9.0)
         there = engine("there", 0, 10, domain="b")
         self.assertEqual([("there", 0, 10)], shown(path(here, there)))
@@ -67,7 +67,7 @@
         inner = engine("inner", 4, 6, cost=0.5)
         self.assertEqual([("outer", 0, 10)], shown(path(outer, inner)))
 
-    def test_more_parts_than_engines_take(self):
+    def test_path_with_too_many_parts(self):
         engines = [Engine(f"e{n}", "a", LayerRange(n, n + 1)) for n in range(40)]
         parts = find_path(
             engines,
@@ -113,7 +113,7 @@
 def least_cost(engines, *, hop, start, may_return):
     """Return the cost of the cheapest path by trying every engine at every layer.
 
-    With ``may_return`` a path may come back to an engine that it left.
+    With ``may_return`` a path may return to an engine that it has left.
     """
     best = {(None, frozenset()): 0.0}
     by_name = {each.backend_id: each for each in engines}
@@ -151,8 +151,8 @@
         st.sampled_from([0.5, 5.0, 1000.0]),
     )
     def test_no_path_costs_less(self, specs, hop):
-        # No two engines cost the same, or one of several best paths may come back to an
-        # engine and be given up for a dearer one.
+        # Engines have distinct costs. Otherwise one of several cheapest paths may
+        # return to an engine and be discarded for a more expensive one.
         engines = [
             engine(
                 f"e{i}",
@@ -175,28 +175,28 @@
         if without_return == least:
             self.assertAlmostEqual(least, cost)
         else:
-            # What lies between is then left out, which need not be the best way.
+            # The engine in between is then excluded, which need not be optimal.
             self.assertTrue(cost >= least)
 
-    def test_few_parts_are_weighed_in_a_large_fleet(self):
-        # Load pattern: each request of a large fleet asks for a path.
+    def test_few_parts_are_evaluated_in_a_large_fleet(self):
+        # Load pattern: one path search per request, in a large fleet.
         engines = [
             Engine(f"{domain}{n}", domain, LayerRange(first, min(80, first + 8)))
             for domain in "abcde"
             for n in range(26)
             for first in [n * 6 % 80]
         ]
-        weighed = []
+        evaluated = []
         parts = find_path(
             engines,
             layers=80,
-            part_cost=lambda e, n: weighed.append(e) or float(n),
+            part_cost=lambda e, n: evaluated.append(e) or float(n),
             hop_cost=lambda here, there: 0.0 if here == there else 1e6,
             start_cost=lambda domain: 0.0 if domain == "c" else 300.0,
         )
         self.assertEqual({"c"}, {part.backend_id[0] for part in parts})
-        # 5,975 where the paths of all domains are looked for together.
-        self.assertTrue(len(weighed) < 300, len(weighed))
+        # 5,975 if all domains are searched together.
+        self.assertTrue(len(evaluated) < 300, len(evaluated))
 
 
 def detour(path, *engines, lost):
@@ -221,22 +221,22 @@
         )
         self.assertEqual([("e1", 0, 3), ("copy", 3, 7), ("e3", 7, 10)], shown(parts))
 
-    def test_several_may_take_it_over(self):
+    def test_several_engines_may_replace_one(self):
         parts = detour(self.PATH, engine("x", 0, 5), engine("y", 4, 10), lost={"e2"})
         self.assertEqual(["e1", "x", "y", "e3"], [part.backend_id for part in parts])
         covered = [n for part in parts for n in range(*part.layers)]
         self.assertEqual(list(range(LAYERS)), covered)
 
-    def test_no_engine_stands_twice(self):
+    def test_no_engine_occurs_twice(self):
         held = engine("e3", 3, 10), engine("x", 0, 10)
         parts = detour(self.PATH, *held, lost={"e1", "e2"})
         self.assertIsNone(parts)
         parts = detour(self.PATH, *held, lost={"e2"})
         self.assertEqual(["e1", "x", "e3"], [part.backend_id for part in parts])
 
-    def test_nobody_holds_what_was_lost(self):
+    def test_lost_layers_without_a_copy(self):
         self.assertIsNone(detour(self.PATH, engine("x", 3, 6), lost={"e2"}))
 
-    def test_lost_engines_take_nothing_over(self):
+    def test_lost_engines_are_not_used(self):
         held = engine("x", 0, 10)
         self.assertIsNone(detour(self.PATH, held, lost={"e2", "x"}))
--- a/wigeonscale/layers/tests/test_plan.py
+++ b/wigeonscale/layers/tests/test_plan.py
@@ -7,7 +7,7 @@
 LAYER_MB = 1750.0
 SIZES = {"h100": 72_000, "a100s": 36_000, "l4": 21_600, "t4": 14_400}
 PACES = {"h100": 1.4, "a100s": 3.1, "l4": 16.0, "t4": 15.0}
-# Engines of one deployment of the users, by failure domain.
+# Engines of one of the users' deployments, by failure domain.
 DOMAINS = {
     "a": {"a100s": 1, "l4": 8, "t4": 3},
     "b": {"a100s": 2, "l4": 4, "t4": 7},
@@ -15,7 +15,7 @@
 }
 
 
-# The same deployment grown: more engines, requests half as large in memory.
+# The same deployment after growth: more engines, and requests use half the memory.
 GROWN_DOMAINS = {
     "a": {"a100s": 2, "l4": 12, "t4": 5},
     "b": {"a100s": 2, "l4": 6, "t4": 11},
@@ -60,7 +60,7 @@
     return plan_layers(holders, size_of(token_mb=GROWN_TOKEN_MB))
 
 
-def carried_out(holders, wanted):
+def apply_plan(holders, wanted):
     return [replace(h, held=wanted.get(h.backend_id, h.held)) for h in holders]
 
 
@@ -68,48 +68,48 @@
     return {n for h in holders if h.is_available for n in range(*h.held)}
 
 
-class SplitTest(AsyncTestCase):
-    def test_each_domain_holds_a_whole_set(self):
-        holders = carried_out(deployment(), plan(deployment()))
+class InitialPlanTest(AsyncTestCase):
+    def test_each_domain_holds_a_complete_set(self):
+        holders = apply_plan(deployment(), plan(deployment()))
         for domain in DOMAINS:
             mine = [h for h in holders if h.domain == domain]
             self.assertEqual(set(range(LAYERS)), covered(mine))
 
     def test_no_engine_is_overfull(self):
-        for h in carried_out(deployment(), plan(deployment())):
+        for h in apply_plan(deployment(), plan(deployment())):
             self.assertTrue(h.held.count * LAYER_MB <= 0.92 * h.size_mb, h)
 
     def test_each_engine_has_room_for_requests(self):
-        for h in carried_out(deployment(), plan(deployment())):
+        for h in apply_plan(deployment(), plan(deployment())):
             room_mb = h.size_mb - h.held.count * LAYER_MB
             tokens = room_mb / (h.held.count * 0.01475)
             self.assertTrue(tokens >= 50_000, h)
 
     def test_fast_engines_hold_most_and_paths_are_short(self):
-        holders = carried_out(deployment(), plan(deployment()))
+        holders = apply_plan(deployment(), plan(deployment()))
         by_name = {h.backend_id: h for h in holders}
         self.assertEqual(LayerRange(0, 28), by_name["c-h100-0"].held)
         self.assertEqual(LayerRange(28, 42), by_name["c-a100s-0"].held)
-        # 14 engines in that domain; the first seven in layer order are a whole set.
+        # 14 engines in that domain; the first seven in layer order are a complete set.
         needed, reached = 0, 0
         for h in sorted(holders, key=lambda h: (h.held.first, -h.held.end)):
             if h.domain == "c" and h.held.end > reached:
                 needed, reached = needed + 1, h.held.end
         self.assertEqual((7, LAYERS), (needed, reached))
 
-    def test_engines_that_no_path_needs_hold_copies(self):
-        holders = carried_out(deployment(), plan(deployment()))
+    def test_engines_not_needed_for_a_set_hold_copies(self):
+        holders = apply_plan(deployment(), plan(deployment()))
         self.assertTrue(all(h.held.count for h in holders))
         mine = [h for h in holders if h.domain == "c"]
         counts = [sum(n in range(*h.held) for h in mine) for n in range(LAYERS)]
         self.assertTrue(sum(count > 1 for count in counts) >= 25, counts)
 
-    def test_nothing_more_is_wanted_afterwards(self):
-        self.assertEqual({}, plan(carried_out(deployment(), plan(deployment()))))
+    def test_plan_is_stable_once_applied(self):
+        self.assertEqual({}, plan(apply_plan(deployment(), plan(deployment()))))
 
     def test_domains_too_small_alone_hold_one_set_together(self):
         holders = [holder(f"{d}{i}", d, "a100s") for d in "ab" for i in range(3)]
-        after = carried_out(holders, plan(holders))
+        after = apply_plan(holders, plan(holders))
         self.assertEqual(set(range(LAYERS)), covered(after))
 
     def test_too_little_memory_for_any_set(self):
@@ -122,17 +122,17 @@
 
 
 class TwoSetsTest(AsyncTestCase):
-    """Engines crash by twos, at 75 requests a second in three domains.
+    """Engines crash in pairs, at 75 requests a second in three domains.
 
-    With one whole set a domain, each crash of an engine without a copy broke a domain
-    for as long as a load takes, or five seconds where the engine that was to load had
-    to let requests pass first; two crashes left one domain of three.
+    With one complete set per domain, the crash of an engine without a copy broke its
+    domain until another engine had loaded the layers, or for five seconds if that
+    engine had to finish requests first. Two crashes left one domain of three.
     """
 
     def setUp(self):
         super().setUp()
         holders = deployment(GROWN_DOMAINS)
-        self.holders = carried_out(holders, plan_grown(holders))
+        self.holders = apply_plan(holders, plan_grown(holders))
 
     def of(self, domain, *, without=()):
         return [
@@ -153,15 +153,16 @@
             ]
             self.assertEqual({}, plan_grown(left), lost)
 
-    def test_also_where_the_first_set_has_to_leave_less_room(self):
-        # With all the room for the first set, 74 layers were left for the second one.
+    def test_two_sets_if_the_first_must_reserve_less_memory(self):
+        # If the first set reserves all of room_tokens, the other engines can hold only
+        # 74 layers.
         holders = deployment({"c": {"h100": 1, "a100s": 1, "l4": 5, "t4": 9}})
-        for h in carried_out(holders, plan_grown(holders)):
-            left = [o for o in carried_out(holders, plan_grown(holders)) if o != h]
+        for h in apply_plan(holders, plan_grown(holders)):
+            left = [o for o in apply_plan(holders, plan_grown(holders)) if o != h]
             self.assertEqual(set(range(LAYERS)), covered(left), h)
 
-    def test_the_memory_of_both_serves(self):
-        # 25 requests a second and domain, 925 tokens each, for 2 to 3 s.
+    def test_the_memory_of_both_sets_is_used(self):
+        # 25 requests per second and domain, of 925 tokens each, for 2 to 3 s.
         for domain in GROWN_DOMAINS:
             room = [0.0] * LAYERS
             for h in self.of(domain):
@@ -170,7 +171,7 @@
                     room[layer] += free_mb / h.held.count / GROWN_TOKEN_MB
             self.assertTrue(min(room) > 75_000, (domain, min(room)))
 
-    def test_one_that_comes_anew_takes_the_place_of_the_lost(self):
+    def test_a_new_engine_replaces_the_lost_one(self):
         for lost in self.of("b"):
             left = [h for h in self.holders if h is not lost]
             mine = [h for h in left if h.domain == "b"]
@@ -178,7 +179,7 @@
                 n for n in range(LAYERS) if sum(n in range(*h.held) for h in mine) == 1
             }
             held = plan_grown([*left, holder("new", "b", "l4")])["new"]
-            # What is held once need not lie side by side: no range covers more of it.
+            # Layers held once need not be adjacent: no range covers more of them.
             wanted = max(
                 len(once & set(range(first, first + held.count)))
                 for first in range(LAYERS - held.count + 1)
@@ -196,15 +197,15 @@
         for name in wanted:
             self.assertNotIn("h100", name)
             self.assertNotIn("a100s", name)
-        mine = [h for h in carried_out(holders, wanted) if h.domain == "c"]
+        mine = [h for h in apply_plan(holders, wanted) if h.domain == "c"]
         self.assertEqual(set(range(LAYERS)), covered(mine))
 
 
 class ManyRequestsTest(AsyncTestCase):
     """145 requests a second, 54 of them in one domain, of 992 tokens each.
 
-    Two sets with room for 50,000 tokens each were full on a calm day there, while the
-    slower engines stood by with copies.
+    Two sets with memory for 50,000 tokens each were full there on a day without
+    failures, while the slower engines held only copies.
     """
 
     KINDS = {"a100": (72_000, 2.4), "l40s": (43_200, 5.6), "l4": (21_600, 16.0)}
@@ -235,9 +236,9 @@
             for kind, count in kinds.items()
             for number in range(count)
         ]
-        self.holders = carried_out(holders, plan_layers(holders, self.model))
+        self.holders = apply_plan(holders, plan_layers(holders, self.model))
 
-    def test_memory_for_what_comes_in_the_time_that_it_takes(self):
+    def test_memory_for_all_concurrent_requests(self):
         for domain, least in (("a", 170), ("b", 150), ("c", 175)):
             room = [0.0] * LAYERS
             for h in self.holders:
@@ -245,7 +246,7 @@
                     continue
                 for layer in range(*h.held):
                     room[layer] += self.model.requests(h.size_mb, h.held.count)
-            # 104 and less where each engine is filled to the usual room.
+            # 104 or less if each engine reserves only room_tokens.
             self.assertTrue(min(room) >= least, (domain, min(room)))
 
     def test_no_single_loss_breaks_a_domain(self):
@@ -254,10 +255,10 @@
             self.assertEqual(set(range(LAYERS)), covered(left), lost)
 
 
-class MendTest(AsyncTestCase):
+class RepairTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
-        self.holders = carried_out(deployment(), plan(deployment()))
+        self.holders = apply_plan(deployment(), plan(deployment()))
 
     def lose(self, name):
         return [
@@ -265,17 +266,17 @@
             for h in self.holders
         ]
 
-    def test_whatever_is_lost_is_taken_over(self):
+    def test_any_lost_engine_is_replaced(self):
         for lost in self.holders:
             holders = self.lose(lost.backend_id)
-            after = carried_out(holders, plan(holders))
+            after = apply_plan(holders, plan(holders))
             mine = [h for h in after if h.domain == lost.domain]
             self.assertEqual(set(range(LAYERS)), covered(mine), lost)
             for h in after:
                 self.assertTrue(h.held.count * LAYER_MB <= 0.92 * h.size_mb, h)
             self.assertEqual({}, plan(after))
 
-    def test_two_neighbours_with_room_give_up_nothing(self):
+    def test_neighbours_with_memory_are_only_extended(self):
         held = [(0, 5), (5, 9), (9, 14)]
         holders = [
             holder(f"e{n}", "a", "l4", LayerRange(*each), is_available=n != 1)
@@ -284,7 +285,7 @@
         wanted = plan(holders, layers=14)
         self.assertEqual({"e0": LayerRange(0, 7), "e2": LayerRange(7, 14)}, wanted)
 
-    def test_copies_are_moved_before_anything_that_serves(self):
+    def test_copies_are_moved_first(self):
         for lost in self.holders:
             holders = self.lose(lost.backend_id)
             wanted = plan(holders)
@@ -297,10 +298,10 @@
                 )
                 self.assertTrue(set(range(*h.held)) <= covered(others), (lost, h))
 
-    def test_two_losses_in_a_row(self):
+    def test_two_consecutive_losses(self):
         for first in self.holders:
             holders = self.lose(first.backend_id)
-            holders = carried_out(holders, plan(holders))
+            holders = apply_plan(holders, plan(holders))
             for second in holders:
                 if second.domain != first.domain or not second.is_available:
                     continue
@@ -308,13 +309,13 @@
                     replace(h, is_available=False) if h is second else h
                     for h in holders
                 ]
-                after = carried_out(left, plan(left))
+                after = apply_plan(left, plan(left))
                 mine = [h for h in after if h.domain == first.domain]
                 if {first.backend_id, second.backend_id} & {"c-h100-0"}:
-                    continue  # too large for what is left beside another loss
+                    continue  # too large for the remaining engines after another loss
                 self.assertEqual(set(range(LAYERS)), covered(mine), (first, second))
 
-    def test_an_engine_without_layers_goes_first(self):
+    def test_an_engine_without_layers_is_used_first(self):
         lost = next(h for h in self.holders if h.domain == "a" and h.held.first > 0)
         holders = [*self.lose(lost.backend_id), holder("new", "a", "l4")]
         wanted = plan(holders)
@@ -324,7 +325,7 @@
         )
         self.assertEqual(gap, set(range(*wanted["new"])))
 
-    def test_an_engine_too_many_copies_a_range(self):
+    def test_a_spare_engine_holds_a_copy(self):
         holders = [*self.holders, holder("new", "b", "l4")]
         wanted = plan(holders)
         self.assertEqual({"new"}, set(wanted))
@@ -332,7 +333,7 @@
         # Paths change engines at the bounds of ranges.
         self.assertIn(wanted["new"].first, {bound for held in mine for bound in held})
         counts = [sum(n in range(*held) for held in mine) for n in range(LAYERS)]
-        # Each of its layers was held once, as few as any.
+        # Each of its layers was held once, which is the minimum.
         self.assertEqual({1}, {counts[n] for n in range(*wanted["new"])})
         self.assertEqual(8, wanted["new"].count)
 
--- a/wigeonscale/limits/tests/test_estimate.py
+++ b/wigeonscale/limits/tests/test_estimate.py
@@ -21,7 +21,7 @@
             estimator.finished(3.0)
         self.assertAlmostEqual(3.0, estimator.service_s, places=2)
 
-    def test_service_to_reckon_with_grows_with_its_spread(self):
+    def test_assumed_service_time_grows_with_deviation(self):
         even, uneven = (WaitEstimator(clock=ManualClock()) for _ in range(2))
         for number in range(200):
             even.finished(2.0)
@@ -30,7 +30,7 @@
         self.assertAlmostEqual(5.0, uneven.admission_service_s(60.0), delta=0.3)
         self.assertAlmostEqual(4.0, uneven.start_service_s(60.0), delta=0.3)
 
-    def test_short_deadline_is_not_refused_for_spread_alone(self):
+    def test_short_deadline_is_not_refused_for_deviation_alone(self):
         estimator = WaitEstimator(clock=ManualClock())
         for number in range(200):
             estimator.finished(1.0 if number % 2 else 3.0)
@@ -38,7 +38,7 @@
 
 
 class CheckDeadlineTest(AsyncTestCase):
-    def test_in_time_passes(self):
+    def test_request_within_its_deadline_is_admitted(self):
         check_deadline(wait_s=1.0, service_s=1.0, deadline_s=2.0)
         check_deadline(wait_s=100.0, service_s=1.0, deadline_s=None)
 
@@ -48,15 +48,15 @@
         self.assertEqual("not-run", exc.run_state)
         return exc
 
-    def test_retry_after_is_when_the_backlog_leaves_room(self):
+    def test_retry_after_is_when_the_backlog_has_drained(self):
         exc = self.refusal(wait_s=10.0, service_s=1.0, deadline_s=4.0)
         self.assertAlmostEqual(7.0, exc.retry_after)
 
-    def test_deadline_below_service_is_no_reason_to_wait_longer(self):
+    def test_retry_after_does_not_exceed_the_wait(self):
         exc = self.refusal(wait_s=2.0, service_s=30.0, deadline_s=4.0)
         self.assertAlmostEqual(2.0, exc.retry_after)
 
-    def test_refused_come_back_spread(self):
+    def test_retry_after_has_jitter(self):
         rng = random.Random(1)
         times = {
             round(
--- a/wigeonscale/limits/tests/test_organisations.py
+++ b/wigeonscale/limits/tests/test_organisations.py
@@ -15,7 +15,7 @@
         self.assertEqual(ErrorKind.LIMIT_EXCEEDED, exc.kind)
         return exc
 
-    def test_concurrency_is_shared_by_entries(self):
+    def test_concurrency_is_divided_among_entries(self):
         permits = [self.limits.acquire("org", concurrency=4) for _ in range(2)]
         self.assertGreater(self.refused(concurrency=4).retry_after, 0.0)
         permits[0].release()
@@ -27,7 +27,7 @@
         self.entries = 1
         self.limits.acquire("org", concurrency=4)
 
-    def test_limit_below_entries_still_lets_one_in(self):
+    def test_limit_below_entries_still_admits_one(self):
         self.entries = 5
         self.limits.acquire("org", concurrency=2)
         self.refused(concurrency=2)
@@ -38,14 +38,14 @@
         permit.release()
         self.assertEqual(0, self.limits.in_progress("org"))
 
-    async def test_rate_is_held_and_retry_after_is_true(self):
+    async def test_rate_is_enforced_and_retry_after_is_exact(self):
         for _ in range(2):
             self.limits.acquire("org", rate=4.0).release()
         exc = self.refused(rate=4.0)
         await self.clock.advance(exc.retry_after)
         self.limits.acquire("org", rate=4.0)
 
-    async def test_rate_is_held_over_time(self):
+    async def test_rate_is_enforced_over_time(self):
         taken = 0
         for _ in range(400):
             await self.clock.advance(0.05)
@@ -56,12 +56,12 @@
                 pass
         self.assertIn(taken, range(40, 43))
 
-    def test_organisations_do_not_share(self):
+    def test_organisations_are_independent(self):
         self.limits.acquire("org", concurrency=2)
         self.limits.acquire("other", concurrency=2)
         self.refused(concurrency=2)
 
-    async def test_idle_organisations_are_forgotten(self):
+    async def test_idle_organisations_are_dropped(self):
         kept = self.limits.acquire("kept", concurrency=2)
         for number in range(2000):
             self.limits.acquire(f"org{number}", rate=4.0).release()
--- a/wigeonscale/routing/tests/test_budget.py
+++ b/wigeonscale/routing/tests/test_budget.py
@@ -19,21 +19,21 @@
             budget.record()
         self.assertIn(self.spend_all(budget), (19, 20))
 
-    async def test_quiet_entry_may_retry(self):
+    async def test_entry_without_traffic_may_retry(self):
         budget = RetryBudget(clock=self.clock, ratio=0.1, floor_per_s=1.0)
         self.assertEqual(1, self.spend_all(budget))
         await self.clock.advance(30.0)
         self.assertEqual(1, self.spend_all(budget))
 
-    async def test_savings_are_bounded_by_recent_traffic(self):
+    async def test_unused_retries_are_bounded_by_recent_traffic(self):
         budget = RetryBudget(clock=self.clock, ratio=0.1, floor_per_s=0.0)
         for _ in range(6000):
             await self.clock.advance(0.01)
             budget.record()
-        # 100 requests a second for 60 s; 10 s of them earn 100.
+        # 100 requests per second for 60 s; 10 s of them add 100 retries.
         self.assertLessEqual(self.spend_all(budget), 100)
 
-    async def test_old_traffic_earns_nothing(self):
+    async def test_old_traffic_adds_no_retries(self):
         budget = RetryBudget(clock=self.clock, ratio=0.1, floor_per_s=0.0)
         for _ in range(1000):
             budget.record()
--- a/wigeonscale/routing/tests/test_chooser.py
+++ b/wigeonscale/routing/tests/test_chooser.py
@@ -34,7 +34,7 @@
         domains = Counter(candidate.domain for candidate in subset)
         self.assertEqual({domain: 3 for domain in DOMAINS}, dict(domains))
 
-    def test_lost_member_replaces_only_itself(self):
+    def test_only_the_lost_candidate_is_replaced(self):
         pool = self.pool(300)
         before = keys_of(pool.subset)
         lost = pool.subset[4].key
@@ -89,14 +89,14 @@
         one = candidates_of(1)
         self.assertIsNone(self.chooser.choose(one, avoid=frozenset({"agent0"})))
 
-    def test_choices_stay_in_the_subset(self):
+    def test_selections_stay_in_the_subset(self):
         self.assertEqual(16, len(self.choices(candidates_of(100), 500)))
 
     def test_most_loaded_is_never_chosen(self):
         self.load("agent1", 9)
         self.assertNotIn("agent1", self.choices(candidates_of(4)))
 
-    def test_faster_server_bears_more_load(self):
+    def test_faster_server_gets_more_load(self):
         slow = Candidate("slow", "s", rate=1.0)
         fast = Candidate("fast", "f", rate=4.0)
         self.load("slow", 1)
@@ -119,7 +119,7 @@
         chosen = self.choices(candidates, organisation="org")
         self.assertEqual({"agent1"}, set(chosen))
 
-    def test_server_that_fails_at_once_does_not_draw_the_requests(self):
+    def test_server_that_fails_immediately_does_not_attract_requests(self):
         candidates = candidates_of(2)
         self.load("agent0", 7)
         self.table.failed("agent1")
@@ -139,20 +139,20 @@
         chosen = self.choices(candidates_of(8), prefix=b"style guide")
         self.assertEqual(1, len(chosen))
 
-    def test_prefixes_spread(self):
+    def test_prefixes_are_spread_over_servers(self):
         candidates = candidates_of(8)
         chosen = Counter()
         for number in range(400):
             chosen += self.choices(candidates, 1, prefix=b"%d" % number)
         self.assertEqual(8, len(chosen))
 
-    def test_affinity_yields_to_load(self):
+    def test_affinity_does_not_overload_a_server(self):
         candidates = candidates_of(8)
         (preferred,) = self.choices(candidates, prefix=b"style guide")
         self.load(preferred, 9)
         self.assertNotIn(preferred, self.choices(candidates, prefix=b"style guide"))
 
-    def test_confirmed_holder_is_preferred(self):
+    def test_server_that_holds_the_prefix_is_preferred(self):
         candidates = candidates_of(8)
         (hashed,) = self.choices(candidates, prefix=b"style guide")
         holder = next(c.agent_id for c in candidates if c.agent_id != hashed)
--- a/wigeonscale/routing/tests/test_prefixes.py
+++ b/wigeonscale/routing/tests/test_prefixes.py
@@ -17,23 +17,23 @@
         self.view.event("a", 3, b"x", held=False)
         self.assertEqual([b"y"], self.held(b"x", b"y"))
 
-    def test_short_gap_forgets_nothing(self):
+    def test_short_gap_keeps_prefixes(self):
         self.view.event("a", 1, b"x", held=True)
         self.view.event("a", 9, b"y", held=True)
         self.assertEqual([b"x", b"y"], self.held(b"x", b"y"))
 
-    def test_long_gap_forgets_all_before_it(self):
+    def test_long_gap_drops_all_earlier_prefixes(self):
         self.view.event("a", 1, b"x", held=True)
         self.view.event("a", 2000, b"y", held=True)
         self.assertEqual([b"y"], self.held(b"x", b"y"))
 
-    def test_late_event_does_not_undo_a_newer_one(self):
+    def test_late_event_does_not_override_a_newer_one(self):
         self.view.event("a", 1, b"y", held=True)
         self.view.event("a", 3, b"x", held=False)
         self.view.event("a", 2, b"x", held=True)
         self.assertEqual([b"y"], self.held(b"x", b"y"))
 
-    def test_agents_are_apart(self):
+    def test_agents_are_independent(self):
         self.view.event("a", 1, b"x", held=True)
         self.view.event("b", 9, b"y", held=True)
         self.assertEqual([b"x"], self.held(b"x", b"y"))
@@ -46,15 +46,15 @@
         self.assertEqual([], self.held(b"0"))
         self.assertEqual([b"4999"], self.held(b"4999"))
 
-    def test_digest_is_of_the_first_bytes(self):
+    def test_digest_covers_the_first_bytes(self):
         shared = b"p" * 256
         self.assertEqual(prefix_digest(shared + b"1"), prefix_digest(shared + b"2"))
         self.assertNotEqual(prefix_digest(b"one"), prefix_digest(b"two"))
         self.assertEqual(b"", prefix_digest(b""))
 
-    def test_full_list_replaces_what_was_known(self):
+    def test_full_list_replaces_all_prefixes(self):
         self.view.event("a", 1, b"x", held=True)
-        # Events of one message; those between them were about other prefixes.
+        # Events of one message; events between them concerned other prefixes.
         listed = [
             PrefixEvent(number=9, digest=b"y", held=True),
             PrefixEvent(number=9000, digest=b"z", held=True),
