--- a/bench/choices.py
+++ b/bench/choices.py
@@ -181,7 +181,9 @@
             if self._event_rng.random() >= EVENT_LOSS:
                 self._clock.after(
                     EVENT_DELAY_S,
-                    lambda view=view: view.event(agent_id, number, digest, held=held),
+                    lambda view=view: view.apply_event(
+                        agent_id, number, digest, held=held
+                    ),
                 )
 
     def _done(self, req: Request) -> None:
--- a/bench/prefixes.py
+++ b/bench/prefixes.py
@@ -83,7 +83,7 @@
             entry_id=name,
             clock=clock,
             on_word=self._table.update_load,
-            on_prefixes=view.take,
+            on_prefixes=view.apply_events,
         )
 
     async def serve(self, dispatch_id: str, prompt: bytes) -> None:
--- a/wigeonscale/agent/tests/test_prefixes.py
+++ b/wigeonscale/agent/tests/test_prefixes.py
@@ -37,7 +37,7 @@
         view = PrefixView()
         for event in client.events:
             if event.HasField("prefixes"):
-                view.take("a0", event.prefixes)
+                view.apply_events("a0", event.prefixes)
         return [p for p in PROMPTS if view.holds("a0", prefix_digest(p))]
 
     async def test_entries_learn_what_is_stored_and_evicted(self):
--- a/wigeonscale/crashes/tests/test_tracker.py
+++ b/wigeonscale/crashes/tests/test_tracker.py
@@ -64,16 +64,16 @@
         self.assertEqual(refusal_s(4), self.tracker.refusal_remaining_s(FINGERPRINT))
 
     async def test_simultaneous_crashes_in_an_update_from_control(self):
-        self.tracker.take([self.known_crashes("s1", "s2", "s3", span_s=0.2)])
+        self.tracker.apply_records([self.known_crashes("s1", "s2", "s3", span_s=0.2)])
         self.assertEqual(5.0, self.tracker.refusal_remaining_s(FINGERPRINT))
 
     async def test_one_server_counts_once(self):
         self.crash("s1", "s1", "s2", "s2")
-        self.tracker.take([self.known_crashes("s1", "s2")])
+        self.tracker.apply_records([self.known_crashes("s1", "s2")])
         self.assertEqual(0.0, self.tracker.refusal_remaining_s(FINGERPRINT))
 
     async def test_crashes_seen_by_other_entries_are_added(self):
-        self.tracker.take([self.known_crashes("s1", "s2")])
+        self.tracker.apply_records([self.known_crashes("s1", "s2")])
         self.crash("s3")
         self.assertEqual(refusal_s(3), self.tracker.refusal_remaining_s(FINGERPRINT))
 
@@ -92,7 +92,7 @@
         self.assertFalse(self.tracker.is_suspect(FINGERPRINT))
 
     async def test_retried_when_the_refusal_has_expired(self):
-        self.tracker.take(
+        self.tracker.apply_records(
             [self.known_crashes("s1", "s2", "s3", age_s=refusal_s(3) - 1.0)]
         )
         self.assertAlmostEqual(1.0, self.tracker.refusal_remaining_s(FINGERPRINT))
@@ -102,15 +102,15 @@
         self.assertEqual(refusal_s(4), self.tracker.refusal_remaining_s(FINGERPRINT))
 
     async def test_a_completed_run_clears_the_request(self):
-        self.tracker.take([self.known_crashes("s1", "s2")])
+        self.tracker.apply_records([self.known_crashes("s1", "s2")])
         self.crash("s3")
         self.tracker.note_ran(FINGERPRINT)
         self.assertEqual(0.0, self.tracker.refusal_remaining_s(FINGERPRINT))
         self.assertEqual(CrashReport((), (FINGERPRINT,)), self.tracker.take_report())
 
     async def test_cleared_by_another_entry(self):
-        self.tracker.take([self.known_crashes("s1", "s2", "s3")])
-        self.tracker.take([self.known_crashes()])
+        self.tracker.apply_records([self.known_crashes("s1", "s2", "s3")])
+        self.tracker.apply_records([self.known_crashes()])
         self.assertFalse(self.tracker.is_suspect(FINGERPRINT))
 
 
@@ -119,7 +119,9 @@
 
     async def prepare(self):
         await super().prepare()
-        self.tracker.take([self.known_crashes("s1", "s2", "s3", span_s=0.2, age_s=5.0)])
+        self.tracker.apply_records(
+            [self.known_crashes("s1", "s2", "s3", span_s=0.2, age_s=5.0)]
+        )
         self.assertEqual(0.0, self.tracker.refusal_remaining_s(FINGERPRINT))
 
     async def test_retries_are_sent_singly(self):
@@ -150,7 +152,7 @@
     async def prepare(self):
         await super().prepare()
         both = ("s1", "s2", "s3")
-        self.tracker.take(
+        self.tracker.apply_records(
             [self.known_crashes(*both), self.known_crashes(*both, fingerprint=OTHER)]
         )
 
@@ -161,14 +163,14 @@
         self.assertEqual(0.0, self.tracker.refusal_remaining_s(OTHER))
 
     async def test_the_next_crash_identifies_the_cause(self):
-        self.tracker.take([self.known_crashes("s1", "s2", "s3", "s4")])
+        self.tracker.apply_records([self.known_crashes("s1", "s2", "s3", "s4")])
         self.assertEqual(0.0, self.tracker.refusal_remaining_s(OTHER))
         self.assertEqual(refusal_s(4), self.tracker.refusal_remaining_s(FINGERPRINT))
 
     async def test_crashes_not_shared_still_count(self):
-        self.tracker.take([self.known_crashes("s1", "s2", "s3", "s4")])
+        self.tracker.apply_records([self.known_crashes("s1", "s2", "s3", "s4")])
         names = ("s3", "s5", "s6", "s7")
-        self.tracker.take([self.known_crashes(*names, fingerprint=OTHER)])
+        self.tracker.apply_records([self.known_crashes(*names, fingerprint=OTHER)])
         self.assertEqual(refusal_s(4), self.tracker.refusal_remaining_s(OTHER))
         self.assertEqual(refusal_s(4), self.tracker.refusal_remaining_s(FINGERPRINT))
 
@@ -203,12 +205,12 @@
 
 class BoundTest(CrashTrackerCase):
     async def test_many_suspects_do_not_displace_refused_requests(self):
-        self.tracker.take([self.known_crashes("s1", "s2", "s3")])
+        self.tracker.apply_records([self.known_crashes("s1", "s2", "s3")])
         many = [
             self.known_crashes("s1", fingerprint=b"%d" % n)
             for n in range(2 * MAX_TRACKED_REQUESTS)
         ]
-        self.tracker.take(many)
+        self.tracker.apply_records(many)
         self.assertTrue(self.tracker.refusal_remaining_s(FINGERPRINT) > 0)
         known = sum(self.tracker.is_suspect(each.fingerprint) for each in many)
         self.assertEqual(MAX_TRACKED_REQUESTS - 1, known)
--- a/wigeonscale/crashes/tracker.py
+++ b/wigeonscale/crashes/tracker.py
@@ -203,7 +203,7 @@
             ),
         )
 
-    def take(self, records: Iterable[KnownCrashes]) -> None:
+    def apply_records(self, records: Iterable[KnownCrashes]) -> None:
         """Apply an update from control.
 
         Args:
--- a/wigeonscale/daemons/crashes.py
+++ b/wigeonscale/daemons/crashes.py
@@ -19,7 +19,7 @@
     """
 
     def take(update: wire.CrashUpdate) -> None:
-        book.take(known_crashes(update))
+        book.apply_records(known_crashes(update))
         METRICS.crashing_requests.set(book.refused)
 
     return take
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -118,7 +118,7 @@
         entry_id=cfg.name,
         clock=clock,
         on_word=table.update_load,
-        on_prefixes=view.take,
+        on_prefixes=view.apply_events,
         on_gone=on_gone,
         limits=silence or looks,
         dial=functools.partial(open_channel, tls=cfg.tls),
--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -24,7 +24,7 @@
     known = KnownCrashes(
         fingerprint=job.fingerprint, backends=names, age_s=0.0, span_s=9.0
     )
-    parts.around.crashes.take([known])
+    parts.around.crashes.apply_records([known])
 
 
 class Ending:
--- a/wigeonscale/entry/tests/test_places.py
+++ b/wigeonscale/entry/tests/test_places.py
@@ -50,7 +50,7 @@
         word = wire.LoadWord(running=9, slots=4)
         for agent_id in ("a", "gone", "gone but used"):
             self.table.update_load(agent_id, word)
-            self.view.event(agent_id, 1, b"x", held=True)
+            self.view.apply_event(agent_id, 1, b"x", held=True)
         self.table.started("gone but used")
         self.choose()
         self.assertEqual(9, self.table.backlog("a"))
--- a/wigeonscale/routing/prefixes.py
+++ b/wigeonscale/routing/prefixes.py
@@ -57,7 +57,9 @@
     def __init__(self):
         self._caches: dict[str, _Cache] = {}
 
-    def event(self, agent_id: str, number: int, digest: bytes, *, held: bool) -> None:
+    def apply_event(
+        self, agent_id: str, number: int, digest: bytes, *, held: bool
+    ) -> None:
         """Apply one cache event.
 
         Args:
@@ -76,7 +78,7 @@
         if number > newest:
             _record_event(cache, digest, number, held)
 
-    def take(self, agent_id: str, message: PrefixEventsLike) -> None:
+    def apply_events(self, agent_id: str, message: PrefixEventsLike) -> None:
         """Apply the cache events of one message.
 
         Args:
@@ -90,7 +92,7 @@
                 _record_event(cache, event.digest, event.number, held=event.held)
             return
         for event in message.events:
-            self.event(agent_id, event.number, event.digest, held=event.held)
+            self.apply_event(agent_id, event.number, event.digest, held=event.held)
 
     def holds(self, agent_id: str, digest: bytes) -> bool:
         """Return whether the agent's server holds the prefix, as far as known."""
--- a/wigeonscale/routing/tests/test_chooser.py
+++ b/wigeonscale/routing/tests/test_chooser.py
@@ -156,6 +156,6 @@
         candidates = candidates_of(8)
         (hashed,) = self.choices(candidates, prefix=b"style guide")
         holder = next(c.agent_id for c in candidates if c.agent_id != hashed)
-        self.view.event(holder, 1, prefix_digest(b"style guide"), held=True)
+        self.view.apply_event(holder, 1, prefix_digest(b"style guide"), held=True)
         chosen = self.choices(candidates, prefix=b"style guide")
         self.assertEqual({holder}, set(chosen))
--- a/wigeonscale/routing/tests/test_prefixes.py
+++ b/wigeonscale/routing/tests/test_prefixes.py
@@ -12,37 +12,37 @@
         return [digest for digest in digests if self.view.holds("a", digest)]
 
     def test_follows_events(self):
-        self.view.event("a", 1, b"x", held=True)
-        self.view.event("a", 2, b"y", held=True)
-        self.view.event("a", 3, b"x", held=False)
+        self.view.apply_event("a", 1, b"x", held=True)
+        self.view.apply_event("a", 2, b"y", held=True)
+        self.view.apply_event("a", 3, b"x", held=False)
         self.assertEqual([b"y"], self.held(b"x", b"y"))
 
     def test_short_gap_keeps_prefixes(self):
-        self.view.event("a", 1, b"x", held=True)
-        self.view.event("a", 9, b"y", held=True)
+        self.view.apply_event("a", 1, b"x", held=True)
+        self.view.apply_event("a", 9, b"y", held=True)
         self.assertEqual([b"x", b"y"], self.held(b"x", b"y"))
 
     def test_long_gap_drops_all_earlier_prefixes(self):
-        self.view.event("a", 1, b"x", held=True)
-        self.view.event("a", 2000, b"y", held=True)
+        self.view.apply_event("a", 1, b"x", held=True)
+        self.view.apply_event("a", 2000, b"y", held=True)
         self.assertEqual([b"y"], self.held(b"x", b"y"))
 
     def test_late_event_does_not_override_a_newer_one(self):
-        self.view.event("a", 1, b"y", held=True)
-        self.view.event("a", 3, b"x", held=False)
-        self.view.event("a", 2, b"x", held=True)
+        self.view.apply_event("a", 1, b"y", held=True)
+        self.view.apply_event("a", 3, b"x", held=False)
+        self.view.apply_event("a", 2, b"x", held=True)
         self.assertEqual([b"y"], self.held(b"x", b"y"))
 
     def test_agents_are_independent(self):
-        self.view.event("a", 1, b"x", held=True)
-        self.view.event("b", 9, b"y", held=True)
+        self.view.apply_event("a", 1, b"x", held=True)
+        self.view.apply_event("b", 9, b"y", held=True)
         self.assertEqual([b"x"], self.held(b"x", b"y"))
         self.view.forget("a")
         self.assertEqual([], self.held(b"x"))
 
     def test_memory_is_bounded(self):
         for number in range(5000):
-            self.view.event("a", number, b"%d" % number, held=True)
+            self.view.apply_event("a", number, b"%d" % number, held=True)
         self.assertEqual([], self.held(b"0"))
         self.assertEqual([b"4999"], self.held(b"4999"))
 
@@ -53,14 +53,14 @@
         self.assertEqual(b"", prefix_digest(b""))
 
     def test_full_list_replaces_all_prefixes(self):
-        self.view.event("a", 1, b"x", held=True)
+        self.view.apply_event("a", 1, b"x", held=True)
         # Events of one message; events between them concerned other prefixes.
         listed = [
             PrefixEvent(number=9, digest=b"y", held=True),
             PrefixEvent(number=9000, digest=b"z", held=True),
         ]
-        self.view.take("a", PrefixEvents(full=True, number=9800, events=listed))
+        self.view.apply_events("a", PrefixEvents(full=True, number=9800, events=listed))
         self.assertEqual([b"y", b"z"], self.held(b"x", b"y", b"z"))
         gone = PrefixEvent(number=9801, digest=b"y", held=False)
-        self.view.take("a", PrefixEvents(number=9801, events=[gone]))
+        self.view.apply_events("a", PrefixEvents(number=9801, events=[gone]))
         self.assertEqual([b"z"], self.held(b"x", b"y", b"z"))
