--- a/wigeonscale/crashes/policy.py
+++ b/wigeonscale/crashes/policy.py
@@ -70,7 +70,7 @@
 
 def refusal_s_among(
     ended: Set[str],
-    rivals: Iterable[Set[str]],
+    other_suspects: Iterable[Set[str]],
     *,
     span_s: float,
     uncertain_s: float = UNCERTAIN_REFUSAL_S,
@@ -83,7 +83,7 @@
 
     Args:
         ended: Backend servers that ended while they ran the request.
-        rivals: The same for each other request that may be refused.
+        other_suspects: The same for each other request that may be refused.
         span_s: Time from its first crash to its last, in seconds.
         uncertain_s: Duration of a refusal that may be wrong, in seconds.
 
@@ -103,11 +103,11 @@
     if len(ended) < CRASHES_TO_REFUSE:
         return 0.0
     unexplained, unshared = set(ended), set(ended)
-    for rival in rivals:
-        if len(rival) > len(ended):
-            unexplained -= rival
-        elif len(rival) == len(ended):
-            unshared -= rival
+    for suspect in other_suspects:
+        if len(suspect) > len(ended):
+            unexplained -= suspect
+        elif len(suspect) == len(ended):
+            unshared -= suspect
     if len(unexplained) < CRASHES_TO_REFUSE:
         return 0.0
     is_tied = len(unexplained & unshared) < CRASHES_TO_REFUSE
--- a/wigeonscale/crashes/tracker.py
+++ b/wigeonscale/crashes/tracker.py
@@ -122,7 +122,7 @@
             instants += [confirmed.first_at, confirmed.last_at]
         refused_s = refusal_s_among(
             backends | new.keys(),
-            self._rivals(fingerprint),
+            self._other_suspects(fingerprint),
             span_s=max(instants) - min(instants),
             uncertain_s=self._uncertain_refusal_s,
         )
@@ -130,7 +130,7 @@
         allowed_at = max(max(instants) + refused_s, retried_at + CONFIRMATION_TIMEOUT_S)
         return max(0.0, allowed_at - now)
 
-    def _rivals(self, fingerprint: bytes) -> list[frozenset[str]]:
+    def _other_suspects(self, fingerprint: bytes) -> list[frozenset[str]]:
         return [
             confirmed.backends
             for other, confirmed in self._confirmed.items()
--- a/wigeonscale/layers/path.py
+++ b/wigeonscale/layers/path.py
@@ -176,16 +176,16 @@
     part_cost: Callable[[LayerHolder, int], float],
 ) -> list[Part] | None:
     """Return the cheapest parts that run a range of layers, or None."""
-    windows = []
+    clipped = []
     for holder in holders:
         first = max(holder.layers.first, layers.first) - layers.first
         end = min(holder.layers.end, layers.end) - layers.first
         if first < end:
-            windows.append(_ClippedHolder(holder, LayerRange(first, end)))
+            clipped.append(_ClippedHolder(holder, LayerRange(first, end)))
     parts = find_path(
-        windows,
+        clipped,
         layers=layers.count,
-        part_cost=lambda window, count: part_cost(window.holder, count),
+        part_cost=lambda clip, count: part_cost(clip.holder, count),
         hop_cost=lambda here, there: 0.0,
         start_cost=lambda domain: 0.0,
     )
@@ -252,7 +252,7 @@
         costs: Cost functions.
     """
     boundary, *stops = boundaries
-    costs_by_domain = {domain: way[0] for domain, way in best[boundary].items()}
+    costs_by_domain = {domain: found[0] for domain, found in best[boundary].items()}
     cheapest_arrival = {}
     for there in {holder.domain for holder in holders}:
         cheapest_arrival[there] = min(
--- a/wigeonscale/layers/plan.py
+++ b/wigeonscale/layers/plan.py
@@ -92,7 +92,7 @@
     """Return one or two complete sets, and copies on the remaining engines."""
     wanted = _two_sets(holders, model)
     for room in ROOM_SHARES:
-        wanted = wanted or _whole_set(holders, model, room)
+        wanted = wanted or _complete_set(holders, model, room)
     spare = [holder for holder in holders if holder.backend_id not in wanted]
     return wanted | _extra_copies(spare, wanted, model)
 
@@ -106,9 +106,9 @@
     best: dict[str, LayerRange] = {}
     best_rate = 0.0
     for first_share, second_share in itertools.product(TWO_SET_ROOM_SHARES, repeat=2):
-        first = _whole_set(holders, model, first_share)
+        first = _complete_set(holders, model, first_share)
         rest = [holder for holder in holders if holder.backend_id not in first]
-        second = _whole_set(rest, model, second_share)
+        second = _complete_set(rest, model, second_share)
         if not first or not second:
             continue
         rate = set_throughput(first, holders, model) + set_throughput(
@@ -119,7 +119,7 @@
     return best
 
 
-def _whole_set(
+def _complete_set(
     holders: Sequence[Holder], model: ModelSize, room: float
 ) -> dict[str, LayerRange]:
     """Return one complete set on the fastest engines; empty if they cannot hold it.
