--- a/wigeonscale/crashes/aborts.py
+++ b/wigeonscale/crashes/aborts.py
@@ -17,11 +17,11 @@
 
     Example:
         >>> from wigeonscale.testing import ManualClock
-        >>> breaks = Breaks(clock=ManualClock(start=5.0))
-        >>> breaks.note("i-1")
-        >>> breaks.was_aborting("i-1", before=4.0)
+        >>> aborts = AbortTimes(clock=ManualClock(start=5.0))
+        >>> aborts.note("i-1")
+        >>> aborts.was_aborting("i-1", before=4.0)
         False
-        >>> breaks.was_aborting("i-1", before=6.0)
+        >>> aborts.was_aborting("i-1", before=6.0)
         True
     """
 
--- a/wigeonscale/crashes/policy.py
+++ b/wigeonscale/crashes/policy.py
@@ -11,9 +11,9 @@
     "MAX_TRACKED_REQUESTS",
     "START_CRASH_WINDOW_S",
     "SUSPECT_RETENTION_S",
-    "refusal_s_among",
     "next_to_evict",
     "refusal_s",
+    "refusal_s_among",
     "retention_s",
 ]
 
--- a/wigeonscale/crashes/records.py
+++ b/wigeonscale/crashes/records.py
@@ -1,10 +1,10 @@
 """Data types for the crashes of one request."""
 
 __all__ = [
-    "CrashReport",
-    "KnownCrashes",
     "AbortedStart",
     "ConfirmedCrashes",
+    "CrashReport",
+    "KnownCrashes",
     "log_record",
 ]
 
--- a/wigeonscale/layers/path.py
+++ b/wigeonscale/layers/path.py
@@ -29,7 +29,7 @@
     hop_cost: Callable[[str, str], float],
     start_cost: Callable[[str], float],
 ) -> list[Part] | None:
-    """Return the cheapest path, or None if no engine holds one of the layers.
+    """Return the cheapest path, or None if some layer is held by no engine.
 
     Load pattern: hundreds of engines in several failure domains, and one search per
     request on a small share of a core. Most paths stay in one domain, so each domain is
@@ -108,8 +108,8 @@
         loop_engine = _first_engine_in_loop(found.parts)
         if loop_engine is None:
             return found
-        # The path leaves an engine and returns to it. Exclude the engine after it, so
-        # that the next path stays.
+        # The path leaves an engine and returns to it. Exclude the engine visited next,
+        # so that the path stays on the first one.
         usable = [holder for holder in usable if holder.backend_id != loop_engine]
 
 
--- a/wigeonscale/layers/plan.py
+++ b/wigeonscale/layers/plan.py
@@ -1,8 +1,8 @@
 """Placement plan: which engine should hold which layers.
 
-Load pattern: many small engines in a few failure domains. A domain may be lost at any
-time, and a hop between domains costs far more than one within a domain. A token passes
-all engines of its path in sequence, so the duration of a stream, the memory that
+Load pattern: many small engines in a few failure domains. Any of them may be lost at
+any time, and a hop between domains costs far more than one within a domain. A token
+passes all engines of its path in sequence, so the duration of a stream, the memory that
 streams use and the number of streams that a lost engine interrupts all grow with slow
 engines and long paths.
 
@@ -10,7 +10,7 @@
 engines, and each engine keeps memory for many requests. If the other engines can hold
 a second complete set, they do: then the loss of one engine does not break the domain,
 and requests can use the memory of both sets. Otherwise the other engines hold copies
-of some layers, as a reserve.
+of some layers, in case an engine is lost.
 
 Lost layers are replaced within their domain: by engines without layers, else by
 engines whose layers others hold too, else by the neighbours in layer order, else by
--- a/wigeonscale/limits/fair_scheduler.py
+++ b/wigeonscale/limits/fair_scheduler.py
@@ -12,7 +12,7 @@
 Item = TypeVar("Item", bound=Hashable)
 
 MIN_SHARE = 1e-3
-# Credit, in turns, that an organisation gains while it uses less than its share.
+# Maximum credit of an organisation that uses less than its share.
 MAX_CREDIT_TURNS = 4.0
 MIN_TAGS_TO_PRUNE = 256
 
--- a/wigeonscale/limits/sharing.py
+++ b/wigeonscale/limits/sharing.py
@@ -41,7 +41,7 @@
         sharers of each part.
 
     Example:
-        >>> sharers("i-1", 1.0, {"one": 3, "two": 9, "three": 1, "four": 0})
+        >>> share_weights("i-1", 1.0, {"one": 3, "two": 9, "three": 1, "four": 0})
         {'one': 4, 'two': 8}
     """
     weights = {
--- a/wigeonscale/routing/load.py
+++ b/wigeonscale/routing/load.py
@@ -19,8 +19,8 @@
 # Time constant of the means of the own load and of the load from other entries.
 RATIO_TIME_CONSTANT_S = 20.0
 MIN_OWN_MEAN = 0.1
-# How long an agent that has announced to leave is avoided. A restarted agent sends a
-# load word only after it has been used, so the announcement must expire.
+# How long an agent that has announced that it is leaving is avoided. A restarted agent
+# sends a load word only after it has been used, so the announcement must expire.
 LEAVING_TTL_S = 10.0
 FAILURE_DECAY_S = 5.0
 # Factor on the recent failures after one success.
