--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -24,7 +24,7 @@
     known = KnownCrashes(
         fingerprint=job.fingerprint, backends=names, age_s=0.0, span_s=9.0
     )
-    harness.ctx.crashes.take([known])
+    harness.ctx.crashes.apply_records([known])
 
 
 class Ending:
