--- a/wigeonscale/dispatch/__init__.py
+++ b/wigeonscale/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Dispatch of work from an entry to agents."""
+"""Dispatch of requests from an entry to the agents of backend servers."""
 
 __all__ = [
     "AgentGoneError",
--- a/wigeonscale/dispatch/answer.py
+++ b/wigeonscale/dispatch/answer.py
@@ -1,4 +1,4 @@
-"""The answer to one request, over all its dispatches."""
+"""The answer to one request, across all its dispatches."""
 
 __all__ = ["Answer"]
 
@@ -19,17 +19,17 @@
 
 
 class Answer:
-    """The answer to one request, from wherever it comes.
+    """The answer to one request; moves to another agent when its agent fails.
 
     Args:
-        stream: The dispatch that gives it now.
-        carrier: Carries the dispatches.
-        work: The work; None for an answer taken up by its id.
-        reopen: Dispatches the rest of the work; None when that cannot be.
-        on_complete: Called when the answer has ended as it should.
+        stream: Current dispatch.
+        transport: Transport of the dispatches.
+        work: The work; None for an answer attached to by its id.
+        reopen: Dispatches the rest of the work; None when that is not possible.
+        on_complete: Called when the answer has ended without an error.
 
     Attributes:
-        stream: The dispatch that gives it now.
+        stream: Current dispatch.
     """
 
     def __init__(
@@ -50,24 +50,24 @@
 
     @property
     def request_id(self) -> str:
-        """Id under which any entry can take up the answer."""
+        """Id under which any entry can attach to the answer."""
         return self.stream.dispatch_id
 
     @property
     def record(self) -> AnswerRecord:
-        """All tokens so far."""
+        """All tokens received so far."""
         return self.stream.record
 
     @property
     def once(self) -> bool:
-        """Whether the work must not run twice."""
+        """Whether the work must run at most once."""
         return self._work is not None and self._work.once
 
     async def read(self) -> list[str]:
         """Return the next token texts; an empty list at the end.
 
         Raises:
-            WigeonscaleError: When the rest of the answer cannot be had.
+            WigeonscaleError: When the rest of the answer is not available.
         """
         while True:
             try:
@@ -79,14 +79,15 @@
                 await self._redispatch(exc)
 
     def abandon(self) -> None:
-        """Leave an answer that its caller gave up; stop the work where it may be."""
-        # A claimed dispatch goes on: its key still gives the answer. Of one taken
-        # up by its id it is not known whether it is claimed.
+        """Detach after the caller is gone; cancel the work where that is allowed."""
+        # Claimed work continues, since its idempotency key still gives access to the
+        # answer. An answer attached to by its id may be claimed, so it is not
+        # cancelled either.
         cancel = self._work is not None and not self._work.once
         self._transport.drop(self.stream, cancel=cancel)
 
     def close(self) -> None:
-        """Leave an answer that has ended, or that goes on for others."""
+        """Detach from an answer that has ended or that others still read."""
         self._transport.drop(self.stream)
 
     async def _redispatch(self, exc: WigeonscaleError) -> None:
@@ -96,7 +97,8 @@
         if not is_retried(exc) or self._redispatches >= work.attempts:
             raise exc
         if self.record.next_index >= work.generate.max_tokens:
-            # Only the last word was lost; another agent would add a token.
+            # Only the final message was lost; another agent would generate a token
+            # beyond the limit.
             self.stream.end_at_limit()
             return
         logger.info(
--- a/wigeonscale/dispatch/attempts.py
+++ b/wigeonscale/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""Dispatch of one request: choice, claim, sealing and retries."""
+"""Dispatch of one request: agent selection, claim, sealing and retries."""
 
 __all__ = ["Dispatcher"]
 
@@ -25,24 +25,25 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 DEFAULT_RETRY_AFTER_S = 1.0
+# One day; the deadline of the work applies instead.
 NO_LIMIT_S = 86400.0
 REPAIR_WAIT_S = 10.0
 REPAIR_POLL_INTERVAL_S = 0.05
 
 
 class Dispatcher:
-    """Brings work to agents.
+    """Dispatches work to agents.
 
     Args:
-        carrier: Carries dispatches to agents.
-        places: Where work can go.
-        claims: Claims of work that must not run twice.
-        budget: Budget of retries.
-        crashes: Refuses work under which backend servers crash.
+        transport: Transport of dispatches to agents.
+        selector: Selects the agent for each attempt.
+        claims: Claims of once-only work.
+        budget: Retry budget.
+        crashes: Refuses work that crashes backend servers.
         clock: Clock port.
         open_timeout_s: Longest wait for a dispatch to be accepted, in seconds.
-        repair_wait_s: Longest wait of work in progress for a place to go on, in
-            seconds. New work is refused at once instead.
+        repair_wait_s: Longest wait of work in progress for an agent to continue on,
+            in seconds. New work is refused at once instead.
     """
 
     def __init__(
@@ -76,7 +77,8 @@
             The answer, to be closed or abandoned by the caller.
 
         Raises:
-            WigeonscaleError: With run state ``NOT_RUN`` only when that is proven.
+            WigeonscaleError: With run state ``NOT_RUN`` only when the work provably
+                did not run.
         """
         self._budget.record()
         stream = await self._open(work, AnswerRecord(), frozenset())
@@ -93,19 +95,19 @@
     async def attach(
         self, target: Target, dispatch_id: str, organisation: str, from_token: int
     ) -> Answer:
-        """Take up an answer by its id, from a token index.
+        """Attach to an answer by its id, from a token index on.
 
         Args:
-            target: The agent that has it.
-            dispatch_id: Its id.
-            organisation: Organisation of the caller; the agent compares it.
-            from_token: Index of the first token wanted.
+            target: Agent that holds the answer.
+            dispatch_id: Id of its dispatch.
+            organisation: Organisation of the caller; checked by the agent.
+            from_token: Index of the first token to read.
 
         Returns:
             The answer, to be closed by the caller.
 
         Raises:
-            WigeonscaleError: What the agent says when it does not have it.
+            WigeonscaleError: Refusal of an agent that does not hold the answer.
         """
         stream = self._transport.attach(target, dispatch_id, organisation, from_token)
         try:
@@ -118,7 +120,7 @@
     async def _open(
         self, work: Work, record: AnswerRecord, avoid: frozenset[str]
     ) -> DispatchStream:
-        """Dispatch work, on another agent when one refuses."""
+        """Dispatch work; try other agents when one refuses."""
         refusal: WigeonscaleError | None = None
         run_state = RunState.RAN if record.texts else RunState.NOT_RUN
         for _ in range(max(1, work.attempts)):
@@ -144,13 +146,13 @@
                 return await self._attempt(work, record, *selection)
             except WigeonscaleError as exc:
                 refusal = exc
-                # What an earlier dispatch may have run stays true.
+                # An earlier dispatch may have run even if this one did not.
                 run_state = combined_run_state(run_state, exc.run_state)
                 if not is_sealed_by_other(exc):
                     avoid = avoid | {selection[0].agent_id}
         refusal = refusal or await self._no_backend_error(work)
         if work.once and refusal.kind is ErrorKind.CRASHES_BACKENDS:
-            # What became of it under its key comes first.
+            # The outcome of an earlier request with the same key takes precedence.
             await self._claims.check_unclaimed(work)
         refusal.run_state = run_state
         raise caller_error(refusal, once=work.once)
@@ -161,10 +163,10 @@
         return selection or self._selector.choose(work, avoid)
 
     async def _wait_for_target(self, work: Work) -> Selection | None:
-        """Wait for the repair of what was lost under work in progress."""
+        """Wait until control has repaired the chain or agent lost by this work."""
         end = min(work.deadline, self._clock.now() + self._repair_wait_s)
         while self._clock.now() < end:
-            # A new incarnation of an agent that failed is as good as any.
+            # Excludes no agent: a new incarnation of a failed one is as good as any.
             selection = self._selector.choose(work, frozenset())
             if selection is not None:
                 return selection
@@ -232,7 +234,7 @@
         return stream
 
     async def _wait_begun_or_seal(self, work: Work, stream: DispatchStream) -> None:
-        """Wait until the dispatch has begun, or seal it when that takes too long."""
+        """Wait until the dispatch has begun; on a timeout, seal it."""
         accepted = await self._completes_within(
             stream.wait_accepted(), work, self._open_timeout_s
         )
--- a/wigeonscale/dispatch/claims.py
+++ b/wigeonscale/dispatch/claims.py
@@ -1,4 +1,4 @@
-"""Claims of work that must not run twice, committed before its dispatch."""
+"""Claims of once-only work, committed to the control log before its dispatch."""
 
 __all__ = ["Claims", "Selection", "TargetSelector"]
 
@@ -18,31 +18,32 @@
 
 logger = logging.getLogger(__name__)
 
-# Another caller's claim may be seen before its dispatch reaches the agent.
+# Another caller's claim can be visible before its dispatch reaches the agent, so an
+# attach that finds nothing is retried.
 MAX_ATTACH_ATTEMPTS = 3
 ATTACH_RETRY_INTERVAL_S = 0.1
-# Claims of one request: the first, and new ones after a released one.
+# Claim attempts of one request: the first, and another after each released claim.
 MAX_CLAIMS = 3
-# Dispatch id of a claim that asks only whether the key is held.
+# Dispatch id of a claim that only checks whether the key is held.
 PROBE_DISPATCH_ID = "none"
 
 
-# An agent, and the chain that it heads if it heads one.
+# An agent, and the chain that it heads, if any.
 Selection = tuple[Target, wire.Chain | None]
 
 
 class TargetSelector(Protocol):
-    """Where work can go, as the control replicas tell."""
+    """Selects agents among the members known from the control replicas."""
 
     def choose(self, work: Work, avoid: frozenset[str]) -> Selection | None:
-        """Return an agent, and the chain it heads, or None."""
+        """Return an agent outside ``avoid`` and the chain it heads, or None."""
 
     def is_current(self, agent_id: str, incarnation: int) -> bool:
         """Return whether this incarnation of the agent is a member."""
 
 
 class Submitter(Protocol):
-    """What is asked of the control client."""
+    """Interface of the control client used by :class:`Claims`."""
 
     async def submit(
         self, command: wire.Command, timeout_s: float = 3.0
@@ -51,12 +52,12 @@
 
 
 class Claims:
-    """Takes and releases claims through the control log.
+    """Acquires and releases claims through the control log.
 
     Args:
-        control: The control client.
-        carrier: Takes up the answers of claims that others hold.
-        places: Tells whether a holder is still a member.
+        control: Control client.
+        transport: Attaches to the dispatches of other claim holders.
+        selector: Tells whether a claim holder is still a member.
         clock: Clock port.
     """
 
@@ -77,15 +78,16 @@
     async def acquire(
         self, work: Work, dispatch_id: str, target: Target
     ) -> DispatchStream | None:
-        """Claim the work's key, or take up the answer of who holds it.
+        """Claim the work's key, or attach to the dispatch that holds it.
 
         Args:
             work: Work with ``once`` set.
-            dispatch_id: Id that the dispatch will have.
-            target: Where it will go.
+            dispatch_id: Id of the dispatch to be opened.
+            target: Agent that will receive it.
 
         Returns:
-            None when the claim is granted, else the holder's dispatch, begun.
+            None when the claim is granted, else the holder's dispatch, which has
+            begun.
 
         Raises:
             WigeonscaleError: ``OUTCOME_UNKNOWN``, ``IDEMPOTENCY_KEY_REUSED``,
@@ -104,17 +106,19 @@
         raise _in_progress_error(work)
 
     async def check_unclaimed(self, work: Work) -> None:
-        """Check that nobody holds the work's key, when there is nowhere to run it.
+        """Check that the work's key is not claimed, without claiming it.
+
+        Used when no agent can run the work.
 
         Args:
             work: Work with ``once`` set.
 
         Raises:
-            WigeonscaleError: What is known of the work that holds the key.
+            WigeonscaleError: State of the work that holds the key.
         """
         no_target = Target("", 0, "")
         try:
-            # A claim for no agent is never granted.
+            # Control never grants a claim that names no agent.
             existing = await self._submit_claim(work, PROBE_DISPATCH_ID, no_target)
         except WigeonscaleError as exc:
             if exc.kind is ErrorKind.STALE_INCARNATION:
@@ -124,14 +128,14 @@
             raise unknown_outcome_error(f"whether {existing.claim.dispatch_id} ran")
 
     def release_in_background(self, work: Work, dispatch_id: str) -> None:
-        """Release a claim without keeping the caller waiting.
+        """Release a claim in a background task.
 
-        When it fails the claim stands; the next caller of the key finds the
-        dispatch sealed and releases it then.
+        If that fails, the claim remains; the next caller with the key finds the
+        dispatch sealed and releases the claim then.
 
         Args:
             work: The work.
-            dispatch_id: A dispatch that surely never ran nor will.
+            dispatch_id: Dispatch that never ran and never will.
         """
         key = (work.organisation, work.key)
         task = asyncio.create_task(self._try_release(work, dispatch_id))
@@ -139,7 +143,7 @@
         task.add_done_callback(lambda done: self._forget_release(key, done))
 
     async def close(self) -> None:
-        """Wait for the releases under way."""
+        """Wait for the releases in progress."""
         await asyncio.gather(*self._releases.values(), return_exceptions=True)
 
     async def _submit_claim(
@@ -184,7 +188,7 @@
     async def _attach_to_holder(
         self, work: Work, existing: wire.ClaimRecord
     ) -> DispatchStream | None:
-        """Take up the holder's answer; None when its claim was released instead."""
+        """Attach to the holder's dispatch; None when its claim was released."""
         claim = existing.claim
         if existing.state == wire.UNKNOWN:
             raise unknown_outcome_error(f"whether {claim.dispatch_id} ran is not known")
@@ -203,7 +207,8 @@
         except AgentGoneError as exc:
             raise unknown_outcome_error(f"{exc.message}; it had the work") from exc
         except WigeonscaleError as exc:
-            # The agent never ran it nor will: the key is free for a new claim.
+            # The agent never ran the work and never will, so the key can be claimed
+            # again.
             if exc.run_state is not RunState.NOT_RUN:
                 raise
         await self._release(work, claim.dispatch_id)
@@ -212,7 +217,7 @@
     async def _poll_holder(
         self, work: Work, claim: wire.Claim
     ) -> DispatchStream | None:
-        """Return the holder's dispatch, or None when it has not arrived there."""
+        """Return the holder's dispatch, or None when its agent does not know it."""
         for _ in range(MAX_ATTACH_ATTEMPTS):
             stream = self._transport.attach(
                 _holder(claim), claim.dispatch_id, work.organisation
--- a/wigeonscale/dispatch/crashing.py
+++ b/wigeonscale/dispatch/crashing.py
@@ -1,4 +1,8 @@
-"""Work under which backend servers crash: refused, and until then kept apart."""
+"""Protection of backend servers against requests that crash them.
+
+Known crashing requests are refused. Suspected ones are started on separate agents, so
+that a crash can be attributed to one of them.
+"""
 
 __all__ = ["CrashGuard"]
 
@@ -17,11 +21,12 @@
 
 
 class CrashGuard:
-    """Asks the book of crashes for the dispatcher, and tells it what it saw.
+    """Applies and updates this entry's record of crashing requests.
 
     Args:
-        book: What this entry knows.
-        servers: Returns the names of the backend servers beside agents, as of now.
+        book: Crashes known to this entry.
+        servers: Returns the current names of the backend servers of the given
+            agents.
     """
 
     def __init__(
@@ -32,15 +37,15 @@
     ):
         self.book = book
         self._servers = servers
-        # Agents at which suspects wait for their first token, by fingerprint.
+        # Agents on which suspects wait for their first token, by fingerprint.
         self._starting_at: dict[bytes, set[str]] = {}
 
     def refusal(self, work: Work) -> WigeonscaleError | None:
-        """Return why work must not be dispatched, or None."""
+        """Return the error if work must not be dispatched, else None."""
         return refusal_of(self.book, work.fingerprint)
 
     def agents_of_other_suspects(self, work: Work) -> frozenset[str]:
-        """Return the agents where other suspects begin, if this is one itself."""
+        """Return the agents on which other suspects start, if this is a suspect."""
         if not self.book.is_suspect(work.fingerprint):
             return frozenset()
         return frozenset(
@@ -54,12 +59,12 @@
     def track_start(
         self, work: Work, target: Target, chain: wire.Chain | None
     ) -> Iterator[None]:
-        """Watch a dispatch until its answer has begun.
+        """Track a dispatch until its answer has begun, and record lost servers.
 
         Args:
             work: The work.
-            target: The agent that it goes to.
-            chain: The chain that the agent heads; None for a call.
+            target: Agent that receives it.
+            chain: Chain headed by the agent; None for a call.
         """
         agent_ids = {target.agent_id}
         if chain is not None:
@@ -80,7 +85,7 @@
                 self._starting_at.pop(work.fingerprint, None)
 
     def note_ran(self, work: Work) -> None:
-        """Take in that work was answered whole."""
+        """Record that work was answered completely."""
         self.book.note_ran(work.fingerprint)
 
     def _note_lost(
@@ -88,7 +93,7 @@
     ) -> None:
         if exc.run_state is RunState.NOT_RUN:
             return
-        # Those that have not ended are forgotten again.
+        # Servers that turn out to be still up are removed from the record later.
         lost = [name for name in servers if self.book.note_lost(work.fingerprint, name)]
         logger.info(
             "run lost as it began",
--- a/wigeonscale/dispatch/failures.py
+++ b/wigeonscale/dispatch/failures.py
@@ -1,4 +1,4 @@
-"""Failures of dispatches."""
+"""Errors of dispatches."""
 
 __all__ = [
     "AgentGoneError",
@@ -12,11 +12,11 @@
 
 
 class AgentGoneError(WigeonscaleError):
-    """No connection to the agent works any more.
+    """The agent cannot be reached on any connection.
 
     Args:
-        message: Names the agent.
-        run_state: ``NOT_RUN`` only when the work never left this process.
+        message: Error message; names the agent.
+        run_state: ``NOT_RUN`` only when the work was never sent.
     """
 
     def __init__(self, message: str, *, run_state: RunState):
@@ -24,10 +24,10 @@
 
 
 class EntryStoppingError(WigeonscaleError):
-    """This entry stops before the answer has ended; the work goes on.
+    """This entry shuts down before the answer is complete; the work continues.
 
     Args:
-        request_id: Id under which another entry gives the rest.
+        request_id: Id under which another entry serves the rest of the answer.
     """
 
     def __init__(self, request_id: str):
@@ -41,14 +41,14 @@
 
 
 def unknown_outcome_error(message: str) -> WigeonscaleError:
-    """Return the error for work that may have run and must not run again."""
+    """Return the error for once-only work that may have run."""
     return WigeonscaleError(
         ErrorKind.OUTCOME_UNKNOWN, message, run_state=RunState.UNKNOWN
     )
 
 
 def refusal_error(refused: wire.Refused) -> WigeonscaleError:
-    """Return the error that an agent's refusal stands for."""
+    """Return the error that corresponds to an agent's refusal."""
     after_ms = refused.retry_after_ms
     return error_from_kind(
         refused.kind,
--- a/wigeonscale/dispatch/keepalive.py
+++ b/wigeonscale/dispatch/keepalive.py
@@ -1,4 +1,4 @@
-"""Detection of a connection that went silent."""
+"""Detection of unresponsive connections by pings."""
 
 __all__ = ["KeepaliveLimits", "wait_unresponsive"]
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeepaliveLimits:
-    """When a connection counts as silent.
+    """Limits after which a connection counts as unresponsive.
 
     Attributes:
         interval_s: Seconds between two checks.
@@ -34,15 +34,16 @@
 async def wait_unresponsive(
     link: "AgentLink", *, clock: Clock, limits: KeepaliveLimits
 ) -> None:
-    """Return when the link has been silent although it was asked for a word.
+    """Return when the link has not answered several pings in a row.
 
-    Counts looks of this loop, not time, so that a pause of this very process is
-    not taken for a silence of the agent. An idle link is left in peace.
+    Counts iterations of this loop instead of elapsed time, so that a pause of this
+    process is not mistaken for an unresponsive agent. A link without dispatches is
+    not pinged.
 
     Args:
-        link: The link.
+        link: Link to watch.
         clock: Clock port.
-        limits: When it counts as silent.
+        limits: Interval and limits of the checks.
     """
     missed = 0
     pinged = False
--- a/wigeonscale/dispatch/link.py
+++ b/wigeonscale/dispatch/link.py
@@ -1,4 +1,4 @@
-"""One connection to an agent, with one multiplexed stream on it."""
+"""One connection to an agent, with one multiplexed Dispatch stream on it."""
 
 __all__ = ["AgentLink", "OnLoad", "OnPrefixes"]
 
@@ -18,7 +18,7 @@
 
 logger = logging.getLogger(__name__)
 
-# Stands in the outbox for all credit not yet sent.
+# Placeholder in the outbox for all credit not yet sent.
 _CREDITS_MARKER = wire.DispatchRequest(credits=wire.Credits())
 
 Dial = Callable[[str], grpc.aio.Channel]
@@ -33,13 +33,15 @@
         target: The agent.
         entry_id: Name of this entry.
         clock: Clock port.
-        on_load: Called with each load word.
-        on_prefixes: Called with cache events.
-        dial: Opens a channel with a connection of its own to an address.
+        on_load: Called with the agent id and each load report.
+        on_prefixes: Called with the agent id and prefix cache events.
+        dial: Opens a channel with its own connection to an address.
 
     Attributes:
-        busy: Set while dispatches are carried.
-        events_received: Events received so far.
+        target: The agent.
+        streams: Dispatches on this link, by dispatch id.
+        busy: Set while there are dispatches on this link.
+        events_received: Number of events received so far.
     """
 
     def __init__(
@@ -66,7 +68,7 @@
         self._credits: dict[str, int] = {}
 
     def add(self, stream: DispatchStream) -> None:
-        """Carry a dispatch: open it, or take it up, on this link."""
+        """Add a dispatch, and open it or attach to it at the agent."""
         stream.link = self
         self.streams[stream.dispatch_id] = stream
         self.busy.set()
@@ -74,7 +76,7 @@
             self.send(request)
 
     def remove(self, stream: DispatchStream) -> None:
-        """Carry a dispatch no more."""
+        """Remove a dispatch; its later items are ignored."""
         if self.streams.get(stream.dispatch_id) is stream:
             del self.streams[stream.dispatch_id]
         if not self.streams:
@@ -85,13 +87,16 @@
         self._outbox.put_nowait(request)
 
     def grant_credit(self, dispatch_id: str, tokens: int) -> None:
-        """Allow further tokens of a dispatch; sent together with others' credit."""
+        """Allow the agent to send more tokens of a dispatch.
+
+        Credit of several dispatches is sent in one message.
+        """
         if not self._credits:
             self._outbox.put_nowait(_CREDITS_MARKER)
         self._credits[dispatch_id] = self._credits.get(dispatch_id, 0) + tokens
 
     def ping(self) -> None:
-        """Ask the agent for a word."""
+        """Send a ping, which the agent answers with an event."""
         sent_us = int(self._clock.now() * 1e6)
         self.send(wire.DispatchRequest(ping=wire.Ping(sent_us=sent_us)))
 
@@ -99,7 +104,8 @@
         """Connect and receive until the connection breaks."""
         async with self._dial(self.target.address) as channel:
             try:
-                # Nothing may be sent on a connection that never stood.
+                # Messages must not count as sent before the connection is
+                # established.
                 await wait_connected(channel)
             except ConnectionError as exc:
                 logger.info("no connection to %s: %s", self.target.agent_id, exc)
@@ -114,7 +120,7 @@
                 )
             finally:
                 call.cancel()
-                # The call's own task that takes the requests must end as well.
+                # Ends the task of the call that consumes the requests.
                 self._outbox.put_nowait(None)
 
     async def _requests(self) -> AsyncIterator[wire.DispatchRequest]:
@@ -143,7 +149,7 @@
         if event.HasField("prefixes"):
             self._on_prefixes(self.target.agent_id, event.prefixes)
         for item in event.items:
-            # Late items of a dispatch that left are for nobody.
+            # Late items of a removed dispatch are ignored.
             stream = self.streams.get(item.dispatch_id)
             if stream is not None:
                 _deliver(stream, item)
@@ -153,7 +159,7 @@
     try:
         stream.deliver(item)
     except Exception:
-        # One answer that cannot be taken in must not end all the others.
+        # One item that cannot be processed must not end the other dispatches.
         logger.exception("item of %s not taken in", stream.dispatch_id)
         stream.fail(
             WigeonscaleError(
--- a/wigeonscale/dispatch/links.py
+++ b/wigeonscale/dispatch/links.py
@@ -1,4 +1,4 @@
-"""Connections to agents, with a second one when the first falls silent."""
+"""Connections to agents, replaced when they break or become unresponsive."""
 
 __all__ = ["AgentLinks"]
 
@@ -17,7 +17,7 @@
 
 logger = logging.getLogger(__name__)
 
-# A connection that broke before it stood for so long was lost quickly.
+# Connections that last less than this count towards flapping.
 FLAP_LIFETIME_S = 1.0
 MAX_CONSECUTIVE_FLAPS = 4
 
@@ -30,11 +30,11 @@
     Args:
         entry_id: Name of this entry.
         clock: Clock port.
-        on_load: Called with agent id and load word.
-        on_prefixes: Called with agent id and cache events.
-        on_gone: Called when no connection to an agent works any more.
-        limits: When a connection counts as silent.
-        dial: Opens a channel with a connection of its own to an address.
+        on_load: Called with the agent id and each load report.
+        on_prefixes: Called with the agent id and prefix cache events.
+        on_gone: Called with the target when an agent cannot be reached any more.
+        limits: Limits after which a connection counts as unresponsive.
+        dial: Opens a channel with its own connection to an address.
     """
 
     def __init__(
@@ -60,16 +60,17 @@
         self._closing = False
 
     def add_stream(self, stream: DispatchStream) -> None:
-        """Open a dispatch, or take it up, at its agent."""
+        """Open a dispatch at its agent, or attach to it."""
         for supervisor in self._supervisors.get(stream.target, ()):
-            # Items bear only the dispatch id: two readers need two streams.
+            # Items are routed by dispatch id alone, so a second reader of the same
+            # dispatch needs another connection.
             if stream.dispatch_id not in supervisor.link.streams:
                 supervisor.link.add(stream)
                 return
         self._start_supervisor(stream.target).link.add(stream)
 
     def streams(self) -> list[DispatchStream]:
-        """Return every dispatch carried now."""
+        """Return all current dispatches."""
         supervisors = [
             supervisor
             for supervisors in self._supervisors.values()
@@ -82,14 +83,14 @@
         ]
 
     async def close(self) -> None:
-        """Close every connection; what is still carried fails."""
+        """Close all connections; the dispatches left on them fail."""
         self._closing = True
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def new_link(self, target: Target) -> AgentLink:
-        """Return a link with a connection of its own, not yet run."""
+        """Return a new link, which is not running yet."""
         return AgentLink(
             target=target,
             entry_id=self._entry_id,
@@ -113,7 +114,7 @@
         return supervisor
 
     def remove_supervisor(self, supervisor: "_LinkSupervisor") -> None:
-        """Use a lane no more; the dispatches left on it fail."""
+        """Remove the supervisor of a link; the dispatches left on it fail."""
         target = supervisor.link.target
         supervisors = self._supervisors.get(target, [])
         if supervisor in supervisors:
@@ -129,7 +130,7 @@
 
 
 class _LinkSupervisor:
-    """Keeps one link to an agent working, by a second connection when needed."""
+    """Runs one link to an agent and reconnects when it breaks."""
 
     def __init__(
         self,
@@ -148,7 +149,7 @@
         self._consecutive_flaps = 0
 
     async def run(self) -> None:
-        """Return when the agent is gone, or when an idle connection broke."""
+        """Return when the agent is unreachable, or an idle connection was lost."""
         try:
             await self._wait_lost()
             while self.link.streams and not self._is_flapping():
@@ -156,13 +157,13 @@
                     return
                 await self._wait_lost()
         finally:
-            # First and without a pause, so that no dispatch is put on it after the
-            # decision to end.
+            # Must come first, without an await in between, so that no dispatch is
+            # added after the decision to end.
             self._links.remove_supervisor(self)
             await _cancel(self._reader)
 
     def _is_flapping(self) -> bool:
-        """Return whether the connections break as soon as they stand."""
+        """Count a lost connection; return whether too many were short-lived."""
         lifetime_s = self._clock.now() - self._connected_at
         self._consecutive_flaps = (
             self._consecutive_flaps + 1 if lifetime_s < FLAP_LIFETIME_S else 0
--- a/wigeonscale/dispatch/retries.py
+++ b/wigeonscale/dispatch/retries.py
@@ -1,4 +1,4 @@
-"""Which failures may be tried again, and what callers are told of the others."""
+"""Retry policy of dispatches, and the errors reported to callers."""
 
 __all__ = [
     "caller_error",
@@ -17,8 +17,8 @@
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.routing import RetryBudget
 
-# The agent is out of service and is avoided from now on: such retries end by
-# themselves and need no budget.
+# The agent is out of service and excluded from further attempts of this request, so
+# these retries are bounded without charging the retry budget.
 OUT_OF_SERVICE = frozenset(
     {
         ErrorKind.BACKEND_LEAVING,
@@ -32,12 +32,12 @@
 
 
 def is_retried(exc: WigeonscaleError) -> bool:
-    """Return whether another agent may do what failed here."""
+    """Return whether the request may be retried on another agent."""
     return exc.kind in RETRIED and not isinstance(exc, EntryStoppingError)
 
 
 def is_sealed_by_other(exc: WigeonscaleError) -> bool:
-    """Return whether another caller of the same key has sealed the dispatch."""
+    """Return whether another caller with the same key sealed the dispatch."""
     return exc.kind is ErrorKind.CANCELLED and exc.run_state is RunState.NOT_RUN
 
 
@@ -46,11 +46,12 @@
 
     Args:
         work: The work.
-        refusal: Why the last dispatch failed.
-        budget: Charged when the refusal may be shared by many agents.
+        refusal: Error of the last dispatch.
+        budget: Charged unless the agent itself is out of service, since other
+            failures, such as overload, can affect many agents at once.
 
     Returns:
-        True only when the work surely never ran, or may be repeated.
+        True only when the work provably did not run, or may be repeated.
     """
     if is_sealed_by_other(refusal):
         return True
@@ -63,7 +64,7 @@
 
 
 def combined_run_state(first: RunState, second: RunState) -> RunState:
-    """Return what is true of work after two dispatches with these run states."""
+    """Return the run state of work after two dispatches with these run states."""
     for state in (RunState.RAN, RunState.UNKNOWN):
         if state in (first, second):
             return state
@@ -71,7 +72,15 @@
 
 
 def caller_error(exc: WigeonscaleError, *, once: bool) -> WigeonscaleError:
-    """Return the error for the caller: lost once-only work is of unknown outcome."""
+    """Return the error to report to the caller.
+
+    A retryable failure of once-only work whose run state is unknown becomes
+    ``OUTCOME_UNKNOWN``, so that callers do not retry it.
+
+    Args:
+        exc: Error of the last dispatch.
+        once: Whether the work must run at most once.
+    """
     if once and is_retried(exc) and exc.run_state is RunState.UNKNOWN:
         return unknown_outcome_error(exc.message)
     return exc
--- a/wigeonscale/dispatch/stream.py
+++ b/wigeonscale/dispatch/stream.py
@@ -1,4 +1,4 @@
-"""One dispatch as the entry sees it: tokens checked by index, and its end."""
+"""Entry side of one dispatch: checks token indices, grants credit and seals."""
 
 __all__ = ["DispatchStream", "Sink"]
 
@@ -12,9 +12,9 @@
 from wigeonscale.pipelines.constants import INITIAL_CREDIT
 from wigeonscale.wire import wire_pb2 as wire
 
-# Credit goes back in steps, not token by token.
+# Credit is granted in batches, not per token.
 CREDIT_BATCH_TOKENS = INITIAL_CREDIT // 2
-# Gaps in the token index that are mended by attaching again, per dispatch.
+# Gaps in the token index, per dispatch, that are repaired by attaching again.
 MAX_GAP_RETRIES = 3
 
 
@@ -22,16 +22,16 @@
 
 
 class StreamLink(Protocol):
-    """What a dispatch needs of the connection to its agent."""
+    """Interface of the connection to the agent used by :class:`DispatchStream`."""
 
     def send(self, request: wire.DispatchRequest) -> None:
         """Queue a message to the agent."""
 
     def remove(self, stream: "DispatchStream") -> None:
-        """Carry a dispatch no more."""
+        """Remove a dispatch; its later items are ignored."""
 
     def grant_credit(self, dispatch_id: str, tokens: int) -> None:
-        """Allow further tokens of a dispatch."""
+        """Allow the agent to send more tokens of a dispatch."""
 
 
 class DispatchStream:
@@ -41,18 +41,18 @@
         dispatch_id: Id of the dispatch.
         target: The agent.
         organisation: Organisation of the caller.
-        record: Where the tokens go; continues over several dispatches.
-        opening: The message that opens the dispatch; None when it is only attached.
-        seal_only: It is neither opened nor attached, but sealed.
+        record: Receives the tokens; shared by all dispatches of one answer.
+        opening: Message that opens the dispatch; None to attach to an open one.
+        seal_only: Whether to seal the dispatch, neither opening nor attaching to it.
 
     Attributes:
-        link: The link that carries it now.
-        sent: Whether its opening message may have left this process.
-        accepted: Whether the agent has answered for it.
-        counted: Whether it counts as this entry's load on the agent.
-        done: The agent's last word on a generated answer.
-        response: The plain service's answer.
-        error: Why it ended otherwise.
+        link: Current link.
+        sent: Whether its opening message may have been sent.
+        accepted: Whether the agent has sent any item for it.
+        counted: Whether it is counted in the load table.
+        done: Final message of a generation.
+        response: Response of a plain service.
+        error: Error that ended it, if any.
     """
 
     def __init__(
@@ -88,32 +88,36 @@
 
     @property
     def chain_id(self) -> str:
-        """Chain of a generation that may be moved to another; else empty."""
+        """Chain id of a generation that may move to another chain; else empty."""
         if self.opening is None or self.opening.once:
             return ""
         return self.opening.generate.chain.chain_id
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the dispatch has ended."""
         return (
             self.done is not None or self.response is not None or self.error is not None
         )
 
     @property
     def begun(self) -> bool:
-        """Whether a token or the end has come."""
+        """Whether the first token or the end has arrived."""
         return self.ended or self.has_unread
 
     @property
     def has_unread(self) -> bool:
-        """Whether there are tokens that were not taken."""
+        """Whether there are unread tokens."""
         return len(self.record.texts) > self._read_count
 
-    # ------------------------------------------------------------ the link's side
+    # ------------------------------------------------------- called by the link
 
     def requests(self) -> list[wire.DispatchRequest]:
-        """Return the messages that open this dispatch, or take it up, on a new link."""
+        """Return the messages to send on a new link.
+
+        They open the dispatch unless the agent has accepted it, else attach to it,
+        and repeat a pending seal.
+        """
         if self._seal_only:
             return [self._seal_request()]
         if self._seal_pending:
@@ -123,7 +127,7 @@
         return self._attach_requests()
 
     def deliver(self, item: wire.DispatchItem) -> None:
-        """Take in one item from the agent."""
+        """Process one item from the agent."""
         if self.ended:
             return
         self.accepted = True
@@ -145,7 +149,7 @@
         self._notify_reader()
 
     def fail(self, error: WigeonscaleError) -> None:
-        """End the dispatch by an error of this entry's own."""
+        """End the dispatch with an error raised by this entry."""
         if not self.ended:
             self.error = error
         self._notify_reader()
@@ -173,7 +177,7 @@
     def _refusal_error(self, refused: wire.Refused) -> WigeonscaleError:
         exc = refusal_error(refused)
         if exc.kind is ErrorKind.NOT_FOUND and self.opening is not None:
-            # An agent that knows nothing of what was opened there has restarted.
+            # An agent that does not know a dispatch opened on it has restarted.
             return AgentGoneError(
                 f"{self.target.agent_id} has restarted", run_state=RunState.UNKNOWN
             )
@@ -206,7 +210,7 @@
             from_token=self.record.next_index,
             organisation=self.organisation,
         )
-        # The agent begins with the initial credit again.
+        # The agent starts again with the initial credit after an attach.
         self._uncredited_tokens = 0
         return [wire.DispatchRequest(attach=attach)]
 
@@ -221,10 +225,10 @@
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
-    # ---------------------------------------------------------- the caller's side
+    # ----------------------------------------------------- called by the reader
 
     async def wait_accepted(self) -> None:
-        """Wait for the agent's first word on this dispatch."""
+        """Wait for the first item from the agent, or the end."""
         while not (self.accepted or self.ended):
             await self._wait()
 
@@ -234,16 +238,16 @@
             await self._wait()
 
     async def read(self) -> list[str]:
-        """Return the texts of the tokens that came since the last call.
+        """Return the texts of the tokens received since the last call.
 
-        The tokens of the call before are taken as written out, and the agent may
-        send as many more.
+        Each call acknowledges the tokens of the call before: the agent gets credit
+        for as many more.
 
         Returns:
             At least one text; an empty list after the last one.
 
         Raises:
-            WigeonscaleError: The error that ended the dispatch, after its tokens.
+            WigeonscaleError: Error that ended the dispatch, once its tokens are read.
         """
         self._grant_credit()
         while not self.has_unread:
@@ -255,18 +259,19 @@
         return self._read_new()
 
     def forward_to(self, sink: Sink) -> None:
-        """Hand the tokens to come to a function, without waking the reader.
+        """Pass further tokens to a function, without waking the reader.
 
         Args:
-            sink: Takes token texts; returns whether it can take more at once. When
-                it cannot, the tokens after these wait for :meth:`take` again.
+            sink: Called with token texts; returns whether it can accept more right
+                away. If not, later tokens wait for :meth:`read` again.
         """
         self._sink = sink
         self._forward()
 
     def _forward(self) -> None:
         if not self.has_unread:
-            # Known tokens came again; nothing at all would end a chunked body.
+            # Only known tokens arrived again; writing nothing would end a chunked
+            # body.
             return
         if not self._sink(self._read_new()):
             self._sink = None
@@ -281,13 +286,13 @@
         return new
 
     async def seal(self) -> bool:
-        """Ask the agent never to begin this dispatch.
+        """Ask the agent never to start this dispatch.
 
         Returns:
-            True when it surely never began and never will; False when it began.
+            True when it never started and never will; False when it has started.
 
         Raises:
-            AgentGoneError: When that cannot be learnt.
+            AgentGoneError: When the agent cannot be asked.
         """
         if not (self.ended or self._seal_pending) and self._never_ran is None:
             self._seal_pending = True
@@ -303,25 +308,28 @@
         return self.error is not None and self.error.run_state is RunState.NOT_RUN
 
     def cancel(self) -> None:
-        """Tell the agent that nobody wants the answer, and leave."""
+        """Tell the agent to cancel the work, and detach."""
         if not self.ended:
             cancel = wire.Cancel(dispatch_id=self.dispatch_id)
             self.link.send(wire.DispatchRequest(cancel=cancel))
         self.detach()
 
     def abort(self, error: WigeonscaleError) -> None:
-        """Stop the work at the agent; the reader goes on elsewhere or tells why."""
+        """Cancel the work and end the dispatch with an error.
+
+        The reader then moves to another agent or reports the error.
+        """
         if not self.ended:
             self.cancel()
             self.fail(error)
 
     def end_at_limit(self) -> None:
-        """Take the answer as whole: it has all the tokens that it may have."""
+        """End the answer as complete: it has reached its token limit."""
         self.error = None
         self.done = wire.Done(tokens=self.record.next_index, finish_reason="length")
 
     def detach(self) -> None:
-        """Hear no more of this dispatch; the agent is not told."""
+        """Stop receiving items; the agent is not notified."""
         self.link.remove(self)
 
     def _grant_credit(self) -> None:
--- a/wigeonscale/dispatch/targets.py
+++ b/wigeonscale/dispatch/targets.py
@@ -1,4 +1,4 @@
-"""Where a dispatch goes, and the tokens that come back."""
+"""Destination of a dispatch, and the tokens received from it."""
 
 __all__ = ["AnswerRecord", "Target"]
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """The agent that a dispatch is for.
+    """Agent that receives a dispatch.
 
     Attributes:
         agent_id: Name of the backend server.
@@ -22,10 +22,10 @@
 
 @dataclass(slots=True)
 class AnswerRecord:
-    """The tokens of one answer received so far, over all its dispatches.
+    """Tokens of one answer received so far, across all its dispatches.
 
     Attributes:
-        base: Index of the first token held.
+        base: Index of the first token in the record.
         ids: Token ids from ``base`` on.
         texts: Token texts from ``base`` on.
     """
@@ -36,5 +36,5 @@
 
     @property
     def next_index(self) -> int:
-        """Index of the next token expected."""
+        """Index of the next expected token."""
         return self.base + len(self.texts)
--- a/wigeonscale/dispatch/transport.py
+++ b/wigeonscale/dispatch/transport.py
@@ -1,4 +1,4 @@
-"""Dispatches put on links, with their share of the load counted."""
+"""Transport of dispatches to agents, with load accounting."""
 
 __all__ = ["DispatchTransport"]
 
@@ -10,7 +10,7 @@
 
 
 class DispatchTransport:
-    """Puts dispatches on links and takes them off, each counted once.
+    """Sends dispatches over links and counts each once in the load table.
 
     Args:
         links: Connections to agents.
@@ -22,7 +22,7 @@
         self._table = table
 
     def add_stream(self, stream: DispatchStream) -> None:
-        """Open a dispatch, or take it up, at its agent."""
+        """Open a dispatch at its agent, or attach to it."""
         self._links.add_stream(stream)
         self._table.started(stream.target.agent_id, stream.organisation)
         stream.counted = True
@@ -30,7 +30,7 @@
     def attach(
         self, target: Target, dispatch_id: str, organisation: str, from_token: int = 0
     ) -> DispatchStream:
-        """Return a dispatch opened by someone, taken up from a token index."""
+        """Attach to a dispatch that is already open, from a token index on."""
         stream = DispatchStream(
             dispatch_id=dispatch_id,
             target=target,
@@ -41,13 +41,13 @@
         return stream
 
     async def seal(self, target: Target, dispatch_id: str) -> bool:
-        """Seal a dispatch opened by someone.
+        """Seal a dispatch, so that the agent will not start it from now on.
 
         Returns:
-            True when it surely never began and never will; False when it began.
+            True when it never started and never will; False when it has started.
 
         Raises:
-            AgentGoneError: When that cannot be learnt.
+            AgentGoneError: When the agent cannot be asked.
         """
         stream = DispatchStream(
             dispatch_id=dispatch_id,
@@ -63,11 +63,11 @@
             self.drop(stream)
 
     def drop(self, stream: DispatchStream, *, cancel: bool = False) -> None:
-        """Leave a dispatch; further calls do nothing.
+        """Detach from a dispatch; further calls do nothing.
 
         Args:
             stream: The dispatch.
-            cancel: Tell the agent that nobody wants the answer.
+            cancel: Whether to tell the agent to cancel the work.
         """
         if not stream.counted:
             return
@@ -87,10 +87,10 @@
                 self._table.failed(agent_id)
 
     async def wait_begun(self, stream: DispatchStream) -> None:
-        """Wait until a dispatch has begun; drop it when it failed before.
+        """Wait until a dispatch has begun; drop it when it failed before that.
 
         Raises:
-            WigeonscaleError: The error that ended it before its first token.
+            WigeonscaleError: Error that ended it before its first token.
         """
         await stream.wait_begun()
         if stream.error is not None and not stream.has_unread:
--- a/wigeonscale/dispatch/work.py
+++ b/wigeonscale/dispatch/work.py
@@ -1,4 +1,4 @@
-"""The work of one request, before it is known where it will run."""
+"""The work of one request, independent of the agent that will run it."""
 
 __all__ = ["Work", "new_dispatch_id"]
 
@@ -8,27 +8,29 @@
 from wigeonscale.dispatch.targets import AnswerRecord, Target
 from wigeonscale.wire import wire_pb2 as wire
 
+# Length of the random part of a dispatch id.
 DISPATCH_ID_RANDOM_BYTES = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What to run, for whom and within which bounds.
+    """A generation or a service call, with its caller and its limits.
 
     Attributes:
         organisation: Name of the caller's organisation.
         pipeline: Target pipeline; empty for a call to a plain service.
         service: Target plain service; empty for a generation.
-        generate: The generation without its chain; None for a call.
-        call: The call; None for a generation.
-        once: The work must not run twice.
+        generate: Generation request without its chain; None for a call.
+        call: Service call; None for a generation.
+        once: Whether the work must run at most once.
         key: Idempotency key of the claim; set when ``once``.
         digest: SHA-256 of method, path and body; set when ``once``.
-        fingerprint: What it shares with the same work under another id.
-        priority: Larger goes first.
-        deadline: Instant of the clock port at which the whole answer is due.
-        attempts: Most dispatches.
-        dispatch_ids: Ids of its dispatches so far, for the log.
+        fingerprint: Identifies the same work across requests.
+        priority: Larger values go first.
+        deadline: Time on the clock port, in seconds, at which the whole answer is
+            due.
+        attempts: Maximum number of dispatches.
+        dispatch_ids: Ids of the dispatches so far, for the log.
     """
 
     organisation: str
@@ -47,7 +49,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may be dispatched again although it may have begun."""
+        """Whether it may be dispatched again after it may have started."""
         return self.generate is not None and not self.once
 
     def open_message(
@@ -59,13 +61,13 @@
         record: AnswerRecord,
         remaining_s: float,
     ) -> wire.Open:
-        """Return the message that dispatches this work.
+        """Return the message that opens a dispatch of this work.
 
         Args:
             dispatch_id: Id of the new dispatch.
-            target: The agent.
-            chain: The chain chosen, for a generation.
-            record: Tokens that the answer has already.
+            target: Agent that receives it.
+            chain: Chain that runs a generation; ignored for a call.
+            record: Tokens received so far; the generation continues after them.
             remaining_s: Seconds until the deadline.
 
         Returns:
@@ -92,5 +94,8 @@
 
 
 def new_dispatch_id(agent_id: str) -> str:
-    """Return a new id, from which every entry can tell the agent."""
+    """Return a new random id that ends with the agent id.
+
+    The suffix lets every entry find the agent that serves the dispatch.
+    """
     return f"{secrets.token_hex(DISPATCH_ID_RANDOM_BYTES)}@{agent_id}"
