--- a/wigeonscale/dispatch/answer.py
+++ b/wigeonscale/dispatch/answer.py
@@ -102,7 +102,7 @@
             self.stream.end_at_limit()
             return
         logger.info(
-            "going on elsewhere: %s",
+            "dispatch failed, retrying on another agent: %s",
             exc.message,
             extra=log_fields(request_id=self.request_id, kind=exc.kind),
         )
--- a/wigeonscale/dispatch/attempts.py
+++ b/wigeonscale/dispatch/attempts.py
@@ -187,7 +187,7 @@
         if self._clock.now() >= work.deadline:
             raise WigeonscaleError(
                 ErrorKind.DEADLINE_EXCEEDED,
-                "the deadline passed before the work could begin",
+                "the deadline passed before the work could start",
                 retry_after=DEFAULT_RETRY_AFTER_S,
             )
 
@@ -258,11 +258,11 @@
         if accepted or self._clock.now() >= work.deadline:
             return WigeonscaleError(
                 ErrorKind.DEADLINE_EXCEEDED,
-                "the deadline passed before the work began; it never will",
+                "the deadline passed before the work started; it will not run",
                 retry_after=DEFAULT_RETRY_AFTER_S,
             )
         return WigeonscaleError(
             ErrorKind.BACKEND_FAILED,
-            f"not accepted within {self._open_timeout_s:g} s; it never will be",
+            f"dispatch not accepted within {self._open_timeout_s:g} s; it will not run",
             retry_after=DEFAULT_RETRY_AFTER_S,
         )
--- a/wigeonscale/dispatch/claims.py
+++ b/wigeonscale/dispatch/claims.py
@@ -125,7 +125,9 @@
                 return
             raise
         if existing is not None:
-            raise unknown_outcome_error(f"whether {existing.claim.dispatch_id} ran")
+            raise unknown_outcome_error(
+                f"it is unknown whether {existing.claim.dispatch_id} ran"
+            )
 
     def release_in_background(self, work: Work, dispatch_id: str) -> None:
         """Release a claim in a background task.
@@ -180,7 +182,7 @@
             await self._release(work, dispatch_id)
         except WigeonscaleError as exc:
             logger.warning(
-                "claim not released: %s",
+                "failed to release claim: %s",
                 exc.message,
                 extra=log_fields(request_id=dispatch_id, kind=exc.kind),
             )
@@ -191,10 +193,12 @@
         """Attach to the holder's dispatch; None when its claim was released."""
         claim = existing.claim
         if existing.state == wire.UNKNOWN:
-            raise unknown_outcome_error(f"whether {claim.dispatch_id} ran is not known")
+            raise unknown_outcome_error(
+                f"it is unknown whether {claim.dispatch_id} ran"
+            )
         if not self._selector.is_current(claim.agent_id, claim.agent_incarnation):
             raise unknown_outcome_error(
-                f"{claim.agent_id}, which had the work, is gone"
+                f"agent {claim.agent_id}, which held the work, is gone"
             )
         try:
             stream = await self._poll_holder(work, claim)
@@ -202,10 +206,10 @@
                 return stream
             if not await self._transport.seal(_holder(claim), claim.dispatch_id):
                 raise unknown_outcome_error(
-                    f"{claim.dispatch_id} began, its answer is gone"
+                    f"{claim.dispatch_id} has started, but its answer is gone"
                 )
         except AgentGoneError as exc:
-            raise unknown_outcome_error(f"{exc.message}; it had the work") from exc
+            raise unknown_outcome_error(f"{exc.message}; it held the work") from exc
         except WigeonscaleError as exc:
             # The agent never ran the work and never will, so the key can be claimed
             # again.
--- a/wigeonscale/dispatch/crashing.py
+++ b/wigeonscale/dispatch/crashing.py
@@ -96,6 +96,6 @@
         # Servers that turn out to be still up are removed from the record later.
         lost = [name for name in servers if self.book.note_lost(work.fingerprint, name)]
         logger.info(
-            "run lost as it began",
+            "backend server failed before the first token",
             extra=log_fields(fingerprint=work.fingerprint.hex(), backends=lost),
         )
--- a/wigeonscale/dispatch/failures.py
+++ b/wigeonscale/dispatch/failures.py
@@ -33,8 +33,8 @@
     def __init__(self, request_id: str):
         super().__init__(
             ErrorKind.STOPPING,
-            f"this entry stops; GET /v1/requests/{request_id}?from=N at another entry"
-            " gives the answer from token N on",
+            f"this entry is shutting down; GET /v1/requests/{request_id}?from=N at"
+            " another entry returns the answer from token N on",
             run_state=RunState.UNKNOWN,
             retry_after=1.0,
         )
--- a/wigeonscale/dispatch/link.py
+++ b/wigeonscale/dispatch/link.py
@@ -108,7 +108,7 @@
                 # established.
                 await wait_connected(channel)
             except ConnectionError as exc:
-                logger.info("no connection to %s: %s", self.target.agent_id, exc)
+                logger.info("cannot connect to %s: %s", self.target.agent_id, exc)
                 return
             call = wire_grpc.AgentStub(channel).Dispatch(self._requests())
             try:
@@ -116,7 +116,7 @@
                     self._receive(event)
             except grpc.aio.AioRpcError as exc:
                 logger.info(
-                    "connection to %s broke: %s", self.target.agent_id, exc.details()
+                    "connection to %s lost: %s", self.target.agent_id, exc.details()
                 )
             finally:
                 call.cancel()
@@ -160,11 +160,11 @@
         stream.deliver(item)
     except Exception:
         # One item that cannot be processed must not end the other dispatches.
-        logger.exception("item of %s not taken in", stream.dispatch_id)
+        logger.exception("cannot process item of %s", stream.dispatch_id)
         stream.fail(
             WigeonscaleError(
                 ErrorKind.INTERNAL,
-                f"an item of {stream.dispatch_id} cannot be taken in",
+                f"cannot process an item of {stream.dispatch_id}",
                 run_state=RunState.UNKNOWN,
             )
         )
--- a/wigeonscale/dispatch/links.py
+++ b/wigeonscale/dispatch/links.py
@@ -124,7 +124,11 @@
         streams = list(supervisor.link.streams.values())
         for stream in streams:
             state = RunState.UNKNOWN if stream.sent else RunState.NOT_RUN
-            stream.fail(AgentGoneError(f"{target.agent_id} is gone", run_state=state))
+            stream.fail(
+                AgentGoneError(
+                    f"agent {target.agent_id} is unreachable", run_state=state
+                )
+            )
         if streams and not self._closing:
             self._on_gone(target)
 
@@ -184,7 +188,7 @@
         old.streams.clear()
         self.link.ping()
         logger.info(
-            "second connection to %s",
+            "opening a new connection to %s",
             old.target.agent_id,
             extra=_dispatch_count(self.link),
         )
--- a/wigeonscale/dispatch/stream.py
+++ b/wigeonscale/dispatch/stream.py
@@ -179,7 +179,8 @@
         if exc.kind is ErrorKind.NOT_FOUND and self.opening is not None:
             # An agent that does not know a dispatch opened on it has restarted.
             return AgentGoneError(
-                f"{self.target.agent_id} has restarted", run_state=RunState.UNKNOWN
+                f"agent {self.target.agent_id} has restarted",
+                run_state=RunState.UNKNOWN,
             )
         return exc
 
@@ -187,8 +188,8 @@
         beyond_end = not self.record.texts
         return WigeonscaleError(
             ErrorKind.BAD_REQUEST if beyond_end else ErrorKind.INTERNAL,
-            f"token {self.record.next_index} of {self.dispatch_id}, which has"
-            f" {done.tokens}",
+            f"token index {self.record.next_index} is beyond the {done.tokens} tokens"
+            f" of {self.dispatch_id}",
             run_state=RunState.RAN,
         )
 
