--- a/wigeonscale/dispatch/tests/fake_agent.py
+++ b/wigeonscale/dispatch/tests/fake_agent.py
@@ -1,4 +1,4 @@
-"""A fake agent on loopback whose every dispatch follows a script."""
+"""A fake agent on loopback whose answers are scripted by tests."""
 
 __all__ = ["FakeAgent"]
 
@@ -13,14 +13,22 @@
 
 
 class FakeAgent(wire_grpc.AgentServicer):
-    """Answers dispatches with ``WORDS``; tests override the steps.
+    """Answers dispatches with ``WORDS``; tests change attributes or handlers.
 
     Attributes:
-        seen: Messages received, by name of their body, in order.
-        opened: Dispatch ids opened, in order.
-        streams: Dispatch streams open now.
-        silent: Swallows everything on the streams that are open now or later.
-        hold: Tokens after which an answer waits for ``go_on``; None: no wait.
+        seen: Messages received, as pairs of body name and body, in order.
+        opened: Ids of accepted dispatches, in order.
+        refusals: Refusals that the next dispatches get, in order.
+        sealed: Ids of dispatches sealed before they started.
+        accept: Whether new dispatches are accepted; they are ignored if not.
+        hold: Number of tokens after which an answer waits for ``resume``; None for
+            no wait.
+        resume: Set to let held answers continue.
+        deaf: Whether all messages received are ignored.
+        muted: Numbers of the streams that neither receive nor send.
+        streams: Number of streams opened so far.
+        once_effects: Claim keys of the once-only work done, in order.
+        words: Tokens of every generated answer.
     """
 
     def __init__(self, *, agent_id: str = "a1", incarnation: int = 1):
@@ -60,17 +68,17 @@
         await self._server.stop(None)
 
     async def until(self, test) -> None:
-        """Wait until a function of the agent holds."""
+        """Wait until a function of the agent returns true."""
         async with self.changed:
             async with asyncio.timeout(30):
                 await self.changed.wait_for(lambda: test(self))
 
     def names(self) -> list[str]:
-        """Return the names of the messages received, pings and hellos left out."""
+        """Return the names of the messages received, without pings and hellos."""
         return [name for name, _ in self.seen if name not in ("ping", "hello")]
 
     def mute_open_streams(self) -> None:
-        """Let all streams that are open now be silent for good, in both ways."""
+        """Make all open streams stop receiving and sending."""
         self.muted |= set(self._outboxes)
 
     async def Dispatch(self, requests, context):  # noqa: N802
@@ -136,7 +144,7 @@
         self._answer_on(number, opening, start)
 
     def on_attach(self, number: int, attach: wire.Attach) -> None:
-        """Give the rest of an answer."""
+        """Send the rest of an answer."""
         dispatch_id = attach.dispatch_id
         opening = next(
             (
@@ -153,7 +161,7 @@
         self._answer_on(number, opening, attach.from_token)
 
     def on_seal(self, number: int, seal: wire.Seal) -> None:
-        """Say whether the dispatch has begun, and never begin it from now on."""
+        """Seal a dispatch, and report whether it has started."""
         never_ran = seal.dispatch_id not in self.opened
         if never_ran:
             self.sealed.add(seal.dispatch_id)
--- a/wigeonscale/dispatch/tests/test_links.py
+++ b/wigeonscale/dispatch/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links to agents: ends of connections, and items that cannot be taken in."""
+"""Links to agents: lost connections, and items that cannot be processed."""
 
 import asyncio
 
@@ -25,7 +25,8 @@
         self.links = self.new_links()
 
     def new_links(self) -> AgentLinks:
-        # Long silences: these tests break connections themselves.
+        # A long limit for unresponsive agents: these tests break connections
+        # themselves.
         links = AgentLinks(
             entry_id="e1",
             clock=SystemClock(),
@@ -53,7 +54,8 @@
         stream.detach()
         return texts
 
-    async def test_dispatch_at_any_moment_of_an_idle_connections_end_is_served(self):
+    async def test_dispatch_added_while_an_idle_connection_ends_is_served(self):
+        # The dispatch is added a number of event loop iterations after the loss.
         for turns in range(12):
             await self.read_all(self.add_stream(f"first-{turns}@a1"))
             (supervisor,) = self.links._supervisors[self.agent.target]
@@ -66,7 +68,7 @@
             self.links = self.new_links()
         self.assertEqual([], self.gone)
 
-    async def test_only_connections_that_break_at_once_count_as_flapping(self):
+    async def test_only_short_lived_connections_count_as_flapping(self):
         clock = ManualClock()
         links = AgentLinks(entry_id="e1", clock=clock)
         supervisor = links._start_supervisor(self.agent.target)
@@ -76,7 +78,7 @@
         self.assertFalse(supervisor._is_flapping())
         await links.close()
 
-    async def test_item_that_cannot_be_taken_in_ends_its_own_dispatch_only(self):
+    async def test_item_that_cannot_be_processed_ends_its_own_dispatch_only(self):
         link = self.links.new_link(self.agent.target)
         bad, good = self.add_stream("bad@a1"), self.add_stream("good@a1")
         bad.record = None
--- a/wigeonscale/dispatch/tests/test_stream.py
+++ b/wigeonscale/dispatch/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""One dispatch: token indices, credit, seals; and the detection of silence."""
+"""One dispatch: token indices, credit and seals; and keepalive pings."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class FakeLink:
-    """Records what is sent."""
+    """Records sent messages, credit and pings."""
 
     def __init__(self):
         self.sent: list[wire.DispatchRequest] = []
@@ -58,7 +58,7 @@
 
 
 class StreamTest(AsyncTestCase):
-    async def test_credit_goes_back_only_for_tokens_that_were_written(self):
+    async def test_credit_is_granted_only_for_tokens_of_earlier_reads(self):
         stream = new_stream()
         stream.deliver(token_item(0, INITIAL_CREDIT))
         self.assertEqual(INITIAL_CREDIT, len(await stream.read()))
@@ -67,7 +67,7 @@
         await stream.read()
         self.assertEqual([("d@a1", INITIAL_CREDIT)], stream.link.credits)
 
-    async def test_overlapping_runs_give_every_token_once(self):
+    async def test_overlapping_runs_deliver_every_token_once(self):
         stream = new_stream(base=2)
         stream.deliver(token_item(0, 4))
         stream.deliver(token_item(3, 2))
@@ -76,7 +76,7 @@
         self.assertEqual([], await stream.read())
         self.assertEqual([], stream.link.sent)
 
-    async def test_gap_is_asked_for_again_and_not_for_ever(self):
+    async def test_gap_is_requested_again_a_limited_number_of_times(self):
         stream = new_stream()
         for _ in range(5):
             stream.deliver(token_item(3))
@@ -85,14 +85,14 @@
             await stream.read()
         self.assertEqual(ErrorKind.INTERNAL, caught.exception.kind)
 
-    async def test_index_beyond_the_answer_is_the_callers_fault(self):
+    async def test_index_beyond_the_answer_is_a_bad_request(self):
         stream = new_stream(base=9, opened=False)
         stream.deliver(wire.DispatchItem(done=wire.Done(tokens=5)))
         with self.assertRaises(WigeonscaleError) as caught:
             await stream.read()
         self.assertEqual(ErrorKind.BAD_REQUEST, caught.exception.kind)
 
-    async def test_seal_believes_only_proof(self):
+    async def test_seal_returns_true_only_for_work_that_never_ran(self):
         sealed = wire.DispatchItem(sealed=wire.Sealed(never_ran=True))
         begun = wire.DispatchItem(sealed=wire.Sealed(never_ran=False))
         cases = [
@@ -108,20 +108,20 @@
             stream.deliver(item)
             self.assertEqual(never_ran, await waiting, item)
 
-    async def test_restarted_agent_is_gone_not_without_the_answer(self):
+    async def test_opened_dispatch_unknown_to_its_agent_is_a_backend_failure(self):
         stream = new_stream()
         stream.deliver(refused_item("not-found", "unknown"))
         self.assertEqual(ErrorKind.BACKEND_FAILED, stream.error.kind)
         self.assertEqual(RunState.UNKNOWN, stream.error.run_state)
 
-    async def test_new_link_opens_again_only_what_was_never_accepted(self):
+    async def test_new_link_reopens_only_dispatches_that_were_never_accepted(self):
         stream = new_stream()
         self.assertEqual(["open"], [r.WhichOneof("body") for r in stream.requests()])
         stream.deliver(token_item(0, 2))
         (request,) = stream.requests()
         self.assertEqual(2, request.attach.from_token)
 
-    async def test_reader_hears_of_gaps_that_cannot_be_mended_while_tokens_pour(self):
+    async def test_reader_gets_the_error_of_a_gap_while_tokens_are_forwarded(self):
         forwarded = []
         stream = new_stream()
         stream.forward_to(lambda texts: forwarded.append(texts) or True)
@@ -139,7 +139,7 @@
 
 
 class KeepaliveTest(AsyncTestCase):
-    async def test_link_is_silent_after_unanswered_pings_only(self):
+    async def test_link_is_unresponsive_only_after_unanswered_pings(self):
         clock, link = ManualClock(), FakeLink()
         limits = KeepaliveLimits(
             interval_s=1.0, max_missed_pings=3, max_checks_without_ping=6
@@ -156,7 +156,7 @@
         self.assertTrue(watch.done())
         self.assertEqual(3, link.pings)
 
-    async def test_agent_that_is_heard_hears_of_this_entry_too(self):
+    async def test_agent_that_keeps_sending_is_still_pinged(self):
         clock, link = ManualClock(), FakeLink()
         limits = KeepaliveLimits(interval_s=1.0, max_checks_without_ping=4)
         watch = asyncio.create_task(wait_unresponsive(link, clock=clock, limits=limits))
@@ -168,7 +168,7 @@
         watch.cancel()
         await asyncio.gather(watch, return_exceptions=True)
 
-    async def test_idle_link_is_left_in_peace(self):
+    async def test_idle_link_is_not_pinged(self):
         clock, link = ManualClock(), FakeLink()
         link.busy.clear()
         limits = KeepaliveLimits(interval_s=1.0)
--- a/wigeonscale/dispatch/tests/test_transport.py
+++ b/wigeonscale/dispatch/tests/test_transport.py
@@ -1,3 +1,5 @@
+"""Load accounting of dispatches: each is counted once, and so is its outcome."""
+
 from types import SimpleNamespace
 
 from wigeonscale.dispatch.transport import DispatchTransport
@@ -39,12 +41,12 @@
         self.assertEqual(1, self.run_to_end(done=object()))
         self.assertEqual(0, self.table.in_flight_of("a", "org"))
 
-    def test_failures_of_the_backend_server_are_told_to_the_choice(self):
+    def test_backend_server_failures_reach_the_load_table(self):
         self.run_to_end(error=WigeonscaleError(ErrorKind.BACKEND_FAILED, "broke"))
         self.assertEqual(1.0, self.table.failures("a"))
         self.run_to_end(response=object())
         self.assertLess(self.table.failures("a"), 1.0)
 
-    def test_refusals_are_no_failures(self):
+    def test_refusals_do_not_count_as_failures(self):
         self.run_to_end(error=WigeonscaleError(ErrorKind.OVERLOADED, "full"))
         self.assertEqual(0.0, self.table.failures("a"))
