--- a/wigeonscale/placement/__init__.py
+++ b/wigeonscale/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Decides which engines form which chains, and in which order layers load."""
+"""Placement of chains on engines, and the order in which layers load."""
 
 __all__ = [
     "ChainPlan",
--- a/wigeonscale/placement/assignment.py
+++ b/wigeonscale/placement/assignment.py
@@ -1,4 +1,4 @@
-"""Gives rebuilt chains groups of engines that hold their heads and own engines."""
+"""Assignment of engine groups to rebuilt chains, keeping their heads and engines."""
 
 __all__ = ["assign_groups", "split_with_head"]
 
@@ -16,18 +16,18 @@
 def assign_groups(
     groups: Sequence[Group], chains: Sequence[ChainPlan]
 ) -> tuple[list[Group], list[Group]] | None:
-    """Give each chain one of the groups, with the chain's head in it.
+    """Assign to each chain a group that contains the chain's head.
 
-    Engines of one kind and domain change places, so that chains keep their heads and
-    as many of their own engines as can be.
+    Engines of the same kind and domain are swapped between groups, so that chains keep
+    their heads and as many of their own engines as possible.
 
     Args:
-        groups: More groups than chains; no engine stands twice.
-        chains: Chains that are rebuilt.
+        groups: Disjoint groups of engines, more than there are chains.
+        chains: Chains to rebuild.
 
     Returns:
-        The chains' groups, in the order of the chains, and the groups left over; None
-        when a head finds no place.
+        The chains' groups, in the order of the chains, and the remaining groups; None
+        when no group can take one of the heads.
     """
     left = [list(group) for group in groups]
     heads = {chain.stages[0].agent_id for chain in chains}
@@ -46,13 +46,14 @@
 
 
 def _group_with_head(groups, head, heads):
-    """Return the group that the head is in or was moved to."""
+    """Return the group that contains the head, after a swap if necessary."""
     home = next((g for g in groups if any(e.agent_id == head for e in g)), None)
     if home is None:
         return None
     if not any(e.agent_id in heads - {head} for e in home):
         return home
-    # Two heads met: this one changes places with its like in a group without one.
+    # The group contains another head: swap this one with an interchangeable engine of
+    # a group without a head.
     engine = next(e for e in home if e.agent_id == head)
     for group in groups:
         matches = [e for e in group if _interchangeable(e, engine)]
@@ -93,18 +94,18 @@
     stages: int = 0,
     rate_cap: float = math.inf,
 ) -> Split:
-    """Split a model over a group so that a given engine has the first layers.
+    """Split a model over a group so that a given engine holds the first layers.
 
     Args:
-        head: Engine that gets the first layers; one of the group.
+        head: Engine that gets the first layers; a member of the group.
         group: Engines that may be used.
         layers: Number of layers of the model.
-        stages: Exact number of stages; 0 for free choice.
+        stages: Exact number of stages; 0 for any number.
         rate_cap: Steps per second above which a higher rate has no use.
 
     Returns:
-        Pairs of engine and number of layers, the head first; empty when it does not
-        work out.
+        Pairs of engine and number of layers, the head first; empty when there is no
+        such split.
     """
     rest = [engine for engine in group if engine.agent_id != head.agent_id]
     options = [split_layers(group, layers, stages=stages, rate_cap=rate_cap)]
--- a/wigeonscale/placement/bound.py
+++ b/wigeonscale/placement/bound.py
@@ -1,4 +1,4 @@
-"""An upper bound on the throughput that any placement can reach."""
+"""Upper bound on the throughput of any placement, and its dual prices."""
 
 __all__ = [
     "EngineKind",
@@ -22,6 +22,7 @@
     stage_rates,
 )
 
+# Each step shrinks the interval by INVERSE_GOLDEN_RATIO; 24 steps leave less than 1e-5.
 GOLDEN_SECTION_STEPS = 24
 INVERSE_GOLDEN_RATIO = (5**0.5 - 1) / 2
 
@@ -30,12 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DualPrices:
-    """What a chain and an engine of each kind are worth at the bound.
+    """Dual prices of chains and engines at the bound.
 
     Attributes:
         bound: Sequence-steps per second that no placement exceeds.
         chain: Steps per second by which one more chain would raise the bound.
-        engines: The same for one more engine, by :func:`engine_kind`.
+        engines: Steps per second by which one more engine would raise the bound, by
+            :func:`engine_kind`.
     """
 
     bound: float
@@ -44,7 +46,7 @@
 
 
 def engine_kind(engine: EngineSpec) -> EngineKind:
-    """Return what placement distinguishes engines by."""
+    """Return the properties by which placement distinguishes engines."""
     return (engine.layer_rate, engine.layer_capacity, engine.link_rate)
 
 
@@ -54,25 +56,26 @@
     Args:
         engines: Engines that may be used.
         layers: Number of layers of the model.
-        chains: Most chains.
+        chains: Maximum number of chains.
 
     Returns:
-        Sequence-steps per second, all chains together.
+        Sequence-steps per second, summed over all chains.
 
     Notes:
-        Take any placement: chain c passes x_c steps per second and gives engine i a
-        number n_i of its L layers, so x_c <= x(i, n_i) = min(layer_rate / n_i,
-        link_rate). For every price v >= 0 of a chain, let u_i be the largest of 0 and
+        In any placement, let chain c have the rate x_c and give engine i a number n_i
+        of its L layers, so that x_c <= x(i, n_i) = min(layer_rate / n_i, link_rate).
+        For any price v >= 0 of a chain, let u_i be the maximum of 0 and
         n * (x(i, n) - v) / L over all n up to the capacity. Since the n_i of a chain
         sum to L, x_c - v <= sum of u_i over its engines. Summed over the chains:
-        total <= chains * v + sum of u_i over all engines. The bound is the least of
-        these over v, the dual of a linear programme in which engines and chains may
-        be divided at will. With v = 0 it reads: all compute that memory and links
-        let through, divided by the layers. Cost O(kinds * capacity).
-
-        A fraction of a chain is too kind to one or two chains. One chain has an exact
-        best. For two, every pair of chain rates is tried that stages can have, and
-        held against the layers that engines carry at each, engines divided at will.
+        total <= chains * v + sum of u_i over all engines. The bound is the minimum
+        over v. It is the dual of a linear programme in which engines and chains are
+        divisible. With v = 0 it is the total compute that memory and links allow,
+        divided by the number of layers. Cost O(kinds * capacity).
+
+        With one or two chains, this relaxation is loose, because it allows fractions
+        of a chain. For one chain the exact optimum is used. For two, every pair of
+        possible chain rates is checked against the layers that divisible engines can
+        hold at these rates.
     """
     pool = list(engines)
     bound = bound_prices(pool, layers=layers, chains=chains).bound
@@ -86,7 +89,13 @@
 def bound_prices(
     engines: Sequence[EngineSpec], *, layers: int, chains: int
 ) -> DualPrices:
-    """Return the bound of :func:`hardware_bound` and the prices that prove it."""
+    """Return the dual bound of :func:`hardware_bound` and the prices that attain it.
+
+    Args:
+        engines: Engines that may be used.
+        layers: Number of layers of the model.
+        chains: Maximum number of chains.
+    """
     kinds = Counter(engine_kind(engine) for engine in engines)
     samples = {engine_kind(engine): engine for engine in engines}
     points = {key: _optimal_points(sample, layers) for key, sample in samples.items()}
@@ -105,7 +114,15 @@
 
 
 def compute_bound(engines: Iterable[EngineSpec], *, layers: int) -> float:
-    """Return the looser bound that holds for any number of chains."""
+    """Return a looser bound that holds for any number of chains.
+
+    Args:
+        engines: Engines that may be used.
+        layers: Number of layers of the model.
+
+    Returns:
+        Sequence-steps per second, summed over all chains.
+    """
     kinds = Counter(engine_kind(engine) for engine in engines)
     return sum(
         count * _usable_rate(*kind, layers) / layers for kind, count in kinds.items()
@@ -117,8 +134,9 @@
 
 
 def _optimal_points(engine, layers):
-    # n * (min(layer_rate / n, link_rate) - v) rises with n up to layer_rate /
-    # link_rate and falls beyond, whatever v: only the two counts there matter.
+    # n * (min(layer_rate / n, link_rate) - v) increases with n up to layer_rate /
+    # link_rate and decreases beyond, so only the two integers around that point
+    # matter. For v > link_rate it is negative and counts as 0.
     most = max(1, min(engine.layer_capacity, layers))
     crossover = int(engine.layer_rate / engine.link_rate) if engine.link_rate else most
     counts = {min(max(crossover, 1), most), min(crossover + 1, most)}
@@ -133,7 +151,7 @@
 
 
 def _minimise_convex(function, high):
-    """Return the argument in [0, high] with the least value of a convex function."""
+    """Return the minimiser of a convex function on [0, high], by golden section."""
     low, top = 0.0, high
     left, right = top - INVERSE_GOLDEN_RATIO * top, INVERSE_GOLDEN_RATIO * top
     at_left, at_right = function(left), function(right)
@@ -173,7 +191,7 @@
 
 
 def _pair_fits(engines, layers, fast, slow):
-    """Say whether divisible engines carry the model at two rates at once."""
+    """Return whether divisible engines can hold two chains at these rates."""
     carried = [
         (_most_layers(engine, fast, layers), _most_layers(engine, slow, layers))
         for engine in engines
--- a/wigeonscale/placement/compose.py
+++ b/wigeonscale/placement/compose.py
@@ -1,4 +1,4 @@
-"""Composes one chain out of free engines with the least hardware left idle."""
+"""Selection of the engines of one chain, with the least capacity left idle."""
 
 __all__ = ["Composition", "cheapest_cover", "compose_chain", "nearest_rates"]
 
@@ -11,9 +11,9 @@
 from wigeonscale.placement.model import EngineSpec
 from wigeonscale.placement.rates import layers_at_rate, stage_rates
 
-# A composition that wastes less than this share is taken without trying others.
+# A composition that wastes less than this share is accepted without trying others.
 ACCEPTED_WASTE = 0.02
-# Price of a stage as a share of the chain's rate: fewer hops where rates are equal.
+# Price of a stage as a share of the chain's rate: prefers fewer hops at equal rates.
 STAGE_PRICE_SHARE = 0.0005
 
 
@@ -22,9 +22,10 @@
     """Engines of one chain, counted by kind.
 
     Attributes:
-        rate: Steps per second that the engines pass at least.
-        waste: Share of the worth of the chain and its engines that is lost.
-        kinds: Engines taken of each kind.
+        rate: Lower bound of the chain's rate, in steps per second.
+        waste: Share of the dual prices of the chain and its engines that the rate
+            does not use.
+        kinds: Number of engines of each kind.
     """
 
     rate: float
@@ -42,25 +43,25 @@
     chain_price: float = 0.0,
     rates_tried: int = 12,
 ) -> Composition | None:
-    """Return the chain that wastes the least, at a rate near the mean.
+    """Return the composition with the least waste, at a rate near the mean.
 
     Args:
-        counts: Free engines of each kind.
+        counts: Number of free engines of each kind.
         samples: One engine of each kind.
         layers: Number of layers of the model.
-        mean_rate: Rate, in steps per second, that the bound gives the mean chain.
+        mean_rate: Mean rate of a chain at the bound, in steps per second.
         engine_prices: Dual price of an engine of each kind, in steps per second.
         chain_price: Dual price of one chain, in steps per second.
-        rates_tried: Number of chain rates tried, nearest to the mean.
+        rates_tried: Number of chain rates to try, nearest to the mean first.
 
     Returns:
         The composition, or None when the engines cannot hold the model at any rate
         tried.
 
     Notes:
-        For each rate tried, a knapsack by dynamic programming: cover all layers with
-        engines, each giving the layers it carries at that rate, for the least worth.
-        Cost O(rates * engines * layers).
+        For each rate, a covering knapsack is solved by dynamic programming: cover all
+        layers with engines, each holding the layers that it can hold at that rate, at
+        the least total price. Cost O(rates * engines * layers).
     """
     best = None
     for rate in nearest_rates(
@@ -81,7 +82,10 @@
 def nearest_rates(
     engines: Iterable[EngineSpec], layers: int, mean_rate: float, limit: int
 ) -> list[float]:
-    """Return the stage rates nearest to a mean, nearest first, at most ``tried``."""
+    """Return at most ``limit`` stage rates, nearest to a mean first.
+
+    The distance is that of the logarithms.
+    """
 
     def distance(rate):
         return (abs(math.log(rate / mean_rate)), rate)
@@ -96,12 +100,24 @@
     rate: float,
     engine_prices: Mapping[EngineKind, float],
 ) -> tuple[float, Counter[EngineKind]] | None:
-    """Return the worth and the kinds of the cheapest engines that pass a rate."""
+    """Return the cost and the kinds of the cheapest engines for a chain rate.
+
+    Args:
+        counts: Number of free engines of each kind.
+        samples: One engine of each kind.
+        layers: Number of layers of the model.
+        rate: Rate of the chain, in steps per second.
+        engine_prices: Dual price of an engine of each kind, in steps per second.
+
+    Returns:
+        Total price and number of engines of each kind; None when the engines cannot
+        hold the model at that rate.
+    """
     items = _items(counts, samples, layers, rate, engine_prices)
     costs = [0.0] + [math.inf] * layers
     history = [costs]
     for size, cost, _, _ in items:
-        # costs[l] is the least cost to cover at least l layers.
+        # costs[l] is the least cost of covering at least l layers.
         taken = [cost] * size + [c + cost for c in costs[: layers + 1 - size]]
         costs = list(map(min, costs, taken))
         history.append(costs)
@@ -111,7 +127,10 @@
 
 
 def _items(counts, samples, layers, rate, engine_prices):
-    """Return (layers, cost, kind, engines) with engines bundled by powers of two."""
+    """Return items (layers, cost, kind, engines), bundled by powers of two.
+
+    The bundles keep the number of knapsack items logarithmic in the engines of a kind.
+    """
     items = []
     for kind, count in counts.items():
         size = min(layers_at_rate(samples[kind], rate), layers)
--- a/wigeonscale/placement/cover.py
+++ b/wigeonscale/placement/cover.py
@@ -1,4 +1,4 @@
-"""Covers a model several times over at one common rate."""
+"""Grouping of engines so that each group holds the model at a common rate."""
 
 __all__ = ["cover_similar_engines", "cover_max_min_rate"]
 
@@ -22,13 +22,13 @@
         engines: Engines that may be used.
         layers: Number of layers of the model.
         chains: Number of groups.
-        stages: Exact number of engines a group; 0 for free choice.
+        stages: Exact number of engines per group; 0 for any number.
 
     Returns:
         The groups, or an empty list when the engines do not suffice.
 
     Notes:
-        Bisects over the rates that stages can have and fills the groups greedily.
+        Binary search over the possible stage rates, with greedy assignment to groups.
         Cost O(log(rates) * engines * chains).
     """
     rates = sorted(stage_rates(engines, layers))
@@ -46,7 +46,7 @@
 
 
 def _cover(engines, layers, chains, stages, rate):
-    """Fill groups one after the other at a common rate; empty when some stay short."""
+    """Return groups that hold the model at a rate; empty when engines are lacking."""
     sized = [(layers_at_rate(engine, rate), engine) for engine in engines]
     sized = [pair for pair in sized if pair[0] > 0]
     sized.sort(key=lambda pair: (-pair[0], pair[1].domain, pair[1].agent_id))
@@ -88,13 +88,13 @@
 def cover_similar_engines(
     engines: Sequence[EngineSpec], *, layers: int, chains: int, stages: int
 ) -> list[list[EngineSpec]]:
-    """Return groups of engines as alike as can be, the fastest together.
+    """Return groups of similar engines: the fastest form the first group.
 
     Args:
         engines: Engines that may be used.
         layers: Number of layers of the model.
         chains: Number of groups.
-        stages: Exact number of engines a group.
+        stages: Exact number of engines per group.
 
     Returns:
         The groups, or an empty list when some group cannot hold the model.
--- a/wigeonscale/placement/create.py
+++ b/wigeonscale/placement/create.py
@@ -1,4 +1,4 @@
-"""Plans new chains out of free engines."""
+"""Creates chains from free engines."""
 
 __all__ = ["chains_of_splits", "create_chains", "split_groups", "without_spares"]
 
@@ -13,8 +13,8 @@
 from wigeonscale.placement.reuse import loaded_groups
 from wigeonscale.rules.model import Pipeline
 
-# Engines that hold fitting layers are used as they are when the plan then passes at
-# least this share of the best plan: serving at once is worth more for a while.
+# Engines that already hold suitable layers are reused when the total rate is then at
+# least this share of the best one: serving at once outweighs a lower rate for a while.
 MIN_REUSE_RATE_SHARE = 0.5
 
 
@@ -29,17 +29,17 @@
 ) -> list[ChainPlan]:
     """Return new chains of one model, without ids.
 
-    Pipelines of the same shape share the free engines as one pool. Groups of
-    pipelines of different shapes get engines of each kind in proportion to the chains
-    that they miss.
+    Pipelines with the same numbers of layers and stages share one pool of free engines.
+    Groups of pipelines that differ in these get engines of each kind in proportion to
+    their missing chains.
 
     Args:
-        missing: Chains wanted by pipeline name.
+        missing: Number of chains wanted, by pipeline name.
         pipelines: Pipelines of one model.
         free: Engines of that model in no chain, none of them draining.
-        spares: Engines to keep free where the chains wanted do not need them.
-        search: How to search for partitions.
-        load_new: Whether chains may be made whose engines have to load.
+        spares: Number of engines to keep free unless the wanted chains need them.
+        search: Parameters of the search for partitions.
+        load_new: Whether to create chains whose engines have to load layers.
 
     Returns:
         Chains with an empty ``chain_id`` and epoch 1.
@@ -74,7 +74,7 @@
     if not load_new:
         splits = _loaded_splits(pipelines[0], free, wanted)
         return chains_of_splits(splits, pipelines, missing)
-    # A chain that serves is worth more than a spare that waits.
+    # A serving chain takes precedence over an idle spare.
     for kept in range(min(spares, len(free)), -1, -1):
         offered = without_spares(free, kept)
         splits = max(
@@ -87,10 +87,11 @@
 
 
 def without_spares(free, spares):
-    """Return the engines left after setting spares aside, domain by domain.
+    """Return the engines that remain after setting spares aside.
 
-    A spare must be able to hold the largest stage, so the roomiest engines are kept,
-    and of these the slowest with the fastest links.
+    Spares are taken from the failure domains in turn. A spare must be able to hold the
+    largest stage, so engines with the most layer capacity are set aside first, and
+    among these the slowest with the fastest links.
     """
 
     def priority(engine):
@@ -152,7 +153,7 @@
 def split_groups(
     groups: Iterable[Sequence[EngineSpec]], pipeline: Pipeline
 ) -> list[list[tuple[EngineSpec, int]]]:
-    """Return the layers of each engine of each group, in the order of the stages.
+    """Return the number of layers of each engine of each group, in stage order.
 
     Args:
         groups: Groups that each hold the whole model.
@@ -169,7 +170,7 @@
 
 
 def _stage_order(engine):
-    # Engines that hold layers stay near them, so that less has to load.
+    # Orders engines by the layers that they hold, so that fewer layers have to load.
     empty = engine.last_layer < engine.first_layer
     return (empty, engine.first_layer, engine.domain, engine.agent_id)
 
@@ -186,12 +187,13 @@
     pipelines: Sequence[Pipeline],
     missing: Mapping[str, int],
 ) -> list[ChainPlan]:
-    """Deal new chains out to the pipelines that miss them.
+    """Distribute new chains over the pipelines with missing replicas.
 
     Args:
         splits: Stages of each chain as pairs of engine and number of layers.
-        pipelines: Pipelines of one shape.
-        missing: Chains wanted by pipeline name; at least as many as there are splits.
+        pipelines: Pipelines with the same numbers of layers and stages.
+        missing: Number of chains wanted, by pipeline name; in total at least the number
+            of splits.
 
     Returns:
         Chains with an empty ``chain_id`` and epoch 1.
--- a/wigeonscale/placement/improve.py
+++ b/wigeonscale/placement/improve.py
@@ -1,4 +1,4 @@
-"""Rebuilds standing chains with engines that joined since, where they pass far more."""
+"""Rebuilds serving chains with free engines where that raises their rate enough."""
 
 __all__ = ["MIN_REBUILD_GAIN", "improve_chains"]
 
@@ -13,9 +13,9 @@
 from wigeonscale.placement.repair import is_alive, stages_of
 from wigeonscale.rules.model import Pipeline
 
-# A chain that serves is rebuilt only when it then passes this many times as much.
+# A serving chain is rebuilt only when its rate increases at least by this factor.
 MIN_REBUILD_GAIN = 1.25
-# Rates above this many times the mean that the bound allows count for nothing: the
+# Rates above this multiple of the mean rate at the hardware bound have no use: the
 # other chains need engines too.
 TARGET_RATE_RATIO = 1.25
 
@@ -29,31 +29,33 @@
     spares: int = 0,
     domain_share: float = 0.93,
 ) -> list[ChainPlan]:
-    """Return the chains, at most one of each pipeline rebuilt to pass far more.
+    """Return the chains, with at most one per pipeline rebuilt for a higher rate.
 
     The slowest chain that gains enough from its own and free engines is rebuilt. It
-    keeps its id and its head, so that the head can go on with its sequences in the next
-    epoch. A pipeline is left alone unless it has all its replicas, more than one, and
-    all of them serve.
+    keeps its id and its head, so that the head can continue its sequences in the next
+    epoch. A pipeline is skipped unless it has all its replicas, more than one, and all
+    of them serve.
 
     Args:
-        chains: Every chain that stands.
-        pipelines: Pipelines wanted.
-        engines: Engines that may be used, and all those of the chains.
+        chains: All current chains.
+        pipelines: Configured pipelines.
+        engines: Engines that may be used, including all those of the chains.
         serving: Ids of the chains that serve now.
-        spares: Engines of each model kept free for repairs.
-        domain_share: A chain stays inside its head's failure domain when it so passes
-            at least this share of what it passes across domains.
+        spares: Number of engines of each model kept free for repairs.
+        domain_share: A chain stays inside its head's failure domain when its rate
+            there is at least this share of its rate across domains.
 
     Returns:
         The chains in the order given.
 
     Notes:
-        Each step has one chain pass at least ``GAIN`` times as much and no other less,
-        so that repeated planning comes to rest. Rates above ``CEILING`` times the mean
-        that the hardware bound allows count for nothing in the choice of engines, which
-        leaves fast ones to the others; chains within ``GAIN`` of that cost nothing, any
-        other chain two splits of the layers over its own and the free engines.
+        Each step raises the rate of one chain at least by the factor
+        ``MIN_REBUILD_GAIN`` and lowers no other, so that repeated planning reaches a
+        fixed point. Rates above ``TARGET_RATE_RATIO`` times the mean rate at the
+        hardware bound have no use in the choice of engines, which leaves fast engines
+        to the other chains. Chains within ``MIN_REBUILD_GAIN`` of that rate cost
+        nothing; any other chain costs two splits of the layers over its own and the
+        free engines.
     """
     by_id = {engine.agent_id: engine for engine in engines}
     result = list(chains)
@@ -86,7 +88,7 @@
 
 
 def _mean_rate(pipeline, pipelines, engines):
-    """Return the mean rate that the bound allows the chains of the same model."""
+    """Return the mean chain rate at the bound over all pipelines of the model."""
     pool = [e for e in engines if e.is_usable and e.model == pipeline.model]
     same_model = [other for other in pipelines if other.model == pipeline.model]
     layers = sum(other.layers * other.replicas for other in same_model)
@@ -136,7 +138,7 @@
     if not split:
         return None
     position = {stage.agent_id: n for n, stage in enumerate(chain.stages)}
-    # Engines of the chain keep their order, so that less has to load.
+    # Engines of the chain keep their order, so that fewer layers have to load.
     tail = sorted(
         split[1:], key=lambda pair: position.get(pair[0].agent_id, len(position))
     )
--- a/wigeonscale/placement/loads.py
+++ b/wigeonscale/placement/loads.py
@@ -1,4 +1,4 @@
-"""Decides in which order engines load weights from the rate-limited store."""
+"""Order in which engines load weights from the rate-limited store."""
 
 __all__ = ["order_loads"]
 
@@ -10,7 +10,7 @@
 
 
 class LoadStage(Protocol):
-    """What is read of a stage; ``StagePlan`` and the wire's ``Stage`` both fit."""
+    """Fields read of a stage; implemented by ``StagePlan`` and the wire's ``Stage``."""
 
     agent_id: str
     first_layer: int
@@ -18,7 +18,7 @@
 
 
 class LoadChain(Protocol):
-    """What is read of a chain; ``ChainPlan`` and the wire's ``Chain`` both fit."""
+    """Fields read of a chain; implemented by ``ChainPlan`` and the wire's ``Chain``."""
 
     chain_id: str
     pipeline: str
@@ -44,29 +44,29 @@
     demand: Mapping[str, float] | None = None,
     loading: Collection[str] = (),
 ) -> list[tuple[AnyChain, AnyStage]]:
-    """Return the stages that have yet to load, those that serve soonest first.
+    """Return the stages that still have to load, in loading order.
 
-    The caller releases the first few, as many as the store bears, and asks again when
+    The caller starts the first few, as many as the store allows, and calls again when
     one has loaded. A chain serves only when all its stages are loaded, so chains are
-    finished one after the other. Chains of pipelines that nothing serves go first.
-    Within each half the chain goes first that meets the most unserved demand for each
-    layer still to load.
+    completed one after the other. Chains of pipelines without a serving chain go first.
+    Within each group, chains are ordered by the unmet demand that they would serve per
+    layer still to load, highest first.
 
     Args:
-        chains: Every chain that stands, ready ones too.
-        is_loaded: Whether a stage of a chain holds its layers already.
-        demand: Steps per second wanted, by pipeline; by default what all its chains
-            pass together.
-        loading: Agents known to be loading now; they stay first, since a load that has
-            begun is not taken back.
+        chains: All planned chains, including ready ones.
+        is_loaded: Returns whether the engine of a stage already holds its layers.
+        demand: Demand in steps per second, by pipeline; by default the total rate of
+            the pipeline's chains.
+        loading: Agents that are loading now; their stages come first, since a load in
+            progress is not cancelled.
 
     Returns:
-        Pairs of chain and stage. Equal input gives an equal result on every replica.
+        Pairs of chain and stage. Deterministic, so that all replicas agree.
 
     Notes:
-        The order by demand met for each layer is Smith's rule for one shared resource
-        (W. E. Smith, 1956), which minimises the sum over time of demand not met while
-        loads are whole chains. Cost O(stages + chains * log(chains)).
+        Ordering by served demand per layer is Smith's rule for one shared resource
+        (W. E. Smith, 1956). It minimises the unmet demand summed over time, as long as
+        whole chains are loaded. Cost O(stages + chains * log(chains)).
     """
     pending, served, planned = _loading_state(chains, is_loaded)
     wanted = planned if demand is None else demand
@@ -78,7 +78,7 @@
 
 
 def _loading_state(chains, is_loaded):
-    """Return pending chains by pipeline, and rates served and planned."""
+    """Return pending chains, serving rates and planned rates, each by pipeline."""
     pending = defaultdict(list)
     served = defaultdict(float)
     planned = defaultdict(float)
@@ -94,7 +94,7 @@
 
 
 def _chains_by_benefit(pending, served, wanted):
-    """Yield pending chains; each one yielded counts as served for the next."""
+    """Yield pending chains; each one counts as serving when choosing the next."""
     queues = {}
     heap = []
 
--- a/wigeonscale/placement/local_search.py
+++ b/wigeonscale/placement/local_search.py
@@ -1,4 +1,4 @@
-"""Improves a partition by dividing the engines of two chains anew."""
+"""Local search that improves a partition by redistributing pairs of groups."""
 
 __all__ = ["group_rate", "improve_pairs", "total_rate"]
 
@@ -15,12 +15,12 @@
 
 MAX_SEARCH_ROUNDS = 4
 RATES_TRIED = 24
-# Smallest gain worth a change, as a share of the two chains' rate.
+# Smallest relative gain of the two chains' total rate for which a pair is changed.
 MIN_PAIR_GAIN = 0.001
 
 
 def group_rate(group: Sequence[EngineSpec], layers: int, stages: int = 0) -> float:
-    """Return the best chain rate of a group, 0 when it cannot hold the model."""
+    """Return the best chain rate of a group; 0 when it cannot hold the model."""
     split = split_layers(group, layers, stages=stages)
     single_stage = len(split) == 1
     return min(
@@ -40,15 +40,15 @@
 def improve_pairs(
     groups: Sequence[Group], engines: Sequence[EngineSpec], *, layers: int
 ) -> list[Group]:
-    """Divide the engines of every two groups anew while that raises their rates.
+    """Redistribute the engines of each pair of groups while that raises their rates.
 
     Args:
         groups: Disjoint groups that each hold the model.
-        engines: All engines that may be used, those in no group too.
+        engines: All engines that may be used, including those in no group.
         layers: Number of layers of the model.
 
     Returns:
-        As many groups, with no lower sum of rates.
+        The same number of groups, whose total rate is no lower.
     """
     best = [list(group) for group in groups]
     free = _unused(engines, best)
@@ -73,7 +73,7 @@
 
 
 def _best_pair(pool, layers):
-    """Return the two groups with the highest sum of rates found, and that sum."""
+    """Return the two groups with the highest total rate found, and that rate."""
     prices = bound_prices(pool, layers=layers, chains=2)
     counts = Counter(engine_kind(engine) for engine in pool)
     samples = {engine_kind(engine): engine for engine in pool}
--- a/wigeonscale/placement/model.py
+++ b/wigeonscale/placement/model.py
@@ -1,4 +1,4 @@
-"""Plain data of placement: engines, stages, chains and plans."""
+"""Data types of placement: engines, stages, chains and plans."""
 
 __all__ = ["ChainPlan", "EngineSpec", "Plan", "StagePlan"]
 
@@ -8,22 +8,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What placement knows of one announced engine.
+    """One announced engine, as placement sees it.
 
     Attributes:
         agent_id: Stable name of the backend server.
         incarnation: Changes at each start of its agent.
-        address: ip:port of its agent.
+        address: ``ip:port`` of its agent.
         domain: Failure domain.
         region: Region; a chain never crosses regions.
         model: Model whose layers it can hold.
         accelerator: Kind of accelerator, for reports.
         layer_rate: Layer-steps per second over all sequences.
-        layer_capacity: Layers that fit in its memory.
-        link_rate: Steps per second that its link carries.
+        layer_capacity: Number of layers that fit in its memory.
+        link_rate: Steps per second that its network link can transfer.
         first_layer: First loaded layer, inclusive.
-        last_layer: Last loaded layer, inclusive; less than the first for none.
-        draining: Whether it is leaving and gets no new stage.
+        last_layer: Last loaded layer, inclusive; less than ``first_layer`` when no
+            layer is loaded.
+        draining: Whether it is shutting down and gets no new stage.
     """
 
     agent_id: str
@@ -42,7 +43,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether it may take a new stage: it stays, and passes anything at all."""
+        """Whether it may take a new stage: not draining, capacity and rates above 0."""
         passes = 0 < self.layer_rate < math.inf and self.link_rate > 0
         return passes and self.layer_capacity > 0 and not self.draining
 
@@ -60,7 +61,7 @@
 
     @property
     def layers(self) -> int:
-        """Number of layers of the stage."""
+        """Number of layers in the stage."""
         return self.last_layer - self.first_layer + 1
 
 
@@ -69,9 +70,9 @@
     """One replica of a pipeline.
 
     Attributes:
-        chain_id: Never used again once the chain is removed.
+        chain_id: Unique id; not reused after the chain is removed.
         pipeline: Name of the pipeline.
-        epoch: Grows with every change of the stages.
+        epoch: Increases with every change of the stages.
         stages: Stages in layer order; the first is the head.
         rate: Planned sequence-steps per second.
     """
@@ -88,10 +89,10 @@
     """Result of planning.
 
     Attributes:
-        chains: Every chain that shall stand.
+        chains: All chains of the plan.
         changed: Those of ``chains`` that are new or have a new epoch.
-        removed: Ids of the chains that shall stand no longer.
-        retired: Ids of the chains that shall end their work first.
+        removed: Ids of the current chains that are not in the plan.
+        retired: Ids of the chains to remove once their work has finished.
     """
 
     chains: tuple[ChainPlan, ...] = ()
--- a/wigeonscale/placement/partition.py
+++ b/wigeonscale/placement/partition.py
@@ -1,4 +1,4 @@
-"""Chooses which engines go together into which chain."""
+"""Partition of engines into groups, one per chain."""
 
 __all__ = ["FULL_SEARCH", "QUICK_SEARCH", "Search", "partition_engines"]
 
@@ -25,17 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Search:
-    """How to search for a partition.
+    """Parameters of the search for a partition.
 
     Attributes:
-        rates_tried: Chain rates tried for each chain.
-        polish: Whether to try chains across domains and to improve pairs of chains.
-        rate_step: Ratio to whose powers layer rates are rounded down first, so that
-            there are few kinds of engines; 1 for no rounding.
-        domain_share: A partition with each chain inside one failure domain is taken
-            when it passes at least this share of the best one across domains: losing
-            a domain then leaves the other chains whole. Without ``polish`` it is
-            taken whenever it has all chains.
+        rates_tried: Number of chain rates tried for each chain.
+        local_search: Whether to try chains across domains and to improve pairs of
+            chains.
+        rate_step: Layer rates are rounded down to powers of this ratio, which reduces
+            the number of kinds of engines; 1 for no rounding.
+        domain_share: A partition with each chain inside one failure domain is chosen
+            when its rate is at least this share of the best rate across domains, since
+            the loss of a domain then leaves the other chains intact. Without
+            ``local_search`` it is chosen whenever it has all chains.
     """
 
     rates_tried: int
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Context:
-    """What stays the same for every pool of engines."""
+    """Arguments that are common to all pools of engines."""
 
     layers: int
     stages: int
@@ -74,9 +75,9 @@
     Args:
         engines: Free engines of one model.
         layers: Number of layers of the model.
-        chains: Groups wanted.
-        stages: Exact number of engines a group; 0 for free choice.
-        search: How to search.
+        chains: Number of groups wanted.
+        stages: Exact number of engines per group; 0 for any number.
+        search: Parameters of the search.
 
     Returns:
         At most ``chains`` groups, each within one region; fewer when the engines do
@@ -146,7 +147,7 @@
 
 
 def _improve_shares(shares, score):
-    """Move chains from pool to pool, one at a time, while that is of worth."""
+    """Move chains between pools, one at a time, while the score increases."""
     best, best_score = shares, score(shares)
     while True:
         options = [
@@ -168,7 +169,7 @@
 
 
 def _apportion_chains(pools, layers, chains):
-    """Share the chains out so that their mean rates are as equal as can be."""
+    """Distribute the chains over pools so that their mean rates are about equal."""
     bounds = [compute_bound(pool, layers=layers) for pool in pools]
     capacities = [sum(e.layer_capacity for e in pool) // layers for pool in pools]
     shares = [0] * len(pools)
--- a/wigeonscale/placement/planner.py
+++ b/wigeonscale/placement/planner.py
@@ -1,4 +1,4 @@
-"""Plans every chain of every pipeline."""
+"""Planning of all chains of all pipelines."""
 
 __all__ = ["plan_chains"]
 
@@ -13,7 +13,8 @@
 from wigeonscale.placement.repair import is_leaving, repair_chains
 from wigeonscale.rules.model import Pipeline
 
-# Above this many engines the search is cut short, so that a plan takes a second.
+# Above this number of engines a shorter search is used, so that a plan takes about a
+# second.
 MAX_FULL_SEARCH_ENGINES = 256
 
 
@@ -28,32 +29,32 @@
     load_new: bool = True,
     rebuild_serving: bool = True,
 ) -> Plan:
-    """Return the chains that shall stand, given those that stand now.
+    """Return a plan of all chains, given the current ones.
 
-    Healthy chains stay as they are, unless rebuilding one, id and head kept, makes a
-    replica more (:func:`regroup_chains`). A chain that lost a stage (its engine is gone
-    or has another incarnation) gets a spare for that stage in a higher epoch. A chain
-    that cannot be repaired is removed. A chain with a draining stage stays until that
-    engine is gone, so that work in progress can finish, but no longer counts towards
-    the replicas wanted; callers of the plan must give such a chain no new work.
+    Healthy chains are kept unchanged, unless rebuilding one, with the same id and head,
+    makes room for another replica (:func:`regroup_chains`). A chain that lost a stage
+    (its engine is gone or has another incarnation) gets a spare for that stage, in a
+    higher epoch. A chain that cannot be repaired is removed. A chain with a draining
+    stage stays until that engine is gone, so that work in progress can finish, but no
+    longer counts as a replica; callers must give such a chain no new work.
 
     Args:
-        pipelines: Pipelines wanted; a chain of any other is removed.
+        pipelines: Configured pipelines; chains of any other pipeline are removed.
         engines: Announced engines.
-        chains: Chains that stand now.
-        spares: Engines of each model kept out of new chains, for repairs.
-        base_index: Log index the input was taken from; part of new chain ids, so that
-            no id is ever used twice. Must grow between calls whose plans are used.
-        domain_share: New chains stay inside one failure domain each when they so pass
-            at least this share of what they pass across domains; 0 for always.
-        load_new: Whether to make new chains whose engines have to load. When not,
-            chains are repaired, and made of engines that hold their layers.
-        rebuild_serving: Whether chains that serve may be rebuilt so that replicas
-            that are missing can be made.
+        chains: Current chains.
+        spares: Number of engines of each model kept out of new chains, for repairs.
+        base_index: Log index of the input. It is part of new chain ids, so that no id
+            is used twice, and must increase between calls whose plans are used.
+        domain_share: New chains stay inside one failure domain each when their total
+            rate is then at least this share of that across domains; 0 for always.
+        load_new: Whether to create chains whose engines have to load layers. If not,
+            chains are only repaired, or formed from engines that hold their layers.
+        rebuild_serving: Whether serving chains may be rebuilt to make room for missing
+            replicas.
 
     Returns:
-        The plan; equal input gives an equal plan, and planning again with the plan's
-        own chains changes nothing.
+        The plan. It is deterministic, and planning again with the plan's own chains
+        changes nothing.
 
     Example:
         >>> pipeline = Pipeline(name="p", model="m", layers=8)
@@ -87,7 +88,7 @@
 
 
 def _drop_surplus(chains, by_name, by_id):
-    """Leave out the slowest chains beyond the replicas wanted."""
+    """Return the chains without the slowest beyond the wanted number of replicas."""
     serving = [chain for chain in chains if not is_leaving(chain, by_id)]
     counts = Counter(chain.pipeline for chain in serving)
     surplus = set()
@@ -99,7 +100,7 @@
 
 
 def _add_missing(standing, pipelines, by_id, spares, search, load_new):
-    """Return the standing chains and new ones, which have no ids yet."""
+    """Return the current chains and new ones, which have no ids yet."""
     missing = _missing(standing, pipelines, by_id)
     free = _free_by_model(standing, by_id)
     added = []
@@ -131,7 +132,7 @@
 
 
 def _regroup(chains, pipelines, by_id, search, base_index, rebuild_serving):
-    """Rebuild chains until no more replicas come of it for now."""
+    """Rebuild chains until that allows no more replicas for now."""
     shapes = defaultdict(list)
     for pipeline in pipelines:
         shapes[pipeline.model, pipeline.layers, pipeline.stages].append(pipeline)
@@ -154,7 +155,7 @@
 
 
 def _name_chains(chains, base_index):
-    """Give each new chain an id that was never used."""
+    """Give each new chain an id that was never used before."""
     number = _highest_number(chains, base_index)
     named = []
     for chain in chains:
@@ -203,7 +204,10 @@
 
 
 def _with_epoch(chain, known):
-    """Return the chain one epoch after the known one, however often it was changed."""
+    """Return a changed chain one epoch after the known one.
+
+    The epoch increases by one per plan, however often planning changed the chain.
+    """
     if known is None:
         return replace(chain, epoch=1)
     if chain.stages == known.stages:
--- a/wigeonscale/placement/preload.py
+++ b/wigeonscale/placement/preload.py
@@ -1,4 +1,4 @@
-"""Chooses the layers that spares hold in advance, so that a lost stage is back soon."""
+"""Choice of the layers that spares load in advance, for fast repair of lost stages."""
 
 __all__ = ["preload_spares"]
 
@@ -9,12 +9,13 @@
 
 from wigeonscale.placement.loads import AnyChain, AnyStage
 
-# A spare in the failure domain of the stage it stands for may be lost with it.
+# Share of its weight that a stage loses when it is in the spare's failure domain, since
+# both may fail together.
 SAME_DOMAIN_PENALTY = 0.5
 
 
 class Spare(Protocol):
-    """What is read of an engine in no chain; the wire's ``Backend`` fits."""
+    """Fields read of an engine in no chain; implemented by the wire's ``Backend``."""
 
     agent_id: str
     domain: str
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _StageKind:
-    """What stages have in common that one spare could replace."""
+    """Common properties of the stages that one spare could replace."""
 
     model: str
     region: str
@@ -49,26 +50,26 @@
     region_of: Callable[[AnyChain], str],
     loading: Collection[str] = (),
 ) -> Iterator[tuple[Spare, AnyChain, AnyStage]]:
-    """Yield what spares shall load, those that are loading first.
+    """Yield the loads of spares, starting with those that are loading already.
 
-    A spare that holds the layers of any stage keeps them. Each other spare takes the
-    layers that the most stages have for each spare that holds them; stages in the
-    spare's own failure domain count half.
+    A spare that holds the layers of any stage keeps them. Each other spare gets the
+    layer range with the most stages per spare that holds it; stages in the spare's own
+    failure domain count half.
 
     Args:
-        chains: Chains that stand, with the model they are of.
-        spares: Engines in no chain that may take a stage.
-        holds: Whether a spare holds what a chain's stage needs.
-        region_of: Region of a chain.
-        loading: Agents known to be loading now.
+        chains: Current chains; each has the name of its model.
+        spares: Engines in no chain that may take over a stage.
+        holds: Returns whether a spare holds what a stage of a chain needs.
+        region_of: Returns the region of a chain.
+        loading: Agents that are loading now.
 
     Yields:
-        A spare, and the chain and stage that it shall be able to replace. Equal input
-        gives an equal result on every replica.
+        A spare, with the chain and the stage that it will be able to replace.
+        Deterministic, so that all replicas agree.
 
     Notes:
-        Cost O(stages + spares) for the first, and O(distinct stages of the model) for
-        each one more.
+        The first item costs O(stages + spares), each further one O(distinct stages of
+        the model).
     """
     kinds = _stages_by_kind(chains, region_of)
     by_range = defaultdict(list)
@@ -92,7 +93,7 @@
 
 
 def _stages_by_kind(chains, region_of):
-    """Return chains and stages that one spare could replace alike, in a fixed order."""
+    """Return chains and stages by model, region and kind, in a fixed order."""
     kinds = defaultdict(lambda: defaultdict(list))
     for chain in sorted(chains, key=lambda chain: chain.chain_id):
         region = region_of(chain)
--- a/wigeonscale/placement/rates.py
+++ b/wigeonscale/placement/rates.py
@@ -1,9 +1,9 @@
 """Rates of stages and chains, and the best split of layers over engines.
 
-A stage of ``n`` layers passes ``min(layer_rate / n, link_rate)`` steps per second:
-computing and sending overlap, so the slower of the two decides. A chain passes what
-its slowest stage passes. A chain of one stage sends no hidden state; its link does
-not count.
+A stage of ``n`` layers processes ``min(layer_rate / n, link_rate)`` steps per second:
+compute and transfer overlap, so the slower of the two is the limit. The rate of a chain
+is that of its slowest stage. A chain of one stage transfers no hidden state, so the
+link rate does not apply to it.
 """
 
 __all__ = [
@@ -21,7 +21,7 @@
 
 from wigeonscale.placement.model import EngineSpec, StagePlan
 
-# Guards floor(layer_rate / rate) against rounding of layer_rate / n.
+# Keeps floor(layer_rate / rate) correct despite rounding errors of layer_rate / n.
 RELATIVE_TOLERANCE = 1e-9
 
 
@@ -39,7 +39,7 @@
 
 
 def stage_rates(engines: Iterable[EngineSpec], layers: int) -> set[float]:
-    """Return every rate above 0 that a stage of a chain of many can have.
+    """Return all rates above 0 that a stage of a multi-stage chain can have.
 
     Args:
         engines: The engines.
@@ -54,7 +54,7 @@
 
 
 def chain_rate(stages: Sequence[StagePlan], engines: Mapping[str, EngineSpec]) -> float:
-    """Return the steps per second of a chain's slowest stage.
+    """Return the rate of a chain in steps per second: that of its slowest stage.
 
     Args:
         stages: Stages of the chain.
@@ -68,7 +68,10 @@
 
 
 def layers_at_rate(engine: EngineSpec, rate: float) -> int:
-    """Return how many layers an engine carries at a chain rate, in a chain of many."""
+    """Return how many layers an engine can hold at a given rate of a chain.
+
+    The chain is taken to have several stages, so that the link rate applies.
+    """
     if engine.link_rate < rate * (1 - RELATIVE_TOLERANCE):
         return 0
     return min(
@@ -83,14 +86,14 @@
     stages: int = 0,
     rate_cap: float = math.inf,
 ) -> list[tuple[EngineSpec, int]]:
-    """Split a model over engines so that the slowest stage is as fast as can be.
+    """Split a model over engines so that the rate of the slowest stage is highest.
 
-    Among splits of the best rate it takes one with the fewest stages.
+    Among the splits with the best rate, one with the fewest stages is returned.
 
     Args:
         engines: Engines that may be used.
         layers: Number of layers of the model.
-        stages: Exact number of stages; 0 for free choice.
+        stages: Exact number of stages; 0 for any number.
         rate_cap: Steps per second above which a higher rate has no use.
 
     Returns:
@@ -99,7 +102,7 @@
 
     Notes:
         The best rate is the ``layers``-th largest of all ``min(layer_rate / n,
-        link_rate)`` with ``n`` up to the capacity, because these values fall with
+        link_rate)`` with ``n`` up to the capacity, because these values decrease with
         ``n``. Cost O(engines * capacity * log).
     """
     whole = _split_over_one(engines, layers) if stages in (0, 1) else []
@@ -127,7 +130,7 @@
         counts = _layer_counts(engines, rate, stages)
         return sum(count for count, _ in counts) < layers or (len(counts) < stages)
 
-    # Fewer layers fit at a higher rate: find the last rate that is not short.
+    # Fewer layers fit at a higher rate: find the highest rate at which all fit.
     index = bisect.bisect_left(rates, True, key=too_few_layers) - 1
     if index < 0:
         return []
@@ -142,8 +145,8 @@
 
 
 def _trim(counts, layers, stages):
-    # Takes the roomiest engines first; a fixed number of stages keeps one layer for
-    # each engine still to come.
+    # Uses the engines with the most layers first. With a fixed number of stages, one
+    # layer is reserved for each remaining engine.
     split = []
     left = layers
     for index, (count, engine) in enumerate(counts):
--- a/wigeonscale/placement/regroup.py
+++ b/wigeonscale/placement/regroup.py
@@ -1,4 +1,4 @@
-"""Rebuilds standing chains so that replicas that are missing can be made."""
+"""Rebuilds chains so that their engines suffice for missing replicas."""
 
 __all__ = ["Regrouping", "regroup_chains"]
 
@@ -14,13 +14,13 @@
 from wigeonscale.placement.repair import is_leaving, stages_of
 from wigeonscale.rules.model import Pipeline
 
-# Partitions tried for one new chain: with one chain rebuilt, and with several.
+# Number of partitions tried for one new chain: rebuilding one chain, and several.
 MAX_SINGLE_CHAIN_TRIES = 16
 MAX_MULTI_CHAIN_TRIES = 4
-# Most engines of one partition; bounds the cost of a plan.
+# Maximum number of engines in one partition; bounds the cost of a plan.
 MAX_POOL_ENGINES = 256
-# A chain that serves is not rebuilt for replicas that together pass less than this
-# share of what the chains passed before.
+# A serving chain is not rebuilt if the total rate of the chains involved, including the
+# new one, would fall below this share of their rate before.
 MIN_KEPT_RATE_SHARE = 0.9
 
 
@@ -29,8 +29,8 @@
     """One step towards more chains.
 
     Attributes:
-        rebuilt: Chains that stand, with other stages and the next epoch.
-        added: New chains without ids; empty when the engines come free later, once
+        rebuilt: Existing chains with new stages, in the next epoch.
+        added: New chains without ids; empty when their engines become free only once
             the rebuilt chains serve again.
     """
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Context:
-    """What stays the same for every selection of chains of one region."""
+    """Arguments that are common to all selections of chains in one region."""
 
     pipelines: Sequence[Pipeline]
     missing: Mapping[str, int]
@@ -48,8 +48,8 @@
     search: Search
     rebuild_serving: bool
     free: Sequence[EngineSpec] = ()
-    chains: Sequence[ChainPlan] = ()  # those that may be rebuilt
-    waiting: frozenset[str] = frozenset()  # pipelines with a chain that loads
+    chains: Sequence[ChainPlan] = ()  # chains that may be rebuilt
+    waiting: frozenset[str] = frozenset()  # pipelines with a chain still loading
 
     @property
     def shape(self) -> Pipeline:
@@ -79,28 +79,29 @@
     search: Search,
     rebuild_serving: bool = True,
 ) -> Regrouping | None:
-    """Return the next step that leads to one chain more, or None.
+    """Return the next step towards one more chain, or None.
 
-    A chain that is rebuilt keeps its id and its head, so that the head can go on with
-    its sequences in the next epoch. As few chains as can be are rebuilt, those that do
-    not serve yet before others. Of the chains of a pipeline that serve, one is rebuilt
-    at a time, and only while all others serve.
+    A rebuilt chain keeps its id and its head, so that the head can continue its
+    sequences in the next epoch. As few chains as possible are rebuilt, starting with
+    those that do not serve yet. The serving chains of a pipeline are rebuilt one at a
+    time, each only while all others serve.
 
     Args:
-        chains: Every chain that stands, after repair and after new chains were made
-            out of free engines.
-        missing: Chains still wanted by pipeline name.
-        pipelines: Every pipeline of one model, number of layers and number of stages.
-        engines: Every announced engine by agent id.
-        search: How to search for partitions.
-        rebuild_serving: Whether chains that serve may be rebuilt at all.
+        chains: All chains, after repair and after the creation of new chains from free
+            engines.
+        missing: Number of chains still wanted, by pipeline name.
+        pipelines: All pipelines with the same model, number of layers and number of
+            stages.
+        engines: All announced engines by agent id.
+        search: Parameters of the search for partitions.
+        rebuild_serving: Whether serving chains may be rebuilt at all.
 
     Returns:
-        The step; None when no more chains can be made, or when the chains to rebuild
-        must go on serving for now.
+        The step; None when no more chains can be created, or when the chains to
+        rebuild must keep serving for now.
 
     Notes:
-        Each step either makes a chain more or has a chain use fewer stages, so that
+        Each step either adds a chain or reduces the stages of a chain, so that
         repeated planning terminates. Each region costs at most
         ``MAX_SINGLE_CHAIN_TRIES`` partitions of one chain and the free engines, and
         ``MAX_MULTI_CHAIN_TRIES`` of at most ``MAX_POOL_ENGINES`` engines; none when
@@ -132,7 +133,7 @@
     standing = defaultdict(list)
     for chain in own:
         stages = ctx.own_engines(chain)
-        # A changed announcement may have left the chain across regions.
+        # Engines may have announced another region since the chain was planned.
         one_region = len({engine.region for engine in stages}) == 1
         if one_region and all(engine.is_usable for engine in stages):
             standing[stages[0].region].append(chain)
@@ -153,7 +154,7 @@
 
 
 def _selections(ctx) -> Iterator[list[ChainPlan]]:
-    """Yield chains to rebuild together, the fewest and least costly first."""
+    """Yield sets of chains to rebuild together, the smallest and cheapest first."""
     layers = ctx.shape.layers
     free_layers = _memory(ctx.free, layers)
     surplus_layers = {
@@ -232,7 +233,7 @@
         return None
     position = {stage.agent_id: n for n, stage in enumerate(chain.stages)}
     last = len(position)
-    # The others keep their order, so that less has to load.
+    # The other engines keep their order, so that fewer layers have to load.
     tail = sorted(split[1:], key=lambda pair: position.get(pair[0].agent_id, last))
     stages = tuple(stages_of([split[0], *tail], 0))
     rate = chain_rate(stages, ctx.engines)
@@ -240,7 +241,7 @@
 
 
 def _may_rebuild(ctx, chain, chosen):
-    """Say whether a chain may stop serving now."""
+    """Return whether a chain may stop serving now."""
     if not ctx.serves(chain):
         return True
     if not ctx.rebuild_serving:
@@ -254,7 +255,7 @@
 
 
 def _frees_memory(before, after, free):
-    """Say whether a chain rebuilt alone is a step forward."""
+    """Return whether rebuilding one chain frees engines without using other chains'."""
     own = {stage.agent_id for stage in before.stages}
     used = {stage.agent_id for stage in after.stages}
     return len(used) < len(own) and used <= own | free
--- a/wigeonscale/placement/repair.py
+++ b/wigeonscale/placement/repair.py
@@ -1,4 +1,4 @@
-"""Repairs chains that lost a stage, touching only the lost stage."""
+"""Repairs chains that lost a stage, changing only the lost stage."""
 
 __all__ = ["is_alive", "is_leaving", "repair_chains", "stage_on", "stages_of"]
 
@@ -9,19 +9,22 @@
 from wigeonscale.placement.rates import chain_rate, split_layers, stage_rate
 from wigeonscale.rules.model import Pipeline
 
-# A spare slower than this share of the chain is taken only when no other fits, even
-# when it alone is in another failure domain.
+# A spare slower than this share of the chain's rate is chosen only when no other fits,
+# even if it is the only one in another failure domain.
 MIN_SPARE_RATE_SHARE = 0.5
 
 
 def is_alive(stage: StagePlan, engines: Mapping[str, EngineSpec]) -> bool:
-    """Return whether the stage's engine is announced with the same incarnation."""
+    """Return whether the stage's engine is announced in the same incarnation."""
     engine = engines.get(stage.agent_id)
     return engine is not None and engine.incarnation == stage.incarnation
 
 
 def is_leaving(chain: ChainPlan, engines: Mapping[str, EngineSpec]) -> bool:
-    """Return whether an engine of a chain without lost stages is draining."""
+    """Return whether an engine of the chain is draining.
+
+    The chain must have no lost stage.
+    """
     return any(engines[stage.agent_id].draining for stage in chain.stages)
 
 
@@ -31,20 +34,21 @@
     pipelines: Mapping[str, Pipeline],
     engines: Mapping[str, EngineSpec],
 ) -> list[ChainPlan]:
-    """Return the chains that stand after repair, in the order given.
+    """Return the healthy and repaired chains, in the order given.
 
-    A chain whose stages are all alive is returned as it is. For each lost stage a free
-    engine takes the same layers, or several free engines share them, and the epoch
-    grows by one. Chains that lost the least come first. When the free engines do not
-    suffice, the chain that lost the most is given up and its engines serve the others.
+    A chain whose stages are all alive is returned unchanged. For each lost stage a free
+    engine takes over the same layers, or several free engines share them, and the epoch
+    increases by one. Chains that lost the fewest layers are repaired first. When the
+    free engines do not suffice, the chain that lost the most is removed and its engines
+    are used for the others.
 
     Args:
-        chains: The chains as they stand.
-        pipelines: Pipelines by name; every chain's must be there.
-        engines: Every announced engine by agent id.
+        chains: Current chains.
+        pipelines: Pipelines by name, including those of all chains.
+        engines: All announced engines by agent id.
 
     Returns:
-        Healthy and repaired chains; those given up are absent.
+        Healthy and repaired chains, without those that were removed.
     """
     broken = [
         chain
@@ -103,10 +107,11 @@
 
 
 def _try_repair(chain, pipelines, engines, free, repaired):
-    """Repair one chain, moving the engines it takes out of ``free``."""
+    """Repair one chain, and remove the engines that it uses from ``free``."""
     pipeline = pipelines[chain.pipeline]
     dead = [stage for stage in chain.stages if not is_alive(stage, engines)]
-    # The head holds its answers, so a draining head stays until it is gone.
+    # The head holds the answers in progress, so a draining head is kept until it is
+    # gone.
     draining = [
         stage
         for stage in chain.stages[1:]
@@ -151,7 +156,7 @@
 
 
 def _candidates(pipeline, kept, free):
-    # Without survivors any region will do, as long as it is one.
+    # Without surviving stages any region can be used, but only one.
     able = [engine for engine in free if engine.model == pipeline.model]
     regions = sorted({engine.region for engine in kept or able})
     return [engine for engine in able if engine.region == regions[0]]
@@ -178,7 +183,7 @@
 
 
 def _choose_replacement(spare, split, stage, target):
-    """Return one spare, or several when one would slow the chain far more."""
+    """Return one spare, or several when one would be too slow for the chain."""
     single = [(spare, stage.layers)] if spare else []
     if not single or not split:
         return single or split
@@ -192,7 +197,12 @@
 def stages_of(
     split: Iterable[tuple[EngineSpec, int]], first_layer: int
 ) -> list[StagePlan]:
-    """Return consecutive stages from pairs of engine and number of layers."""
+    """Return consecutive stages for pairs of engine and number of layers.
+
+    Args:
+        split: Pairs of engine and number of layers, in stage order.
+        first_layer: First layer of the first stage.
+    """
     stages = []
     for engine, count in split:
         stages.append(stage_on(engine, first_layer, first_layer + count - 1))
--- a/wigeonscale/placement/reuse.py
+++ b/wigeonscale/placement/reuse.py
@@ -1,4 +1,4 @@
-"""Builds chains out of ranges that engines already hold, so that nothing loads."""
+"""Forms chains from layer ranges that engines already hold, so that nothing loads."""
 
 __all__ = ["loaded_groups"]
 
@@ -15,13 +15,13 @@
     chains: int,
     stages: int = 0,
 ) -> list[list[EngineSpec]]:
-    """Return groups whose loaded ranges follow each other from first to last layer.
+    """Return groups whose loaded layer ranges are consecutive and cover the model.
 
     Args:
         engines: Free engines of one model.
         layers: Number of layers of the model.
-        chains: Most groups.
-        stages: Exact number of engines a group; 0 for any.
+        chains: Maximum number of groups.
+        stages: Exact number of engines per group; 0 for any number.
 
     Returns:
         Groups in layer order, each within one region.
@@ -45,7 +45,7 @@
 
 
 def _find_sequence(by_start, region, first, layers, stages):
-    """Return engines that hold the layers from ``first`` on, depth first."""
+    """Return engines that hold all layers from ``first`` on, by depth-first search."""
     dead_ends = set()
 
     def search(start, depth):
