--- a/wigeonscale/placement/tests/test_assignment.py
+++ b/wigeonscale/placement/tests/test_assignment.py
@@ -1,4 +1,4 @@
-"""Heads and own engines of rebuilt chains."""
+"""Rebuilt chains keep their heads and their own engines."""
 
 from dataclasses import replace
 
@@ -23,7 +23,7 @@
         super().setUp()
         self.engines = [engine(n, domain="d") for n in range(6)]
 
-    def test_heads_that_met_in_one_group_part(self):
+    def test_heads_in_the_same_group_are_separated(self):
         a, b, c, d, e, f = self.engines
         chains = [chain_on(a), chain_on(b)]
         assigned, left = assign_groups([[a, b], [c, d], [e, f]], chains)
@@ -31,7 +31,7 @@
         self.assertIn(b, assigned[1])
         self.assertEqual(ids(self.engines), ids(sum(assigned + left, [])))
 
-    def test_heads_unlike_all_others_find_no_place(self):
+    def test_heads_that_cannot_be_swapped_have_no_assignment(self):
         a, b, c, d, _, _ = self.engines
         heads = [replace(a, layer_capacity=7), replace(b, domain="x")]
         chains = [chain_on(head) for head in heads]
@@ -44,13 +44,13 @@
         self.assertEqual([["e0", "e1", "e2"]], [ids(group) for group in assigned])
         self.assertEqual([["e3", "e4", "e5"]], [ids(group) for group in left])
 
-    def test_head_has_the_first_layers(self):
+    def test_head_gets_the_first_layers(self):
         for head in self.engines[:3]:
             split = split_with_head(head, self.engines[:3], 12)
             self.assertEqual(head, split[0][0])
             self.assertEqual([4, 4, 4], [count for _, count in split])
 
-    def test_head_that_the_best_split_leaves_out_gets_a_layer(self):
+    def test_head_that_is_not_in_the_best_split_gets_one_layer(self):
         head = engine(9, layer_rate=1.0)
         split = split_with_head(head, [*self.engines[:3], head], 12)
         self.assertEqual((head, 1), split[0])
--- a/wigeonscale/placement/tests/test_bound.py
+++ b/wigeonscale/placement/tests/test_bound.py
@@ -1,4 +1,4 @@
-"""The bound, the split of layers and the groups."""
+"""Upper bound, split of layers over engines, and partition into groups."""
 
 from itertools import product
 
@@ -31,8 +31,8 @@
 )
 
 
-def best_by_enumeration(engines, layers, chains):
-    """Return the best sum of rates over every assignment of layers to engines."""
+def best_by_trial(engines, layers, chains):
+    """Return the highest total rate over all assignments of layers to engines."""
     best = 0.0
     choices = [
         [(0, 0)]
@@ -61,7 +61,7 @@
     @given(POOLS.filter(lambda pool: len(pool) <= 4), st.integers(2, 6))
     def test_no_assignment_beats_the_bound(self, engines, layers):
         for chains in (1, 2):
-            best = best_by_enumeration(engines, layers, chains)
+            best = best_by_trial(engines, layers, chains)
             bound = hardware_bound(engines, layers=layers, chains=chains)
             self.assertLessEqual(best, bound * (1 + 1e-6))
 
@@ -88,12 +88,12 @@
     def test_split_is_the_best_there_is(self, engines, layers):
         split = split_layers(engines, layers)
         self.assertAlmostEqual(
-            best_by_enumeration(engines, layers, 1), group_rate(engines, layers)
+            best_by_trial(engines, layers, 1), group_rate(engines, layers)
         )
         if split:
             self.assertEqual(layers, sum(count for _, count in split))
 
-    def test_slow_link_counts_only_between_stages(self):
+    def test_link_rate_applies_only_between_stages(self):
         slow = engine(1, layer_capacity=8, link_rate=1.0)
         other = engine(2, layer_capacity=4)
         self.assertEqual(125.0, group_rate([slow, other], 8))
@@ -110,7 +110,8 @@
         self.assertEqual([False, True], links)
 
     def test_chain_stays_in_its_domain_where_that_costs_little(self):
-        # Like with like would pass 250 + 242.5, inside the domains twice 242.5.
+        # Chains of equal engines across domains have rates of 250 and 242.5; chains
+        # inside the domains have 242.5 each.
         engines = [
             engine(n, domain=domain, layer_rate=rate)
             for n, (domain, rate) in enumerate(
@@ -122,7 +123,7 @@
         for group in groups:
             self.assertEqual(1, len({e.domain for e in group}))
 
-    def test_chain_crosses_domains_where_staying_costs_much(self):
+    def test_chain_crosses_domains_where_staying_inside_costs_much(self):
         engines = [
             engine(n, domain=domain, layer_rate=rate)
             for n, (domain, rate) in enumerate(
@@ -135,14 +136,14 @@
         (group,) = partition_engines(engines, layers=8, chains=1, search=search)
         self.assertEqual(1, len({e.domain for e in group}))
 
-    def test_quick_search_keeps_exact_rates(self):
+    def test_quick_search_returns_engines_with_exact_rates(self):
         engines = [engine(n, layer_rate=1000.0 + n) for n in range(6)]
         groups = partition_engines(engines, layers=8, chains=2, search=QUICK_SEARCH)
         self.assertEqual(2, len(groups))
         for group in groups:
             self.assertTrue(set(group) <= set(engines))
 
-    def test_polish_never_lowers_the_rate(self):
+    def test_improving_pairs_raises_the_rate_and_uses_no_engine_twice(self):
         engines = [engine(n, layer_rate=300.0 * (1 + n % 3)) for n in range(9)]
         groups = [engines[0:3], engines[3:6]]
         better = improve_pairs(groups, engines, layers=8)
--- a/wigeonscale/placement/tests/test_improve.py
+++ b/wigeonscale/placement/tests/test_improve.py
@@ -1,4 +1,4 @@
-"""Chains that serve are rebuilt with engines that joined since."""
+"""Serving chains are rebuilt with engines that joined later."""
 
 from dataclasses import replace
 
@@ -35,7 +35,7 @@
 
 @st.composite
 def late_pools(draw):
-    """Return engines of which the first half makes a few chains."""
+    """Return engines: the first half forms a few chains, the rest joins later."""
     return [
         engine(
             number,
@@ -56,7 +56,7 @@
 
 
 def improve(pipelines, engines, chains, serving=None, **options):
-    """Improve chains that all serve, unless told which do."""
+    """Improve chains; by default all of them serve."""
     known = {chain.chain_id for chain in chains}
     return improve_chains(
         chains,
@@ -70,7 +70,7 @@
 class ImproveTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
-        # Two slow chains of three; as many fast engines joined since.
+        # Two slow chains of three engines each; as many fast engines joined later.
         self.engines = [engine(n, domain="d") for n in range(6)]
         self.chains = list(first_chains([TWELVE_LAYERS], self.engines))
         fast = [engine(n, domain="d", layer_rate=3000.0) for n in range(6, 12)]
@@ -86,7 +86,7 @@
         self.assertEqual(first.epoch + 1, after.epoch)
         self.assertEqual(first.stages[0].agent_id, after.stages[0].agent_id)
 
-    def test_only_while_all_replicas_serve(self):
+    def test_chains_change_only_while_all_replicas_serve(self):
         serving = {self.chains[1].chain_id}
         after = improve([TWELVE_LAYERS], self.engines, self.chains, serving)
         self.assertEqual(self.chains, after)
@@ -96,20 +96,21 @@
         only = self.chains[:1]
         self.assertEqual(only, improve([one], self.engines, only))
 
-    def test_not_while_an_engine_drains_or_is_lost(self):
+    def test_chains_do_not_change_while_an_engine_drains_or_is_lost(self):
         drained = [replace(self.engines[0], draining=True), *self.engines[1:]]
         self.assertEqual(self.chains, improve([TWELVE_LAYERS], drained, self.chains))
         self.assertEqual(
             self.chains, improve([TWELVE_LAYERS], self.engines[1:], self.chains)
         )
 
-    def test_not_for_a_small_gain(self):
-        # With three of these for a layer each a chain would pass 300 instead of 250.
+    def test_chains_do_not_change_for_a_small_gain(self):
+        # With three of these engines, each for one layer, a chain would have a rate of
+        # 300 instead of 250.
         engines = [replace(e, layer_rate=300.0) for e in self.engines[6:]]
         engines = self.engines[:6] + engines
         self.assertEqual(self.chains, improve([TWELVE_LAYERS], engines, self.chains))
 
-    def test_spares_stay_free(self):
+    def test_spares_are_not_used(self):
         after = improve([TWELVE_LAYERS], self.engines, self.chains, spares=6)
         self.assertEqual(self.chains, after)
 
@@ -126,7 +127,7 @@
         chains = ()
         known = engines[: len(engines) // 2]
         for index in range(1, ROUNDS):
-            # As control does it: a chain is improved when nothing else changes.
+            # Like control, improves chains only when nothing else changes.
             planned = plan_chains(
                 pipelines=pipelines,
                 engines=known,
@@ -147,7 +148,7 @@
         self.fail("chains go on changing")
 
     def check_step(self, before, after, pipelines, engines):
-        # Of equal form as a plan, for the checks of one.
+        # Planning with the improved chains must keep them; checks the resulting plan.
         plan = plan_chains(pipelines=pipelines, engines=engines, chains=after)
         self.assertEqual([], problems(plan, pipelines, engines))
         self.assertEqual((), plan.removed)
--- a/wigeonscale/placement/tests/test_loads.py
+++ b/wigeonscale/placement/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""The order of weight loads."""
+"""Order of weight loads."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class OrderLoadsTest(AsyncTestCase):
-    def test_whole_chains_one_after_the_other(self):
+    def test_chains_load_one_after_the_other(self):
         chains = [chain("a", "p", 10.0, 4, 4), chain("b", "p", 10.0, 4, 4)]
         self.assertEqual(["a0", "a1", "b0", "b1"], order(chains))
 
@@ -59,11 +59,11 @@
         got = order(chains, loaded=["a0", "c0"], demand=demand)
         self.assertEqual(["d0", "b0"], got)
 
-    def test_loads_that_began_stay_first(self):
+    def test_loads_in_progress_stay_first(self):
         chains = [chain("a", "p", 10.0, 1), chain("b", "p", 10.0, 9)]
         self.assertEqual(["b0", "a0"], order(chains, loading=["b0"]))
 
-    def test_order_does_not_depend_on_the_order_given(self):
+    def test_order_does_not_depend_on_the_input_order(self):
         rng = random.Random(1)
         chains = [
             chain(f"c{n:02}-", rng.choice("pq"), rng.choice((1.0, 2.0)), 2, 3)
--- a/wigeonscale/placement/tests/test_planner.py
+++ b/wigeonscale/placement/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Properties of plans."""
+"""Properties of plans, and examples of planning and repair."""
 
 import math
 from dataclasses import replace
@@ -59,7 +59,7 @@
 
 
 def problems(plan, pipelines, engines):
-    """Return what is wrong with a plan, as text."""
+    """Return descriptions of the constraints that a plan violates."""
     by_id = {spec.agent_id: spec for spec in engines}
     by_name = {pipeline.name: pipeline for pipeline in pipelines}
     found = []
@@ -158,7 +158,7 @@
         self.assertEqual("b", chain.stages[0].domain)
         self.assertEqual(2, chain.epoch)
 
-    def test_only_a_spare_that_holds_just_the_layers_counts_as_loaded(self):
+    def test_only_a_spare_that_holds_exactly_the_layers_counts_as_loaded(self):
         engines = [engine(n, domain="a", layer_capacity=8) for n in range(2)]
         (chain,) = self.plan(engines).chains
         lost = chain.stages[1]
@@ -168,7 +168,7 @@
         (after,) = self.plan([*left, wide, exact], [chain]).chains
         self.assertEqual("e3", after.stages[1].agent_id)
 
-    def test_restarted_engine_that_kept_its_layers_stays(self):
+    def test_restarted_engine_that_kept_its_layers_keeps_its_stage(self):
         engines = [engine(n) for n in range(6)]
         (chain,) = self.plan(engines).chains
         stage = chain.stages[1]
@@ -211,7 +211,7 @@
         self.assertEqual(chain.chain_id, after.chain_id)
         self.assertEqual([4, 4, 4], [stage.layers for stage in after.stages])
 
-    def test_one_chain_is_given_up_so_that_another_is_repaired(self):
+    def test_one_chain_is_removed_so_that_another_can_be_repaired(self):
         pipeline = replace(self.pipeline, replicas=2)
         engines = [engine(n, domain="a") for n in range(4)]
         before = plan_chains(pipelines=[pipeline], engines=engines, chains=()).chains
@@ -236,7 +236,7 @@
             self.assertLessEqual(len(stages), used)
             self.assertTrue(stages)
 
-    def test_loaded_ranges_are_used_as_they_are(self):
+    def test_loaded_ranges_are_reused(self):
         engines = [engine(n) for n in range(6)]
         engines[1] = replace(engines[1], first_layer=4, last_layer=7)
         engines[3] = replace(engines[3], first_layer=0, last_layer=3)
@@ -282,7 +282,7 @@
             [], problems(self.plan(engines, [chain]), [self.pipeline], engines)
         )
 
-    def test_restarted_engine_takes_its_stage_again_before_a_spare(self):
+    def test_restarted_engine_is_preferred_to_a_spare_for_its_stage(self):
         engines = [engine(n) for n in range(5)]
         (chain,) = self.plan(engines).chains
         agent_id = chain.stages[0].agent_id
--- a/wigeonscale/placement/tests/test_regroup.py
+++ b/wigeonscale/placement/tests/test_regroup.py
@@ -1,4 +1,4 @@
-"""Chains rebuilt so that replicas that are missing can be made."""
+"""Chains are rebuilt to make room for missing replicas."""
 
 from dataclasses import replace
 
@@ -27,7 +27,7 @@
 
 
 def load(engines, chains):
-    """Return the engines with the layers loaded that the chains want."""
+    """Return the engines, with the layers of their stages loaded."""
     wanted = {stage.agent_id: stage for chain in chains for stage in chain.stages}
     loaded = []
     for spec in engines:
@@ -40,7 +40,7 @@
 
 
 class RegroupTest(AsyncTestCase):
-    def test_late_engines_make_the_missing_replica(self):
+    def test_engines_that_join_late_form_the_missing_replica(self):
         pipelines = [TWELVE_LAYERS]
         engines = [engine(n, domain=f"d{n % 3}") for n in range(6)]
         one = replace(TWELVE_LAYERS, replicas=1)
@@ -60,7 +60,7 @@
             self.assertLessEqual({stage.agent_id for stage in kept.stages}, own)
 
     def test_serving_chains_are_rebuilt_one_at_a_time(self):
-        # Three chains of four; each holds one engine that a fourth chain needs.
+        # Three chains of four engines; a fourth chain needs one engine of each.
         engines = [engine(n, domain="d") for n in range(12)]
         chains = plan([replace(TWELVE_LAYERS, replicas=3)], engines, ()).chains
         self.assertEqual([4, 4, 4], [len(chain.stages) for chain in chains])
@@ -72,14 +72,14 @@
             known = {chain.chain_id for chain in chains}
             rebuilt = [c for c in after.changed if c.chain_id in known]
             self.assertLessEqual(len(rebuilt), 1)
-            # Nothing more is touched while the rebuilt chain loads.
+            # No other chain changes while the rebuilt chain loads.
             again = plan(four, engines, after.chains, index)
             self.assertEqual(after.chains, again.chains)
             chains = after.chains
             engines = load(engines, chains)
         self.assertEqual([3, 3, 3, 3], [len(chain.stages) for chain in chains])
 
-    def test_serving_chain_is_left_alone_when_told_or_not_worth_it(self):
+    def test_serving_chain_is_kept_if_required_or_if_the_gain_is_too_small(self):
         engines = [engine(n, domain="d") for n in range(6)]
         (before,) = plan([replace(TWELVE_LAYERS, replicas=1)], engines[:4], ()).chains
         known = load(engines, [before])
@@ -89,14 +89,14 @@
         self.assertEqual(
             (before,), plan([TWELVE_LAYERS], known[:4] + slow, [before]).chains
         )
-        # One that does not serve yet has nothing to lose.
+        # A chain that does not serve yet can be rebuilt in any case.
         slow = [replace(spec, layer_rate=10.0) for spec in engines[4:]]
         after = plan(
             [TWELVE_LAYERS], engines[:4] + slow, [before], rebuild_serving=False
         )
         self.assertEqual(2, len(after.chains))
 
-    def test_without_loads_only_loaded_engines_make_chains(self):
+    def test_without_load_new_only_loaded_engines_form_chains(self):
         engines = [engine(n, domain="d") for n in range(6)]
         (loaded,) = plan([replace(TWELVE_LAYERS, replicas=1)], engines[:3], ()).chains
         self.assertEqual((), plan([TWELVE_LAYERS], engines, (), load_new=False).chains)
@@ -104,7 +104,7 @@
         (only,) = plan([TWELVE_LAYERS], known, (), load_new=False).chains
         self.assertEqual(loaded.stages, only.stages)
 
-    def test_heads_that_met_in_one_group_part(self):
+    def test_heads_in_the_same_group_are_separated(self):
         # Both chains have their heads in the domain that a new group prefers.
         engines = [engine(n, domain="ab"[n % 2]) for n in range(12)]
         chains = [self.crossing(engines, 0), self.crossing(engines, 4)]
@@ -114,7 +114,7 @@
         self.assertEqual(["e0", "e4"], heads[:2])
 
     def crossing(self, engines, first):
-        """Return a chain of four stages of three layers, the head in domain a."""
+        """Return a chain of four stages of three layers, with the head in domain a."""
         stages = tuple(stage_on(engines[first + n], 3 * n, 3 * n + 2) for n in range(4))
         return ChainPlan(f"p-1-{first}", "p", 1, stages, 333.0)
 
@@ -158,7 +158,7 @@
                     self.fail("plans go on changing")
 
     def check_step(self, before, after):
-        """No replica is lost; chains keep their ids and heads."""
+        """Check that no replica is lost, and that chains keep their ids and heads."""
         self.assertEqual((), after.removed)
         standing = {chain.chain_id: chain for chain in after.chains}
         for chain in before:
