--- a/wigeonscale/dispatch/links.py
+++ b/wigeonscale/dispatch/links.py
@@ -175,8 +175,10 @@
         return self._consecutive_flaps > MAX_CONSECUTIVE_FLAPS
 
     async def _wait_lost(self) -> None:
-        silence = wait_unresponsive(self.link, clock=self._clock, limits=self._limits)
-        await self._wait_reader_or(silence)
+        unresponsive = wait_unresponsive(
+            self.link, clock=self._clock, limits=self._limits
+        )
+        await self._wait_reader_or(unresponsive)
 
     async def _reconnect(self) -> bool:
         old, old_reader = self.link, self._reader
--- a/wigeonscale/dispatch/retries.py
+++ b/wigeonscale/dispatch/retries.py
@@ -2,10 +2,10 @@
 
 __all__ = [
     "caller_error",
+    "combined_run_state",
     "is_retried",
     "is_sealed_by_other",
     "may_retry",
-    "combined_run_state",
 ]
 
 from wigeonscale.dispatch.failures import (
@@ -59,8 +59,8 @@
         return False
     if refusal.run_state is not RunState.NOT_RUN and not work.repeatable:
         return False
-    free = refusal.kind in OUT_OF_SERVICE or isinstance(refusal, AgentGoneError)
-    return free or budget.try_spend()
+    unbudgeted = refusal.kind in OUT_OF_SERVICE or isinstance(refusal, AgentGoneError)
+    return unbudgeted or budget.try_spend()
 
 
 def combined_run_state(first: RunState, second: RunState) -> RunState:
--- a/wigeonscale/placement/assignment.py
+++ b/wigeonscale/placement/assignment.py
@@ -47,18 +47,20 @@
 
 def _group_with_head(groups, head, heads):
     """Return the group that contains the head, after a swap if necessary."""
-    home = next((g for g in groups if any(e.agent_id == head for e in g)), None)
-    if home is None:
+    current_group = next(
+        (g for g in groups if any(e.agent_id == head for e in g)), None
+    )
+    if current_group is None:
         return None
-    if not any(e.agent_id in heads - {head} for e in home):
-        return home
+    if not any(e.agent_id in heads - {head} for e in current_group):
+        return current_group
     # The group contains another head: swap this one with an interchangeable engine of
     # a group without a head.
-    engine = next(e for e in home if e.agent_id == head)
+    engine = next(e for e in current_group if e.agent_id == head)
     for group in groups:
         matches = [e for e in group if _interchangeable(e, engine)]
         if matches and not any(e.agent_id in heads for e in group):
-            _swap(home, engine, group, matches[0])
+            _swap(current_group, engine, group, matches[0])
             return group
     return None
 
@@ -116,8 +118,8 @@
         options.append([(head, 1), *after] if after else [])
     if stages in (0, 1) and head.layer_capacity >= layers:
         options.append([(head, layers)])
-    able = [o for o in options if any(e.agent_id == head.agent_id for e, _ in o)]
-    best = max(able, key=_rate, default=[])
+    with_head = [o for o in options if any(e.agent_id == head.agent_id for e, _ in o)]
+    best = max(with_head, key=_rate, default=[])
     return sorted(best, key=lambda pair: pair[0].agent_id != head.agent_id)
 
 
--- a/wigeonscale/placement/bound.py
+++ b/wigeonscale/placement/bound.py
@@ -1,12 +1,12 @@
 """Upper bound on the throughput of any placement, and its dual prices."""
 
 __all__ = [
-    "EngineKind",
     "DualPrices",
+    "EngineKind",
     "bound_prices",
     "compute_bound",
-    "hardware_bound",
     "engine_kind",
+    "hardware_bound",
 ]
 
 from collections import Counter
@@ -179,10 +179,10 @@
 def _pair_bound(engines, layers):
     rates = stage_rates(engines, layers)
     rates |= {engine.layer_rate / layers for engine in engines}
-    falling = sorted(rates, reverse=True)
+    descending = sorted(rates, reverse=True)
     best = _best_rate(engines, layers)
-    for index, fast in enumerate(falling):
-        for slow in falling[index:]:
+    for index, fast in enumerate(descending):
+        for slow in descending[index:]:
             if fast + slow <= best:
                 break
             if _pair_fits(engines, layers, fast, slow):
@@ -192,14 +192,14 @@
 
 def _pair_fits(engines, layers, fast, slow):
     """Return whether divisible engines can hold two chains at these rates."""
-    carried = [
+    max_layers = [
         (_most_layers(engine, fast, layers), _most_layers(engine, slow, layers))
         for engine in engines
     ]
     left_fast = float(layers)
-    left_slow = float(layers) - sum(slow_count for _, slow_count in carried)
-    able = [pair for pair in carried if pair[0] > 0]
-    for fast_count, slow_count in sorted(able, key=lambda pair: pair[1] / pair[0]):
+    left_slow = float(layers) - sum(slow_count for _, slow_count in max_layers)
+    usable = [pair for pair in max_layers if pair[0] > 0]
+    for fast_count, slow_count in sorted(usable, key=lambda pair: pair[1] / pair[0]):
         part = min(1.0, left_fast / fast_count)
         left_fast -= part * fast_count
         left_slow += part * slow_count
--- a/wigeonscale/placement/cover.py
+++ b/wigeonscale/placement/cover.py
@@ -1,6 +1,6 @@
 """Grouping of engines so that each group holds the model at a common rate."""
 
-__all__ = ["cover_similar_engines", "cover_max_min_rate"]
+__all__ = ["cover_max_min_rate", "cover_similar_engines"]
 
 from collections.abc import Sequence
 
--- a/wigeonscale/placement/create.py
+++ b/wigeonscale/placement/create.py
@@ -199,11 +199,11 @@
         Chains with an empty ``chain_id`` and epoch 1.
     """
     chains = []
-    given = dict.fromkeys((pipeline.name for pipeline in pipelines), 0)
+    assigned = dict.fromkeys((pipeline.name for pipeline in pipelines), 0)
     for split in splits:
-        open_names = [name for name in given if given[name] < missing[name]]
-        name = min(open_names, key=lambda name: given[name] / missing[name])
-        given[name] += 1
+        open_names = [name for name in assigned if assigned[name] < missing[name]]
+        name = min(open_names, key=lambda name: assigned[name] / missing[name])
+        assigned[name] += 1
         stages = stages_of(split, 0)
         rate = chain_rate(stages, {engine.agent_id: engine for engine, _ in split})
         chains.append(ChainPlan("", name, 1, tuple(stages), rate))
--- a/wigeonscale/placement/improve.py
+++ b/wigeonscale/placement/improve.py
@@ -77,10 +77,10 @@
 def _may_improve(own, pipeline, by_id, serving):
     if len(own) != pipeline.replicas or len(own) < 2:
         return False
-    return all(chain.chain_id in serving and _is_whole(chain, by_id) for chain in own)
+    return all(chain.chain_id in serving and _is_intact(chain, by_id) for chain in own)
 
 
-def _is_whole(chain, by_id):
+def _is_intact(chain, by_id):
     return all(
         is_alive(stage, by_id) and by_id[stage.agent_id].is_usable
         for stage in chain.stages
--- a/wigeonscale/placement/model.py
+++ b/wigeonscale/placement/model.py
@@ -44,8 +44,8 @@
     @property
     def is_usable(self) -> bool:
         """Whether it may take a new stage: not draining, capacity and rates above 0."""
-        passes = 0 < self.layer_rate < math.inf and self.link_rate > 0
-        return passes and self.layer_capacity > 0 and not self.draining
+        has_rate = 0 < self.layer_rate < math.inf and self.link_rate > 0
+        return has_rate and self.layer_capacity > 0 and not self.draining
 
 
 @dataclass(frozen=True, slots=True)
--- a/wigeonscale/placement/partition.py
+++ b/wigeonscale/placement/partition.py
@@ -125,12 +125,12 @@
 
 
 def _partition_pools(pools, chains, ctx):
-    known = {}
+    cache = {}
 
     def partition(index, share):
-        if (index, share) not in known:
-            known[index, share] = _partition_pool(pools[index], share, ctx)
-        return known[index, share]
+        if (index, share) not in cache:
+            cache[index, share] = _partition_pool(pools[index], share, ctx)
+        return cache[index, share]
 
     def score(shares):
         groups = _join(partition(*pair) for pair in enumerate(shares))
@@ -201,8 +201,8 @@
     composed = _compose(engines, chains, ctx)
     if composed and not ctx.search.local_search:
         return composed
-    even = cover_max_min_rate(engines, layers=layers, chains=chains)
-    best = max(even, composed, key=ctx.total_rate)
+    covered = cover_max_min_rate(engines, layers=layers, chains=chains)
+    best = max(covered, composed, key=ctx.total_rate)
     return (
         improve_pairs(best, engines, layers=layers) if ctx.search.local_search else best
     )
--- a/wigeonscale/placement/planner.py
+++ b/wigeonscale/placement/planner.py
@@ -66,17 +66,17 @@
     by_id = {engine.agent_id: engine for engine in engines}
     by_name = {pipeline.name: pipeline for pipeline in pipelines}
     kept = [chain for chain in chains if _matches_pipeline(chain, by_name, by_id)]
-    standing = repair_chains(kept, pipelines=by_name, engines=by_id)
-    standing = _drop_surplus(standing, by_name, by_id)
+    planned = repair_chains(kept, pipelines=by_name, engines=by_id)
+    planned = _drop_surplus(planned, by_name, by_id)
     search = FULL_SEARCH if len(engines) <= MAX_FULL_SEARCH_ENGINES else QUICK_SEARCH
     search = replace(search, domain_share=domain_share)
-    standing = _add_missing(standing, pipelines, by_id, spares, search, load_new)
-    standing = _name_chains(standing, base_index)
+    planned = _add_missing(planned, pipelines, by_id, spares, search, load_new)
+    planned = _name_chains(planned, base_index)
     if load_new:
-        standing = _regroup(
-            standing, pipelines, by_id, search, base_index, rebuild_serving
+        planned = _regroup(
+            planned, pipelines, by_id, search, base_index, rebuild_serving
         )
-    return _build_plan(chains, standing)
+    return _build_plan(chains, planned)
 
 
 def _matches_pipeline(chain, by_name, by_id):
@@ -99,10 +99,10 @@
     return [chain for chain in chains if chain.chain_id not in surplus]
 
 
-def _add_missing(standing, pipelines, by_id, spares, search, load_new):
-    """Return the current chains and new ones, which have no ids yet."""
-    missing = _missing(standing, pipelines, by_id)
-    free = _free_by_model(standing, by_id)
+def _add_missing(planned, pipelines, by_id, spares, search, load_new):
+    """Return the planned chains and new ones, which have no ids yet."""
+    missing = _missing(planned, pipelines, by_id)
+    free = _free_by_model(planned, by_id)
     added = []
     for model, group in _by_model(pipelines).items():
         while any(missing[pipeline.name] > 0 for pipeline in group):
@@ -121,7 +121,7 @@
                 added.append(chain)
                 for stage in chain.stages:
                     del free[model][stage.agent_id]
-    return [*standing, *added]
+    return [*planned, *added]
 
 
 def _missing(chains, pipelines, by_id):
@@ -192,13 +192,13 @@
     return max(numbers)
 
 
-def _build_plan(chains, standing):
+def _build_plan(chains, planned):
     before = {chain.chain_id: chain for chain in chains}
-    after = {chain.chain_id for chain in standing}
-    standing = [_with_epoch(chain, before.get(chain.chain_id)) for chain in standing]
+    after = {chain.chain_id for chain in planned}
+    planned = [_with_epoch(chain, before.get(chain.chain_id)) for chain in planned]
     return Plan(
-        chains=tuple(standing),
-        changed=tuple(c for c in standing if before.get(c.chain_id) != c),
+        chains=tuple(planned),
+        changed=tuple(c for c in planned if before.get(c.chain_id) != c),
         removed=tuple(chain_id for chain_id in before if chain_id not in after),
     )
 
--- a/wigeonscale/placement/preload.py
+++ b/wigeonscale/placement/preload.py
@@ -124,7 +124,7 @@
 
     def benefit(kind):
         domains = [stage.domain for _, stage in own[kind]]
-        apart = len(domains) - SAME_DOMAIN_PENALTY * domains.count(spare.domain)
-        return apart / (1 + holders[kind])
+        weight = len(domains) - SAME_DOMAIN_PENALTY * domains.count(spare.domain)
+        return weight / (1 + holders[kind])
 
     return max(fitting, key=benefit, default=None)
--- a/wigeonscale/placement/rates.py
+++ b/wigeonscale/placement/rates.py
@@ -105,23 +105,23 @@
         link_rate)`` with ``n`` up to the capacity, because these values decrease with
         ``n``. Cost O(engines * capacity * log).
     """
-    whole = _split_over_one(engines, layers) if stages in (0, 1) else []
-    many = [] if stages == 1 else _split_over_many(engines, layers, stages, rate_cap)
-    if not whole or not many:
-        return whole or many
-    whole_rate = stage_rate(whole[0][0], layers, single_stage=True)
-    many_rate = min(stage_rate(engine, count) for engine, count in many)
-    return whole if whole_rate >= many_rate else many
-
-
-def _split_over_one(engines, layers):
-    able = [engine for engine in engines if engine.layer_capacity >= layers]
-    if not able:
+    single = _single_stage_split(engines, layers) if stages in (0, 1) else []
+    multi = [] if stages == 1 else _multi_stage_split(engines, layers, stages, rate_cap)
+    if not single or not multi:
+        return single or multi
+    single_rate = stage_rate(single[0][0], layers, single_stage=True)
+    multi_rate = min(stage_rate(engine, count) for engine, count in multi)
+    return single if single_rate >= multi_rate else multi
+
+
+def _single_stage_split(engines, layers):
+    fitting = [engine for engine in engines if engine.layer_capacity >= layers]
+    if not fitting:
         return []
-    return [(max(able, key=lambda engine: engine.layer_rate), layers)]
+    return [(max(fitting, key=lambda engine: engine.layer_rate), layers)]
 
 
-def _split_over_many(engines, layers, stages, rate_cap):
+def _multi_stage_split(engines, layers, stages, rate_cap):
     if stages > layers:
         return []
     rates = sorted({min(rate, rate_cap) for rate in stage_rates(engines, layers)})
--- a/wigeonscale/placement/regroup.py
+++ b/wigeonscale/placement/regroup.py
@@ -49,7 +49,7 @@
     rebuild_serving: bool
     free: Sequence[EngineSpec] = ()
     chains: Sequence[ChainPlan] = ()  # chains that may be rebuilt
-    waiting: frozenset[str] = frozenset()  # pipelines with a chain still loading
+    loading: frozenset[str] = frozenset()  # pipelines with a chain still loading
 
     @property
     def shape(self) -> Pipeline:
@@ -130,21 +130,21 @@
         if usable and agent_id not in used:
             free[engine.region].append(engine)
     own = [chain for chain in chains if chain.pipeline in ctx.names]
-    standing = defaultdict(list)
+    by_region = defaultdict(list)
     for chain in own:
         stages = ctx.own_engines(chain)
         # Engines may have announced another region since the chain was planned.
         one_region = len({engine.region for engine in stages}) == 1
         if one_region and all(engine.is_usable for engine in stages):
-            standing[stages[0].region].append(chain)
-    waiting = {
+            by_region[stages[0].region].append(chain)
+    loading = {
         chain.pipeline
         for chain in own
         if not is_leaving(chain, ctx.engines) and not ctx.serves(chain)
     }
-    for region, members in sorted(standing.items()):
+    for region, members in sorted(by_region.items()):
         yield replace(
-            ctx, free=free[region], chains=members, waiting=frozenset(waiting)
+            ctx, free=free[region], chains=members, loading=frozenset(loading)
         )
 
 
@@ -163,8 +163,8 @@
     }
 
     def cost(chain):
-        spare = surplus_layers[chain.chain_id]
-        return (spare <= 0, ctx.serves(chain), -spare, chain.chain_id)
+        surplus = surplus_layers[chain.chain_id]
+        return (surplus <= 0, ctx.serves(chain), -surplus, chain.chain_id)
 
     ranked = sorted(ctx.chains, key=cost)
     singles = [c for c in ranked if free_layers + surplus_layers[c.chain_id] >= layers]
@@ -251,7 +251,7 @@
         for other in chosen
         if other.pipeline == chain.pipeline and ctx.serves(other)
     ]
-    return chain is serving[0] and chain.pipeline not in ctx.waiting
+    return chain is serving[0] and chain.pipeline not in ctx.loading
 
 
 def _frees_memory(before, after, free):
--- a/wigeonscale/placement/repair.py
+++ b/wigeonscale/placement/repair.py
@@ -157,13 +157,13 @@
 
 def _candidates(pipeline, kept, free):
     # Without surviving stages any region can be used, but only one.
-    able = [engine for engine in free if engine.model == pipeline.model]
-    regions = sorted({engine.region for engine in kept or able})
-    return [engine for engine in able if engine.region == regions[0]]
+    fitting = [engine for engine in free if engine.model == pipeline.model]
+    regions = sorted({engine.region for engine in kept or fitting})
+    return [engine for engine in fitting if engine.region == regions[0]]
 
 
 def _choose_spare(stage, candidates, target, lost_domains):
-    able = [engine for engine in candidates if engine.layer_capacity >= stage.layers]
+    fitting = [engine for engine in candidates if engine.layer_capacity >= stage.layers]
 
     def preference(engine):
         rate = min(stage_rate(engine, stage.layers), target)
@@ -179,7 +179,7 @@
             engine.agent_id,
         )
 
-    return min(able, key=preference, default=None)
+    return min(fitting, key=preference, default=None)
 
 
 def _choose_replacement(spare, split, stage, target):
