--- a/wigeonscale/dispatch/attempts.py
+++ b/wigeonscale/dispatch/attempts.py
@@ -25,7 +25,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 DEFAULT_RETRY_AFTER_S = 1.0
-# One day; the deadline of the work applies instead.
+# No limit of its own (one day): the deadline of the work applies.
 NO_LIMIT_S = 86400.0
 REPAIR_WAIT_S = 10.0
 REPAIR_POLL_INTERVAL_S = 0.05
--- a/wigeonscale/dispatch/retries.py
+++ b/wigeonscale/dispatch/retries.py
@@ -47,8 +47,8 @@
     Args:
         work: The work.
         refusal: Error of the last dispatch.
-        budget: Charged unless the agent itself is out of service, since other
-            failures, such as overload, can affect many agents at once.
+        budget: Charged for failures that many agents may share, such as overload; not
+            for an agent that is out of service or unreachable.
 
     Returns:
         True only when the work provably did not run, or may be repeated.
