--- a/wigeonscale/control/__init__.py
+++ b/wigeonscale/control/__init__.py
@@ -1,4 +1,4 @@
-"""The control daemon's parts: watch hub, liveness, placement, operators' pages."""
+"""Components of the control daemon: watch hub, liveness, placement, admin API."""
 
 __all__ = [
     "Admin",
--- a/wigeonscale/control/admin.py
+++ b/wigeonscale/control/admin.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP pages of a control replica."""
+"""The HTTP admin API of a control replica."""
 
 __all__ = ["Admin"]
 
@@ -32,8 +32,8 @@
 
 BEARER = "Bearer "
 DEFAULT_RETRY_S = 1.0
-# A document for 30,000 organisations has about 4 MB; a log entry must fit into
-# one message between replicas.
+# A document for 30,000 organisations has about 4 MB. The resulting log entry must fit
+# into one message between replicas.
 BODY_LIMIT_BYTES = 16 * 1024 * 1024
 
 logger = logging.getLogger(__name__)
@@ -42,15 +42,16 @@
 
 
 class Admin:
-    """Answers operators from the state of one replica, changes through the log.
+    """Serves operators: reads from this replica's state, writes through the log.
 
     Args:
-        node_id: Name of this replica.
-        state: The replicated state.
-        replica: This replica.
-        hub: Its watch hub.
-        commands: Way of commands to the log.
-        token_digest: SHA-256 hex digest of the operators' token; empty: none asked.
+        node_id: Node id of this replica.
+        state: Replicated state.
+        replica: Local replica of the log.
+        hub: Watch hub of this replica.
+        commands: Submits commands to the replicated log.
+        token_digest: SHA-256 hex digest of the operators' token; empty if no token is
+            required.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self._token_digest = token_digest
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the pages as aiohttp routes."""
+        """Return the aiohttp routes of the API."""
         return [
             web.get("/admin/rules", self._fresh_page(self._show_rules)),
             web.post("/admin/rules/apply", self._page(self._apply)),
@@ -102,7 +103,7 @@
         return answer
 
     def _fresh_page(self, handler: Handler) -> Handler:
-        """Refuse what may be older than what is accepted."""
+        """Refuse the request unless this replica's state is fresh."""
 
         async def answer(req):
             if not self._hub.is_fresh():
--- a/wigeonscale/control/admin_requests.py
+++ b/wigeonscale/control/admin_requests.py
@@ -1,4 +1,4 @@
-"""Bodies of the operators' requests, validated at the border."""
+"""Schemas of the admin API's request bodies."""
 
 __all__ = ["ApplyRequest", "DrainRequest", "RollbackRequest"]
 
@@ -16,7 +16,7 @@
 
 
 class SectionBody(_Request):
-    """One changed section, as the wire's ``SectionChange``."""
+    """One changed section; mirrors the wire message ``SectionChange``."""
 
     name: Name
     removed: bool = False
@@ -25,9 +25,9 @@
 
 
 class ApplyRequest(_Request):
-    """Body of ``POST /admin/rules/apply``: the whole document or what changes.
+    """Body of ``POST /admin/rules/apply``: a whole document or a set of changes.
 
-    With ``changes`` goes the ``digest`` of the document that they shall make.
+    ``changes`` requires ``digest``, the digest of the document that results.
     """
 
     base_revision: Revision
--- a/wigeonscale/control/announcements.py
+++ b/wigeonscale/control/announcements.py
@@ -1,4 +1,4 @@
-"""Commits what an attached agent announces."""
+"""Commits the announcements of attached agents."""
 
 __all__ = ["commit_announcements"]
 
@@ -12,8 +12,8 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 RETRY_DELAY_S = 0.2
-# An agent that another replica committed last may have moved there; the one to
-# which it still speaks after this long holds it.
+# Another replica that committed an agent last may be where the agent has moved to.
+# The replica that still receives its messages after this delay keeps it.
 MOVED_CHECK_DELAY_S = 1.0
 
 logger = logging.getLogger(__name__)
@@ -24,14 +24,14 @@
 ) -> None:
     """Commit the announcements of one agent's stream until cancelled.
 
-    One command at a time; announcements that come meanwhile count as one.
+    Submits one command at a time; announcements that arrive meanwhile are merged.
 
     Args:
-        node_id: Name of this replica.
+        node_id: Node id of this replica.
         watcher: The agent's stream.
         hub: Watch hub of this replica.
-        commands: Way of commands to the log.
-        clock: Clock port.
+        commands: Submits commands to the replicated log.
+        clock: Time source.
     """
     while True:
         await watcher.announce_wake.wait()
@@ -48,7 +48,7 @@
 async def _commit(node_id, watcher, hub, commands, clock):
     backend = watcher.pending_announcement
     if hub.agent(watcher.node_id, backend.incarnation) is not watcher:
-        # A newer stream of the same agent speaks for it.
+        # A newer stream of the same agent has replaced this one.
         watcher.pending_announcement = None
         return
     command = wire.Command(announce=wire.Announce(backend=backend, replica=node_id))
--- a/wigeonscale/control/backend_health.py
+++ b/wigeonscale/control/backend_health.py
@@ -1,4 +1,4 @@
-"""Judges backend servers whose heartbeats stay away, and those that others suspect."""
+"""Health checks of backend servers that miss heartbeats or are suspected."""
 
 __all__ = ["BackendHealthChecker"]
 
@@ -16,21 +16,20 @@
 from wigeonscale.state import ControlState, Member
 from wigeonscale.wire import wire_pb2 as wire
 
-# Heartbeats that may be missing; two can be lost to one broken connection.
+# One broken connection can lose two heartbeats.
 MAX_MISSED_HEARTBEATS = 3
 CHECKS_PER_HEARTBEAT = 4
-# A backend that an entry suspects, or whose heartbeats stay away, gets this many
-# probes before it counts as silent: the way of its heartbeats may be cut, not the
-# engine lost.
+# Probes sent to a backend that an entry suspects, or that misses heartbeats, before it
+# counts as silent. The path of its heartbeats may be cut while the engine is alive.
 PROBE_ATTEMPTS = 2
 PROBE_RETRY_S = 0.1
-# One that answered is not asked again for a mere hint before this long: many entries
-# see the same path stand still, and a probe costs some engines 5 ms of work.
+# A backend that answered is not probed again because of a hint within this time. Many
+# entries see the same path stall, and a probe costs some engines 5 ms of work.
 HINT_PROBE_INTERVAL_S = 1.0
-# One that is slow is asked this often whether it still is.
+# Interval at which a slow backend is probed to see whether it has recovered.
 SLOW_PROBE_INTERVAL_S = 1.0
-# Factors on an engine's usual times below which it counts as usual: reports of busy but
-# sound ones say 1.
+# Factor on an engine's usual times from which it counts as slow. Busy but healthy
+# engines report 1.
 MIN_SLOW_PACE = 1.5
 MAX_SLOWNESS = 64
 
@@ -39,18 +38,18 @@
 
 
 class BackendHealthChecker:
-    """Probes backends, and commits which are silent and which are slow.
+    """Probes backends and commits which ones are silent or slow.
 
     Args:
-        node_id: Name of this replica.
-        state: The replicated state.
-        replica: This replica.
-        commands: Way of commands to the log.
-        clock: Clock port.
+        node_id: Node id of this replica.
+        state: Replicated state.
+        replica: Local replica of the log.
+        commands: Submits commands to the replicated log.
+        clock: Time source.
         heartbeat_s: Interval of the backends' heartbeats, in seconds.
-        probe: Asks the backend at an address whether it is there, and whether it is
-            the one that started at that Unix millisecond.
-        last_heartbeats: Last heartbeats by name; an answer to a probe counts as one.
+        probe: Probes the backend at an address, given the start time in Unix
+            milliseconds that identifies its incarnation.
+        last_heartbeats: Last heartbeats by name; the answer to a probe counts as one.
     """
 
     def __init__(
@@ -80,11 +79,11 @@
         self._replica_lost_since: dict[str, float] = {}
 
     def suspect(self, req: wire.Suspect, *, source_role: str) -> None:
-        """Probe a backend that does not answer an entry.
+        """Probe a backend that another process suspects.
 
         Args:
-            req: Names the backend.
-            source_role: Role of the process that suspects it.
+            req: Suspicion that names the backend.
+            source_role: Role of the process that reports it.
         """
         member = self._state.members.get(req.agent_id)
         if (
@@ -117,7 +116,7 @@
         return self._clock.now() - answered_at < HINT_PROBE_INTERVAL_S
 
     async def run(self) -> None:
-        """Judge until cancelled."""
+        """Check all backends periodically until cancelled."""
         try:
             while True:
                 await self._clock.sleep(self._heartbeat_s / CHECKS_PER_HEARTBEAT)
@@ -139,7 +138,7 @@
         }
 
     def _members_to_check(self) -> list[Member]:
-        """Return the members here that were not heard for too long."""
+        """Return the members that are overdue, or slow and due for another probe."""
         return [
             member
             for member in self._state.members
@@ -153,14 +152,14 @@
         ]
 
     def _is_slowness_check_due(self, member: Member) -> bool:
-        """Return whether it is time to ask a slow backend again."""
+        """Return whether a slow backend is due for another probe."""
         if not member.backend.slowness:
             return False
         asked_at = self._last_answer_at.get(member.backend.agent_id, float("-inf"))
         return self._clock.now() - asked_at >= SLOW_PROBE_INTERVAL_S
 
     def _update_lost_replicas(self) -> None:
-        """Keep since when each replica with backends has been lost to this leader."""
+        """Update since when this leader has lost each replica that has backends."""
         now = self._clock.now()
         lost = {
             name
@@ -177,9 +176,9 @@
         return replica == self._node_id or replica in self._replica_lost_since
 
     def _silence_s(self, member: Member) -> float:
-        """Return for how long a backend had the chance to be heard here and was not.
+        """Return how long a backend could have sent a heartbeat here and did not.
 
-        Those of a lost replica need a heartbeat or two to find another one.
+        Backends of a lost replica need one or two heartbeats to find another one.
         """
         last = self._last_heartbeats.get(member.backend.agent_id)
         since = self._replica_lost_since.get(member.replica, self._started_at)
@@ -201,14 +200,14 @@
                 await self._update_slowness(name, started_ms, sign.pace)
                 return
             if answer in (ProbeAnswer.REFUSED, ProbeAnswer.REPLACED):
-                # Nothing listens there, or a later start: this incarnation has ended,
-                # and all that goes through it stands still until that is known.
+                # The port refuses, or a later incarnation answers. This one has ended,
+                # and streams through it stall until entries learn of it.
                 break
             await self._clock.sleep(PROBE_RETRY_S)
         await self._mark_silent(member)
 
     def _record_answer(self, name: str, started_ms: int, sequence: int) -> None:
-        """Take an answer to a probe for a heartbeat, unless a later one came."""
+        """Count the answer to a probe as a heartbeat unless a later one arrived."""
         now = self._clock.now()
         self._last_answer_at[name] = now
         last = self._last_heartbeats.get(name)
@@ -218,7 +217,7 @@
             last.received_at = now
 
     async def _update_slowness(self, name: str, started_ms: int, pace: float) -> None:
-        """Tell the entries where an engine has become slow, or is so no more."""
+        """Commit the slowness of an engine if it changed; entries then learn of it."""
         member = self._state.members.get(name)
         slowness = _slowness(pace)
         if member is None or member.backend.started_ms != started_ms:
@@ -237,7 +236,7 @@
         await self._commit_backend(backend, member)
 
     async def _commit_backend(self, backend: wire.Backend, member: Member) -> None:
-        """Commit what a probe found of a backend."""
+        """Commit the state of a backend that a probe found."""
         command = wire.Announce(
             backend=backend, replica=member.replica, sequence=member.sequence
         )
@@ -254,9 +253,9 @@
 
 
 def _slowness(pace: float) -> int:
-    """Return a factor on usual times as a power of two; 0 for about as usual.
+    """Round a factor on usual times to a power of two; 0 if about as usual.
 
-    So rounded, a pace that wavers costs few log entries.
+    Rounding keeps a fluctuating pace from causing many log entries.
     """
     if pace < MIN_SLOW_PACE:
         return 0
--- a/wigeonscale/control/change_feed.py
+++ b/wigeonscale/control/change_feed.py
@@ -1,4 +1,4 @@
-"""What watchers have to be told, worked out once for all of them."""
+"""Computes updates for watchers, once for all watchers at the same position."""
 
 __all__ = ["ChangeFeed"]
 
@@ -7,26 +7,26 @@
 from wigeonscale.state import Change, ControlState
 from wigeonscale.wire import wire_pb2 as wire
 
-# A watcher further behind than this many changes gets the whole membership.
+# A watcher that is further behind gets the whole membership instead of a delta.
 MAX_CHANGES = 4096
 
 
 class ChangeFeed:
-    """Recent changes of the state, and updates made from them.
+    """Keeps recent changes of the state and builds updates from them.
 
-    A watcher is a position in this feed: being slow costs no memory, since its next
-    update is made from the state as it then is. Watchers at one position share
-    one message.
+    A watcher is just a position in this feed. A slow watcher costs no memory, since its
+    next update is built from the state at that time. Watchers at the same position
+    share one message.
 
     Args:
-        state: The replicated state.
-        max_changes: Changes kept for deltas.
+        state: Replicated state.
+        max_changes: Number of changes kept for deltas.
 
     Attributes:
         index: Log index of the newest change seen.
 
     Notes:
-        An update costs and weighs as much as what changed since the position.
+        The cost and size of an update grow with what changed since the position.
     """
 
     def __init__(self, *, state: ControlState, max_changes: int = MAX_CHANGES):
@@ -34,16 +34,16 @@
         self._state = state
         self._max_changes = max_changes
         self._changes: deque[Change] = deque()
-        # Every member change after this index is still kept.
+        # All member changes after this log index are still kept.
         self._complete_after = state.index
         self._members_cache: dict[int, wire.MembersUpdate | None] = {}
         self._config_cache: dict[int, wire.ConfigUpdate] = {}
 
     def add(self, change: Change) -> None:
-        """Note a change of the state.
+        """Append a change of the state.
 
         Args:
-            change: As the state's subject emitted it.
+            change: Change emitted by the state.
         """
         self.index = change.index
         self._members_cache.clear()
@@ -61,16 +61,16 @@
             self._complete_after = self._changes.popleft().index
 
     def members_after(self, index: int | None) -> wire.MembersUpdate | None:
-        """Return what a watcher at a position has to be told of the members.
+        """Return the membership update for a watcher at a position.
 
         Args:
-            index: The watcher's position; None if it knows nothing.
+            index: Log index of the members that the watcher knows, or None.
 
         Returns:
-            A delta, the whole membership when the position is too old, or None
-            when nothing changed. Shared: not to be changed.
+            A delta, the whole membership if the position is too old, or None if
+            nothing changed. The message is shared and must not be modified.
         """
-        # One who was told by a replica that is ahead of this one gets it all.
+        # A watcher that was updated by a replica ahead of this one gets everything.
         is_known = index is not None and self._complete_after <= index <= self.index
         key = index if is_known else -1
         if key not in self._members_cache:
@@ -79,15 +79,15 @@
         return self._members_cache[key]
 
     def configs_after(self, revision: int) -> list[wire.ConfigUpdate]:
-        """Return the updates that lead a watcher to the revision in force.
+        """Return the updates that bring a watcher to the revision in force.
 
         Args:
-            revision: Revision that the watcher holds; 0 for none.
+            revision: Revision that the watcher has; 0 for none.
 
         Returns:
-            One update a revision, or one with the whole document. Empty when the
-            watcher is up to date, or ahead of this replica. Shared: not to be
-            changed.
+            One update per revision, or one with the whole document. Empty if the
+            watcher is up to date or ahead of this replica. The messages are shared
+            and must not be modified.
         """
         configuration = self._state.configuration
         if revision >= configuration.revision:
@@ -155,7 +155,7 @@
         return self._config_cache[revision.number]
 
     def _evict_old_configs(self):
-        # Among them 0, the whole document, which is another after each change.
+        # Includes key 0, the whole document, which differs after each change.
         oldest = self._state.configuration.oldest_known
         for number in [n for n in self._config_cache if n <= oldest]:
             del self._config_cache[number]
--- a/wigeonscale/control/claim_expiry.py
+++ b/wigeonscale/control/claim_expiry.py
@@ -1,4 +1,4 @@
-"""Expires claims by age while this replica leads."""
+"""Expires old claims while this replica is the leader."""
 
 __all__ = ["run_claim_expiry"]
 
@@ -26,14 +26,15 @@
     clock: Clock,
     claim_age_s: float,
 ) -> None:
-    """Propose to expire claims that are old enough, until cancelled.
+    """Expire claims above a maximum age until cancelled.
 
     Args:
-        state: The replicated state.
-        replica: This replica.
-        commands: Way of commands to the log.
-        clock: Clock port.
-        claim_age_s: Age since its last change at which a claim expires, in seconds.
+        state: Replicated state.
+        replica: Local replica of the log.
+        commands: Submits commands to the replicated log.
+        clock: Time source.
+        claim_age_s: Time since its last change after which a claim expires, in
+            seconds.
     """
     interval_s = min(claim_age_s / CHECKS_PER_AGE, MAX_INTERVAL_S)
     while True:
--- a/wigeonscale/control/commands.py
+++ b/wigeonscale/control/commands.py
@@ -1,4 +1,4 @@
-"""The way of commands to the log: here if this replica leads, else forwarded."""
+"""Submits commands to the replicated log, forwarding them to the leader if needed."""
 
 __all__ = ["Commands"]
 
@@ -18,15 +18,15 @@
 
 
 class Commands:
-    """Proposes commands to the replicated log.
+    """Submits commands to the replicated log.
 
     Args:
-        replica: This replica.
+        replica: Local replica of the log.
         addresses: gRPC addresses of all control replicas.
-        clock: Clock port.
-        rng: Source of jitter; None for one seeded by the system.
-        metrics: Where commands are counted.
-        tls: Files for mutual TLS; None for plain TCP.
+        clock: Time source.
+        rng: Source of jitter; None for one seeded by the operating system.
+        metrics: Counts commands.
+        tls: Files for mutual TLS, or None for plain TCP.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         await self._submitter.close()
 
     def follow_addresses(self, addresses: Sequence[str]) -> None:
-        """Forward commands to these replicas from now on.
+        """Set the replicas to which commands are forwarded.
 
         Args:
             addresses: gRPC addresses of all control replicas.
@@ -59,17 +59,17 @@
         self._submitter.follow_addresses(addresses)
 
     async def propose(self, command: wire.Command) -> wire.CommandResult:
-        """Commit a command through this replica, which must lead.
+        """Commit a command through this replica, which must be the leader.
 
         Args:
-            command: The command; its time is stamped here.
+            command: Command; this method sets its timestamp.
 
         Returns:
-            The command's result, refused or not.
+            The command's result, which may be a refusal.
 
         Raises:
-            NotLeaderError: This replica does not lead; nothing was done.
-            WigeonscaleError: As :meth:`Replica.propose` says.
+            NotLeaderError: This replica is not the leader; nothing was done.
+            WigeonscaleError: See :meth:`Replica.propose`.
         """
         name = command.WhichOneof("body") or "none"
         stamped = wire.Command()
@@ -88,17 +88,17 @@
     async def submit(
         self, command: wire.Command, timeout_s: float = FORWARD_TIMEOUT_S
     ) -> wire.CommandResult:
-        """Commit a command of this replica's own, wherever the leader is.
+        """Commit a command of this replica, forwarding it to the leader if needed.
 
         Args:
-            command: The command.
-            timeout_s: Limit of forwarding it, in seconds.
+            command: Command to commit.
+            timeout_s: Timeout for forwarding, in seconds.
 
         Returns:
-            The result of a command that was carried out.
+            The result of the applied command.
 
         Raises:
-            WigeonscaleError: The command's own refusal, or ``NO_QUORUM``.
+            WigeonscaleError: The command was refused, or ``NO_QUORUM``.
         """
         try:
             result = await self.propose(command)
@@ -109,13 +109,13 @@
         return result
 
     async def answer(self, req: wire.SubmitRequest) -> wire.SubmitReply:
-        """Answer one request of a Submit stream; never raises an error of ours.
+        """Handle one request of a Submit stream; never raises ``WigeonscaleError``.
 
         Args:
-            req: The request.
+            req: Request from the stream.
 
         Returns:
-            The command's result, or why it was not carried out.
+            Reply with the command's result, or with the reason why it failed.
         """
         leader = ""
         try:
--- a/wigeonscale/control/engine_specs.py
+++ b/wigeonscale/control/engine_specs.py
@@ -1,4 +1,4 @@
-"""The engines as placement sees them, kept up to date by what changes."""
+"""Cache of the engine specs that placement plans with."""
 
 __all__ = ["EngineSpecCache"]
 
@@ -8,14 +8,15 @@
 
 
 class EngineSpecCache:
-    """Holds a spec of each announced engine and reads again only what changed.
+    """Caches the spec of each announced engine and rebuilds only those that changed.
 
     Args:
-        state: The replicated state; its changes must be passed to :meth:`note`.
+        state: Replicated state; its changes must be passed to :meth:`invalidate`.
 
     Notes:
-        At 7,700 engines reading all of them takes 65 ms, in which the leader's loop
-        would answer nobody, for each of the announcements after a domain came back.
+        Rebuilding the specs of 7,700 engines takes 65 ms and blocks the leader's event
+        loop. Without the cache that would happen for each of the announcements that
+        follow when a failure domain comes back.
     """
 
     def __init__(self, *, state: ControlState):
@@ -26,17 +27,20 @@
         self._sorted: list[EngineSpec] = []
 
     def invalidate(self, change: Change) -> bool:
-        """Take note of a change of the state; return whether engines may differ.
+        """Mark the specs that a change affects as stale.
 
         Args:
-            change: What the state says of a command that it applied.
+            change: Change that the state emitted for an applied command.
+
+        Returns:
+            Whether any engine may have changed.
         """
         self._all_stale |= change.everything
         self._stale |= change.backends
         return bool(change.backends) or change.everything
 
     def specs(self) -> list[EngineSpec]:
-        """Return the engines sorted by name; the same list until one changed."""
+        """Return the specs sorted by agent id; the same list until one changes."""
         if not self._stale and not self._all_stale:
             return self._sorted
         names = self._stale
--- a/wigeonscale/control/entry_counter.py
+++ b/wigeonscale/control/entry_counter.py
@@ -1,4 +1,4 @@
-"""Keeps the replicated record of attached entries right."""
+"""Maintains the replicated record of attached entries."""
 
 __all__ = ["EntryCounter"]
 
@@ -15,28 +15,29 @@
 from wigeonscale.state import ControlState
 from wigeonscale.wire import wire_pb2 as wire
 
-# Entries that come and go within one interval cost one command.
+# All entries that attach or detach within one interval share one command.
 UPDATE_INTERVAL_S = 0.5
 
 logger = logging.getLogger(__name__)
 
 
 class EntryCounter:
-    """Notes the entries attached here, and as leader the loss of replicas.
+    """Records which entries are attached here and, as leader, drops lost replicas'.
 
     Args:
-        node_id: Name of this replica.
-        state: The replicated state.
-        replica: This replica.
-        hub: Its watch hub.
-        commands: Way of commands to the log.
-        clock: Clock port.
+        node_id: Node id of this replica.
+        state: Replicated state.
+        replica: Local replica of the log.
+        hub: Watch hub of this replica.
+        commands: Submits commands to the replicated log.
+        clock: Time source.
         entry_timeout_s: Time without a message after which an entry is no longer
             counted, in seconds.
-        replica_timeout_s: Silence after which a replica counts as lost, in seconds.
+        replica_timeout_s: Time without a message after which a replica counts as lost,
+            in seconds.
 
     Notes:
-        One command per interval in which something changed; none otherwise.
+        Submits one command per interval in which something changed, else none.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         self._absent_since: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Compare and correct until cancelled."""
+        """Update the record periodically until cancelled."""
         while True:
             await self._clock.sleep(UPDATE_INTERVAL_S)
             if self._hub.is_fresh():
@@ -80,7 +81,7 @@
         self._recorded.update(streams.values())
 
     def _live_streams(self) -> dict[str, Watcher]:
-        """Return the newest stream of each entry that lately sent something."""
+        """Return the newest stream of each entry that sent a message recently."""
         now = self._clock.now()
         streams = [
             watcher
@@ -93,8 +94,8 @@
 
     def _local_changes(self, streams) -> Iterator[wire.CountEntries]:
         entries = self._state.entries
-        # An entry noted by another replica since then has moved there, and its old
-        # stream here says nothing.
+        # An entry that another replica recorded later has moved there. Its stream here,
+        # already recorded once, is outdated and must not claim the entry back.
         attached = [
             name
             for name, watcher in streams.items()
--- a/wigeonscale/control/hub.py
+++ b/wigeonscale/control/hub.py
@@ -1,4 +1,4 @@
-"""The watch hub: all watch streams of one replica."""
+"""The watch hub: all watch streams of one control replica."""
 
 __all__ = ["Hub"]
 
@@ -17,29 +17,29 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 US_PER_S = 1_000_000
-# An order that neither failed nor led to an announcement is pushed again.
+# Time after which an order that neither failed nor led to an announcement is resent.
 ORDER_RESEND_S = 10.0
 FAILED_ORDER_RETRY_S = 1.0
-LOAD_ORDER_PREFIX = "load"  # how the ids of orders to load begin
+LOAD_ORDER_PREFIX = "load"  # prefix of the order ids of weight loads
 
 logger = logging.getLogger(__name__)
 
 
 class Hub:
-    """Knows every watch stream here and what each is due.
+    """Tracks the watch streams of this replica and the events pending for each.
 
     Args:
-        node_id: Name of this replica.
-        state: The replicated state.
-        replica: This replica.
-        clock: Clock port.
-        lease_s: Age at which what this replica knows is no longer fresh.
-        loads: Most weight loads in progress at once.
+        node_id: Node id of this replica.
+        state: Replicated state.
+        replica: Local replica of the log.
+        clock: Time source.
+        lease_s: Age from which this replica's state is no longer fresh, in seconds.
+        loads: Maximum number of weight loads in progress.
 
     Attributes:
         watchers: Open watch streams.
-        feed: Changes of the state.
-        board: What the entries that tell it have in progress.
+        feed: Recent changes of the state.
+        load_aggregator: Loads that entries report.
     """
 
     def __init__(
@@ -67,11 +67,11 @@
         self._subscription = state.changes.subscribe(self._on_change)
 
     def close(self) -> None:
-        """Stop following the state."""
+        """Unsubscribe from changes of the state."""
         self._subscription.dispose()
 
     def is_fresh(self) -> bool:
-        """Return whether the state was current less than a lease ago."""
+        """Return whether a majority confirmed the state less than a lease ago."""
         fresh_at = self._replica.fresh_at()
         return fresh_at is not None and self._clock.now() - fresh_at < self._lease_s
 
@@ -80,7 +80,7 @@
 
         Args:
             agent_id: Name of the backend server.
-            incarnation: Number made at the agent's start.
+            incarnation: Number that the agent generated at its start.
 
         Returns:
             The stream that last announced it and is still open.
@@ -91,7 +91,7 @@
         return watcher
 
     def add(self, watcher: Watcher) -> None:
-        """Take in a new stream.
+        """Register a new stream.
 
         Args:
             watcher: State of the stream.
@@ -99,7 +99,7 @@
         self.watchers.add(watcher)
 
     def remove(self, watcher: Watcher) -> None:
-        """Forget a stream that ended.
+        """Unregister a stream that ended.
 
         Args:
             watcher: State of the stream.
@@ -109,11 +109,11 @@
             del self._agents[watcher.node_id]
 
     def announce(self, watcher: Watcher, backend: wire.Backend) -> None:
-        """Take in an agent's announcement, to be committed by its stream.
+        """Store an agent's announcement, which its stream then commits.
 
         Args:
-            watcher: Stream that it came on.
-            backend: What the agent announced.
+            watcher: Stream on which it arrived.
+            backend: Announced backend.
         """
         watcher.incarnation = backend.incarnation
         watcher.announced = backend
@@ -122,10 +122,10 @@
         watcher.announce_wake.set()
 
     def is_committed(self, backend: wire.Backend) -> bool:
-        """Return whether the state holds this very announcement, made here.
+        """Return whether an announcement equals the one committed by this replica.
 
         Args:
-            backend: What an agent announced.
+            backend: Announced backend.
 
         Returns:
             True if committing it would change nothing.
@@ -136,13 +136,13 @@
         return member.backend == backend
 
     def is_attached_elsewhere(self, watcher: Watcher) -> bool:
-        """Return whether the state has an agent attached to another replica.
+        """Return whether the state lists an agent as attached to another replica.
 
         Args:
             watcher: The agent's stream here.
 
         Returns:
-            True if its incarnation stands in the state with another replica.
+            True if the state lists its incarnation under another replica.
         """
         member = self._state.members.get(watcher.node_id)
         return (
@@ -152,16 +152,16 @@
         )
 
     def handle_order_result(self, watcher: Watcher, result: wire.OrderResult) -> None:
-        """Take in what became of an order.
+        """Handle the result of an order; a failed order is sent again.
 
         Args:
-            watcher: Stream that it came on.
-            result: Done, or why not; a failed order is pushed again.
+            watcher: Stream on which it arrived.
+            result: Success or reason of the failure.
         """
         if result.done:
             watcher.failed_orders = 0
             return
-        # A replica that lags behind is no fault of the agent, which refuses rightly.
+        # The agent is right to refuse an order from a replica that lags behind.
         is_behind = result.kind == ErrorKind.STALE_TERM
         watcher.failed_orders += not is_behind
         logger.warning(
@@ -178,24 +178,24 @@
             watcher.sent_drain = None
 
     def pending_events(self, watcher: Watcher) -> Iterator[wire.WatchEvent]:
-        """Yield what a watcher is due now, oldest need first.
+        """Yield the events that a watcher has not been sent yet.
 
-        The lease comes last: it vouches for what goes before it.
+        The lease comes last, since it confirms the events before it.
 
         Args:
-            watcher: A stream that takes the next message.
+            watcher: Stream that can take the next message.
 
         Yields:
-            Events; the watcher counts as told once one was yielded.
+            Events; each counts as sent once it is yielded.
         """
         if watcher.ended_incarnation:
             ended = wire.IncarnationEnded(incarnation=watcher.ended_incarnation)
             watcher.ended_incarnation = 0
             yield wire.WatchEvent(ended=ended)
         if not self.is_fresh():
-            # What this replica knows may be long out of date.
+            # The state of this replica may be outdated.
             return
-        # Taken before what it vouches for, since each write may take long.
+        # Computed before the events that it confirms, since each write may take long.
         grant = self._lease_grant(watcher)
         for update in self.feed.configs_after(watcher.revision):
             watcher.revision = update.revision
@@ -226,7 +226,7 @@
         update = self.feed.members_after(watcher.members_index)
         watcher.members_index = self.feed.index
         if update is None and not watcher.has_sent_members:
-            # Says that what it brought from another replica still holds.
+            # Confirms the members that the watcher learned from another replica.
             update = wire.MembersUpdate(index=self.feed.index)
         watcher.has_sent_members = True
         if update is not None:
@@ -272,8 +272,8 @@
         yield from self._pending_drain(watcher)
 
     def _pending_drain(self, watcher):
-        # Told on each new stream: the agent may still obey a drain that was undone
-        # while it moved here.
+        # Sent on each new stream, since the agent may still apply a drain that was
+        # undone while it moved here.
         wanted = self._state.members.is_drained(watcher.node_id)
         if wanted != watcher.sent_drain:
             watcher.sent_drain = wanted
@@ -293,7 +293,7 @@
 
     def _on_change(self, change):
         if not self._unpublished_changes:
-            # One round for all entries that are applied in one go.
+            # One publication for all log entries that are applied together.
             asyncio.get_running_loop().call_soon(self._publish)
         self._unpublished_changes.append(change)
 
@@ -316,7 +316,7 @@
                 self._check_attachment(watcher)
 
     def _check_attachment(self, watcher):
-        """Find out whether an attached agent ended, or moved to another replica."""
+        """Detect whether an attached agent has ended or moved to another replica."""
         if self._state.members.is_ended(watcher.node_id, watcher.incarnation):
             watcher.ended_incarnation = watcher.incarnation
             return
--- a/wigeonscale/control/last_heartbeat.py
+++ b/wigeonscale/control/last_heartbeat.py
@@ -1,4 +1,4 @@
-"""What is kept of the last heartbeat of a backend, and how its changes are logged."""
+"""The last heartbeat of a backend server, and logging of its changes."""
 
 __all__ = ["LastHeartbeat", "log_backend_change"]
 
@@ -13,12 +13,12 @@
 
 @dataclass(slots=True)
 class LastHeartbeat:
-    """Last heartbeat of one backend at this replica.
+    """Last heartbeat that this replica received from one backend.
 
     Attributes:
-        at: Local instant of it.
-        started_ms: Start of the backend that sent it; 0 where it does not say.
-        sequence: Its number, which begins anew with each start.
+        received_at: Local time of arrival, in seconds.
+        started_ms: Start time of the backend, in Unix milliseconds; 0 if not reported.
+        sequence: Sequence number, which restarts with the backend.
     """
 
     received_at: float
@@ -27,12 +27,12 @@
 
     @property
     def sort_key(self) -> tuple[int, int]:
-        """Later heartbeats of one name are larger, also over starts."""
+        """Sort key that increases with each heartbeat of a name, across restarts."""
         return self.started_ms, self.sequence
 
 
 def log_backend_change(backend: wire.Backend, sequence: int) -> None:
-    """Log what is believed of a backend server from here on."""
+    """Log the new state of a backend server."""
     logger.info(
         "backend server %s at %s",
         backend.agent_id,
--- a/wigeonscale/control/layer_assigner.py
+++ b/wigeonscale/control/layer_assigner.py
@@ -1,4 +1,4 @@
-"""The leader's orders to engines without an agent: which layers each shall hold."""
+"""Assigns layers to engines without an agent and sends them orders to load."""
 
 __all__ = ["LayerAssigner", "model_size"]
 
@@ -20,23 +20,23 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 PLAN_INTERVAL_S = 0.2
-# Before the first plan: time without a new engine. Engines announce themselves once
-# a heartbeat, all within one of about 1.2 s.
+# Time without a new engine before the first plan. Engines announce themselves with
+# each heartbeat, so all do within about 1.2 s.
 SETTLE_S = 0.7
-# An engine whose order had no visible effect for this long is asked again. A whole
-# engine's layers take 14 s x 20 / 80 alone, and longer where many load at once.
+# An engine whose order has had no visible effect for this long is queried again.
+# Loading a whole engine takes 14 s x 20 / 80 alone, and longer if many load at once.
 ORDER_TIMEOUT_S = 12.0
 UNKNOWN_RETRY_S = 1.5
-# An engine that loads while callers wait for its layers is asked this often whether it
-# has them: its heartbeat would tell up to 1.2 s later. The usual load takes a second.
+# Interval at which an engine is polled while it loads layers that requests wait for.
+# Its heartbeat would report them up to 1.2 s later. A typical load takes one second.
 LOAD_POLL_S = 0.35
 MAX_LOAD_POLLS = 12
-# Orders under way at once. Load pattern: thousands of engines announce themselves
-# within a heartbeat, and all get their first order. An exchange takes the leader some
-# milliseconds of its processor share, so that of all at once most miss the time that an
-# answer has, count as unknown and are asked and ordered again.
+# Load pattern: thousands of engines announce themselves within one heartbeat interval
+# and all get their first order. Each exchange takes the leader a few milliseconds of
+# CPU time. If all were sent at once, most replies would miss their timeout, count as
+# unknown and cause another query and order.
 MAX_CONCURRENT_ORDERS = 100
-# A fencing number is (term, index) in one number that JSON carries exactly.
+# Packs (term, index) into one fencing number that JSON represents exactly.
 TERM_SHIFT = 32
 BYTES_PER_MB = 1e6
 
@@ -45,13 +45,13 @@
 
 @dataclass(slots=True)
 class _Order:
-    """An order that was given, until its effect shows.
+    """An issued order whose effect has not been announced yet.
 
     Attributes:
-        layers: What the engine shall hold.
-        retry_at: Instant from which it is asked how it is.
-        before: What the plan took it to hold.
-        is_begun: Whether it said that it carries the order out.
+        layers: Layers that the engine is to hold.
+        retry_at: Time from which the engine is queried and ordered again.
+        previous_layers: Layers that the plan assumed the engine holds.
+        is_accepted: Whether the engine confirmed that it carries out the order.
     """
 
     layers: LayerRange
@@ -61,16 +61,16 @@
 
 
 class LayerAssigner:
-    """Keeps the layers of every model covered, while this replica leads.
+    """Keeps all layers of each model covered while this replica is the leader.
 
     Args:
-        state: The replicated state.
-        replica: This replica.
-        clock: Clock port.
-        orders: Port to the engines.
-        commands: Way of commands to the log.
-        table: Returns the route table in force.
-        is_fresh: Returns whether a majority confirmed the state lately.
+        state: Replicated state.
+        replica: Local replica of the log.
+        clock: Time source.
+        orders: Client for orders to engines.
+        commands: Submits commands to the replicated log.
+        table: Returns the current route table.
+        is_fresh: Returns whether a majority confirmed the state recently.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         self._issued_orders: dict[str, _Order] = {}
         self._order_counts: dict[str, int] = {}
         self._order_tasks: dict[str, asyncio.Task] = {}
-        # What the engines shall hold whose orders are not given yet.
+        # Planned layers of engines whose orders have not been sent yet.
         self._queued_layers: dict[str, LayerRange] = {}
         self._order_slots = asyncio.Semaphore(MAX_CONCURRENT_ORDERS)
         self._known_engines: frozenset[str] = frozenset()
@@ -102,7 +102,7 @@
         self._incarnations: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Plan and give orders until cancelled."""
+        """Plan and send orders until cancelled."""
         try:
             while True:
                 await self._clock.sleep(PLAN_INTERVAL_S)
@@ -129,7 +129,7 @@
                 self._reconcile_service(service.name, service.engine, members)
 
     def _drop_restarted(self, members: dict[str, wire.Backend]) -> None:
-        """Forget what engines were ordered that have started again since then."""
+        """Drop the orders of engines that have restarted since then."""
         incarnations = {name: backend.incarnation for name, backend in members.items()}
         for name, incarnation in incarnations.items():
             if self._incarnations.get(name, incarnation) != incarnation:
@@ -164,7 +164,7 @@
         for name, order in self._issued_orders.items():
             if now >= order.retry_at and members[name].service == service:
                 wanted.setdefault(name, order.layers)
-        # Once for each domain: the first plan names thousands of engines.
+        # Computed once per domain, since the first plan covers thousands of engines.
         has_all_layers = functools.cache(
             lambda domain: _has_all_layers(backends, domain, engine.layers)
         )
@@ -202,7 +202,7 @@
     ) -> None:
         async with self._order_slots:
             outcome = await self._send_order(backend, layers, waits=waits)
-        # From here on it counts as given.
+        # From now on the order is in _issued_orders.
         self._queued_layers.pop(backend.agent_id, None)
         if polls and outcome is OrderOutcome.BEGUN:
             await self._poll_until_loaded(backend, layers)
@@ -210,9 +210,9 @@
     async def _send_order(
         self, backend: wire.Backend, layers: LayerRange, *, waits: bool
     ) -> OrderOutcome | None:
-        """Give one order; return what became of it, or None where none is due."""
+        """Send one order; return its outcome, or None if no order is due."""
         if self._replica.role is not Role.LEADER or not self._is_fresh():
-            # Lost while it waited for its turn; the next leader plans anew.
+            # Leadership was lost while the order was queued; the next leader replans.
             return None
         name = backend.agent_id
         expected = await self._expected_orders(backend, layers)
@@ -255,7 +255,7 @@
     async def _poll_until_loaded(
         self, backend: wire.Backend, layers: LayerRange
     ) -> None:
-        """Announce an engine's new layers as soon as it has them."""
+        """Poll an engine and announce its new layers as soon as it holds them."""
         for _ in range(MAX_LOAD_POLLS):
             await self._clock.sleep(LOAD_POLL_S)
             member = self._state.members.get(backend.agent_id)
@@ -283,13 +283,13 @@
         try:
             await self._commands.submit(wire.Command(announce=announce))
         except WigeonscaleError as exc:
-            # Its next heartbeat tells.
+            # The next heartbeat of the engine reports the layers.
             logger.info("%s not announced: %s", backend.agent_id, exc.message)
 
     async def _expected_orders(
         self, backend: wire.Backend, layers: LayerRange
     ) -> int | None:
-        """Return the order count to expect, or None while no order is due."""
+        """Return the order count to expect, or None if no order is due."""
         name = backend.agent_id
         is_new = (
             not _announced_layers(backend).count and name not in self._issued_orders
@@ -306,7 +306,7 @@
             self._issued_orders[name] = retry
             return None
         if _is_other_incarnation(status, backend):
-            # Its own heartbeat tells of it; no order may rest on what came before.
+            # Wait for a heartbeat of the new incarnation; the plan used the old one.
             logger.info(
                 "engine %s has started again",
                 name,
@@ -324,8 +324,8 @@
             self._issued_orders[name] = retry
             return None
         if held != _announced_layers(backend):
-            # Another leader has ordered it, and what it holds now may be part of a
-            # whole set: its heartbeat tells, and the next plan knows.
+            # Another leader has sent an order, and the layers that the engine holds now
+            # may complete a set. Its heartbeat reports them before the next plan.
             logger.info(
                 "engine %s holds other layers than planned with",
                 name,
@@ -339,11 +339,12 @@
 
 
 def _is_finished(order: _Order, held: LayerRange) -> bool:
-    """Return whether an order is done, or another one was carried out in its place.
+    """Return whether an order is done or another one was carried out instead.
 
-    Load pattern: all of control is killed, and the new leader plans before it has heard
-    what engines loaded for the former one. They refuse its orders, which do not fit;
-    given again once they fit, these would break up a set that has become whole.
+    Load pattern: all control replicas are killed, and the new leader plans before it
+    learns what engines loaded for the previous leader. The engines refuse its orders
+    because of the order count. Sending these again with the right count would break up
+    a set of layers that is complete by now.
     """
     return held == order.layers or (
         not order.is_accepted and held != order.previous_layers
@@ -356,10 +357,10 @@
 
 
 def model_size(engine: EngineProfile) -> ModelSize:
-    """Return the sizes by which layers are planned.
+    """Return the model's sizes that layer planning uses.
 
     Args:
-        engine: What the engines of the model need.
+        engine: Profile of the model's engines.
     """
     tokens = engine.usual_prompt + engine.usual_answer
     longer_ms = engine.sequence_ms + engine.context_ms * tokens / 1000.0
@@ -375,11 +376,12 @@
 
 
 def _has_all_layers(backends: Iterable[wire.Backend], domain: str, layers: int) -> bool:
-    """Return whether requests still pass through all layers in a failure domain.
+    """Return whether requests can still pass through all layers in a failure domain.
 
-    Load pattern: an engine that leaves serves what it has until the end, and all paths
-    of its domain with it: what is moved for it lets these end first. Where one was
-    lost nothing passes any more, and nobody gains from a wait.
+    Load pattern: an engine that leaves keeps serving its layers until it ends, and so
+    do all paths of its domain. Orders that replace it wait until requests on these
+    paths have ended. After the loss of an engine no path is complete, and waiting would
+    gain nothing.
     """
     reached = 0
     held = [
@@ -392,7 +394,7 @@
 
 
 def _announced_layers(backend: wire.Backend) -> LayerRange:
-    """Return the layers that a backend announced, as first and end."""
+    """Return the layers that a backend announced, as a half-open range."""
     if backend.last_layer < backend.first_layer:
         return LayerRange(0, 0)
     return LayerRange(backend.first_layer, backend.last_layer + 1)
--- a/wigeonscale/control/liveness.py
+++ b/wigeonscale/control/liveness.py
@@ -1,4 +1,4 @@
-"""Decides that an agent is gone and ends its incarnation."""
+"""Detects agents that are gone and ends their incarnations."""
 
 __all__ = ["Liveness"]
 
@@ -17,16 +17,17 @@
 from wigeonscale.state import ControlState, Member
 from wigeonscale.wire import wire_pb2 as wire
 
-# Share of the lease that a suspected agent may be silent for when it does not answer
-# a probe either: two heartbeats, since one is a sixth of the lease at most.
+# Share of the lease after which a suspected agent that answers no probe is ended. It
+# covers two heartbeats, since their interval is at most a sixth of the lease.
 SUSPECT_SILENCE_LEASE_SHARE = 1 / 3
-# A backend server that cannot load holds up a weight load that others wait for.
+# A backend server that cannot load occupies a load slot that others wait for.
 MAX_FAILED_ORDERS = 5
 LOAD_TIMEOUT_S = 900.0
 CHECKS_PER_DOWN_TIME = 12
-# While an agent is suspected, someone waits for the decision.
+# Checks run faster while an agent is suspected, since callers wait for the result.
 SUSPECT_INTERVAL_S = 0.05
-# A check this late means that this process stood still; it heard nobody meanwhile.
+# A check that is late by this many intervals means that this process was paused and
+# received no messages.
 PAUSE_INTERVALS = 3
 CONTROL = "control"
 
@@ -34,23 +35,23 @@
 
 
 class Liveness:
-    """Watches the agents attached here, and as leader those of lost replicas.
+    """Monitors the agents attached here and, as leader, those of lost replicas.
 
     Args:
-        node_id: Name of this replica.
-        state: The replicated state.
-        replica: This replica.
-        hub: Its watch hub.
-        commands: Way of commands to the log.
-        clock: Clock port.
-        down_after_s: Time without a word after which an agent is gone whatever a
-            probe says, in seconds; no shorter than the lease, in which an agent
-            replaces a silent connection.
-        lease_s: Time of the freshness lease, in seconds.
-        forward_suspicion: Passes a suspicion on to the replica at an address; returns
-            whether that replica took it.
-        probe: Asks the agent at an address itself.
-        metrics: Where ended incarnations are counted.
+        node_id: Node id of this replica.
+        state: Replicated state.
+        replica: Local replica of the log.
+        hub: Watch hub of this replica.
+        commands: Submits commands to the replicated log.
+        clock: Time source.
+        down_after_s: Time without a message after which an agent is gone regardless
+            of probes, in seconds. At least the lease, within which an agent replaces
+            a silent connection.
+        lease_s: Duration of the freshness lease, in seconds.
+        forward_suspicion: Forwards a suspicion to the replica at an address; returns
+            whether that replica received it.
+        probe: Probes the agent at an address.
+        metrics: Counts ended incarnations.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         self._clock = clock
         self._down_after_s = down_after_s
         self._interval_s = down_after_s / CHECKS_PER_DOWN_TIME
-        # Long enough for every agent of a lost replica to attach elsewhere.
+        # Long enough for all agents of a lost replica to attach to another one.
         self._grace_s = down_after_s + lease_s
         self._suspect_silence_s = lease_s * SUSPECT_SILENCE_LEASE_SHARE
         self._send_suspicion = forward_suspicion
@@ -84,7 +85,7 @@
         self._probes = ProbeCache(probe=probe, clock=clock, on_answer=self.wake)
         self._metrics = metrics
         self._suspended_until = clock.now()
-        # Agents that were attached here before a restart may attach elsewhere.
+        # Agents that were attached here before a restart may attach to another replica.
         self._startup_grace_until = clock.now() + self._grace_s
         self._attached_before: set[tuple[str, int]] = set()
         self._checked_at = clock.now()
@@ -96,16 +97,16 @@
         self._wake = asyncio.Event()
 
     def wake(self) -> None:
-        """Check soon, since a stream ended."""
+        """Run the next check now, e.g. because a stream ended."""
         self._wake.set()
 
     def suspect(self, suspicion: wire.Suspect, *, source_role: str) -> None:
-        """Check an agent that did not answer someone.
+        """Check an agent that another process suspects.
 
         Args:
-            suspicion: Names the incarnation.
-            source_role: Role of the sender; a suspicion that another replica passed
-                on is not passed on again.
+            suspicion: Suspicion that names the incarnation.
+            source_role: Role of the sender; a suspicion that another replica
+                forwarded is not forwarded again.
         """
         agent_id, incarnation = suspicion.agent_id, suspicion.incarnation
         if not self._state.members.holds(agent_id, incarnation):
@@ -118,7 +119,7 @@
             self._forward(replica_id, suspicion)
 
     async def run(self) -> None:
-        """Check until cancelled."""
+        """Check all agents periodically until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._tick())
@@ -146,7 +147,7 @@
             self._suspended_until = now + self._grace_s
         self._checked_at = now
         if not self._hub.is_fresh():
-            # Agents may have moved without this replica's knowledge.
+            # Agents may have moved without this replica knowing.
             self._suspended_until = max(self._suspended_until, now + self._down_after_s)
         for member, cause in self._find_gone(now):
             self._end_incarnation(member, cause)
@@ -174,7 +175,7 @@
         self._probes.retain(keys)
 
     def _gone_cause(self, member, now):
-        """Return why a member counts as gone, or an empty string."""
+        """Return why a member counts as gone, or an empty string if it does not."""
         key = _incarnation_key(member)
         watcher = self._hub.agent(*key)
         if watcher is None:
@@ -190,7 +191,7 @@
         return cause or (_load_failure(watcher, now) if watcher else "")
 
     def _probe_cause(self, member, watcher, silent_s):
-        """Ask an agent that is suspected, or has no stream, whether it is there."""
+        """Probe an agent that is suspected or has no stream; return why it is gone."""
         key = _incarnation_key(member)
         is_suspected = self._is_suspected(key, watcher)
         if watcher is not None and not is_suspected:
@@ -200,7 +201,7 @@
             case ProbeAnswer.REFUSED:
                 return "refused"
             case ProbeAnswer.ANSWERED:
-                # Only its stream is broken or silent, and it makes another.
+                # Only its stream is broken or silent; the agent opens a new one.
                 self._suspected_at.pop(key, None)
             case ProbeAnswer.NOTHING if is_suspected:
                 is_long = silent_s >= self._suspect_silence_s
@@ -279,7 +280,7 @@
 
 
 def _load_failure(watcher: Watcher, now: float) -> str:
-    """Return that a weight load hangs or fails again and again, or nothing."""
+    """Return the cause if a weight load hangs or fails repeatedly, else ""."""
     if watcher.sent_load is None:
         return ""
     is_hung = now - watcher.load_sent_at >= LOAD_TIMEOUT_S
--- a/wigeonscale/control/load_aggregator.py
+++ b/wigeonscale/control/load_aggregator.py
@@ -1,11 +1,12 @@
-"""What all entries have in progress on each backend server, shared among replicas.
-
-Load pattern: many entries, each with a few requests in progress. What one entry sees of
-its own says little of the load of an engine, and an engine's own report is old and must
-be asked for. Entries know what they have sent, so each tells it with its heartbeats;
-replicas pass sums on with the messages of the replicated log that they exchange anyway,
-and each entry gets the sum over all entries with its next grant, half a second old at
-most. Soft state: nothing here is committed, and what is old counts for nothing.
+"""Aggregates the load that all entries put on each backend server.
+
+Load pattern: many entries, each with a few requests in progress. The requests of one
+entry say little about the load of an engine, and the engine's own report is outdated
+and has to be polled. Entries know what they have sent, so each reports it with its
+heartbeats. Replicas exchange sums with the messages of the replicated log that they
+send anyway, and each entry gets the sum over all entries with its next lease grant, at
+most half a second old. This is soft state: nothing is committed, and outdated reports
+are ignored.
 """
 
 __all__ = ["LoadAggregator"]
@@ -19,28 +20,27 @@
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
-# An entry tells its load with each heartbeat, half a second apart by default.
+# Entries report their load with each heartbeat, every half second by default.
 MAX_LOAD_AGE_S = 2.0
 MS_PER_S = 1000.0
 
 
 class LoadAggregator:
-    """Loads of the entries attached here, and of those at other replicas.
+    """Sums the loads of the entries attached here and at other replicas.
 
     Args:
-        watchers: Open watch streams of this replica, kept up to date.
-        clock: Clock port.
+        watchers: Open watch streams of this replica; a live collection.
+        clock: Time source.
 
     Notes:
-        A message weighs some 25 bytes for each backend server with requests, and for
-        each service.
+        A message has about 25 bytes per backend server with requests and per service.
     """
 
     def __init__(self, *, watchers: Iterable[Watcher], clock: Clock):
         self._watchers = watchers
         self._clock = clock
-        # Loads told by other replicas: all followers' to the leader, the leader's sum
-        # to a follower, by node id with their arrival.
+        # Loads reported by other replicas, by node id, with their time of arrival. The
+        # leader holds those of all followers, a follower holds the leader's sum.
         self._peer_loads: dict[str, tuple[float, wire.Loads]] = {}
 
     def local_total(self) -> wire.Loads:
@@ -54,10 +54,10 @@
         )
 
     def total(self, *, exclude: str = "") -> wire.Loads:
-        """Return the sum over all entries as far as known here.
+        """Return the sum over all entries known here.
 
         Args:
-            exclude: Node id of a replica whose entries are left out.
+            exclude: Node id of a replica whose entries are not counted.
         """
         now = self._clock.now()
         others = [
@@ -68,11 +68,11 @@
         return _sum([(self.local_total(), 0.0), *others])
 
     def receive(self, node_id: str, data: bytes) -> None:
-        """Take in what another replica told of entries that are not attached here.
+        """Store the loads that another replica reports for entries not attached here.
 
         Args:
-            node_id: The replica.
-            data: Serialised loads; what cannot be read is as if nothing came.
+            node_id: Node id of the replica.
+            data: Serialised ``Loads`` message; ignored if it cannot be parsed.
         """
         try:
             loads = wire.Loads.FromString(data)
@@ -81,10 +81,10 @@
         self._peer_loads[node_id] = self._clock.now(), loads
 
     def retain(self, node_ids: Iterable[str]) -> None:
-        """Forget replicas that are no longer heard in this term.
+        """Drop the loads of all replicas but these.
 
         Args:
-            node_ids: Node ids of those that are.
+            node_ids: Node ids of the replicas that are heard in this term.
         """
         kept = set(node_ids)
         self._peer_loads = {
@@ -93,7 +93,7 @@
 
 
 def _sum(all_loads: Iterable[tuple[wire.Loads, float]]) -> wire.Loads:
-    """Return the sum of loads, each with the time since it came, in seconds."""
+    """Sum loads, each given with its age in seconds."""
     loads_by_id: dict[str, wire.Load] = {}
     sends_by_name: dict[str, wire.ServiceSends] = {}
     limits_by_id: dict[str, wire.NamedLimit] = {}
@@ -126,7 +126,7 @@
 def _merge_limit(
     merged: wire.NamedLimit, update: wire.NamedLimit, elapsed_ms: int
 ) -> None:
-    """Take in one word of a limit: the newest answer counts, whoever got it."""
+    """Merge one report of a limit; the newest answer of the backend server wins."""
     merged.backend_id = update.backend_id
     _set_demands(merged, _demands(merged) | _demands(update))
     if not update.HasField("age_ms"):
@@ -142,7 +142,7 @@
 
 
 def _drop_non_sharers(limit: wire.NamedLimit) -> None:
-    """Leave out the names that share nothing: hundreds would be told twice a second."""
+    """Drop entries that get no share; else hundreds of names go out twice a second."""
     if limit.HasField("per_s"):
         demands = _demands(limit)
         kept = sharers(limit.backend_id, limit.per_s, demands)
--- a/wigeonscale/control/numbered_documents.py
+++ b/wigeonscale/control/numbered_documents.py
@@ -1,4 +1,4 @@
-"""Puts documents under their author's number, and reads the one in force."""
+"""Stores numbered documents and reads the one in force."""
 
 __all__ = ["NumberedDocuments"]
 
@@ -18,14 +18,14 @@
 
 
 class NumberedDocuments:
-    """The documents of one control replica.
+    """Writes and reads the numbered document through one control replica.
 
     Args:
-        state: The replicated state.
-        replica: This replica.
-        commands: Way of commands to the log.
-        clock: Clock port.
-        answer_s: Longest wait for a majority, in seconds.
+        state: Replicated state.
+        replica: Local replica of the log.
+        commands: Submits commands to the replicated log.
+        clock: Time source.
+        answer_s: Timeout for confirmation by a majority, in seconds.
     """
 
     def __init__(
@@ -44,14 +44,16 @@
         self._answer_s = answer_s
 
     async def put(self, number: int, content: bytes) -> None:
-        """Put a document in force, unless a higher number is; returns once durable.
+        """Put a document in force unless one with a higher number is.
+
+        Returns once the document is durable.
 
         Args:
-            number: Its author's number.
-            content: The document, compressed.
+            number: Version number assigned by the document's author.
+            content: Compressed document.
 
         Raises:
-            WigeonscaleError: ``NO_QUORUM``: it may or may not be in force later.
+            WigeonscaleError: ``NO_QUORUM``; the document may still take effect later.
         """
         document = wire.NumberedDocument(number=number, content=content)
         await self._commands.submit(wire.Command(put_document=document), self._answer_s)
@@ -62,10 +64,10 @@
         )
 
     async def newest(self) -> wire.NumberedDocument:
-        """Return the document in force, confirmed by a majority after the call.
+        """Return the document in force, confirmed by a majority after this call began.
 
         Raises:
-            WigeonscaleError: ``NO_QUORUM``: this replica cannot be sure.
+            WigeonscaleError: ``NO_QUORUM`` if no majority confirmed the state in time.
         """
         asked_at = self._clock.now()
         while not self._is_confirmed_since(asked_at):
--- a/wigeonscale/control/orders.py
+++ b/wigeonscale/control/orders.py
@@ -1,4 +1,4 @@
-"""Orders to agents, derived from the committed state alone."""
+"""Load orders to agents, derived from the committed state only."""
 
 __all__ = ["load_orders"]
 
@@ -6,46 +6,47 @@
 from wigeonscale.state import ControlState
 from wigeonscale.wire import wire_pb2 as wire
 
-# Fewest loads at once with which a spare may take one of them.
+# Spares load only if at least this many concurrent loads are allowed.
 MIN_LOADS_FOR_SPARES = 2
 SPARE_CHAIN_ID = "spare"
-"""Stands in place of a chain's id in the order of a spare's load."""
+"""Used instead of a chain id in the load orders of spares."""
 
 
 def load_orders(state: ControlState, *, loads: int) -> dict[str, wire.LoadLayers]:
-    """Return the weight loads released now, by agent.
+    """Return the weight loads that may run now, by agent id.
 
     Args:
-        state: The replicated state.
-        loads: Most loads in progress at once, for the weight store's sake.
+        state: Replicated state.
+        loads: Maximum number of concurrent loads; limits the traffic of the weight
+            store.
 
     Returns:
-        At most ``loads`` orders. The next is released when a loaded range is
-        announced, or when its agent is gone. When no chain waits for a load, one
-        spare after the other loads what it may have to replace.
+        At most ``loads`` orders. The next one is released when a loaded range is
+        announced or when its agent is gone. If no chain waits for a load, spares load,
+        one after the other, the layers of stages that they may have to replace.
 
     Notes:
-        Costs one pass over all stages.
+        The cost is one pass over all stages.
     """
     orders = {}
     chains = [chain for chain in state.chains.planned() if not chain.retiring]
     loading = {m.backend.agent_id for m in state.members if m.backend.loading}
     ranked = order_loads(chains, is_loaded=state.chains.is_loaded, loading=loading)
-    # Loads that nobody waits for any more take from the store all the same.
+    # Loads that are no longer needed still use bandwidth of the weight store.
     free_slots = loads - len(loading - {stage.agent_id for _, stage in ranked})
     for chain, stage in ranked:
         if len(orders) >= free_slots:
             break
         if state.members.holds(stage.agent_id, stage.incarnation):
             orders.setdefault(stage.agent_id, _load(chain, stage))
-    # A repair must never wait for a spare.
+    # A repair must not wait for the load of a spare.
     if not ranked and loads >= MIN_LOADS_FOR_SPARES:
         return _spare_orders(state, chains, loading)
     return orders
 
 
 def _spare_orders(state, chains, loading):
-    """Return the loads of spares that have begun, or else the next one."""
+    """Return the spares' loads in progress, or the next one if there are none."""
     ranked = warm_loads(
         chains,
         _spares(state),
@@ -56,7 +57,7 @@
         loading=loading,
     )
     orders = {}
-    # Spares that are loading come first.
+    # Spares that are already loading are ranked first.
     for spare, chain, stage in ranked:
         if loading and spare.agent_id not in loading:
             break
--- a/wigeonscale/control/placement_loop.py
+++ b/wigeonscale/control/placement_loop.py
@@ -1,4 +1,4 @@
-"""Places chains while this replica leads."""
+"""Plans and commits chains while this replica is the leader."""
 
 __all__ = ["PlacementLoop"]
 
@@ -21,7 +21,7 @@
 from wigeonscale.replication import Replica, Role
 from wigeonscale.state import Change, ControlState
 
-# Also looks without a change: this replica may have become the leader.
+# Also plans without a change of the state, since this replica may become the leader.
 CHECK_INTERVAL_S = 0.25
 RETRY_DELAY_S = 0.05
 MS_PER_S = 1000
@@ -30,21 +30,23 @@
 
 
 class PlacementLoop:
-    """Keeps the committed chains as placement wants them.
+    """Keeps the committed chains in line with the placement plan.
 
     Args:
-        state: The replicated state.
-        replica: This replica.
-        hub: Its watch hub, which knows whether the state is fresh.
-        commands: Way of commands to the log.
-        clock: Clock port.
-        spares: Engines of each model kept out of new chains, for repairs.
-        domain_share: New chains stay inside one failure domain each when they so pass
-            at least this share of what they pass across domains.
-        settle_s: Seconds without a new engine before new chains are made.
-        rebuild_after_s: Seconds in which no engine came or went before chains that
-            serve are rebuilt, for replicas that are missing or to pass far more.
-        drain_s: Seconds that a chain wanted no longer gets to end its work.
+        state: Replicated state.
+        replica: Local replica of the log.
+        hub: Watch hub of this replica, which knows whether the state is fresh.
+        commands: Submits commands to the replicated log.
+        clock: Time source.
+        spares: Engines per model that are kept out of new chains for repairs.
+        domain_share: New chains stay within one failure domain if their throughput is
+            then at least this share of the throughput across domains.
+        settle_s: Time without a joining engine before new chains are planned, in
+            seconds.
+        rebuild_after_s: Time without a joining or leaving engine before serving
+            chains are rebuilt for missing replicas or for much more throughput, in
+            seconds.
+        drain_s: Time that a retiring chain has to finish its work, in seconds.
     """
 
     def __init__(
@@ -73,14 +75,14 @@
         )
         self._drain_s = drain_s
         self._last_plan_inputs: tuple | None = None
-        # How often engines and chains changed: claims and rules lead to no plan.
+        # Counts of changes of engines and chains. Claims and rules need no new plan.
         self._engine_changes = 0
         self._chain_changes = 0
         self._observed_engine_changes = -1
         self._wake = asyncio.Event()
 
     async def run(self) -> None:
-        """Plan on every change until cancelled."""
+        """Plan after each relevant change until cancelled."""
         subscription = self._state.changes.subscribe(self._on_change)
         ticker = asyncio.create_task(self._tick())
         try:
@@ -138,7 +140,7 @@
             return
         retiring = [chain for chain in planned if chain.retiring]
         active = [chain for chain in planned if not chain.retiring]
-        # In a thread: a plan of thousands of engines would delay heartbeats.
+        # Runs in a thread, since planning thousands of engines would delay heartbeats.
         plan = await asyncio.to_thread(
             plan_placement,
             pipelines=pipelines,
@@ -156,7 +158,7 @@
         self._last_plan_inputs = plan_inputs
 
     def _finished_retiring(self, chains):
-        """Return retiring chains that are broken or whose work had time to end."""
+        """Return the ids of retiring chains that are broken or had time to finish."""
         now_ms = self._clock.wall() * MS_PER_S
         drained_ms = now_ms - self._drain_s * MS_PER_S
         return [
--- a/wigeonscale/control/planning.py
+++ b/wigeonscale/control/planning.py
@@ -1,4 +1,4 @@
-"""Between the replicated state and the pure functions of placement."""
+"""Converts between the replicated state and the placement algorithms."""
 
 __all__ = [
     "chain_plan",
@@ -37,27 +37,27 @@
     base_index: int,
     **options: Any,
 ) -> Plan:
-    """Plan chains; first give each draining stage a free engine in its place.
+    """Plan chains, after replacing draining stages with free engines.
 
-    A draining head stays until it is gone, since it holds its callers' answers. Any
-    other draining stage is replaced while it still works: the state lets the
-    changed chain wait until its new engine has loaded. A chain that is wanted no
-    longer but serves is retired: its engines are not planned with until it is gone.
-    When nothing of this is to be done, one chain of each pipeline may be rebuilt with
-    engines that joined since (:func:`improve_chains`).
+    A draining head stage stays until it is gone, since it holds its callers' answers.
+    Any other draining stage is replaced while it still works; the state keeps the old
+    chain serving until the new engine has loaded. A serving chain that is no longer
+    wanted is retired, and its engines are not planned with until it is gone. If there
+    is nothing of this kind to do, one chain per pipeline may be rebuilt with engines
+    that joined since (:func:`improve_chains`).
 
     Args:
-        pipelines: Pipelines wanted.
+        pipelines: Configured pipelines.
         engines: Announced engines.
         chains: Chains as they were last planned.
-        serving: Ids of the chains that serve now, be it as planned before.
-        loaded: Ids of those that serve as they were last planned.
+        serving: Ids of the chains that serve now, possibly as planned earlier.
+        loaded: Ids of the chains that serve as last planned.
         base_index: Log index of the input; makes new chain ids unique.
-        options: Passed on to :func:`plan_chains`.
+        options: Options for :func:`plan_chains`.
 
     Returns:
         The plan. Its ``changed`` may miss chains whose draining stage was replaced;
-        compare ``chains`` with what stood.
+        compare ``chains`` with the input.
     """
     plan = _plan(pipelines, engines, chains, serving, base_index, options)
     is_unchanged = plan.chains == tuple(chains) and not plan.retired
@@ -86,7 +86,7 @@
         surplus = [chain_id for chain_id in plan.removed if chain_id in serving]
         if not surplus:
             return replace(plan, retired=tuple(retired))
-        # Planned again without the engines that are not free yet.
+        # Plan again without the engines that are not free yet.
         retired += surplus
         kept = [chain for chain in remaining if chain.chain_id not in surplus]
         engines = without_engines(engines, [c for c in remaining if c not in kept])
@@ -99,11 +99,11 @@
     """Return the engines that are in none of the chains.
 
     Args:
-        engines: Engines.
+        engines: Engines to filter.
         chains: Chains whose engines are left out.
 
     Returns:
-        The others, in the same order.
+        The remaining engines, in the same order.
     """
     used = {stage.agent_id for chain in chains for stage in chain.stages}
     return [engine for engine in engines if engine.agent_id not in used]
@@ -128,15 +128,16 @@
 
 
 def engine_spec(state: ControlState, agent_id: str) -> EngineSpec | None:
-    """Return an announced engine as placement sees it, or None.
+    """Return the spec of an announced engine for placement, or None.
 
     Args:
-        state: The replicated state.
+        state: Replicated state.
         agent_id: Name of the backend server.
 
     Returns:
-        Its spec, draining if its agent or an operator says so. An engine that does
-        not answer its agent has no rate and is left out, as if lost.
+        The spec, draining if the agent or an operator says so. None if the name is
+        unknown or not an engine, and for an engine that does not answer its agent: its
+        rate is 0, and it counts as lost.
     """
     member = state.members.get(agent_id)
     if member is None:
@@ -150,13 +151,13 @@
 
 
 def chain_plan(chain: wire.Chain) -> ChainPlan:
-    """Return a chain as placement sees it.
+    """Convert a chain of the state to a plan.
 
     Args:
         chain: Chain of the state.
 
     Returns:
-        Its plan.
+        The plan of the chain.
     """
     stages = tuple(
         StagePlan(
@@ -182,12 +183,12 @@
 
     Args:
         plan: Result of planning.
-        active: Chains that the plan was made from.
-        pipelines: Pipelines that were planned for.
-        base_index: Placement index that the plan was made from.
+        active: Chains that the plan is based on.
+        pipelines: Pipelines that the plan is for.
+        base_index: Placement index that the plan is based on.
 
     Returns:
-        A command without an operation id; its lists are empty when nothing changes.
+        A command without an operation id; its lists are empty if nothing changes.
     """
     by_name = {pipeline.name: pipeline for pipeline in pipelines}
     before = {chain.chain_id: chain for chain in active}
@@ -207,20 +208,20 @@
     """Return whether a command changes no chain.
 
     Args:
-        place: The command.
+        place: Command to inspect.
     """
     return not (place.chains or place.removed or place.retired)
 
 
 def _upgrades(active, pipelines):
-    """Return at most one chain a pipeline that shall load another version.
+    """Yield at most one chain per pipeline that has to load another version.
 
-    The next follows when all chains of the pipeline are ready again.
+    The next one follows when all chains of the pipeline are ready again.
     """
     for name, pipeline in sorted(pipelines.items()):
         chains = [chain for chain in active if chain.pipeline == name]
         outdated = [chain for chain in chains if not _is_current(chain, pipeline)]
-        # One that does not serve anyway goes first.
+        # Chains that do not serve anyway go first.
         outdated.sort(key=lambda chain: (chain.ready, chain.chain_id))
         waiting = any(not chain.ready for chain in chains)
         if outdated and (not waiting or not outdated[0].ready):
--- a/wigeonscale/control/probe.py
+++ b/wigeonscale/control/probe.py
@@ -1,4 +1,4 @@
-"""Asks an agent itself, over a new connection, whether it is there."""
+"""Probes agents directly, over new connections."""
 
 __all__ = ["ProbeCache", "probe_agent"]
 
@@ -13,14 +13,14 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-# A well agent answers within a round trip; one whose VM is gone never does.
+# A healthy agent answers within a round trip; an agent whose VM is gone never does.
 PROBE_TIMEOUT_S = 0.5
 PROBE_INTERVAL_S = 1.0
 
 
 @dataclass(slots=True)
 class _ProbeState:
-    """When an agent was asked last, and its newest answer."""
+    """Time of the last probe of an agent, and its newest answer."""
 
     asked_at: float
     answer: ProbeAnswer | None
@@ -28,11 +28,11 @@
 
 
 class ProbeCache:
-    """Newest answers of the agents that are in question.
+    """Caches the newest probe answers of agents and repeats probes when they are old.
 
     Args:
-        probe: Asks the agent at an address.
-        clock: Clock port.
+        probe: Probes the agent at an address.
+        clock: Time source.
         on_answer: Called after each answer.
     """
 
@@ -44,15 +44,15 @@
         self._tasks: set[asyncio.Task] = set()
 
     def answer(self, name: Hashable, address: str, since: float) -> ProbeAnswer | None:
-        """Return what an agent answered, and ask it again when that is old.
+        """Return the newest answer of an agent; starts a new probe if it is old.
 
         Args:
-            name: Whom it is about.
+            name: Key of the agent's incarnation.
             address: ip:port of the agent's gRPC server.
-            since: Instant before which nobody doubted it, in seconds.
+            since: Time since which the agent is in doubt, in seconds.
 
         Returns:
-            Its newest answer to a question put since then; None before one.
+            The newest answer to a probe sent since then, or None.
         """
         now = self._clock.now()
         state = self._states.get(name)
@@ -66,16 +66,16 @@
         return state.answer if state.asked_at >= since else None
 
     def retain(self, names: set) -> None:
-        """Forget all agents but these.
+        """Drop the answers of all agents but these.
 
         Args:
-            names: Those still of interest.
+            names: Keys of the agents to keep.
         """
         for name in self._states.keys() - names:
             del self._states[name]
 
     async def close(self) -> None:
-        """Cancel the questions that are open."""
+        """Cancel all running probes."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -95,15 +95,15 @@
 async def probe_agent(
     address: str, *, tls: TlsFiles | None = None, timeout_s: float = PROBE_TIMEOUT_S
 ) -> ProbeAnswer:
-    """Ping an agent over a connection of its own.
+    """Ping an agent over a new connection.
 
     Args:
         address: ip:port of the agent's gRPC server.
-        tls: Files for mutual TLS; None for plain TCP.
-        timeout_s: Longest wait for its answer, in seconds.
+        tls: Files for mutual TLS, or None for plain TCP.
+        timeout_s: Timeout for the answer, in seconds.
 
     Returns:
-        What came of it.
+        Whether the agent answered, the connection was refused, or nothing came.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -116,15 +116,15 @@
 
 
 async def _connect(address):
-    """Connect without gRPC, which does not tell a refusal from a timeout."""
+    """Connect without gRPC, which cannot tell a refused connection from a timeout."""
     host, _, port = address.rpartition(":")
     _, writer = await asyncio.open_connection(host.strip("[]"), int(port))
     writer.close()
 
 
 async def _ping(address, tls):
-    # The answer comes from the agent's own loop: a process that is frozen, or
-    # hangs, accepts connections all the same.
+    # A connection alone proves nothing, since a frozen or hanging process still accepts
+    # connections. The pong is sent by the agent's event loop.
     async with open_channel(address, tls=tls) as channel:
         call = wire_pb2_grpc.AgentStub(channel).Dispatch()
         await call.write(wire.DispatchRequest(ping=wire.Ping(sent_us=1)))
--- a/wigeonscale/control/registry.py
+++ b/wigeonscale/control/registry.py
@@ -1,8 +1,8 @@
-"""Backend servers that announce themselves with heartbeats, without an agent.
+"""Registry of backend servers that send heartbeats themselves, without an agent.
 
-A heartbeat is soft state of the replica that took it. Only what changes goes through
-the log: a new incarnation, a state or layers that differ, one that fell silent or was
-heard again. So a quiet deployment costs no log entries, however many heartbeats come.
+A heartbeat is soft state of the replica that receives it. Only changes go through the
+log: a new incarnation, a different state or other layers, and a backend that becomes
+silent or is heard again. Heartbeats that change nothing cost no log entries.
 """
 
 __all__ = ["Registry"]
@@ -24,19 +24,19 @@
 
 
 class Registry:
-    """Takes heartbeats, and judges those that stay away.
+    """Handles heartbeats and checks backends whose heartbeats are missing.
 
     Args:
-        node_id: Name of this replica.
-        state: The replicated state.
-        replica: This replica.
-        commands: Way of commands to the log.
-        clock: Clock port.
+        node_id: Node id of this replica.
+        state: Replicated state.
+        replica: Local replica of the log.
+        commands: Submits commands to the replicated log.
+        clock: Time source.
         heartbeat_s: Interval of the backends' heartbeats, in seconds.
-        probe: Asks the backend at an address whether it is there, and whether it is
-            the one that started at that Unix millisecond.
-        has_service: Returns whether the configuration names a service; all are taken
-            for named before there is one.
+        probe: Probes the backend at an address, given the start time in Unix
+            milliseconds that identifies its incarnation.
+        has_service: Returns whether the configuration has a service; true for all
+            services while there is no configuration.
     """
 
     def __init__(
@@ -69,15 +69,15 @@
         )
 
     async def announce(self, backend: wire.Backend, sequence: int) -> None:
-        """Take a heartbeat; returns once the state shows what it says.
+        """Handle a heartbeat; returns once the state reflects it.
 
         Args:
-            backend: What the backend says of itself.
-            sequence: Number of its announcement, growing.
+            backend: State that the backend reports; its slowness is set here.
+            sequence: Increasing sequence number of the heartbeat.
 
         Raises:
-            WigeonscaleError: It could not be committed, ``NO_QUORUM``; or it is
-                wrong in itself, or not of one of the backends, ``BAD_REQUEST``.
+            WigeonscaleError: ``NO_QUORUM`` if it could not be committed,
+                ``BAD_REQUEST`` if it is invalid or not from a configured backend.
         """
         name, started_ms = backend.agent_id, backend.started_ms
         self._validate_new_backend(backend)
@@ -118,10 +118,10 @@
         log_backend_change(backend, sequence)
 
     def _validate_new_backend(self, backend: wire.Backend) -> None:
-        """Refuse a new name that no backend of the configuration can have.
+        """Refuse a new backend that does not fit the configuration.
 
-        One that is a member is heard in any case: when it leaves, it waits for the
-        acknowledgement.
+        A known member is always accepted, since it waits for the acknowledgement when
+        it leaves.
         """
         if self._state.members.get(backend.agent_id) is not None:
             return
@@ -147,7 +147,7 @@
         )
 
     def _copy_slowness(self, backend: wire.Backend) -> None:
-        """Add to a heartbeat what probes told, which it does not say itself."""
+        """Copy the slowness found by probes, which heartbeats do not report."""
         member = self._state.members.get(backend.agent_id)
         if member is not None and member.backend.incarnation == backend.incarnation:
             backend.slowness = member.backend.slowness
@@ -167,12 +167,12 @@
         )
 
     async def leave(self, backend_id: str, incarnation: int | None = None) -> None:
-        """End an incarnation that says it is going; returns once that is committed.
+        """End an incarnation that announces its end; returns once committed.
 
         Args:
-            backend_id: Its name; an unknown one is ended too, so that a heartbeat
-                that was delayed does not bring it back.
-            incarnation: Its start; None for the one that is announced.
+            backend_id: Name of the backend. An unknown name is ended too, so that a
+                delayed heartbeat does not bring it back.
+            incarnation: Start time of the incarnation; None for the announced one.
 
         Raises:
             WigeonscaleError: ``NO_QUORUM``.
@@ -186,19 +186,19 @@
         )
 
     def suspect(self, req: wire.Suspect, *, source_role: str) -> None:
-        """Probe a backend that does not answer an entry.
+        """Probe a backend that another process suspects.
 
         Args:
-            req: Names the backend.
-            source_role: Role of the process that suspects it.
+            req: Suspicion that names the backend.
+            source_role: Role of the process that reports it.
         """
         self._health_checker.suspect(req, source_role=source_role)
 
     def wake(self) -> None:
-        """Do nothing: no backend hangs on a stream here."""
+        """Do nothing, since backends here are not attached by a stream."""
 
     async def run(self) -> None:
-        """Judge until cancelled."""
+        """Check all backends periodically until cancelled."""
         await self._health_checker.run()
 
     def _is_committed(self, backend: wire.Backend) -> bool:
--- a/wigeonscale/control/replica_membership.py
+++ b/wigeonscale/control/replica_membership.py
@@ -1,9 +1,9 @@
-"""Control replicas that come and go without anybody naming them in settings.
+"""Dynamic membership of control replicas, without listing them in the settings.
 
-A replica that is no member, or that hears no leader, asks the others to be taken in.
-The leader adds it by a committed change of members. It takes out a member that was
-silent for long only when another stands in for it, so that a short cut of one of
-three replicas changes nothing.
+A replica that is not a member, or that hears no leader, asks the others to join. The
+leader adds it by a committed membership change. It removes a member that has been
+silent for a long time only if another replica takes its place, so that a short network
+cut of one of three replicas changes nothing.
 """
 
 __all__ = ["ReplicaMembership", "member_to_remove"]
@@ -23,14 +23,15 @@
 from wigeonscale.wire import wire_pb2_grpc
 
 CHECK_INTERVAL_S = 0.5
-# Elections end well before; a replica that hears no leader for so long is cut off, or
-# was taken out.
+# Elections take much less time. A replica that hears no leader for this long is cut off
+# or has been removed.
 NO_LEADER_TIMEOUT_S = 3.0
-# Silence after which a member may be replaced. Restarts take a second or two.
+# Time without a message after which a member may be replaced. A restart takes one or
+# two seconds.
 REPLACE_AFTER_S = 3.0
-# Fewer members bear no loss.
+# A smaller group cannot tolerate the loss of a member.
 MIN_MEMBERS = 3
-# A single voter could admit nobody: see ``replication/admission.py``.
+# A single voter could not admit anyone; see ``replication/admission.py``.
 MIN_RESPONSIVE_VOTERS = 2
 CALL_TIMEOUT_S = 1.0
 
@@ -43,17 +44,18 @@
     *,
     has_candidate: bool,
 ) -> str | None:
-    """Return the member that the leader should take out now, or None.
+    """Return the member that the leader should remove now, or None.
 
     Args:
         members: All members.
-        silences: Seconds since each other member was heard, by node id.
+        silences: Time since the last message of each other member, in seconds, by
+            node id.
         has_candidate: Whether another replica waits to be added.
 
     Returns:
-        Node id of the member silent for longest, if it was silent for
-        ``REPLACE_AFTER_S``, if enough members stay, and if the others that are heard
-        make a majority without it.
+        Node id of the member that has been silent longest, provided that it has been
+        silent for ``REPLACE_AFTER_S``, that enough members remain, and that the
+        responsive members form a majority of those that remain.
 
     Example:
         >>> trio = [Member(name, "") for name in "abc"]
@@ -76,17 +78,17 @@
 
 
 class ReplicaMembership:
-    """Asks to be a member, and as leader takes members in and out.
+    """Joins this replica to the group and, as leader, adds and removes members.
 
     Args:
-        node_id: Name of this replica.
-        address: ip:port of its gRPC server.
-        seeds: gRPC addresses that the settings name.
-        replica: This replica.
-        commands: Way of commands to the log, which learns the members' addresses.
-        clock: Clock port.
-        tls: Files for mutual TLS; None for plain TCP.
-        dial: Asks the replica at an address; None: over gRPC.
+        node_id: Node id of this replica.
+        address: ip:port of this replica's gRPC server.
+        seeds: gRPC addresses of replicas given in the settings.
+        replica: Local replica of the log.
+        commands: Submits commands to the replicated log; gets the members' addresses.
+        clock: Time source.
+        tls: Files for mutual TLS, or None for plain TCP.
+        dial: Sends a join request to an address; None for gRPC.
     """
 
     def __init__(
@@ -113,7 +115,7 @@
         self._change_lock = asyncio.Lock()
 
     async def run(self) -> None:
-        """Join, and tend the members, until cancelled."""
+        """Join the group and maintain its members until cancelled."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_S)
             self._commands.follow_addresses(self._addresses())
@@ -125,21 +127,21 @@
                 await self._ask_to_join()
 
     def follow_seeds(self, seeds: Sequence[str]) -> None:
-        """Ask other replicas than before.
+        """Replace the seeds.
 
         Args:
-            seeds: gRPC addresses that the settings name now.
+            seeds: gRPC addresses of replicas given in the settings.
         """
         self._seeds = tuple(seeds)
 
     async def answer(self, req: wire.JoinRequest) -> wire.JoinReply:
-        """Answer a replica that asks to be a member.
+        """Handle the request of a replica to become a member.
 
         Args:
-            req: Names the replica.
+            req: Request with the node id and address of the replica.
 
         Returns:
-            Whether it is or becomes a member, else who leads.
+            Whether the replica is a member now, the leader, and all members.
         """
         members = self._replica.members()
         reply = wire.JoinReply(
@@ -209,10 +211,10 @@
             await self._change_members(remove=name)
 
     def _silences(self, members: Sequence[Member]) -> dict[str, float]:
-        """Return for how long each other member was silent towards this leader."""
+        """Return how long each other member has been silent towards this leader."""
         now = self._clock.now()
         others = [m.node_id for m in members if m.node_id != self._join_request.node_id]
-        # One that this leader leads for a moment only may well be about to answer.
+        # A member that this leader has tracked only briefly may be about to answer.
         self._tracked_since = {
             name: self._tracked_since.get(name, now) for name in others
         }
--- a/wigeonscale/control/rule_changes.py
+++ b/wigeonscale/control/rule_changes.py
@@ -1,4 +1,4 @@
-"""Makes commands of the operators' changes of the rules."""
+"""Builds commands from operators' changes of the rules document."""
 
 __all__ = ["apply_command", "rollback_command"]
 
@@ -25,19 +25,20 @@
     """Return the command that puts a document in force.
 
     Args:
-        configuration: The accepted configuration.
-        body: The operator's request.
+        configuration: Committed configuration.
+        body: Operator's request.
 
     Returns:
-        A command as small as the change, where its base is still kept.
+        A command that holds only the changed sections if its base is still kept, else
+        the whole document.
 
     Raises:
-        WigeonscaleError: ``INVALID_DOCUMENT``, with every problem.
+        WigeonscaleError: ``INVALID_DOCUMENT``, listing all problems.
     """
     base = configuration.document_at(body.base_revision)
     if body.changes:
         return await _patch_command(configuration, base, body)
-    # Only sections that differ from the operator's base are read.
+    # Parses only the sections that differ from the operator's base.
     document = await _run_in_thread(
         parse_document, body.document, base=base or EMPTY_DOCUMENT
     )
@@ -49,17 +50,17 @@
 async def rollback_command(
     configuration: Configuration, body: RollbackRequest
 ) -> wire.Command:
-    """Return the command that puts an earlier document in force again.
+    """Return the command that restores the document of an earlier revision.
 
     Args:
-        configuration: The accepted configuration.
-        body: The operator's request.
+        configuration: Committed configuration.
+        body: Operator's request.
 
     Returns:
-        The command, made from the revision in force.
+        The command, based on the revision in force.
 
     Raises:
-        WigeonscaleError: ``NOT_FOUND`` for a revision that is not kept.
+        WigeonscaleError: ``NOT_FOUND`` if the revision is no longer kept.
     """
     document = configuration.document_at(body.revision)
     if document is None:
@@ -85,7 +86,7 @@
     )
     base = configuration.document_at(base_revision)
     if base is not None:
-        # In a thread: long documents differ in many sections.
+        # Runs in a thread, since long documents can differ in many sections.
         changes = await asyncio.to_thread(diff_documents, base, document)
         apply.changes.extend(changes)
     if apply.changes:
@@ -102,7 +103,8 @@
         digest=body.digest,
         changes=[wire.SectionChange(**dict(each)) for each in body.changes],
     )
-    # Without the base it is a conflict, or the first answer is still known.
+    # Without the base, applying the command returns a conflict, or the first answer if
+    # this is a retry.
     if base is not None:
         document = await _run_in_thread(patch_document, base, apply.changes)
         if document.digest != body.digest:
@@ -116,15 +118,15 @@
 
 
 def _command(operation_id, apply):
-    # The digest of the document in the operation id keeps apart operators who
-    # picked the same id: each gets the answer to its own document.
+    # The document's digest makes operation ids unique among operators who picked the
+    # same id, so that each gets the answer for its own document.
     name = f"{operation_id}/{apply.digest[:DIGEST_LENGTH]}"
     return wire.Command(operation_id=name, apply_config=apply)
 
 
 async def _run_in_thread(make, *args, **options) -> Document:
     try:
-        # In a thread: a long document would delay the replica's heartbeats.
+        # Runs in a thread, since a long document would delay the replica's heartbeats.
         return await asyncio.to_thread(make, *args, **options)
     except SettingsError as exc:
         raise WigeonscaleError(ErrorKind.INVALID_DOCUMENT, exc.message) from exc
--- a/wigeonscale/control/service.py
+++ b/wigeonscale/control/service.py
@@ -1,4 +1,4 @@
-"""The Control gRPC service: watch, submit, floor."""
+"""The Control gRPC service: watch, submit, floor, join."""
 
 __all__ = ["ControlServicer"]
 
@@ -26,15 +26,15 @@
 
 
 class ControlServicer(wire_pb2_grpc.ControlServicer):
-    """Serves watchers and those who submit commands.
+    """Serves watch streams, commands and replicas that want to join.
 
     Args:
-        node_id: Name of this replica.
-        replica: This replica.
-        hub: Its watch hub.
-        commands: Way of commands to the log.
-        liveness: Judge of agents that fell silent.
-        clock: Clock port.
+        node_id: Node id of this replica.
+        replica: Local replica of the log.
+        hub: Watch hub of this replica.
+        commands: Submits commands to the replicated log.
+        liveness: Detects agents that are gone.
+        clock: Time source.
         membership: Admits new replicas; None where the settings list all replicas.
     """
 
@@ -84,7 +84,7 @@
             self._liveness.wake()
 
     async def Submit(self, request_iterator, context):  # noqa: N802
-        """Answer the commands of one stream, each as soon as it is decided."""
+        """Answer the commands of one stream, each as soon as its result is known."""
         in_progress = asyncio.Semaphore(MAX_COMMANDS_IN_PROGRESS)
         write_lock = asyncio.Lock()
 
@@ -104,7 +104,7 @@
     async def Floor(self, request, context):  # noqa: N802
         """Return the position of the last entry of this replica's log."""
         if not self._replica.may_vote:
-            # Its log is not read yet, or lost: entries of a majority may be missing.
+            # The log is not loaded yet or was lost, so it may lack committed entries.
             await context.abort(
                 grpc.StatusCode.UNAVAILABLE, f"{self._node_id} has no vote"
             )
@@ -112,7 +112,7 @@
         return wire.FloorReply(node_id=self._node_id, term=term, index=index)
 
     async def Join(self, request, context):  # noqa: N802
-        """Answer a replica that asks to be a member."""
+        """Handle the request of a replica to become a member."""
         if self._membership is None:
             await context.abort(
                 grpc.StatusCode.UNIMPLEMENTED, "the settings name all replicas"
--- a/wigeonscale/control/settle_timer.py
+++ b/wigeonscale/control/settle_timer.py
@@ -1,4 +1,4 @@
-"""Lets announcements settle before chains are planned from them."""
+"""Delays planning until the set of engines has settled."""
 
 __all__ = ["SettleTimer"]
 
@@ -8,21 +8,22 @@
 from wigeonscale.placement import EngineSpec
 from wigeonscale.ports import Clock
 
-# New chains wait at most this many settling times, however often engines join.
+# Caps the delay of new chains, in settle periods, however often engines join.
 MAX_SETTLE_PERIODS = 10
 
 
 class SettleTimer:
-    """Knows since when no engine has come or gone.
+    """Tracks how long the set of engines has been stable.
 
-    Engines that start together announce themselves one after the other. Chains made
-    of the first few would leave the others idle, or would have to be rebuilt.
+    Engines that start together announce themselves one after the other. Chains planned
+    from the first few would leave the others idle or would have to be rebuilt.
 
     Args:
-        clock: Clock port.
-        settle_s: Seconds without a new engine before new chains are made.
-        rebuild_after_s: Seconds in which no engine came or went before chains that
-            serve are rebuilt; an agent that restarts should be back by then.
+        clock: Time source.
+        settle_s: Time without a joining engine before new chains are planned, in
+            seconds.
+        rebuild_after_s: Time without a joining or leaving engine before serving
+            chains are rebuilt, in seconds. Long enough for an agent to restart.
     """
 
     def __init__(self, *, clock: Clock, settle_s: float, rebuild_after_s: float):
@@ -35,10 +36,10 @@
         self._waiting_since = -math.inf
 
     def observe(self, engines: Iterable[EngineSpec]) -> None:
-        """Take note of the engines that stand now.
+        """Restart the timers if engines joined or left since the last call.
 
         Args:
-            engines: Every announced engine.
+            engines: All announced engines.
         """
         known = frozenset((engine.agent_id, engine.incarnation) for engine in engines)
         if known == self._known:
@@ -52,12 +53,12 @@
         self._known = known
 
     def may_load(self) -> bool:
-        """Return whether new chains may be made of engines that have to load."""
+        """Return whether new chains may use engines that still have to load layers."""
         waited_s = self._clock.now() - self._waiting_since
         return self._is_quiet() or waited_s >= MAX_SETTLE_PERIODS * self._settle_s
 
     def may_rebuild(self) -> bool:
-        """Return whether chains that serve may be rebuilt."""
+        """Return whether serving chains may be rebuilt."""
         quiet_s = self._clock.now() - self._changed_at
         return self.may_load() and quiet_s >= self._rebuild_after_s
 
--- a/wigeonscale/control/suspicion.py
+++ b/wigeonscale/control/suspicion.py
@@ -1,4 +1,4 @@
-"""Passes a suspicion on to the replica that an agent is attached to."""
+"""Forwards a suspicion to the replica that an agent is attached to."""
 
 __all__ = ["forward_suspicion"]
 
@@ -24,16 +24,16 @@
     *,
     tls: TlsFiles | None = None,
 ) -> bool:
-    """Tell another replica of a suspicion, once.
+    """Forward a suspicion to another replica, without retries.
 
     Args:
-        node_id: Name of this replica.
+        node_id: Node id of this replica.
         address: ip:port of the other replica.
-        suspicion: Names the incarnation.
-        tls: Files for mutual TLS; None for plain TCP.
+        suspicion: Suspicion that names the incarnation.
+        tls: Files for mutual TLS, or None for plain TCP.
 
     Returns:
-        Whether the other replica took it.
+        Whether the other replica received it.
     """
     hello = wire.Hello(node_id=node_id, role=CONTROL)
     try:
--- a/wigeonscale/control/watcher.py
+++ b/wigeonscale/control/watcher.py
@@ -1,4 +1,4 @@
-"""One watch stream: what its watcher knows and is due."""
+"""State of one watch stream."""
 
 __all__ = ["Watcher"]
 
@@ -13,38 +13,39 @@
 class Watcher:
     """State of one watch stream of an entry, an agent or another replica.
 
-    It holds positions and the newest of each kind of message only, so that a
-    watcher that reads slowly costs no memory.
+    It holds only positions and the newest message of each kind, so that a slow reader
+    costs no memory.
 
     Args:
         hello: First message of the stream.
-        clock: Clock port.
+        clock: Time source.
 
     Attributes:
         node_id: Name of the watching process.
         role: ``entry``, ``agent`` or ``control``.
-        http_address: ip:port of its pages.
-        position: Index of the members it knows; None for none.
-        has_sent_members: Whether it was told members on this stream.
-        revision: Configuration revision it was told.
-        document_number: Number of the numbered document it was told; 0 for none.
-        crashes_index: Log index of the crash records it was told; 0 for none.
-        applied_revision: Revision it said it has in force.
-        heard_at: Instant of its last message, in seconds of the clock port.
-        incarnation: Incarnation that an agent announced here; 0 before.
-        announcement: Newest announcement that is not committed yet, or None.
+        http_address: ip:port of its HTTP server.
+        members_index: Log index of the members it knows; None for none.
+        has_sent_members: Whether members were sent on this stream.
+        revision: Configuration revision that was last sent.
+        document_number: Number of the document that was last sent; 0 for none.
+        crashes_index: Log index of the crash records that were last sent; 0 for none.
+        applied_revision: Configuration revision that it reports as applied.
+        last_message_at: Time of its last message, in seconds.
+        incarnation: Incarnation that an agent announced here; 0 before that.
+        pending_announcement: Newest announcement if it is not committed yet, or None.
         announced: Newest announcement, or None.
-        sent_load: Load order it was sent and that is still due, or None.
-        sent_drain: Operator's drain as it was last told here; None before.
-        load_sent_at: Instant at which ``sent_load`` was first sent.
-        failed_orders: Failures since the last order that was done.
-        load_resend_at: Instant at which an unchanged order is pushed again.
-        ended_incarnation: Incarnation it must be told has ended; 0 for none.
-        loads: What an entry has in progress by its newest heartbeat; None if it does
-            not tell.
-        unanswered: Newest heartbeat without a lease, with its arrival, or None.
-        wake: Set when there may be something to write.
-        announce_wake: Set when there may be something to commit.
+        sent_load: Load order that was sent and is still wanted, or None.
+        sent_drain: Drain state that was last sent here; None before that.
+        load_sent_at: Time at which ``sent_load`` was first sent, in seconds.
+        failed_orders: Failed orders since the last success.
+        load_resend_at: Time at which an unchanged load order is sent again.
+        ended_incarnation: Incarnation whose end must be reported to it; 0 for none.
+        loads: Load that an entry reported with its newest heartbeat; None if it does
+            not report any.
+        pending_heartbeat: Newest heartbeat that no lease answers yet, with its time
+            of arrival, or None.
+        wake: Set when there may be events to write.
+        announce_wake: Set when there may be an announcement to commit.
     """
 
     def __init__(self, *, hello: wire.Hello, clock: Clock):
