--- a/wigeonscale/control/admin.py
+++ b/wigeonscale/control/admin.py
@@ -92,10 +92,10 @@
             except WigeonscaleError as exc:
                 return _error_response(exc)
             except Exception:
-                logger.exception("page %s failed", req.path)
+                logger.exception("request for %s failed", req.path)
                 error = WigeonscaleError(
                     ErrorKind.INTERNAL,
-                    "unexpected; see the replica's log",
+                    "unexpected error; see the log of the replica",
                     run_state=RunState.UNKNOWN,
                 )
                 return _error_response(error)
@@ -109,7 +109,7 @@
             if not self._hub.is_fresh():
                 raise WigeonscaleError(
                     ErrorKind.NO_QUORUM,
-                    f"no majority confirmed lately what {self._node_id} knows",
+                    f"no majority confirmed the state of {self._node_id} recently",
                     retry_after=DEFAULT_RETRY_S,
                 )
             return await handler(req)
@@ -123,7 +123,7 @@
         digest = hashlib.sha256(given.removeprefix(BEARER).encode()).hexdigest()
         if not hmac.compare_digest(digest, self._token_digest):
             raise WigeonscaleError(
-                ErrorKind.FORBIDDEN, "the operators' token is missing or wrong"
+                ErrorKind.FORBIDDEN, "the operator token is missing or wrong"
             )
 
     # ------------------------------------------------------------------ rules
@@ -232,7 +232,7 @@
         hint = f"the leader is {leader}" if leader else "no leader is known"
         raise WigeonscaleError(
             ErrorKind.NOT_LEADER,
-            f"{self._node_id} does not lead; {hint}",
+            f"replica {self._node_id} is not the leader; {hint}",
             retry_after=DEFAULT_RETRY_S,
         )
 
@@ -252,7 +252,7 @@
         if len(data) > BODY_LIMIT_BYTES:
             raise WigeonscaleError(
                 ErrorKind.BODY_TOO_LARGE,
-                f"body longer than {BODY_LIMIT_BYTES} bytes",
+                f"request body exceeds {BODY_LIMIT_BYTES} bytes",
             )
     try:
         return model.model_validate_json(bytes(data))
--- a/wigeonscale/control/announcements.py
+++ b/wigeonscale/control/announcements.py
@@ -68,5 +68,7 @@
         watcher.ended_incarnation = backend.incarnation
         watcher.wake.set()
         return True
-    logger.warning("announcement of %s: %s", backend.agent_id, exc.message)
+    logger.warning(
+        "could not commit announcement of %s: %s", backend.agent_id, exc.message
+    )
     return exc.kind is ErrorKind.BAD_REQUEST
--- a/wigeonscale/control/backend_health.py
+++ b/wigeonscale/control/backend_health.py
@@ -94,7 +94,7 @@
             return
         if req.incarnation not in (0, member.backend.incarnation):
             logger.info(
-                "suspicion of a former start of %s ignored",
+                "ignoring suspicion of a former incarnation of backend server %s",
                 req.agent_id,
                 extra=log_fields(
                     born=req.incarnation, newest_born=member.backend.started_ms
@@ -104,7 +104,7 @@
         if req.is_hint and self._answered_recently(req.agent_id):
             return
         logger.info(
-            "%s is suspected by an %s",
+            "backend server %s is suspected, reported by %s",
             req.agent_id,
             source_role,
             extra=log_fields(is_hint=req.is_hint),
@@ -244,7 +244,7 @@
             await self._commands.submit(wire.Command(announce=command))
         except WigeonscaleError as exc:
             logger.warning(
-                "what a probe found of %s not committed: %s",
+                "could not commit probe result of backend server %s: %s",
                 backend.agent_id,
                 exc.message,
             )
--- a/wigeonscale/control/claim_expiry.py
+++ b/wigeonscale/control/claim_expiry.py
@@ -49,4 +49,4 @@
         try:
             await commands.submit(command)
         except WigeonscaleError as exc:
-            logger.warning("claims not expired: %s", exc.message)
+            logger.warning("could not expire claims: %s", exc.message)
--- a/wigeonscale/control/entry_counter.py
+++ b/wigeonscale/control/entry_counter.py
@@ -76,7 +76,7 @@
             try:
                 await self._commands.submit(wire.Command(count_entries=count))
             except WigeonscaleError as exc:
-                logger.warning("entries not counted: %s", exc.message)
+                logger.warning("could not record attached entries: %s", exc.message)
                 return
         self._recorded.update(streams.values())
 
--- a/wigeonscale/control/hub.py
+++ b/wigeonscale/control/hub.py
@@ -165,7 +165,7 @@
         is_behind = result.kind == ErrorKind.STALE_TERM
         watcher.failed_orders += not is_behind
         logger.warning(
-            "order %s failed at %s: %s %s",
+            "order %s failed on %s: %s: %s",
             result.order_id,
             watcher.node_id,
             result.kind,
--- a/wigeonscale/control/last_heartbeat.py
+++ b/wigeonscale/control/last_heartbeat.py
@@ -34,7 +34,7 @@
 def log_backend_change(backend: wire.Backend, sequence: int) -> None:
     """Log the new state of a backend server."""
     logger.info(
-        "backend server %s at %s",
+        "committed state of backend server %s at %s",
         backend.agent_id,
         backend.address,
         extra=log_fields(
--- a/wigeonscale/control/layer_assigner.py
+++ b/wigeonscale/control/layer_assigner.py
@@ -242,7 +242,7 @@
                 layers, now + UNKNOWN_RETRY_S, _announced_layers(backend)
             )
         logger.info(
-            "engine %s shall hold layers %d-%d",
+            "order to engine %s to hold layers %d-%d",
             name,
             layers.first,
             layers.end,
@@ -284,7 +284,11 @@
             await self._commands.submit(wire.Command(announce=announce))
         except WigeonscaleError as exc:
             # The next heartbeat of the engine reports the layers.
-            logger.info("%s not announced: %s", backend.agent_id, exc.message)
+            logger.info(
+                "could not announce layers of engine %s: %s",
+                backend.agent_id,
+                exc.message,
+            )
 
     async def _expected_orders(
         self, backend: wire.Backend, layers: LayerRange
@@ -308,7 +312,7 @@
         if _is_other_incarnation(status, backend):
             # Wait for a heartbeat of the new incarnation; the plan used the old one.
             logger.info(
-                "engine %s has started again",
+                "engine %s has restarted",
                 name,
                 extra=log_fields(
                     outcome="not ordered",
@@ -327,7 +331,7 @@
             # Another leader has sent an order, and the layers that the engine holds now
             # may complete a set. Its heartbeat reports them before the next plan.
             logger.info(
-                "engine %s holds other layers than planned with",
+                "engine %s holds other layers than the plan assumed",
                 name,
                 extra=log_fields(
                     outcome="not ordered", holds=f"{held.first}-{held.end}"
--- a/wigeonscale/control/liveness.py
+++ b/wigeonscale/control/liveness.py
@@ -143,7 +143,9 @@
     def _check(self):
         now = self._clock.now()
         if now - self._checked_at > PAUSE_INTERVALS * self._interval_s:
-            logger.warning("checks stood still for %.3f s", now - self._checked_at)
+            logger.warning(
+                "liveness checks were paused for %.3f s", now - self._checked_at
+            )
             self._suspended_until = now + self._grace_s
         self._checked_at = now
         if not self._hub.is_fresh():
@@ -248,7 +250,7 @@
             await self._commands.submit(wire.Command(end_incarnation=end))
         except WigeonscaleError as exc:
             self._ending.discard(key)
-            logger.warning("incarnation of %s not ended: %s", agent_id, exc.message)
+            logger.warning("could not end incarnation of %s: %s", agent_id, exc.message)
             return
         logger.info("incarnation of %s ended: %s", agent_id, cause)
         self._metrics.incarnations_ended.add(cause=cause)
--- a/wigeonscale/control/numbered_documents.py
+++ b/wigeonscale/control/numbered_documents.py
@@ -74,7 +74,7 @@
             if self._clock.now() - asked_at > self._answer_s:
                 raise WigeonscaleError(
                     ErrorKind.NO_QUORUM,
-                    f"no majority confirmed the state in {self._answer_s:g} s",
+                    f"no majority confirmed the state within {self._answer_s:g} s",
                 )
             await self._clock.sleep(CONFIRM_INTERVAL_S)
         return self._state.document.message()
--- a/wigeonscale/control/placement_loop.py
+++ b/wigeonscale/control/placement_loop.py
@@ -169,6 +169,6 @@
 
     async def _handle_refusal(self, exc):
         if exc.kind not in (ErrorKind.REVISION_CONFLICT, ErrorKind.NOT_LEADER):
-            logger.warning("plan not placed: %s", exc.message)
+            logger.warning("could not commit placement plan: %s", exc.message)
         await self._clock.sleep(RETRY_DELAY_S)
         self._wake.set()
--- a/wigeonscale/control/registry.py
+++ b/wigeonscale/control/registry.py
@@ -84,7 +84,7 @@
         last = self._last_heartbeats.get(name)
         if last is not None and (started_ms, sequence) < last.sort_key:
             logger.info(
-                "heartbeat %d of %s is late",
+                "outdated heartbeat %d of backend server %s",
                 sequence,
                 name,
                 extra=log_fields(
@@ -93,7 +93,9 @@
             )
             return
         if self._state.members.is_ended(name, backend.incarnation):
-            logger.info("heartbeat %d of ended %s ignored", sequence, name)
+            logger.info(
+                "ignoring heartbeat %d of ended backend server %s", sequence, name
+            )
             return
         self._last_heartbeats[name] = LastHeartbeat(
             self._clock.now(), started_ms, sequence
@@ -113,7 +115,12 @@
                 ErrorKind.REVISION_CONFLICT,
             ):
                 raise
-            logger.info("heartbeat %d of %s: %s", sequence, name, exc.message)
+            logger.info(
+                "heartbeat %d of backend server %s was refused: %s",
+                sequence,
+                name,
+                exc.message,
+            )
             return
         log_backend_change(backend, sequence)
 
@@ -128,16 +135,16 @@
         if not self._has_service(backend.service):
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"{backend.agent_id!r} names the service {backend.service!r},"
-                " which the configuration does not have",
+                f"backend server {backend.agent_id!r} names service {backend.service!r},"
+                " which is not configured",
             )
         if not backend.started_ms and self._service_reports_start_times(
             backend.service
         ):
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"{backend.agent_id!r} does not say when it started, which the others"
-                f" of {backend.service!r} do",
+                f"backend server {backend.agent_id!r} reports no start time, unlike"
+                f" others of service {backend.service!r}",
             )
 
     def _service_reports_start_times(self, service: str) -> bool:
@@ -157,7 +164,7 @@
         if member is None or member.backend.started_ms == backend.started_ms:
             return
         logger.info(
-            "backend server %s started again",
+            "backend server %s restarted",
             backend.agent_id,
             extra=log_fields(
                 outcome="restarted",
@@ -182,7 +189,9 @@
         if self._state.members.get(backend_id) is None:
             self._last_heartbeats.pop(backend_id, None)
         logger.info(
-            "%s left", backend_id, extra=log_fields(outcome="left", born=incarnation)
+            "backend server %s left",
+            backend_id,
+            extra=log_fields(outcome="left", born=incarnation),
         )
 
     def suspect(self, req: wire.Suspect, *, source_role: str) -> None:
--- a/wigeonscale/control/replica_membership.py
+++ b/wigeonscale/control/replica_membership.py
@@ -175,7 +175,9 @@
                 reply = await self._dial(reply.leader, self._join_request)
             if reply is not None and reply.taken:
                 logger.info(
-                    "replica %s is taken in by %s", self._join_request.node_id, address
+                    "replica %s was admitted through %s",
+                    self._join_request.node_id,
+                    address,
                 )
                 return
 
@@ -187,7 +189,7 @@
                 stub = wire_pb2_grpc.ControlStub(channel)
                 return await stub.Join(req, timeout=CALL_TIMEOUT_S)
         except grpc.aio.AioRpcError as exc:
-            logger.info("replica %s not asked to join: %s", address, exc.code())
+            logger.info("join request to replica %s failed: %s", address, exc.code())
             return None
 
     async def _review_members(self) -> None:
@@ -206,7 +208,7 @@
         name = member_to_remove(members, silences, has_candidate=has_candidate)
         if name is not None:
             logger.warning(
-                "replica %s is taken out, silent %.1f s", name, silences[name]
+                "removing replica %s after %.1f s of silence", name, silences[name]
             )
             await self._change_members(remove=name)
 
@@ -227,6 +229,6 @@
         try:
             await self._replica.change_voters(**change)
         except WigeonscaleError as exc:
-            logger.info("members not changed: %s", exc.message)
+            logger.info("membership change failed: %s", exc.message)
             return False
         return True
--- a/wigeonscale/control/rule_changes.py
+++ b/wigeonscale/control/rule_changes.py
@@ -66,7 +66,7 @@
     if document is None:
         raise WigeonscaleError(
             ErrorKind.NOT_FOUND,
-            f"revision {body.revision} is not kept; the oldest kept is"
+            f"revision {body.revision} is not kept; the oldest kept revision is"
             f" {configuration.oldest_known}",
         )
     return await _document_command(
--- a/wigeonscale/control/service.py
+++ b/wigeonscale/control/service.py
@@ -61,7 +61,9 @@
         """Serve one watcher until its stream ends."""
         first = await anext(aiter(request_iterator), None)
         if first is None or first.WhichOneof("body") != "hello":
-            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "hello expected")
+            await context.abort(
+                grpc.StatusCode.INVALID_ARGUMENT, "first message must be hello"
+            )
         watcher = Watcher(hello=first.hello, clock=self._clock)
         self._hub.add(watcher)
         try:
@@ -106,7 +108,7 @@
         if not self._replica.may_vote:
             # The log is not loaded yet or was lost, so it may lack committed entries.
             await context.abort(
-                grpc.StatusCode.UNAVAILABLE, f"{self._node_id} has no vote"
+                grpc.StatusCode.UNAVAILABLE, f"replica {self._node_id} has no vote"
             )
         term, index = self._replica.last_position()
         return wire.FloorReply(node_id=self._node_id, term=term, index=index)
@@ -115,7 +117,8 @@
         """Handle the request of a replica to become a member."""
         if self._membership is None:
             await context.abort(
-                grpc.StatusCode.UNIMPLEMENTED, "the settings name all replicas"
+                grpc.StatusCode.UNIMPLEMENTED,
+                "the settings list all replicas; none can join",
             )
         return await self._membership.answer(request)
 
@@ -125,7 +128,7 @@
             try:
                 self._handle(watcher, req)
             except Exception:
-                logger.exception("message of %s not handled", watcher.node_id)
+                logger.exception("failed to handle message from %s", watcher.node_id)
 
     def _handle(self, watcher, req):
         match req.WhichOneof("body"):
@@ -142,7 +145,9 @@
             case "suspect":
                 self._liveness.suspect(req.suspect, source_role=watcher.role)
             case other:
-                logger.warning("message %s of %s ignored", other, watcher.node_id)
+                logger.warning(
+                    "ignoring unexpected message %s from %s", other, watcher.node_id
+                )
 
     async def _write(self, watcher, context):
         while True:
--- a/wigeonscale/control/suspicion.py
+++ b/wigeonscale/control/suspicion.py
@@ -49,5 +49,5 @@
                 pass
         return True
     except (TimeoutError, grpc.aio.AioRpcError) as exc:
-        logger.info("suspicion of %s not passed on: %r", suspicion.agent_id, exc)
+        logger.info("could not forward suspicion of %s: %r", suspicion.agent_id, exc)
         return False
