--- a/wigeonscale/control/registry.py
+++ b/wigeonscale/control/registry.py
@@ -135,8 +135,8 @@
         if not self._has_service(backend.service):
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"backend server {backend.agent_id!r} names service {backend.service!r},"
-                " which is not configured",
+                f"backend server {backend.agent_id!r} names service"
+                f" {backend.service!r}, which is not configured",
             )
         if not backend.started_ms and self._service_reports_start_times(
             backend.service
