--- a/wigeonscale/control/tests/__init__.py
+++ b/wigeonscale/control/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the control daemon's parts."""
+"""Tests of the components of the control daemon."""
--- a/wigeonscale/control/tests/layer_assigner_case.py
+++ b/wigeonscale/control/tests/layer_assigner_case.py
@@ -1,4 +1,4 @@
-"""A keeper of layers over engines that carry out orders."""
+"""Test case with a layer assigner and fake engines."""
 
 import asyncio
 from collections import defaultdict
@@ -24,7 +24,7 @@
 
 
 class FakeEngines:
-    """Engines that carry out orders, unless a test says otherwise."""
+    """Carries out orders unless a test sets another outcome."""
 
     def __init__(self):
         self.held = defaultdict(lambda: (0, 0))
@@ -57,7 +57,7 @@
         )
 
     def restart(self, address, started_ms):
-        """Start an engine again under its name: it holds and knows nothing."""
+        """Restart an engine under its name, without layers or an order count."""
         self.counts[address] = 0
         self.held[address] = (0, 0)
         self.starts[address] = started_ms
--- a/wigeonscale/control/tests/support.py
+++ b/wigeonscale/control/tests/support.py
@@ -1,4 +1,4 @@
-"""A stand-in for the replicated log, and the parts of one control replica."""
+"""A fake of the replicated log, and a fixture with one control replica."""
 
 import asyncio
 
@@ -26,9 +26,9 @@
 
 
 async def handlers_ended():
-    """Wait for gRPC's tasks of cancelled calls, which a stopped server leaves.
+    """Wait for the tasks of cancelled calls that a stopped gRPC server leaves behind.
 
-    One that does not end in time is left over, and fails the test as such.
+    A task that does not end in time is left over and fails the test.
     """
     others = asyncio.all_tasks() - {asyncio.current_task()}
     if others:
@@ -36,7 +36,7 @@
 
 
 class FakeReplica:
-    """Applies each proposal at once; tests set its role and freshness."""
+    """Applies each proposal immediately; tests set its role and freshness."""
 
     def __init__(self, *, state, clock):
         self.role = Role.LEADER
@@ -80,7 +80,7 @@
 
 
 class ControlFixture:
-    """The control parts of one replica, named c1, over a stand-in log."""
+    """Control components of one replica, named c1, on a fake log."""
 
     def __init__(self, *, clock=None, loads=4, addresses=("127.0.0.1:1",)):
         self.clock = clock or ManualClock()
@@ -101,7 +101,7 @@
             lease_s=LEASE_S,
             loads=loads,
         )
-        self.told = []
+        self.forwarded = []
         self.peer_answers = True
         self.probed = []
         self.probe_answer = ProbeAnswer.NOTHING
@@ -114,13 +114,13 @@
             clock=self.clock,
             down_after_s=DOWN_AFTER_S,
             lease_s=LEASE_S,
-            forward_suspicion=self._tell,
+            forward_suspicion=self._forward,
             probe=self._probe,
             metrics=self.metrics,
         )
 
-    async def _tell(self, address, suspicion):
-        self.told.append((address, suspicion.agent_id))
+    async def _forward(self, address, suspicion):
+        self.forwarded.append((address, suspicion.agent_id))
         return self.peer_answers
 
     async def _probe(self, address):
@@ -135,7 +135,7 @@
         return await self.run(announce=wire.Announce(backend=backend, replica=replica))
 
     async def attach(self, agent_id, incarnation=1, **fields):
-        """Return the stream of an agent that announced itself here."""
+        """Attach an agent here and return its stream."""
         watcher = self.watcher(agent_id, "agent")
         self.hub.announce(watcher, engine(agent_id, incarnation, **fields))
         await self.announce(agent_id, incarnation, **fields)
@@ -148,7 +148,7 @@
         return watcher
 
     async def serve(self):
-        """Serve over gRPC; returns the server and its address."""
+        """Start a gRPC server; return it and its address."""
         server, address = new_server("127.0.0.1:0")
         servicer = ControlServicer(
             node_id="c1",
--- a/wigeonscale/control/tests/test_admin.py
+++ b/wigeonscale/control/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' pages over HTTP."""
+"""Tests of the admin API over HTTP."""
 
 import hashlib
 import json
@@ -75,18 +75,18 @@
         status, body = await asked
         return status, body["error"]["kind"]
 
-    async def test_resent_apply_gets_its_first_answer(self):
+    async def test_retried_apply_returns_first_result(self):
         first = await self.apply()
         await self.apply(DOCUMENT + "[service s]\n", base=1, operation="later")
         self.assertEqual(first, await self.apply())
 
-    async def test_racing_operators_with_equal_ids_each_get_their_own_answer(self):
+    async def test_concurrent_operators_with_equal_ids_get_separate_results(self):
         self.assertEqual(200, (await self.apply())[0])
         status, body = await self.apply(DOCUMENT + "[service s]\n")
         self.assertEqual((409, "revision-conflict"), (status, body["error"]["kind"]))
         self.assertIn("revision 1", body["error"]["message"])
 
-    async def test_command_weighs_what_changed(self):
+    async def test_command_size_depends_on_changed_sections(self):
         services = "".join(f"[service s{n}]\n" for n in range(500))
         await self.apply(DOCUMENT + services)
         await self.apply(DOCUMENT + services + "[service x]\n", base=1, operation="b")
@@ -94,7 +94,7 @@
         self.assertEqual(["service x"], [c.name for c in command.apply_config.changes])
         self.assertLess(command.ByteSize(), 200)
 
-    async def test_only_changed_sections_are_read(self):
+    async def test_only_changed_sections_are_parsed(self):
         services = "".join(f"[service s{n}]\n" for n in range(500))
         await self.apply(DOCUMENT + services)
         with mock.patch.object(
@@ -104,7 +104,7 @@
                 DOCUMENT + services + "[service x]\n", base=1, operation="b"
             )
             self.assertEqual((200, 2), await self.status_and_revision(added))
-        # For the page; applying the command here reads none again.
+        # Parsed by the request handler; applying the command parses none again.
         self.assertEqual(1, parse_section.call_count)
 
     async def patch(self, old, new, *, operation="b", **changed):
@@ -117,7 +117,7 @@
         body |= {"operation_id": operation, "operator": "ann"}
         return await self.post("rules/apply", **{**body, **changed})
 
-    async def test_changed_sections_make_the_same_operation_as_the_document(self):
+    async def test_changes_and_document_yield_the_same_operation(self):
         new = DOCUMENT + "[service x]\n"
         await self.apply()
         for _ in range(2):
@@ -129,7 +129,7 @@
         late = self.patch(DOCUMENT, DOCUMENT + "[service y]\n", operation="c")
         self.assertEqual((409, "revision-conflict"), await self.status_and_kind(late))
 
-    async def test_changes_that_make_another_document_are_refused(self):
+    async def test_changes_with_wrong_digest_are_refused(self):
         await self.apply()
         new = DOCUMENT + "[service x]\n"
         wrong = self.patch(DOCUMENT, new, digest="0" * 64)
@@ -139,12 +139,12 @@
             self.assertEqual((400, "bad-request"), await self.status_and_kind(bad))
         self.assertEqual(1, len(self.fixture.replica.proposed))
 
-    async def test_base_that_is_not_kept_is_a_conflict(self):
+    async def test_unknown_base_revision_is_a_conflict(self):
         await self.apply()
         late = self.apply(DOCUMENT + "[service s]\n", base=7, operation="b")
         self.assertEqual((409, "revision-conflict"), await self.status_and_kind(late))
 
-    async def test_bad_documents_and_bodies_are_refused(self):
+    async def test_invalid_documents_and_bodies_are_refused(self):
         bad = await self.status_and_kind(self.apply("[rule x]\nnonsense\n"))
         self.assertEqual((422, "invalid-document"), bad)
         for body in ({}, {"base_revision": -1}, {"base_revision": "0"}):
@@ -152,14 +152,14 @@
             self.assertEqual((400, "bad-request"), refused)
         self.assertEqual([], self.fixture.replica.proposed)
 
-    async def test_long_documents_are_taken_up_to_a_bound(self):
+    async def test_long_documents_are_accepted_up_to_the_limit(self):
         long = DOCUMENT + "# comment\n" * 150_000
         self.assertEqual((200, 1), await self.status_and_revision(self.apply(long)))
         too_long = self.apply("#" * admin.BODY_LIMIT_BYTES, base=1, operation="b")
         refused = await self.status_and_kind(too_long)
         self.assertEqual((413, "body-too-large"), refused)
 
-    async def test_rollback_makes_a_new_revision_once(self):
+    async def test_rollback_creates_one_new_revision(self):
         await self.apply()
         await self.apply(DOCUMENT + "[service s]\n", base=1, operation="b")
         for _ in range(2):
@@ -189,7 +189,7 @@
         self.assertIn("10.0.0.9:7000", body["error"]["message"])
         self.assertIn("retry_after", body["error"])
 
-    async def test_replica_that_is_not_fresh_shows_its_status_only(self):
+    async def test_stale_replica_serves_only_its_status(self):
         self.fixture.replica.stale_s = None
         for page in ("rules", "rules/history", "backends", "pipelines"):
             refused = await self.status_and_kind(self.get(page))
@@ -197,7 +197,7 @@
         status, shown = await self.get("status")
         self.assertEqual((200, False), (status, shown["fresh"]))
 
-    async def test_unexpected_failure_is_an_answer_too(self):
+    async def test_unexpected_failure_returns_an_error_response(self):
         self.fixture.hub.watchers.add(None)
         status, body = await self.get("status")
         self.fixture.hub.watchers.discard(None)
--- a/wigeonscale/control/tests/test_claim_expiry.py
+++ b/wigeonscale/control/tests/test_claim_expiry.py
@@ -1,4 +1,4 @@
-"""Tests of claims expired by the leader."""
+"""Tests of claim expiry by the leader."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class ExpiryTest(AsyncTestCase):
-    async def test_only_the_leader_expires_and_only_by_age(self):
+    async def test_leader_expires_claims_by_age(self):
         fixture = ControlFixture()
         self.addCleanup(fixture.hub.close)
         await fixture.announce("a")
--- a/wigeonscale/control/tests/test_entry_counter.py
+++ b/wigeonscale/control/tests/test_entry_counter.py
@@ -1,4 +1,4 @@
-"""Tests of how many entries the replicas count together."""
+"""Tests of counting attached entries over all replicas."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 GRACE_S = DOWN_AFTER_S + LEASE_S
 
 
-class EntryCountTest(AsyncTestCase):
+class EntryCounterTest(AsyncTestCase):
     async def prepare(self):
         self.fixture = ControlFixture()
         self.addCleanup(self.fixture.hub.close)
@@ -57,7 +57,7 @@
         ]
         return grant.entries
 
-    async def test_entries_of_all_replicas_are_counted_and_told_to_entries(self):
+    async def test_lease_grants_tell_entries_the_count_over_all_replicas(self):
         await self.attach_elsewhere("e8", "e9")
         watcher = self.fixture.watcher("e1")
         agent = self.fixture.watcher("a", "agent")
@@ -66,7 +66,7 @@
             [3, 0], [self.granted_entries(watcher), self.granted_entries(agent)]
         )
 
-    async def test_heartbeats_cost_no_command(self):
+    async def test_heartbeats_submit_no_command(self):
         watcher = self.fixture.watcher("e1")
         await self.pass_time(1, watcher)
         commands = len(self.fixture.replica.proposed)
@@ -74,7 +74,7 @@
         self.assertEqual((1, commands), (self.count(), commands))
         self.assertEqual(commands, len(self.fixture.replica.proposed))
 
-    async def test_lost_and_silent_entries_are_counted_no_more(self):
+    async def test_lost_and_silent_entries_are_no_longer_counted(self):
         lost, silent = self.fixture.watcher("e1"), self.fixture.watcher("e2")
         await self.pass_time(1, lost, silent)
         self.fixture.hub.remove(lost)
@@ -85,7 +85,7 @@
         await self.pass_time(2 * DOWN_AFTER_S + 1)
         self.assertEqual(0, self.count())
 
-    async def test_moved_entry_stays_with_the_replica_that_noted_it_last(self):
+    async def test_moved_entry_stays_with_the_replica_that_recorded_it_last(self):
         watcher = self.fixture.watcher("e1")
         await self.pass_time(1, watcher)
         await self.attach_elsewhere("e1")
@@ -118,7 +118,7 @@
         await self.pass_time(1)
         self.assertEqual(0, self.count())
 
-    async def test_snapshot_keeps_the_record(self):
+    async def test_snapshot_contains_the_entries(self):
         await self.attach_elsewhere("e1", "e2")
         restored = ControlState()
         restored.restore(self.fixture.state.snapshot())
--- a/wigeonscale/control/tests/test_hub.py
+++ b/wigeonscale/control/tests/test_hub.py
@@ -1,4 +1,4 @@
-"""Tests of what watchers are due: deltas, leases, orders."""
+"""Tests of the events that watchers get: deltas, leases, orders."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
         config = wire.ApplyConfig(base_revision=base, document=document)
         await self.fixture.run(apply_config=config)
 
-    async def test_new_watcher_gets_everything_then_deltas(self):
+    async def test_new_watcher_gets_full_state_then_deltas(self):
         await self.apply(0, 0)
         await self.fixture.announce("a")
         await self.fixture.announce("b")
@@ -48,7 +48,7 @@
         self.assertFalse(members.members.full)
         self.assertEqual(["b"], [b.agent_id for b in members.members.backends])
 
-    async def test_records_of_crashes_come_before_what_may_be_served(self):
+    async def test_crash_records_are_sent_before_members(self):
         crash = wire.Crash(fingerprint=b"a", backend="s1")
         await self.fixture.run(record_crashes=wire.RecordCrashes(crashes=[crash]))
         watcher = self.fixture.watcher()
@@ -56,7 +56,7 @@
         self.assertEqual([b"a"], [r.fingerprint for r in first.crashes.records])
         self.assertTrue(second.HasField("members"))
         self.assertEqual([], await self.pending_events(watcher))
-        # Then only what changed, also to one that was told by another replica.
+        # Only changes follow, also for a watcher that another replica updated.
         other = self.fixture.watcher("e2", known_crashes=first.crashes.index)
         self.assertEqual(["members"], await self.pending_event_types(other))
         await self.fixture.run(record_crashes=wire.RecordCrashes(cleared=[b"a"]))
@@ -66,7 +66,7 @@
         agent = self.fixture.watcher("n1", role="agent")
         self.assertEqual(["members"], await self.pending_event_types(agent))
 
-    async def test_watcher_with_known_revision_gets_what_follows(self):
+    async def test_watcher_with_known_revision_gets_later_revisions(self):
         for number in range(3):
             await self.apply(number, number)
         watcher = self.fixture.watcher(known_revision=1)
@@ -110,10 +110,10 @@
             await asyncio.sleep(0)
             sizes.append(sum(e.ByteSize() for e in fixture.hub.pending_events(watcher)))
         self.assertGreater(sizes[0], 0)
-        # Names and indexes have more digits, nothing else.
+        # Only names and indexes have more digits.
         self.assertLess(sizes[1] - sizes[0], 16)
 
-    async def test_slow_watcher_is_told_the_newest_once(self):
+    async def test_slow_watcher_gets_only_the_newest_state(self):
         watcher = self.fixture.watcher()
         await self.pending_events(watcher)
         for last_layer in range(100):
@@ -130,7 +130,7 @@
         shared = feed.members_after(first.members_index)
         self.assertIs(shared, feed.members_after(second.members_index))
 
-    async def test_watcher_too_far_behind_gets_everything(self):
+    async def test_watcher_too_far_behind_gets_all_members(self):
         feed = self.fixture.hub.feed
         feed._max_changes = 3
         watcher = self.fixture.watcher()
@@ -141,7 +141,7 @@
         self.assertTrue(event.members.full)
         self.assertEqual(5, len(event.members.backends))
 
-    async def test_reattached_watcher_gets_what_changed_meanwhile(self):
+    async def test_reattached_watcher_gets_a_delta(self):
         for number in range(3):
             await self.fixture.announce(f"a{number}")
         first = self.fixture.watcher()
@@ -161,7 +161,7 @@
         (event,) = await self.pending_events(self.fixture.watcher(known_index=99))
         self.assertTrue(event.members.full)
 
-    async def test_restored_state_is_told_as_a_whole(self):
+    async def test_restored_state_is_sent_in_full(self):
         watcher = self.fixture.watcher()
         await self.fixture.announce("a")
         await self.pending_events(watcher)
@@ -175,7 +175,7 @@
         names = [backend.agent_id for backend in event.members.backends]
         self.assertEqual(["b", "c", "d"], names)
 
-    async def test_lease_counts_from_what_a_majority_confirmed(self):
+    async def test_lease_age_counts_from_confirmation_by_a_majority(self):
         watcher = self.fixture.watcher()
         await self.pending_events(watcher)
         self.add_heartbeat(watcher, sent_us=7)
@@ -184,7 +184,7 @@
         self.assertEqual((7, 250_000), (event.lease.echo_us, event.lease.age_us))
         self.assertEqual([], await self.pending_events(watcher))
 
-    async def test_replica_that_is_not_fresh_tells_and_grants_nothing(self):
+    async def test_stale_replica_sends_no_events_and_grants_no_lease(self):
         await self.apply(0, 0)
         watcher = self.fixture.watcher()
         for stale_s in (None, LEASE_S):
@@ -195,7 +195,7 @@
         expected = ["config", "members", "lease"]
         self.assertEqual(expected, await self.pending_event_types(watcher))
 
-    async def test_lease_is_no_newer_than_what_was_told_before_it(self):
+    async def test_lease_is_no_newer_than_the_events_before_it(self):
         watcher = self.fixture.watcher()
         self.add_heartbeat(watcher)
         events = self.fixture.hub.pending_events(watcher)
@@ -218,7 +218,7 @@
             e.order for e in await self.pending_events(watcher) if e.HasField("order")
         ]
 
-    async def test_only_so_many_loads_are_released(self):
+    async def test_concurrent_loads_are_limited(self):
         watchers = [await self.fixture.attach(name) for name in ("a", "b", "s")]
         for watcher in watchers:
             await self.pending_events(watcher)
@@ -230,7 +230,7 @@
         self.assertEqual((2, 3), (order.load.first_layer, order.load.last_layer))
         self.assertEqual((1, self.state.index), (order.term, order.sequence))
 
-    async def test_unfinished_order_is_pushed_again(self):
+    async def test_unfinished_order_is_resent(self):
         watcher = await self.fixture.attach("a")
         await self.pending_events(watcher)
         await self.place(("a", 0, 3))
@@ -245,7 +245,7 @@
         await self.fixture.clock.advance(10.0)
         self.assertEqual(1, len(await self.orders(watcher)))
 
-    async def test_drain_is_told_on_each_stream_and_each_change(self):
+    async def test_drain_is_sent_on_each_stream_and_each_change(self):
         watcher = await self.fixture.attach("a")
         (order,) = await self.orders(watcher)
         self.assertFalse(order.drain)
@@ -255,7 +255,7 @@
         (order,) = await self.orders(await self.fixture.attach("a"))
         self.assertTrue(order.drain)
 
-    async def test_ended_agent_is_told(self):
+    async def test_agent_is_told_that_its_incarnation_ended(self):
         watcher = await self.fixture.attach("a", 5)
         await self.pending_events(watcher)
         end = wire.EndIncarnation(agent_id="a", incarnation=5)
@@ -265,7 +265,7 @@
         ]
         self.assertEqual([5], [each.incarnation for each in ended])
 
-    async def test_drain_that_failed_is_told_again(self):
+    async def test_failed_drain_is_resent(self):
         watcher = await self.fixture.attach("a")
         (order,) = await self.orders(watcher)
         failed = wire.OrderResult(order_id=order.order_id, kind=ErrorKind.STALE_TERM)
--- a/wigeonscale/control/tests/test_layer_assigner.py
+++ b/wigeonscale/control/tests/test_layer_assigner.py
@@ -4,7 +4,7 @@
 
 
 class FirstPlanTest(LayerAssignerCase):
-    async def test_waits_until_the_engines_have_announced_themselves(self):
+    async def test_waits_until_all_engines_are_announced(self):
         await self.announce("e1")
         await self.clock.advance(0.5)
         await self.announce("e2")
@@ -13,7 +13,7 @@
         await self.clock.advance(0.5)
         self.assertEqual({("e1", 0, 5), ("e2", 5, 10)}, self.placed())
 
-    async def test_ordered_once(self):
+    async def test_each_engine_is_ordered_once(self):
         await self.announce_all("e1", "e2")
         await self.clock.advance(3.0)
         await self.announce_all("e1", "e2")
@@ -42,12 +42,12 @@
 
 
 class LostAnswerTest(LayerAssignerCase):
-    async def test_asks_the_engine_before_it_orders_again(self):
+    async def test_engine_status_is_queried_before_another_order(self):
         self.engines.outcomes["e1"] = OrderOutcome.UNKNOWN
         await self.announce_all("e1", "e2")
         await self.clock.advance(1.3)
         self.assertEqual(2, len(self.engines.orders))
-        # Meanwhile the order that brought no answer was carried out.
+        # Meanwhile the engine carried out the order whose answer was lost.
         del self.engines.outcomes["e1"]
         self.engines.counts["e1"] = 1
         self.engines.held["e1"] = (0, 5)
@@ -55,7 +55,7 @@
         self.assertEqual(2, len(self.engines.orders))
         self.assertIn("e1", self.engines.asked)
 
-    async def test_orders_again_under_the_count_that_the_engine_tells(self):
+    async def test_another_order_uses_the_order_count_of_the_engine(self):
         self.engines.outcomes["e1"] = OrderOutcome.UNKNOWN
         await self.announce_all("e1", "e2")
         await self.clock.advance(1.3)
@@ -79,23 +79,23 @@
         self.assertTrue(covered >= {4, 5, 6}, self.placed())
         self.assertEqual({"e1", "e3"}, {name for name, *_ in self.placed()})
 
-    async def test_nobody_waits_for_requests_where_an_engine_was_lost(self):
-        # Nothing passes there any more, and the gap would stay open for seconds.
+    async def test_orders_after_a_loss_do_not_wait_for_requests(self):
+        # No path is complete any more, and waiting would keep the gap open for seconds.
         await self.announce("e1", 0, 4)
         await self.announce("e2", 4, 7, silent=True)
         await self.announce("e3", 7, 10)
         await self.clock.advance(1.0)
         self.assertEqual({"e1": False, "e3": False}, self.engines.waits)
 
-    async def test_requests_end_first_where_an_engine_leaves(self):
-        # It serves what it has, and with it all paths through the others.
+    async def test_orders_for_a_draining_engine_wait_for_requests(self):
+        # The draining engine still serves, and so do the paths through the others.
         await self.announce("e1", 0, 4)
         await self.announce("e2", 4, 7, draining=True)
         await self.announce("e3", 7, 10)
         await self.clock.advance(1.0)
         self.assertEqual({"e1": True, "e3": True}, self.engines.waits)
 
-    async def test_layers_are_announced_before_the_heartbeat_tells(self):
+    async def test_layers_are_announced_before_the_next_heartbeat(self):
         await self.announce("e1", 0, 4)
         await self.announce("e2", 4, 7, silent=True)
         await self.announce("e3", 7, 10)
@@ -113,7 +113,7 @@
 
 
 class RestartTest(LayerAssignerCase):
-    """An engine that starts again under its name holds nothing, and counts anew."""
+    """A restarted engine holds no layers and counts its orders from zero."""
 
     async def serving(self):
         for name, *held in (("e1", 0, 4), ("e2", 4, 7), ("e3", 7, 10)):
@@ -123,7 +123,7 @@
             await self.announce(name, *held, started_ms=100)
         await self.clock.advance(1.0)
 
-    async def test_is_ordered_by_the_count_of_the_new_start(self):
+    async def test_order_count_of_the_new_incarnation_is_used(self):
         await self.serving()
         self.engines.restart("e2", 200)
         await self.announce("e2", 0, 0, started_ms=200)
@@ -133,10 +133,10 @@
         first, end = self.engines.held["e2"]
         self.assertTrue(first <= 4 and end >= 7, (first, end))
 
-    async def test_no_order_rests_on_the_former_start(self):
+    async def test_no_order_is_based_on_the_former_incarnation(self):
         await self.serving()
         await self.announce("e3", 7, 10, started_ms=100, silent=True)
-        # Its neighbours take over, and one of them started again meanwhile.
+        # Its neighbours take over, and one of them restarted in the meantime.
         self.engines.restart("e2", 200)
         await self.clock.advance(1.0)
         self.assertNotIn("e2", {name for name, *_ in self.engines.orders})
--- a/wigeonscale/control/tests/test_layer_assigner_load.py
+++ b/wigeonscale/control/tests/test_layer_assigner_load.py
@@ -1,4 +1,4 @@
-"""Thousands of engines, and a new leader after a loss of all control."""
+"""Tests with many engines, and with a new leader after the loss of all replicas."""
 
 from wigeonscale.control import layer_assigner
 from wigeonscale.control.tests.layer_assigner_case import LayerAssignerCase
@@ -6,10 +6,10 @@
 
 
 class ManyEnginesTest(LayerAssignerCase):
-    """Thousands of engines announce themselves within a heartbeat.
+    """Thousands of engines announce themselves within one heartbeat interval.
 
-    An exchange takes the leader 2 ms of its processor; what is not answered within
-    0.7 s counts as unknown, though the engine carries it out.
+    Each exchange takes the leader 2 ms of CPU time. An order without an answer within
+    0.7 s counts as unknown, although the engine carries it out.
     """
 
     ENGINES = 1500
@@ -33,28 +33,28 @@
         self.in_flight -= 1
         return outcome if takes_s <= self.LIMIT_S else OrderOutcome.UNKNOWN
 
-    async def test_each_is_ordered_once(self):
+    async def test_each_engine_is_ordered_once(self):
         names = [f"e{number}" for number in range(self.ENGINES)]
         await self.announce_all(*names)
         await self.clock.advance(6.0)
         self.assertEqual(self.ENGINES, len(self.engines.orders))
         self.assertEqual(set(names), set(self.engines.held))
-        # Nobody had to be asked what became of an order.
+        # No engine had to be queried for the outcome of an order.
         self.assertEqual([], self.engines.asked)
         self.assertTrue(self.max_in_flight <= 100, self.max_in_flight)
 
 
 class FirstPlanCostTest(LayerAssignerCase):
-    """The first plan of many engines names nearly all of them.
+    """Guards against planning cost that is quadratic in the number of engines.
 
-    Whether a domain is whole was asked for each engine of the plan, and looked at all
-    engines each time: nine million looks with three thousand of them, seven seconds in
-    which the leader answered nobody.
+    The first plan covers nearly all engines. If the check for complete layers runs per
+    engine instead of per domain, each run reads all engines: nine million reads with
+    3,000 engines, which block the leader's event loop for seven seconds.
     """
 
     ENGINES = 600
 
-    async def test_each_domain_is_looked_at_once(self):
+    async def test_each_domain_is_checked_once(self):
         calls = []
         has_all_layers = layer_assigner._has_all_layers
 
@@ -67,18 +67,18 @@
         await self.announce_all(*[f"e{number}" for number in range(self.ENGINES)])
         await self.clock.advance(1.2)
         self.assertTrue(len(self.engines.orders) > 50)
-        self.assertTrue(len(calls) <= 1, f"{len(calls)} looks at one domain")
+        self.assertTrue(len(calls) <= 1, f"{len(calls)} checks of one domain")
 
 
 class FormerLeaderTest(LayerAssignerCase):
-    """A new leader plans before it has heard what its predecessor ordered.
-
-    Two engines had just loaded what the former leader gave them. The new one still
-    believed them empty, planned the other way round, and both refused: the orders they
-    have had do not fit. 1.6 s later they had said what they hold, a whole set, and the
-    leader gave the refused orders again under the right count: `shall hold layers
-    57-60`, `misfit` at 7.05 s and `begun` at 8.65 s. For ten seconds no path through
-    that domain was whole.
+    """A new leader plans before it learns what its predecessor ordered.
+
+    Guards against a failure in which two engines had just loaded the layers ordered by
+    the former leader. The new leader still assumed that they were empty and planned the
+    ranges the other way round. Both engines refused because of the order count. 1.6 s
+    later they had announced a complete set of layers, but the leader sent the refused
+    orders again with the right count (layers 57-60: `misfit` at 7.05 s, `begun` at
+    8.65 s). No path through that domain was complete for ten seconds.
     """
 
     async def prepare(self):
@@ -90,15 +90,15 @@
         await self.clock.advance(1.2)
         self.assertEqual({("e1", 0, 5), ("e2", 5, 10)}, self.placed())
 
-    async def test_what_the_engines_hold_meanwhile_is_left_alone(self):
+    async def test_complete_set_of_layers_is_kept(self):
         await self.announce_all("e1", "e2")
         await self.clock.advance(20.0)
         self.assertEqual({"e1": (5, 10), "e2": (0, 5)}, dict(self.engines.held))
 
-    async def test_also_before_they_have_said_so(self):
+    async def test_complete_set_is_kept_before_it_is_announced(self):
         await self.clock.advance(20.0)
         self.assertEqual({"e1": (5, 10), "e2": (0, 5)}, dict(self.engines.held))
-        # Their heartbeats come, one of them is lost, and another takes its place.
+        # The heartbeats arrive, one engine is lost, and another one takes its place.
         await self.announce_all("e1", "e2", "e3")
         await self.announce("e2", 0, 5, silent=True)
         await self.clock.advance(3.0)
--- a/wigeonscale/control/tests/test_liveness.py
+++ b/wigeonscale/control/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Tests of when an agent counts as gone, by a manual clock."""
+"""Tests of the detection of lost agents, with a manual clock."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
         await self.pass_time(GRACE_S + 1)
 
     async def pass_time(self, seconds, *heard):
-        """Let time pass check by check; ``heard`` are streams with heartbeats."""
+        """Advance time by single checks; the streams in ``heard`` get heartbeats."""
         end = self.fixture.clock.now() + seconds
         while self.fixture.clock.now() < end - 1e-9:
             for watcher in heard:
@@ -42,7 +42,7 @@
         suspicion = wire.Suspect(agent_id=agent_id, incarnation=1)
         self.fixture.liveness.suspect(suspicion, source_role=source_role)
 
-    async def test_agent_with_heartbeats_stays(self):
+    async def test_agent_with_heartbeats_stays_alive(self):
         watcher = await self.fixture.attach("a")
         await self.pass_time(20, watcher)
         self.assertTrue(self.is_alive())
@@ -56,9 +56,9 @@
         await self.pass_time(2 * CHECK_S)
         self.assertFalse(self.is_alive())
 
-    async def test_silent_stream_leaves_time_to_move(self):
+    async def test_agent_with_silent_stream_has_time_to_reattach(self):
         await self.fixture.attach("a")
-        # An agent looks for another replica for this long, and its lease holds.
+        # An agent may look for another replica for this long, and its lease holds.
         await self.pass_time(max(DOWN_AFTER_S, LEASE_S) - CHECK_S)
         self.assertTrue(self.is_alive())
         self.assertEqual([], self.fixture.probed)
@@ -74,7 +74,7 @@
         await self.fixture.clock.advance(0)
         self.assertFalse(self.is_alive())
 
-    async def test_agent_that_answers_a_probe_gets_time_to_move(self):
+    async def test_agent_that_answers_a_probe_has_time_to_reattach(self):
         self.fixture.probe_answer = ProbeAnswer.ANSWERED
         lost, silent = await self.fixture.attach("a"), await self.fixture.attach("b")
         await self.pass_time(1, lost, silent)
@@ -117,14 +117,14 @@
         await self.pass_time(1.5)
         self.assertTrue(self.is_alive())
 
-    async def test_pause_of_this_process_ends_nobody(self):
+    async def test_pause_of_this_process_ends_no_agent(self):
         watcher = await self.fixture.attach("a")
         await self.pass_time(1, watcher)
         self.fixture.clock._now += 60
         await self.pass_time(1)
         self.assertTrue(self.is_alive())
 
-    async def test_replica_that_is_not_fresh_ends_nobody(self):
+    async def test_stale_replica_ends_no_agent(self):
         watcher = await self.fixture.attach("a")
         self.fixture.replica.stale_s = None
         self.fixture.hub.remove(watcher)
@@ -156,15 +156,15 @@
         await self.pass_time(3 * CHECK_S)
         self.assertEqual([False, True], [self.is_alive("a"), self.is_alive("b")])
 
-    async def test_suspicion_goes_to_the_replica_that_holds_the_stream(self):
+    async def test_suspicion_is_forwarded_to_the_replica_with_the_stream(self):
         self.fixture.replica.silences = {"c2": 0.0}
         await self.fixture.announce("a", replica="c2")
         self.suspect()
         await self.pass_time(CHECK_S)
-        self.assertEqual([("two", "a")], self.fixture.told)
+        self.assertEqual([("two", "a")], self.fixture.forwarded)
         self.suspect(source_role="control")
         await self.pass_time(CHECK_S)
-        self.assertEqual(1, len(self.fixture.told))
+        self.assertEqual(1, len(self.fixture.forwarded))
         self.assertTrue(self.is_alive())
 
     async def test_suspected_agent_of_an_unreachable_replica_ends(self):
@@ -175,7 +175,7 @@
         await self.pass_time(CHECK_S)
         self.assertFalse(self.is_alive())
 
-    async def test_agent_between_two_replicas_outlives_a_suspicion(self):
+    async def test_suspected_agent_that_moves_between_replicas_stays_alive(self):
         self.fixture.replica.silences = {"c2": 0.0}
         self.fixture.peer_answers = False
         self.fixture.probe_answer = ProbeAnswer.ANSWERED
@@ -189,9 +189,9 @@
         suspicion = wire.Suspect(agent_id="a", incarnation=9)
         self.fixture.liveness.suspect(suspicion, source_role="entry")
         await self.pass_time(CHECK_S)
-        self.assertEqual([], self.fixture.told)
+        self.assertEqual([], self.fixture.forwarded)
 
-    async def test_end_is_tried_again_without_a_quorum(self):
+    async def test_end_is_retried_after_loss_of_quorum(self):
         watcher = await self.fixture.attach("a")
         await self.pass_time(1, watcher)
         self.fixture.hub.remove(watcher)
@@ -214,7 +214,7 @@
         await self.pass_time(1, watcher)
         self.assertTrue(self.is_alive())
 
-    async def test_server_that_cannot_load_gives_up_its_place(self):
+    async def test_server_that_repeatedly_fails_to_load_is_ended(self):
         watcher = await self.fixture.attach("a")
         place = wire.PlaceChains(chains=[chain("c", 1, ("a", 0, 3))])
         await self.fixture.run(place=place)
--- a/wigeonscale/control/tests/test_load_aggregator.py
+++ b/wigeonscale/control/tests/test_load_aggregator.py
@@ -21,7 +21,7 @@
     return {each.backend_id: each.running for each in board_loads.loads}
 
 
-class LoadBoardTest(AsyncTestCase):
+class LoadAggregatorTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
@@ -35,7 +35,7 @@
         watcher.loads = told
         self.watchers.add(watcher)
 
-    def test_sum_over_the_entries_here(self):
+    def test_local_total_sums_attached_entries(self):
         self.attach("one", loads(a=2, b=1))
         self.attach("two", loads(a=3))
         self.attach("agent", None)
@@ -44,12 +44,12 @@
             [50, 10], [x.token_layers for x in self.load_aggregator.local_total().loads]
         )
 
-    def test_total_with_those_of_other_replicas(self):
+    def test_total_includes_other_replicas(self):
         self.attach("one", loads(a=2))
         self.load_aggregator.receive("c2", loads(a=1, b=4).SerializeToString())
         self.load_aggregator.receive("c3", loads(b=1).SerializeToString())
         self.assertEqual({"a": 3, "b": 5}, shown(self.load_aggregator.total()))
-        # What a replica told itself does not come back to it.
+        # A replica's own report is not sent back to it.
         self.assertEqual(
             {"a": 2, "b": 1}, shown(self.load_aggregator.total(exclude="c2"))
         )
@@ -64,7 +64,7 @@
         (total,) = self.load_aggregator.total().sends
         self.assertEqual(("s", 60, 9), (total.service, total.requests, total.further))
 
-    def test_how_many_entries_told(self):
+    def test_reporting_entries_are_counted(self):
         self.attach("one", wire.Loads(tellers=1))
         self.attach("two", wire.Loads(tellers=1))
         self.load_aggregator.receive("c2", wire.Loads(tellers=5).SerializeToString())
@@ -83,14 +83,15 @@
         (limit,) = self.load_aggregator.total().limits
         self.assertEqual(demands(one=3, two=1), list(limit.demands))
         self.assertEqual((False, 1300), (limit.HasField("per_s"), limit.age_ms))
-        # Told by one that had no answer itself, it is only wanted.
+        # A report without an age comes from an entry that got no answer itself, so that
+        # only its demand counts.
         wanted = wire.NamedLimit(backend_id="a", per_s=9, demands=demands(three=2))
         self.attach("three", wire.Loads(limits=[wanted]))
         (limit,) = self.load_aggregator.total().limits
         self.assertEqual(demands(one=3, three=2, two=1), list(limit.demands))
         self.assertFalse(limit.HasField("per_s"))
 
-    def test_only_those_that_share_a_limit_are_told(self):
+    def test_only_entries_that_share_a_limit_are_listed(self):
         for number in range(300):
             limit = wire.NamedLimit(
                 backend_id="a",
@@ -102,22 +103,22 @@
         (total,) = self.load_aggregator.total().limits
         self.assertEqual(5, len(total.demands))
 
-    async def test_what_is_old_counts_for_nothing(self):
+    async def test_outdated_loads_are_ignored(self):
         self.attach("one", loads(a=2))
         self.load_aggregator.receive("c2", loads(a=1).SerializeToString())
         await self.clock.advance(3)
         self.assertEqual({}, shown(self.load_aggregator.total()))
 
-    def test_newest_word_of_a_replica_counts_once(self):
+    def test_only_the_newest_report_of_a_replica_counts(self):
         for count in (5, 1):
             self.load_aggregator.receive("c2", loads(a=count).SerializeToString())
         self.assertEqual({"a": 1}, shown(self.load_aggregator.total()))
 
-    def test_garbled_word(self):
+    def test_unparsable_report_is_ignored(self):
         self.load_aggregator.receive("c2", b"\xff\xff")
         self.assertEqual({}, shown(self.load_aggregator.total()))
 
-    def test_forgotten_replicas(self):
+    def test_dropped_replicas_do_not_count(self):
         self.load_aggregator.receive("c2", loads(a=1).SerializeToString())
         self.load_aggregator.retain([])
         self.assertEqual({}, shown(self.load_aggregator.total()))
--- a/wigeonscale/control/tests/test_orders.py
+++ b/wigeonscale/control/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Which weight loads are released."""
+"""Tests of which weight loads are released."""
 
 from wigeonscale.control.orders import load_orders
 from wigeonscale.state.tests.support import Machine, chain
@@ -23,7 +23,7 @@
         wanted.rate = 1000
         self.machine.place(wanted)
 
-    def test_loads_that_began_hold_their_place(self):
+    def test_loads_in_progress_keep_their_slots(self):
         self.assertEqual(["a", "b"], self.released())
         self.machine.announce("a", loading=True)
         self.place_more_urgent()
@@ -63,7 +63,7 @@
         self.machine.announce("a", layers=(0, 1))
         self.machine.announce("b", layers=(2, 3))
 
-    def test_one_spare_after_the_other_covers_the_stages(self):
+    def test_spares_load_the_stages_one_after_the_other(self):
         self.machine.announce("a", layers=(0, 1))
         self.assertEqual({"b": (2, 3)}, self.released())
         self.machine.announce("b", layers=(2, 3))
@@ -87,7 +87,7 @@
             self.machine = machine
             self.assertEqual({lost: layers}, self.released())
 
-    def test_repair_goes_before_a_spare(self):
+    def test_repair_has_priority_over_a_spare(self):
         self.load_chain()
         self.machine.announce("c", loading=True)
         self.machine.place(chain("one", 2, ("a", 0, 1), ("d", 2, 3)))
@@ -97,7 +97,7 @@
         self.load_chain()
         self.assertEqual({}, self.released(loads=1))
 
-    def test_engines_that_leave_or_are_too_small_load_nothing(self):
+    def test_draining_or_small_engines_load_nothing(self):
         self.load_chain()
         self.machine.announce("c", draining=True)
         self.machine.announce("d", layer_capacity=1)
--- a/wigeonscale/control/tests/test_placement_loop.py
+++ b/wigeonscale/control/tests/test_placement_loop.py
@@ -1,4 +1,4 @@
-"""What makes the leader plan again, counted."""
+"""Tests of which changes make the leader plan again."""
 
 import asyncio
 from unittest import mock
@@ -10,7 +10,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 LIMIT_S = 30
-# Longer than engines take to settle, so that time alone is no reason for a plan.
+# Longer than the settle time, so that the passing of time causes no plan.
 SETTLED_S = 30.0
 TICK_S = 0.25
 
@@ -43,7 +43,7 @@
         self.addCleanup(stop)
 
     def count(self, module, name):
-        """Return a list that gets an item at each call of a module's function."""
+        """Patch a function of a module; return a list with one item per call."""
         calls = []
         function = getattr(module, name)
 
@@ -59,7 +59,7 @@
     async def pass_time(self, seconds):
         for _ in range(int(seconds / TICK_S)):
             await self.fixture.clock.advance(TICK_S)
-            # Lets a planning thread hand back its plan.
+            # Lets the planning thread return its plan.
             await asyncio.sleep(0.001)
 
     async def apply(self, document):
@@ -68,14 +68,14 @@
         await self.fixture.run(apply_config=config)
 
     async def plans_after(self, command):
-        """Return how many plans and readings of an engine a command leads to."""
+        """Return how many plans and rebuilt engine specs a command causes."""
         self.plans.clear()
         self.readings.clear()
         await command
         await self.pass_time(4 * TICK_S)
         return len(self.plans), len(self.readings)
 
-    async def test_claims_lead_to_no_plan(self):
+    async def test_claims_do_not_trigger_planning(self):
         for number in range(3):
             claim = wire.Claim(
                 organisation="o",
@@ -88,7 +88,7 @@
                 (0, 0), await self.plans_after(self.fixture.run(claim=claim))
             )
 
-    async def test_rules_lead_to_no_plan_but_pipelines_do(self):
+    async def test_only_pipeline_changes_trigger_planning(self):
         other_rule = DOCUMENT.replace("then = route", "priority = 1\nthen = route")
         self.assertEqual((0, 0), await self.plans_after(self.apply(other_rule)))
         plans, readings = await self.plans_after(
@@ -97,7 +97,7 @@
         self.assertGreaterEqual(plans, 1)
         self.assertEqual(0, readings)
 
-    async def test_only_the_engine_that_changed_is_read_again(self):
+    async def test_only_the_changed_engine_spec_is_rebuilt(self):
         for number in range(20):
             await self.fixture.announce(f"b{number}")
         await self.pass_time(SETTLED_S)
@@ -105,7 +105,7 @@
         self.assertGreaterEqual(plans, 1)
         self.assertEqual(1, readings)
 
-    async def test_restored_state_is_read_as_a_whole(self):
+    async def test_restored_state_rebuilds_all_specs(self):
         await self.fixture.announce("b")
         snapshot = self.fixture.state.snapshot()
 
--- a/wigeonscale/control/tests/test_planning.py
+++ b/wigeonscale/control/tests/test_planning.py
@@ -23,7 +23,7 @@
         self.lead()
 
     def lead(self, **options):
-        """Start a loop."""
+        """Start a placement loop."""
         loop = PlacementLoop(
             state=self.state,
             replica=self.fixture.replica,
@@ -48,14 +48,14 @@
         await self.fixture.run(apply_config=config)
 
     async def until(self, condition):
-        """Wait for the planning thread by events, with time passing meanwhile."""
+        """Advance time until a condition holds; lets the planning thread run."""
         async with asyncio.timeout(LIMIT_S):
             while not condition():
                 await self.fixture.clock.advance(0.05)
                 await asyncio.sleep(0.001)
 
     async def settle(self):
-        """Wait until planning from the present state changed nothing."""
+        """Advance time by several planning intervals."""
         for _ in range(20):
             await self.fixture.clock.advance(0.25)
             await asyncio.sleep(0.001)
@@ -71,7 +71,7 @@
                     stage.agent_id, layers=layers, version=each.version
                 )
 
-    async def test_engines_become_a_chain(self):
+    async def test_engines_form_a_chain(self):
         await self.apply()
         await self.fixture.announce("a")
         await self.until(lambda: len(self.planned()) == 1)
@@ -80,7 +80,7 @@
         await self.apply("")
         await self.until(lambda: not self.planned())
 
-    async def test_late_engines_make_the_second_replica(self):
+    async def test_engines_that_join_later_form_a_second_replica(self):
         wanted = "layers = 12\nreplicas = {}"
         await self.apply(DOCUMENT.replace("layers = 4", wanted.format(1)))
         for agent_id in "abcd":
@@ -98,7 +98,7 @@
         await self.load_all()
         self.assertTrue(all(each.ready for each in self.state.chains))
 
-    async def test_late_engines_speed_up_one_chain_at_a_time(self):
+    async def test_engines_that_join_later_improve_one_chain_at_a_time(self):
         await self.stop()
         self.lead(rebuild_after_s=REBUILD_AFTER_S)
         wanted = "layers = 12\nreplicas = 2"
@@ -136,7 +136,7 @@
         self.assertEqual(2, len(self.stages()))
         self.assertIn("c", self.stages())
 
-    async def test_serving_chain_ends_its_work_before_its_engines_are_used(self):
+    async def test_retiring_chain_drains_before_its_engines_are_reused(self):
         two = DOCUMENT.replace("layers = 4", "layers = 4\nreplicas = 2")
         await self.apply(two)
         await self.fixture.announce("a")
@@ -164,7 +164,7 @@
         await self.fixture.run(end_incarnation=end)
         await self.until(lambda: not self.planned())
 
-    async def test_only_a_fresh_leader_places(self):
+    async def test_only_a_fresh_leader_places_chains(self):
         self.fixture.replica.role = Role.FOLLOWER
         await self.apply_as_leader()
         await self.settle()
@@ -260,7 +260,7 @@
         await self.fixture.announce("s")
         await self.until(lambda: self.stages() == ["s"])
 
-    async def test_refused_plan_is_made_again(self):
+    async def test_refused_plan_is_retried(self):
         await self.apply()
         self.fixture.replica.fails = "no quorum"
         await self.announce_despite_failure("a")
--- a/wigeonscale/control/tests/test_probe.py
+++ b/wigeonscale/control/tests/test_probe.py
@@ -1,4 +1,4 @@
-"""Tests of asking an agent itself, on loopback."""
+"""Tests of probing agents over loopback connections."""
 
 import asyncio
 
@@ -42,7 +42,7 @@
         answer = await probe_agent(f"{host}:{port}", timeout_s=LIMIT_S)
         self.assertIs(ProbeAnswer.REFUSED, answer)
 
-    async def test_process_that_only_takes_connections_does_not_answer(self):
+    async def test_process_that_only_accepts_connections_does_not_answer(self):
         taken = []
         server = await asyncio.start_server(
             lambda _, writer: taken.append(writer), "127.0.0.1", 0
@@ -56,7 +56,7 @@
         await server.wait_closed()
 
 
-class ProbesTest(AsyncTestCase):
+class ProbeCacheTest(AsyncTestCase):
     async def prepare(self):
         self.clock = ManualClock()
         self.asked = []
@@ -79,7 +79,7 @@
         await asyncio.sleep(0)
         await asyncio.sleep(0)
 
-    async def test_answers_are_renewed_and_those_before_the_doubt_ignored(self):
+    async def test_answers_are_refreshed_and_earlier_ones_ignored(self):
         self.assertEqual((None, 1), await self.answer(0.0))
         self.assertEqual((None, 1), await self.answer(0.0))
         await self.reply(ProbeAnswer.ANSWERED)
--- a/wigeonscale/control/tests/test_registry.py
+++ b/wigeonscale/control/tests/test_registry.py
@@ -67,12 +67,12 @@
 
 
 class HeartbeatTest(RegistryCase):
-    async def test_the_same_word_costs_no_log_entry(self):
+    async def test_unchanged_heartbeat_costs_no_log_entry(self):
         for sequence in range(1, 6):
             await self.registry.announce(backend(), sequence)
         self.assertEqual(1, len(self.replica.proposed))
 
-    async def test_what_changes_is_committed_before_the_acknowledgement(self):
+    async def test_changes_are_committed_before_the_acknowledgement(self):
         await self.registry.announce(backend(), 1)
         await self.registry.announce(backend(draining=True), 2)
         self.assertTrue(self.member().backend.draining)
@@ -81,17 +81,17 @@
         )
         self.assertEqual(5, self.member().backend.last_layer)
 
-    async def test_a_late_one_changes_nothing(self):
+    async def test_outdated_heartbeat_changes_nothing(self):
         await self.registry.announce(backend(draining=True), 5)
         await self.registry.announce(backend(), 4)
         self.assertTrue(self.member().backend.draining)
 
-    async def test_a_late_one_at_another_replica_changes_nothing(self):
+    async def test_outdated_heartbeat_at_another_replica_changes_nothing(self):
         await self.registry.announce(backend(draining=True), 5)
         await self.new_registry("c2").announce(backend(), 4)
         self.assertTrue(self.member().backend.draining)
 
-    async def test_one_that_left_does_not_come_back(self):
+    async def test_late_heartbeat_does_not_restore_a_backend_that_left(self):
         await self.registry.announce(backend(), 1)
         await self.registry.leave("i-1")
         await self.registry.announce(backend(), 2)
@@ -107,7 +107,7 @@
 
 
 class SilenceTest(RegistryCase):
-    async def test_silent_after_three_heartbeats_and_heard_again(self):
+    async def test_backend_is_silent_after_three_heartbeats_until_heard(self):
         await self.registry.announce(backend(), 1)
         await self.clock.advance(2.9)
         self.assertFalse(self.member().backend.silent)
@@ -116,13 +116,13 @@
         await self.registry.announce(backend(), 2)
         self.assertFalse(self.member().backend.silent)
 
-    async def test_another_replicas_backends_are_its_own_matter(self):
+    async def test_backends_of_another_replica_are_not_checked(self):
         await self.new_registry("c2").announce(backend(), 1)
         self.replica.silences["c2"] = 0.0
         await self.clock.advance(30)
         self.assertFalse(self.member().backend.silent)
 
-    async def test_the_leader_judges_those_of_a_lost_replica(self):
+    async def test_leader_checks_backends_of_a_lost_replica(self):
         await self.new_registry("c2").announce(backend(), 1)
         self.replica.silences["c2"] = 9.0
         self.replica.role = Role.FOLLOWER
@@ -132,8 +132,8 @@
         await self.clock.advance(5)
         self.assertTrue(self.member().backend.silent)
 
-    async def test_those_of_a_lost_replica_have_time_to_find_another(self):
-        # A leader that is cut off, or dies, had half of the engines: they are sound.
+    async def test_backends_of_a_lost_replica_have_time_to_move(self):
+        # A lost replica may have had half of the engines, which are healthy.
         names = [f"i-{number}" for number in range(20)]
         other = self.new_registry("c2")
         for name in names:
@@ -147,7 +147,7 @@
         silent = [n for n in names if self.member(n).backend.silent]
         self.assertEqual([], silent)
 
-    async def test_one_that_answers_probes_is_not_silent(self):
+    async def test_backend_that_answers_probes_is_not_silent(self):
         await self.registry.announce(backend(), 1)
         self.answering.add("i-1:80")
         await self.clock.advance(20)
@@ -158,22 +158,22 @@
 
 
 class SuspicionTest(RegistryCase):
-    async def test_silent_once_it_answers_no_probe(self):
+    async def test_suspected_backend_without_probe_answer_is_silent(self):
         await self.registry.announce(backend(), 1)
         self.registry.suspect(wire.Suspect(agent_id="i-1"), source_role="entry")
         await self.clock.advance(0.5)
         self.assertTrue(self.member().backend.silent)
 
-    async def test_one_whose_port_refuses_is_silent_at_once(self):
-        # Streams through a crashed engine stand still until entries hear of it.
+    async def test_backend_whose_port_refuses_is_silent_at_once(self):
+        # Streams through a crashed engine stall until entries learn of the crash.
         await self.registry.announce(backend(), 1)
         self.refusing.add("i-1:80")
         self.registry.suspect(wire.Suspect(agent_id="i-1"), source_role="entry")
         await self.clock.advance(0)
         self.assertTrue(self.member().backend.silent)
 
-    async def test_hints_about_a_sound_one_cost_few_probes(self):
-        # 23 entries see the same path stand still while its engines are busy.
+    async def test_hints_about_a_healthy_backend_cost_few_probes(self):
+        # 23 entries see the same path stall while its engines are busy.
         await self.registry.announce(backend(), 1)
         self.answering.add("i-1:80")
         hint = wire.Suspect(agent_id="i-1", is_hint=True)
@@ -183,7 +183,7 @@
             await self.clock.advance(0.1)
         self.assertEqual(["i-1:80"], self.probed)
 
-    async def test_what_speaks_against_one_alone_is_always_looked_into(self):
+    async def test_each_definite_suspicion_causes_a_probe(self):
         await self.registry.announce(backend(), 1)
         self.answering.add("i-1:80")
         for _ in range(3):
@@ -191,14 +191,14 @@
             await self.clock.advance(0.1)
         self.assertEqual(3, len(self.probed))
 
-    async def test_one_that_answers_is_left_alone(self):
+    async def test_suspected_backend_that_answers_stays_alive(self):
         await self.registry.announce(backend(), 1)
         self.answering.add("i-1:80")
         self.registry.suspect(wire.Suspect(agent_id="i-1"), source_role="entry")
         await self.clock.advance(0.5)
         self.assertFalse(self.member().backend.silent)
 
-    async def test_unknown_names_are_ignored(self):
+    async def test_suspicion_of_an_unknown_backend_is_ignored(self):
         self.registry.suspect(wire.Suspect(agent_id="nobody"), source_role="entry")
         await self.clock.advance(0.5)
         self.assertEqual([], self.replica.proposed)
@@ -211,26 +211,26 @@
 
 
 class RestartTest(RegistryCase):
-    """Backend servers that start again under the name that they had."""
+    """Backend servers that restart under the same name."""
 
-    async def test_a_start_that_counts_anew_is_heard(self):
+    async def test_restart_resets_the_sequence_number(self):
         await self.registry.announce(start(100, first_layer=2, last_layer=5), 40)
         await self.registry.announce(start(200, last_layer=-1), 1)
         self.assertEqual(200, self.member().backend.started_ms)
         self.assertEqual(-1, self.member().backend.last_layer)
 
-    async def test_a_late_heartbeat_of_the_former_start_changes_nothing(self):
+    async def test_late_heartbeat_of_the_former_incarnation_is_ignored(self):
         await self.registry.announce(start(100), 40)
         await self.registry.announce(start(200), 1)
         for replica in (self.registry, self.new_registry("c2")):
             await replica.announce(start(100, draining=True), 41)
             self.assertEqual(200, self.member().backend.started_ms)
             self.assertFalse(self.member().backend.draining)
-        # Nor does it keep the new start from being heard.
+        # Heartbeats of the new incarnation are still accepted afterwards.
         await self.registry.announce(start(200, draining=True), 2)
         self.assertTrue(self.member().backend.draining)
 
-    async def test_the_former_start_goes_without_the_new_one(self):
+    async def test_former_incarnation_leaves_without_the_new_one(self):
         await self.registry.announce(start(100), 1)
         await self.registry.announce(start(200), 1)
         await self.registry.leave("i-1", 100)
@@ -238,7 +238,7 @@
         await self.registry.leave("i-1", 200)
         self.assertIsNone(self.member())
 
-    async def test_a_start_before_one_that_left_does_not_come_back(self):
+    async def test_incarnation_before_one_that_left_is_not_restored(self):
         await self.registry.announce(start(200), 1)
         await self.registry.leave("i-1")
         await self.registry.announce(start(100), 9)
@@ -246,13 +246,13 @@
         await self.registry.announce(start(300), 1)
         self.assertEqual(300, self.member().backend.started_ms)
 
-    async def test_one_that_does_not_say_when_it_started_replaces_none_that_does(self):
+    async def test_heartbeat_without_start_time_does_not_replace_one_with_it(self):
         await self.registry.announce(start(100), 1)
         await self.registry.announce(backend(draining=True), 9)
         self.assertEqual(100, self.member().backend.started_ms)
         self.assertFalse(self.member().backend.draining)
 
-    async def test_a_suspicion_of_the_former_start_is_not_held_against_the_new(self):
+    async def test_suspicion_of_the_former_incarnation_is_ignored(self):
         await self.registry.announce(start(100), 1)
         await self.registry.announce(start(200), 1)
         suspicion = wire.Suspect(agent_id="i-1", incarnation=100)
@@ -260,7 +260,7 @@
         await self.clock.advance(0.5)
         self.assertEqual([], self.probed)
 
-    async def test_a_later_start_that_answers_the_probe_is_no_sign_of_life(self):
+    async def test_probe_answered_by_a_later_incarnation_means_silent(self):
         await self.registry.announce(start(100), 1)
         self.replaced.add(("i-1:80", 100))
         suspicion = wire.Suspect(agent_id="i-1", incarnation=100)
@@ -272,7 +272,7 @@
 
 
 class ForeignHeartbeatTest(RegistryCase):
-    """Heartbeats of other writers name no backend server to use."""
+    """Heartbeats of unconfigured senders must not add backend servers."""
 
     async def refused(self, each):
         try:
@@ -281,7 +281,7 @@
             return exc.kind
         self.fail("it was acknowledged")
 
-    async def test_a_service_that_the_configuration_does_not_name(self):
+    async def test_unknown_service_is_refused(self):
         await self.registry.announce(backend(), 1)
         stranger = backend("i-2", address="i-1:80")
         stranger.service = "other"
@@ -289,18 +289,18 @@
         self.assertIsNone(self.member("i-2"))
         self.assertIsNotNone(self.member("i-1"))
 
-    async def test_one_whose_service_was_dropped_is_acknowledged_that_it_leaves(self):
+    async def test_member_of_a_removed_service_can_still_announce_draining(self):
         await self.registry.announce(backend(), 1)
         self.services.clear()
         await self.registry.announce(backend(draining=True), 2)
         self.assertTrue(self.member().backend.draining)
 
-    async def test_a_new_name_that_does_not_say_its_start_as_the_others_do(self):
+    async def test_new_backend_without_start_time_is_refused_if_others_have_one(self):
         await self.registry.announce(start(100), 1)
         self.assertEqual(ErrorKind.BAD_REQUEST, await self.refused(backend("i-2")))
         self.assertIsNone(self.member("i-2"))
 
-    async def test_an_earlier_start_at_the_address_of_another(self):
+    async def test_earlier_start_at_the_same_address_is_ignored(self):
         await self.registry.announce(start(200), 1)
         await self.registry.announce(start(100, "i-2", address="i-1:80"), 1)
         self.assertIsNone(self.member("i-2"))
@@ -310,7 +310,7 @@
 
 
 class SlownessTest(RegistryCase):
-    """Engines that work many times slower than usual while their heartbeats go on."""
+    """Engines that become many times slower while their heartbeats continue."""
 
     async def hint(self):
         hint = wire.Suspect(agent_id="i-1", incarnation=1, is_hint=True)
@@ -322,7 +322,7 @@
         await self.registry.announce(backend(), 1)
         self.answering.add("i-1:80")
 
-    async def test_told_with_the_first_probe_and_kept_over_heartbeats(self):
+    async def test_slowness_is_set_by_the_first_probe_and_kept(self):
         self.paces["i-1:80"] = 12.0
         await self.hint()
         self.assertEqual(16, self.member().backend.slowness)
@@ -330,7 +330,7 @@
         await self.registry.announce(backend(), 2)
         self.assertEqual(16, self.member().backend.slowness)
 
-    async def test_asked_again_until_it_is_as_usual(self):
+    async def test_slow_backend_is_probed_until_it_recovers(self):
         self.paces["i-1:80"] = 4.0
         await self.hint()
         await self.registry.announce(backend(), 2)
@@ -343,7 +343,7 @@
             await self.clock.advance(1.0)
         self.assertEqual(probes, len(self.probed))
 
-    async def test_one_that_wavers_costs_few_log_entries(self):
+    async def test_fluctuating_pace_costs_few_log_entries(self):
         before = len(self.replica.proposed)
         for pace in (3.7, 4.4, 3.9, 4.8, 3.3):
             self.paces["i-1:80"] = pace
@@ -351,7 +351,7 @@
             await self.hint()
         self.assertEqual(1, len(self.replica.proposed) - before)
 
-    async def test_a_new_start_is_as_fast_as_any(self):
+    async def test_restart_resets_slowness(self):
         await self.registry.announce(start(100, "i-2"), 1)
         self.answering.add("i-2:80")
         self.paces["i-2:80"] = 8.0
--- a/wigeonscale/control/tests/test_replica_membership.py
+++ b/wigeonscale/control/tests/test_replica_membership.py
@@ -14,44 +14,44 @@
 
 
 class RemovalTest(AsyncTestCase):
-    def test_one_of_three_only_when_another_waits(self):
+    def test_one_of_three_is_removed_only_for_a_candidate(self):
         silences = {"b": 0.1, "c": 9.0}
         trio = members("abc")
         self.assertIsNone(member_to_remove(trio, silences, has_candidate=False))
         self.assertEqual("c", member_to_remove(trio, silences, has_candidate=True))
 
-    def test_a_fourth_that_is_silent(self):
+    def test_silent_fourth_member_is_removed(self):
         silences = {"b": 0.1, "c": 9.0, "d": 0.1}
         self.assertEqual(
             "c", member_to_remove(members("abcd"), silences, has_candidate=False)
         )
 
-    def test_never_while_the_rest_is_no_majority(self):
+    def test_none_is_removed_without_a_responsive_majority(self):
         silences = {"b": 9.0, "c": 8.0}
         self.assertIsNone(
             member_to_remove(members("abc"), silences, has_candidate=True)
         )
 
-    def test_a_short_silence_is_none(self):
+    def test_short_silence_is_tolerated(self):
         silences = {"b": 0.1, "c": 2.0}
         self.assertIsNone(
             member_to_remove(members("abc"), silences, has_candidate=True)
         )
 
-    def test_longest_silence_first(self):
+    def test_member_with_longest_silence_is_removed_first(self):
         silences = {"b": 0.1, "c": 5.0, "d": 9.0, "e": 0.1}
         self.assertEqual(
             "d", member_to_remove(members("abcde"), silences, has_candidate=False)
         )
 
-    def test_one_without_a_vote_is_no_majority(self):
+    def test_member_without_a_vote_does_not_count_for_a_majority(self):
         silences = {"b": 9.0, "c": 0.1}
         trio = members("abc", waiting="c")
         self.assertIsNone(member_to_remove(trio, silences, has_candidate=True))
 
 
 class MemberReplica(FakeReplica):
-    """Its members can be changed; it hears a leader if a test says so."""
+    """Fake with changeable members and a settable silence of the leader."""
 
     def __init__(self, **fields):
         super().__init__(**fields)
@@ -102,21 +102,21 @@
 
 
 class LeaderTest(MembershipCase):
-    async def test_takes_in_a_replica_once(self):
+    async def test_leader_admits_a_replica_once(self):
         self.replica.silences = {"b": 0.0, "c": 0.0, "d": 0.0}
         req = wire.JoinRequest(node_id="d", address="d")
         for _ in range(2):
             self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["d"], self.replica.changes)
 
-    async def test_in_place_of_one_that_is_gone(self):
+    async def test_candidate_replaces_a_lost_member(self):
         self.replica.silences = {"b": 0.0, "c": 60.0, "d": 0.0}
         await self.clock.advance(4.0)
         req = wire.JoinRequest(node_id="d", address="d")
         self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["-c", "d"], self.replica.changes)
 
-    async def test_a_new_leader_gives_members_time_to_speak(self):
+    async def test_new_leader_gives_members_time_to_reply(self):
         self.replica.silences = {"b": 0.0, "c": 60.0, "d": 0.0}
         req = wire.JoinRequest(node_id="d", address="d")
         self.assertTrue((await self.membership.answer(req)).taken)
@@ -124,7 +124,7 @@
         await self.clock.advance(4.0)
         self.assertEqual(["d", "-c"], self.replica.changes)
 
-    async def test_a_follower_names_the_leader(self):
+    async def test_follower_returns_the_leader(self):
         self.replica.role = Role.FOLLOWER
         self.replica.leader_address = "b"
         reply = await self.membership.answer(wire.JoinRequest(node_id="d", address="d"))
@@ -138,18 +138,18 @@
         await super().prepare()
         self.replica.role = Role.FOLLOWER
 
-    async def test_asks_nobody_while_a_leader_is_heard(self):
+    async def test_sends_no_join_request_while_a_leader_is_heard(self):
         await self.clock.advance(10)
         self.assertEqual([], self.asked)
 
-    async def test_asks_members_and_seeds_and_follows_their_word(self):
+    async def test_asks_members_and_seeds_and_follows_redirects(self):
         self.replica.silence_of_leader = 5.0
         self.replies["c"] = wire.JoinReply(leader="x", control=["x", "y"])
         self.replies["x"] = wire.JoinReply(taken=True)
         await self.clock.advance(0.6)
         self.assertEqual(["b", "c", "x"], self.asked)
 
-    async def test_new_seeds_of_the_settings(self):
+    async def test_changed_seeds_are_used(self):
         self.replica.silence_of_leader = 5.0
         self.membership.follow_seeds(["n"])
         await self.clock.advance(0.6)
--- a/wigeonscale/control/tests/test_service.py
+++ b/wigeonscale/control/tests/test_service.py
@@ -76,7 +76,7 @@
         (watcher,) = self.fixture.hub.watchers
         await self.until(lambda: watcher.applied_revision == 1)
 
-    async def test_agent_announces_obeys_and_is_told_of_its_end(self):
+    async def test_agent_announces_executes_orders_and_learns_its_end(self):
         backend = engine("a", 7)
         orders, ended = [], []
 
@@ -116,7 +116,7 @@
         await self.until(lambda: watcher.pending_announcement is None)
         self.assertEqual(count, len(self.fixture.replica.proposed))
 
-    async def test_replica_to_which_the_agent_still_speaks_holds_it(self):
+    async def test_replica_that_still_hears_the_agent_keeps_it(self):
         backend = engine("a", 7)
         client = self.client("a", "agent", announce=lambda: backend)
         await client.ready()
@@ -155,7 +155,7 @@
             self.assertEqual(5, event.lease.echo_us)
             self.assertEqual(0, len(self.state.members))
 
-    async def test_floor_is_told_only_by_a_replica_with_a_vote(self):
+    async def test_only_a_replica_with_a_vote_returns_its_floor(self):
         await self.fixture.announce("a")
         async with open_channel(self.address) as channel:
             stub = wire_pb2_grpc.ControlStub(channel)
@@ -165,7 +165,7 @@
             call = stub.Floor(wire.FloorRequest())
             self.assertEqual(grpc.StatusCode.UNAVAILABLE, await call.code())
 
-    async def test_suspicion_is_taken_from_another_replica(self):
+    async def test_suspicion_is_accepted_from_another_replica(self):
         await self.fixture.announce("a")
         suspicion = wire.Suspect(agent_id="a", incarnation=1)
         self.assertTrue(await forward_suspicion("c2", self.address, suspicion))
@@ -174,7 +174,7 @@
 
 
 class CommandsTest(ServiceCase):
-    """A second replica that does not lead, in front of the one served above."""
+    """Commands of a follower that forwards to the served leader."""
 
     async def prepare(self):
         await super().prepare()
@@ -210,7 +210,7 @@
         self.assertEqual(ErrorKind.NOT_LEADER, reply.result.kind)
         self.assertEqual((3, self.address), (reply.call_id, reply.leader))
 
-    async def test_leader_stamps_the_time(self):
+    async def test_leader_sets_the_timestamp(self):
         command = wire.Command(wall_ms=5, expire=wire.ExpireClaims())
         await self.fixture.commands.propose(command)
         stamped = self.fixture.replica.proposed[-1]
--- a/wigeonscale/control/tests/test_settle_timer.py
+++ b/wigeonscale/control/tests/test_settle_timer.py
@@ -1,4 +1,4 @@
-"""When engines that come and go have settled."""
+"""Tests of the settle timer."""
 
 from wigeonscale.control.settle_timer import MAX_SETTLE_PERIODS, SettleTimer
 from wigeonscale.placement import EngineSpec
@@ -8,7 +8,7 @@
 REBUILD_AFTER_S = 10.0
 
 
-class SettlingTest(AsyncTestCase):
+class SettleTimerTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
@@ -28,14 +28,14 @@
         await self.clock.advance(SETTLE_S / 2)
         self.assertTrue(self.timer.may_load())
 
-    async def test_engines_that_never_stop_joining_do_not_hold_up_chains(self):
+    async def test_constantly_joining_engines_delay_chains_only_so_long(self):
         for count in range(1, 2 * MAX_SETTLE_PERIODS + 1):
             self.assertFalse(count > 1 and self.timer.may_load())
             self.observe(count)
             await self.clock.advance(SETTLE_S / 2)
         self.assertTrue(self.timer.may_load())
 
-    async def test_serving_chains_wait_longer_and_after_losses_too(self):
+    async def test_rebuilds_wait_longer_and_also_after_losses(self):
         self.observe(3)
         await self.clock.advance(REBUILD_AFTER_S)
         self.assertTrue(self.timer.may_rebuild())
