--- a/wigeonscale/control/backend_health.py
+++ b/wigeonscale/control/backend_health.py
@@ -155,8 +155,8 @@
         """Return whether a slow backend is due for another probe."""
         if not member.backend.slowness:
             return False
-        asked_at = self._last_answer_at.get(member.backend.agent_id, float("-inf"))
-        return self._clock.now() - asked_at >= SLOW_PROBE_INTERVAL_S
+        answered_at = self._last_answer_at.get(member.backend.agent_id, float("-inf"))
+        return self._clock.now() - answered_at >= SLOW_PROBE_INTERVAL_S
 
     def _update_lost_replicas(self) -> None:
         """Update since when this leader has lost each replica that has backends."""
--- a/wigeonscale/control/planning.py
+++ b/wigeonscale/control/planning.py
@@ -63,9 +63,11 @@
     is_unchanged = plan.chains == tuple(chains) and not plan.retired
     if not is_unchanged or not options.get("rebuild_serving", True):
         return plan
-    known = {key: options[key] for key in ("spares", "domain_share") if key in options}
+    improve_options = {
+        key: options[key] for key in ("spares", "domain_share") if key in options
+    }
     improved = improve_chains(
-        chains, pipelines=pipelines, engines=engines, serving=loaded, **known
+        chains, pipelines=pipelines, engines=engines, serving=loaded, **improve_options
     )
     changed = tuple(c for c, b in zip(improved, chains, strict=True) if c != b)
     return replace(plan, chains=tuple(improved), changed=changed)
@@ -196,8 +198,8 @@
         removed=plan.removed, retired=plan.retired, base_index=base_index
     )
     for chain in plan.chains:
-        known = before.get(chain.chain_id)
-        if known is None or chain_plan(known) != chain:
+        previous = before.get(chain.chain_id)
+        if previous is None or chain_plan(previous) != chain:
             place.chains.append(_wire_chain(chain, by_name[chain.pipeline]))
     if is_empty(place):
         place.chains.extend(_upgrades(active, by_name))
--- a/wigeonscale/control/tests/test_load_aggregator.py
+++ b/wigeonscale/control/tests/test_load_aggregator.py
@@ -28,11 +28,11 @@
         self.watchers = set()
         self.load_aggregator = LoadAggregator(watchers=self.watchers, clock=self.clock)
 
-    def attach(self, name, told):
+    def attach(self, name, reported):
         watcher = Watcher(
             hello=wire.Hello(node_id=name, role="entry"), clock=self.clock
         )
-        watcher.loads = told
+        watcher.loads = reported
         self.watchers.add(watcher)
 
     def test_local_total_sums_attached_entries(self):
@@ -71,10 +71,10 @@
         self.assertEqual(7, self.load_aggregator.total().tellers)
 
     async def test_newest_answer_decides_a_limit(self):
-        told = wire.NamedLimit(
+        reported = wire.NamedLimit(
             backend_id="a", per_s=2, age_ms=900, demands=demands(one=3)
         )
-        self.attach("one", wire.Loads(limits=[told]))
+        self.attach("one", wire.Loads(limits=[reported]))
         await self.clock.advance(0.5)
         ended = wire.NamedLimit(backend_id="a", age_ms=1300, demands=demands(two=1))
         self.load_aggregator.receive(
