--- a/wigeonscale/control/layer_assigner.py
+++ b/wigeonscale/control/layer_assigner.py
@@ -129,7 +129,7 @@
                 self._reconcile_service(service.name, service.engine, members)
 
     def _drop_restarted(self, members: dict[str, wire.Backend]) -> None:
-        """Drop the orders of engines that have restarted since then."""
+        """Drop the orders of engines that have restarted since the last call."""
         incarnations = {name: backend.incarnation for name, backend in members.items()}
         for name, incarnation in incarnations.items():
             if self._incarnations.get(name, incarnation) != incarnation:
@@ -202,7 +202,7 @@
     ) -> None:
         async with self._order_slots:
             outcome = await self._send_order(backend, layers, waits=waits)
-        # From now on the order is in _issued_orders.
+        # An order that was sent is in _issued_orders by now.
         self._queued_layers.pop(backend.agent_id, None)
         if polls and outcome is OrderOutcome.BEGUN:
             await self._poll_until_loaded(backend, layers)
@@ -329,7 +329,7 @@
             return None
         if held != _announced_layers(backend):
             # Another leader has sent an order, and the layers that the engine holds now
-            # may complete a set. Its heartbeat reports them before the next plan.
+            # may complete a set. A plan made after its heartbeat considers them.
             logger.info(
                 "engine %s holds other layers than the plan assumed",
                 name,
--- a/wigeonscale/control/liveness.py
+++ b/wigeonscale/control/liveness.py
@@ -84,6 +84,7 @@
         self._probe = probe
         self._probes = ProbeCache(probe=probe, clock=clock, on_answer=self.wake)
         self._metrics = metrics
+        # No agent is ended before this time.
         self._suspended_until = clock.now()
         # Agents that were attached here before a restart may attach to another replica.
         self._startup_grace_until = clock.now() + self._grace_s
--- a/wigeonscale/control/load_aggregator.py
+++ b/wigeonscale/control/load_aggregator.py
@@ -126,7 +126,10 @@
 def _merge_limit(
     merged: wire.NamedLimit, update: wire.NamedLimit, elapsed_ms: int
 ) -> None:
-    """Merge one report of a limit; the newest answer of the backend server wins."""
+    """Merge one report of a limit.
+
+    The newest answer of the backend server wins, whichever entry received it.
+    """
     merged.backend_id = update.backend_id
     _set_demands(merged, _demands(merged) | _demands(update))
     if not update.HasField("age_ms"):
--- a/wigeonscale/control/replica_membership.py
+++ b/wigeonscale/control/replica_membership.py
@@ -2,8 +2,8 @@
 
 A replica that is not a member, or that hears no leader, asks the others to join. The
 leader adds it by a committed membership change. It removes a member that has been
-silent for a long time only if another replica takes its place, so that a short network
-cut of one of three replicas changes nothing.
+silent for a long time only if another member or candidate takes its place, so that a
+short network cut of one of three replicas changes nothing.
 """
 
 __all__ = ["ReplicaMembership", "member_to_remove"]
