--- a/wigeonscale/control/admin.py
+++ b/wigeonscale/control/admin.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP pages of a control replica."""
+"""The HTTP admin API of a control replica."""
 
 __all__ = ["Admin"]
 
@@ -32,8 +32,8 @@
 
 BEARER = "Bearer "
 DEFAULT_RETRY_S = 1.0
-# A document for 30,000 organisations has about 4 MB; a log entry must fit into
-# one message between replicas.
+# A document for 30,000 organisations has about 4 MB. The resulting log entry must fit
+# into one message between replicas.
 BODY_LIMIT_BYTES = 16 * 1024 * 1024
 
 logger = logging.getLogger(__name__)
@@ -42,15 +42,16 @@
 
 
 class Admin:
-    """Answers operators from the state of one replica, changes through the log.
+    """Serves operators: reads from this replica's state, writes through the log.
 
     Args:
-        node_id: Name of this replica.
-        state: The replicated state.
-        replica: This replica.
-        hub: Its watch hub.
-        commands: Way of commands to the log.
-        token_digest: SHA-256 hex digest of the operators' token; empty: none asked.
+        node_id: Node id of this replica.
+        state: Replicated state.
+        replica: Local replica of the log.
+        hub: Watch hub of this replica.
+        commands: Submits commands to the replicated log.
+        token_digest: SHA-256 hex digest of the operators' token; empty if no token is
+            required.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self._token_digest = token_digest
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the pages as aiohttp routes."""
+        """Return the aiohttp routes of the API."""
         return [
             web.get("/admin/rules", self._fresh_page(self._show_rules)),
             web.post("/admin/rules/apply", self._page(self._apply)),
@@ -91,10 +92,10 @@
             except WigeonscaleError as exc:
                 return _error_response(exc)
             except Exception:
-                logger.exception("page %s failed", req.path)
+                logger.exception("request for %s failed", req.path)
                 error = WigeonscaleError(
                     ErrorKind.INTERNAL,
-                    "unexpected; see the replica's log",
+                    "unexpected error; see the log of the replica",
                     run_state=RunState.UNKNOWN,
                 )
                 return _error_response(error)
@@ -102,13 +103,13 @@
         return answer
 
     def _fresh_page(self, handler: Handler) -> Handler:
-        """Refuse what may be older than what is accepted."""
+        """Refuse the request unless this replica's state is fresh."""
 
         async def answer(req):
             if not self._hub.is_fresh():
                 raise WigeonscaleError(
                     ErrorKind.NO_QUORUM,
-                    f"no majority confirmed lately what {self._node_id} knows",
+                    f"no majority confirmed the state of {self._node_id} recently",
                     retry_after=DEFAULT_RETRY_S,
                 )
             return await handler(req)
@@ -122,7 +123,7 @@
         digest = hashlib.sha256(given.removeprefix(BEARER).encode()).hexdigest()
         if not hmac.compare_digest(digest, self._token_digest):
             raise WigeonscaleError(
-                ErrorKind.FORBIDDEN, "the operators' token is missing or wrong"
+                ErrorKind.FORBIDDEN, "the operator token is missing or wrong"
             )
 
     # ------------------------------------------------------------------ rules
@@ -231,7 +232,7 @@
         hint = f"the leader is {leader}" if leader else "no leader is known"
         raise WigeonscaleError(
             ErrorKind.NOT_LEADER,
-            f"{self._node_id} does not lead; {hint}",
+            f"replica {self._node_id} is not the leader; {hint}",
             retry_after=DEFAULT_RETRY_S,
         )
 
@@ -251,7 +252,7 @@
         if len(data) > BODY_LIMIT_BYTES:
             raise WigeonscaleError(
                 ErrorKind.BODY_TOO_LARGE,
-                f"body longer than {BODY_LIMIT_BYTES} bytes",
+                f"request body exceeds {BODY_LIMIT_BYTES} bytes",
             )
     try:
         return model.model_validate_json(bytes(data))
