--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -124,11 +124,11 @@
         dial=functools.partial(open_channel, tls=cfg.tls),
     )
     transport = DispatchTransport(links=links, table=table)
-    claims = Claims(control=control, transport=transport, places=places, clock=clock)
+    claims = Claims(control=control, transport=transport, selector=places, clock=clock)
     names = ServerNames(members=lambda: control.members)
     dispatcher = Dispatcher(
         transport=transport,
-        places=places,
+        selector=places,
         claims=claims,
         budget=RetryBudget(clock=clock, ratio=cfg.retry_ratio),
         crashes=CrashGuard(
