--- a/wigeonscale/direct/admission.py
+++ b/wigeonscale/direct/admission.py
@@ -1,6 +1,6 @@
 """Whether a generation may begin, and on which path."""
 
-__all__ = ["PathChoice", "choose_detour", "choose_path_for", "no_room"]
+__all__ = ["PathChoice", "choose_detour", "choose_path_for", "overloaded_error"]
 
 import dataclasses
 import random
@@ -20,7 +20,7 @@
 
 # Word to callers when the engines are full. Answers last about two seconds, so in one
 # about a third of the room becomes free.
-ROOM_RETRY_S = (0.4, 1.4)
+OVERLOAD_RETRY_AFTER_S = (0.4, 1.4)
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,8 +36,8 @@
 
     path: list[Part] | None
     full: tuple[str, ...] = ()
-    held: tuple[str, ...] = ()
-    event_s: float = 0.0
+    throttled: tuple[str, ...] = ()
+    event_interval_s: float = 0.0
 
 
 def choose_path_for(
@@ -45,7 +45,7 @@
     job: Job,
     *,
     lost: Container[str],
-    ran_at: Collection[str],
+    ran_on: Collection[str],
 ) -> PathChoice:
     """Return the path of one send.
 
@@ -61,44 +61,46 @@
         ctx: What the flows share.
         job: The request.
         lost: Engines that must not be on it.
-        ran_at: First engines of the paths that may have run it.
+        ran_on: First engines of the paths that may have run it.
     """
-    held: set[str] = set()
+    throttled: set[str] = set()
     while True:
-        choice = _choose_unheld(ctx, job, lost=lost, held=held, ran_at=ran_at)
+        choice = _choose_path_excluding(
+            ctx, job, lost=lost, throttled=throttled, ran_on=ran_on
+        )
         first = choice.path[0].backend_id if choice.path else ""
         if not first or ctx.notices.may_send(first):
-            return dataclasses.replace(choice, held=tuple(sorted(held)))
+            return dataclasses.replace(choice, throttled=tuple(sorted(throttled)))
         ctx.limits.note_demand(first)
-        held.add(first)
+        throttled.add(first)
 
 
-def _choose_unheld(
+def _choose_path_excluding(
     ctx: EntryContext,
     job: Job,
     *,
     lost: Container[str],
-    held: Container[str],
-    ran_at: Collection[str],
+    throttled: Container[str],
+    ran_on: Collection[str],
 ) -> PathChoice:
     """Return the cheapest path that begins at none of the engines that hold back."""
     engine = job.service.engine
     servers = [
         server
         for server in ctx.fleet().by_service.get(job.service.name, ())
-        if server.backend_id not in held
+        if server.backend_id not in throttled
         # It ends under what it gets from now on, wherever it stands on a path.
         and not ctx.notices.is_leaving(server.backend_id)
     ]
-    if len(ran_at) >= job.route.max_attempts:
+    if len(ran_on) >= job.route.max_attempts:
         # Of the engines that take requests in, only those that had this one before.
         servers = [
             server
             for server in servers
-            if server.layers.first > 0 or server.backend_id in ran_at
+            if server.layers.first > 0 or server.backend_id in ran_on
         ]
     if engine is None or not engine.layers:
-        return PathChoice(_choose_whole(ctx, servers, lost))
+        return PathChoice(_choose_single_server(ctx, servers, lost))
     costs = path_costs(
         engine,
         job.req.generation,
@@ -114,7 +116,7 @@
     return PathChoice(
         path,
         full=_full_engines(ctx, path or (), costs),
-        event_s=token_ms * engine.event_tokens / 1000.0,
+        event_interval_s=token_ms * engine.event_tokens / 1000.0,
     )
 
 
@@ -164,12 +166,12 @@
     return find_detour(path, near, lost=lost, part_cost=costs.part)
 
 
-def no_room(
+def overloaded_error(
     reason: str,
     *,
     may_have_run: bool,
     rng: random.Random,
-    least_wait_s: float = 0.0,
+    min_wait_s: float = 0.0,
 ) -> WigeonscaleError:
     """Return the answer of a request that gets no room.
 
@@ -177,13 +179,13 @@
         reason: What it lacked.
         may_have_run: Whether an earlier send of it may have run.
         rng: Spreads the returns, or all would come back in the same instant.
-        least_wait_s: Time before which no room is to be had, in seconds.
+        min_wait_s: Time before which no room is to be had, in seconds.
     """
     return WigeonscaleError(
         ErrorKind.OVERLOADED,
         reason,
         run_state=RunState.UNKNOWN if may_have_run else RunState.NOT_RUN,
-        retry_after=least_wait_s + rng.uniform(*ROOM_RETRY_S),
+        retry_after=min_wait_s + rng.uniform(*OVERLOAD_RETRY_AFTER_S),
     )
 
 
@@ -198,7 +200,7 @@
     )
 
 
-def _choose_whole(
+def _choose_single_server(
     ctx: EntryContext, servers: Sequence[BackendServer], lost: Container[str]
 ) -> list[Part] | None:
     """Return a path of one server, where each serves alone."""
--- a/wigeonscale/direct/admission_queue.py
+++ b/wigeonscale/direct/admission_queue.py
@@ -13,7 +13,7 @@
 behind those that still can be in time, and is served late instead of never.
 """
 
-__all__ = ["MAX_QUEUE_WAIT_S", "ROOM_WAIT_S", "AdmissionQueue"]
+__all__ = ["MAX_QUEUE_WAIT_S", "ON_TIME_WAIT_S", "AdmissionQueue"]
 
 import asyncio
 import itertools
@@ -24,7 +24,7 @@
 
 # Wait after which an answer cannot be in time. Answers shall begin within 500 or 600
 # ms, and take 100 to 200 ms to begin once they are sent.
-ROOM_WAIT_S = 0.25
+ON_TIME_WAIT_S = 0.25
 # Longest wait: callers leave after two seconds without an event, and most of a herd
 # that is turned away has no further try.
 MAX_QUEUE_WAIT_S = 1.5
@@ -35,16 +35,16 @@
 INITIAL_RESPONSE_TIME_S = 2.0
 # Weight of the newest in the time of a usual answer; about ten count. Answers of one
 # deployment take twice as long as on another, and all of one as its engines fill up.
-ANSWER_WEIGHT = 0.1
+RESPONSE_TIME_EWMA_WEIGHT = 0.1
 # Least time of a usual answer that is reckoned with: one of some tokens.
-LEAST_ANSWER_S = 0.1
+MIN_RESPONSE_TIME_S = 0.1
 # Weight of the newest in the share of those that got room; about five count.
-GOT_ROOM_WEIGHT = 0.2
+ADMITTED_RATE_EWMA_WEIGHT = 0.2
 # Where fewer than this share of those that waited got room, fewer may wait, so that
 # nobody waits in vain under lasting overload.
-ENOUGH_GOT_ROOM = 0.5
+MIN_ADMITTED_RATE = 0.5
 # Bound on the queue whatever is in progress; memory, not service, would need it.
-MOST_WAITING = 32
+MAX_WAITING = 32
 
 
 class AdmissionQueue:
@@ -60,19 +60,19 @@
 
     def __init__(self, *, clock: Clock):
         self._clock = clock
-        self._moved = asyncio.Event()
-        self._got_room = 1.0
-        self._usual_answer_s = INITIAL_RESPONSE_TIME_S
-        self._queue: FairQueue[int] = FairQueue(limit=MOST_WAITING, clock=clock)
+        self._released = asyncio.Event()
+        self._admitted_rate = 1.0
+        self._mean_response_time_s = INITIAL_RESPONSE_TIME_S
+        self._queue: FairQueue[int] = FairQueue(limit=MAX_WAITING, clock=clock)
         self._next: int | None = None
-        self._places = itertools.count()
+        self._tickets = itertools.count()
         # Those that cannot be in time any more, in the order in which they came.
         self._late: dict[int, None] = {}
 
     def __len__(self) -> int:
         return len(self._queue) + (self._next is not None) + len(self._late)
 
-    def enter(self, *, organisation: str, priority: int, running: int) -> int:
+    def enqueue(self, *, organisation: str, priority: int, running: int) -> int:
         """Queue a request.
 
         Args:
@@ -87,70 +87,76 @@
         Raises:
             WigeonscaleError: ``OVERLOADED``: no room will come free for it in time.
         """
-        share = min(1.0, self._got_room / ENOUGH_GOT_ROOM)
+        share = min(1.0, self._admitted_rate / MIN_ADMITTED_RATE)
         # One always waits, to see whether there is room again.
-        most = 1 + int(share * running * MAX_QUEUE_WAIT_S / self._usual_answer_s)
-        if len(self) >= most:
+        max_waiting = 1 + int(
+            share * running * MAX_QUEUE_WAIT_S / self._mean_response_time_s
+        )
+        if len(self) >= max_waiting:
             raise WigeonscaleError(
                 ErrorKind.OVERLOADED, f"{len(self)} requests wait for room already"
             )
-        place = next(self._places)
+        ticket = next(self._tickets)
         # The queue takes larger priorities first.
-        self._queue.push(place, organisation=organisation, priority=-priority)
-        return place
+        self._queue.push(ticket, organisation=organisation, priority=-priority)
+        return ticket
 
-    def note_answer(self, took_s: float) -> None:
+    def note_response_time(self, took_s: float) -> None:
         """Take the time of a whole answer into account.
 
         Args:
             took_s: From the send to its last event, in seconds.
         """
-        took_s = max(LEAST_ANSWER_S, took_s)
-        self._usual_answer_s += ANSWER_WEIGHT * (took_s - self._usual_answer_s)
+        took_s = max(MIN_RESPONSE_TIME_S, took_s)
+        self._mean_response_time_s += RESPONSE_TIME_EWMA_WEIGHT * (
+            took_s - self._mean_response_time_s
+        )
 
-    def step_back(self, place: int) -> None:
+    def demote(self, ticket: int) -> None:
         """Let everybody who can still be in time go before a request.
 
         Args:
-            place: As ``enter`` returned it.
+            ticket: As ``enter`` returned it.
         """
-        self._take_out(place)
-        self._late[place] = None
+        self._remove(ticket)
+        self._late[ticket] = None
 
-    def leave(self, place: int, *, got_room: bool | None) -> None:
+    def release(self, ticket: int, *, admitted: bool | None) -> None:
         """Give a place back.
 
         Args:
-            place: As ``enter`` returned it.
-            got_room: Whether the request got room; None if its caller left.
+            ticket: As ``enter`` returned it.
+            admitted: Whether the request got room; None if its caller left.
         """
-        if got_room is not None:
-            self._got_room += GOT_ROOM_WEIGHT * (got_room - self._got_room)
-        self._take_out(place)
+        if admitted is not None:
+            self._admitted_rate += ADMITTED_RATE_EWMA_WEIGHT * (
+                admitted - self._admitted_rate
+            )
+        self._remove(ticket)
         # Where there was room for one there may be more: the next looks at once.
-        self._moved.set()
-        self._moved = asyncio.Event()
+        self._released.set()
+        self._released = asyncio.Event()
 
     async def wait(self) -> None:
         """Wait until it is time to look for room again."""
         sleep = asyncio.ensure_future(self._clock.sleep(QUEUE_POLL_INTERVAL_S))
-        moved = asyncio.ensure_future(self._moved.wait())
+        released = asyncio.ensure_future(self._released.wait())
         try:
-            await asyncio.wait({sleep, moved}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({sleep, released}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             sleep.cancel()
-            moved.cancel()
+            released.cancel()
 
-    def is_next(self, place: int) -> bool:
+    def is_next(self, ticket: int) -> bool:
         """Return whether the next room is for the request at a place."""
         if self._next is None:
             self._next = self._queue.pop()
         if self._next is None:
-            return place == next(iter(self._late), None)
-        return self._next == place
+            return ticket == next(iter(self._late), None)
+        return self._next == ticket
 
-    def _take_out(self, place: int) -> None:
-        if self._next == place:
+    def _remove(self, ticket: int) -> None:
+        if self._next == ticket:
             self._next = None
-        elif not self._queue.remove(place):
-            self._late.pop(place, None)
+        elif not self._queue.remove(ticket):
+            self._late.pop(ticket, None)
--- a/wigeonscale/direct/backend_tracker.py
+++ b/wigeonscale/direct/backend_tracker.py
@@ -1,6 +1,6 @@
 """What this entry knows of backend servers from its own requests."""
 
-__all__ = ["Belief", "BackendTracker"]
+__all__ = ["BackendState", "BackendTracker"]
 
 import math
 from collections.abc import Collection, Iterable, Mapping
@@ -15,17 +15,17 @@
 # One that refused, for lack of room or because it gives layers up, is asked again soon.
 AVOID_REFUSED_S = 0.4
 # Weight of the newest outcome in the share of failures; about ten count.
-FAILURE_WEIGHT = 0.1
+FAILURE_RATE_EWMA_WEIGHT = 0.1
 # Above this share of failed sends a backend server is left alone for as long as a lost
 # one: two in a row, of which the second came after it had been left alone once.
-FAILING_SHARE = 0.15
-FORGET_S = 60.0
+FAILING_RATE = 0.15
+IDLE_TTL_S = 60.0
 # Control tells the load of all entries with each grant, twice a second by default.
-TOTALS_FRESH_S = 2.5
+TOTALS_MAX_AGE_S = 2.5
 
 
 @dataclass(slots=True)
-class Belief:
+class BackendState:
     """What is known of one backend server.
 
     Attributes:
@@ -33,14 +33,14 @@
         token_layers: Memory that they take, in tokens times layers.
         avoid_until: Instant until which it is left alone if others can serve.
         failures: Recent share of failed sends.
-        touched_at: Last use of this record.
+        last_used_at: Last use of this record.
     """
 
     runs: set[Run] = field(default_factory=set)
     token_layers: float = 0.0
     avoid_until: float = float("-inf")
-    failures: float = 0.0
-    touched_at: float = 0.0
+    failure_rate: float = 0.0
+    last_used_at: float = 0.0
 
 
 class BackendTracker:
@@ -52,19 +52,19 @@
 
     def __init__(self, *, clock: Clock):
         self._clock = clock
-        self._states: dict[str, Belief] = {}
-        self._told: dict[str, tuple[int, float]] = {}
+        self._states: dict[str, BackendState] = {}
+        self._reported: dict[str, tuple[int, float]] = {}
         self._others: dict[str, tuple[int, float]] = {}
-        self._others_at = float("-inf")
+        self._totals_at = float("-inf")
         # Its own load at the instant that word of the others is of.
-        self._since: dict[str, tuple[int, float]] = {}
+        self._baseline: dict[str, tuple[int, float]] = {}
 
-    def of(self, backend_id: str) -> Belief:
+    def lookup(self, backend_id: str) -> BackendState:
         """Return what is known of a backend server."""
-        belief = self._states.get(backend_id)
-        if belief is None:
-            belief = self._states[backend_id] = Belief()
-        return belief
+        state = self._states.get(backend_id)
+        if state is None:
+            state = self._states[backend_id] = BackendState()
+        return state
 
     def report_loads(self) -> dict[str, tuple[int, float]]:
         """Return this entry's own load by backend server, and remember it as told.
@@ -72,8 +72,8 @@
         Returns:
             Sends, and tokens times layers, of each with any.
         """
-        self._told = self._own_loads()
-        return self._told
+        self._reported = self._own_loads()
+        return self._reported
 
     def apply_totals(self, totals: Mapping[str, tuple[int, float]]) -> None:
         """Take in what all entries have in progress, this one included.
@@ -83,22 +83,22 @@
         """
         self._others = {}
         for name, (running, token_layers) in totals.items():
-            own_running, own_layers = self._told.get(name, (0, 0.0))
+            own_running, own_layers = self._reported.get(name, (0, 0.0))
             self._others[name] = (
                 max(0, running - own_running),
                 max(0.0, token_layers - own_layers),
             )
         # What came in before the first word says nothing of the others: callers that
         # were shut out come back in one instant, unevenly.
-        is_first = math.isinf(self._others_at)
-        self._since = self._own_loads() if is_first else self._told
-        self._others_at = self._clock.now()
+        is_first = math.isinf(self._totals_at)
+        self._baseline = self._own_loads() if is_first else self._reported
+        self._totals_at = self._clock.now()
 
     def _own_loads(self) -> dict[str, tuple[int, float]]:
         return {
-            name: (len(belief.runs), belief.token_layers)
-            for name, belief in self._states.items()
-            if belief.runs
+            name: (len(state.runs), state.token_layers)
+            for name, state in self._states.items()
+            if state.runs
         }
 
     def load_of(self, backend_id: str, entries: int) -> tuple[float, float]:
@@ -113,44 +113,49 @@
         Returns:
             Sends, and tokens times layers.
         """
-        belief = self._states.get(backend_id)
-        running = len(belief.runs) if belief is not None else 0
-        token_layers = belief.token_layers if belief is not None else 0.0
-        if math.isinf(self._others_at):
+        state = self._states.get(backend_id)
+        running = len(state.runs) if state is not None else 0
+        token_layers = state.token_layers if state is not None else 0.0
+        if math.isinf(self._totals_at):
             # Load pattern: all entries start at once while the engines are empty, and
             # callers that could not get in come back in one instant.
             return running, token_layers
-        if self._clock.now() - self._others_at > TOTALS_FRESH_S:
+        if self._clock.now() - self._totals_at > TOTALS_MAX_AGE_S:
             return running * entries, token_layers * entries
-        told_running, told_layers = self._since.get(backend_id, (0, 0.0))
+        baseline_running, baseline_layers = self._baseline.get(backend_id, (0, 0.0))
         others = self._others.get(backend_id, (0, 0.0))
         # Word of the others is up to a second old, and all entries act on the same
         # word: what one finds empty all fill at once, and then all leave. So each
         # takes it that the others did since then what it did itself.
-        alike = entries - 1
+        other_entries = entries - 1
         return (
-            max(0, running + others[0] + alike * (running - told_running)),
-            max(0.0, token_layers + others[1] + alike * (token_layers - told_layers)),
+            max(0, running + others[0] + other_entries * (running - baseline_running)),
+            max(
+                0.0,
+                token_layers
+                + others[1]
+                + other_entries * (token_layers - baseline_layers),
+            ),
         )
 
     def is_avoided(self, backend_id: str) -> bool:
         """Return whether a backend server is left alone for now."""
-        belief = self._states.get(backend_id)
-        return belief is not None and self._clock.now() < belief.avoid_until
+        state = self._states.get(backend_id)
+        return state is not None and self._clock.now() < state.avoid_until
 
     def runs_on(self, backend_id: str) -> Collection[Run]:
         """Return this entry's sends in progress on a backend server."""
-        belief = self._states.get(backend_id)
-        return belief.runs if belief is not None else ()
+        state = self._states.get(backend_id)
+        return state.runs if state is not None else ()
 
     def begin(self, run: Run) -> None:
         """Count a send in."""
         run.progress_at = self._clock.now()
         for name in run.backend_ids:
-            belief = self.of(name)
-            belief.runs.add(run)
-            belief.token_layers += run.token_layers.get(name, 0.0)
-            belief.touched_at = run.progress_at
+            state = self.lookup(name)
+            state.runs.add(run)
+            state.token_layers += run.token_layers.get(name, 0.0)
+            state.last_used_at = run.progress_at
 
     def replace(
         self,
@@ -167,14 +172,14 @@
     def end(self, run: Run) -> None:
         """Count a send out."""
         for name in run.backend_ids:
-            belief = self.of(name)
-            belief.runs.discard(run)
-            belief.token_layers -= run.token_layers.get(name, 0.0)
+            state = self.lookup(name)
+            state.runs.discard(run)
+            state.token_layers -= run.token_layers.get(name, 0.0)
 
     def note_outcome(self, backend_id: str, *, failed: bool) -> None:
         """Count one finished send in the share of failures."""
-        belief = self.of(backend_id)
-        belief.failures += FAILURE_WEIGHT * (failed - belief.failures)
+        state = self.lookup(backend_id)
+        state.failure_rate += FAILURE_RATE_EWMA_WEIGHT * (failed - state.failure_rate)
 
     def note_refused(self, backend_id: str) -> None:
         """Leave a backend server alone for a moment."""
@@ -187,14 +192,14 @@
         every request would go there next.
         """
         self.note_outcome(backend_id, failed=True)
-        is_failing = self.of(backend_id).failures > FAILING_SHARE
+        is_failing = self.lookup(backend_id).failure_rate > FAILING_RATE
         self._avoid(backend_id, AVOID_LOST_S if is_failing else AVOID_REFUSED_S)
 
     def note_lost(self, backend_id: str) -> None:
         """Leave a backend server alone, and take all that runs there off it."""
         self._avoid(backend_id, AVOID_LOST_S)
-        for run in list(self.of(backend_id).runs):
-            run.leave_lost()
+        for run in list(self.lookup(backend_id).runs):
+            run.reroute_or_abort()
 
     def keep_only(self, backend_ids: Iterable[str]) -> None:
         """Forget backend servers that are gone and idle.
@@ -203,12 +208,12 @@
             backend_ids: Those that exist.
         """
         existing = set(backend_ids)
-        oldest = self._clock.now() - FORGET_S
-        for name, belief in list(self._states.items()):
-            is_idle = not belief.runs and belief.touched_at < oldest
+        oldest = self._clock.now() - IDLE_TTL_S
+        for name, state in list(self._states.items()):
+            is_idle = not state.runs and state.last_used_at < oldest
             if name not in existing and is_idle:
                 del self._states[name]
 
     def _avoid(self, backend_id: str, seconds: float) -> None:
-        belief = self.of(backend_id)
-        belief.avoid_until = max(belief.avoid_until, self._clock.now() + seconds)
+        state = self.lookup(backend_id)
+        state.avoid_until = max(state.avoid_until, self._clock.now() + seconds)
--- a/wigeonscale/direct/choice.py
+++ b/wigeonscale/direct/choice.py
@@ -21,17 +21,17 @@
 # Load pattern: servers of one service differ little and are mostly idle, so a server
 # of the own domain is taken until it is half full; what crosses domains is priced and
 # takes a millisecond more.
-OTHER_DOMAIN = 0.5
+OTHER_DOMAIN_PENALTY = 0.5
 # A server that fails half of its requests counts like one that is full twice over.
-FAILURE = 4.0
+FAILURE_RATE_PENALTY = 4.0
 # Asked only when nobody else is left.
-LAST_RESORT = 1000.0
+LAST_RESORT_PENALTY = 1000.0
 
 # Delay of each token between engines of one domain, in ms; the one between domains is
 # told.
 NEAR_HOP_MS = 0.1
-MEGABIT = 1e6
-BITS = 8
+MEGA = 1e6
+BITS_PER_BYTE = 8
 # Where a path begins does not matter to the engines, but what the caller gets crosses
 # domains then. Load pattern: one domain has the fastest engines, and the entries of all
 # others crowd into it, each on word that is half a second old, while their own engines
@@ -49,8 +49,8 @@
 # preempts or refuses; one that is avoided stalls the request for seconds.
 # A path with slow engines costs seconds more than a sound one and is still better than
 # none; so full engines cost more than any slow ones.
-FULL_MS = 20_000.0
-AVOIDED_MS = 10_000_000.0
+FULL_PENALTY_MS = 20_000.0
+AVOIDED_PENALTY_MS = 10_000_000.0
 # Share of an engine's memory for requests above which it counts as full. Over 1, since
 # a request is counted at its final size, which few have at any moment; no higher, since
 # engines refuse the more sends.
@@ -77,12 +77,12 @@
 
     def rank(server: BackendServer) -> tuple[float, str]:
         running, _ = tracker.load_of(server.backend_id, entries)
-        failures = tracker.of(server.backend_id).failures
-        cost = running / server.slots + FAILURE * failures
+        failure_rate = tracker.lookup(server.backend_id).failure_rate
+        cost = running / server.slots + FAILURE_RATE_PENALTY * failure_rate
         if server.domain != domain:
-            cost += OTHER_DOMAIN
+            cost += OTHER_DOMAIN_PENALTY
         if server.is_silent or tracker.is_avoided(server.backend_id):
-            cost += LAST_RESORT
+            cost += LAST_RESORT_PENALTY
         return cost, server.backend_id
 
     left = [server for server in servers if server.backend_id not in tried]
@@ -117,13 +117,13 @@
         token_ms: Time of one token in one layer.
         layer_ms: Cost of one layer for the whole request.
         fixed_ms: Cost whatever the layers.
-        most_layers: Layers in which it has room for one more request of usual size.
+        max_layers: Layers in which it has room for one more request of usual size.
     """
 
     token_ms: float
     layer_ms: float
     fixed_ms: float
-    most_layers: float
+    max_layers: float
 
 
 def path_costs(
@@ -153,28 +153,32 @@
     # The same for every request: judged by its own size, a large one would be turned
     # away far more often than a small one.
     usual_tokens = engine.usual_prompt + engine.usual_answer
-    read_ms = 1000.0 * prompt / engine.read_tokens_per_s
+    prefill_ms = 1000.0 * prompt / engine.read_tokens_per_s
     transfer_ms = (
-        1000.0 * prompt * engine.activation_bytes * BITS / (engine.pipe_mbps * MEGABIT)
+        1000.0
+        * prompt
+        * engine.activation_bytes
+        * BITS_PER_BYTE
+        / (engine.pipe_mbps * MEGA)
         if engine.pipe_mbps
         else 0.0
     )
 
-    known: dict[str, _EngineCosts] = {}
+    cache: dict[str, _EngineCosts] = {}
 
     def costs_of(server: BackendServer) -> _EngineCosts:
         # Kept, since a choice asks for each range of layers that a path may take on an
         # engine, some hundred times.
-        costs = known.get(server.backend_id)
+        costs = cache.get(server.backend_id)
         if costs is None:
-            costs = known[server.backend_id] = engine_costs(server)
+            costs = cache[server.backend_id] = engine_costs(server)
         return costs
 
     def engine_costs(server: BackendServer) -> _EngineCosts:
         kind = engine.accelerators.get(server.accelerator)
         if kind is None:
-            return _EngineCosts(0.0, 0.0, AVOIDED_MS, -1.0)
-        others, taken = tracker.load_of(server.backend_id, entries)
+            return _EngineCosts(0.0, 0.0, AVOIDED_PENALTY_MS, -1.0)
+        others, used = tracker.load_of(server.backend_id, entries)
         step_ms = (
             engine.step_ms
             + engine.sequence_ms * (others + 1)
@@ -183,30 +187,30 @@
         # Load pattern: some engines work many times slower than usual, and the passes
         # of all paths through them wait for them.
         token_ms = server.slowness * kind.pace * step_ms / engine.layers
-        reading_ms = kind.read_factor * read_ms * (1 + others / 8)
-        is_left_alone = server.is_silent or tracker.is_avoided(server.backend_id)
-        free = FULL_SHARE * kv_cache_capacity(engine, server, kind.size_mb) - taken
+        loaded_prefill_ms = kind.read_factor * prefill_ms * (1 + others / 8)
+        is_avoided = server.is_silent or tracker.is_avoided(server.backend_id)
+        free = FULL_SHARE * kv_cache_capacity(engine, server, kind.size_mb) - used
         # Load pattern: all requests of a domain pass few first engines, which run as
         # many as they have slots and let the others wait, whatever their memory.
         if server.layers.first == 0 and engine.slots and others >= engine.slots:
             free = -1.0
         return _EngineCosts(
             token_ms,
-            token_ms * answer + server.slowness * reading_ms / engine.layers,
-            NEAR_HOP_MS * answer + (AVOIDED_MS if is_left_alone else 0.0),
+            token_ms * answer + server.slowness * loaded_prefill_ms / engine.layers,
+            NEAR_HOP_MS * answer + (AVOIDED_PENALTY_MS if is_avoided else 0.0),
             free / usual_tokens if usual_tokens else math.inf,
         )
 
     def part(server: BackendServer, layers: int) -> float:
         costs = costs_of(server)
         cost = costs.fixed_ms + costs.layer_ms * layers
-        return cost if layers <= costs.most_layers else cost + FULL_MS
+        return cost if layers <= costs.max_layers else cost + FULL_PENALTY_MS
 
     def token(server: BackendServer, layers: int) -> float:
         return costs_of(server).token_ms * layers + NEAR_HOP_MS
 
     def has_capacity(server: BackendServer, layers: int) -> bool:
-        return layers <= costs_of(server).most_layers
+        return layers <= costs_of(server).max_layers
 
     def hop(here: str, there: str) -> float:
         if here == there:
@@ -261,4 +265,4 @@
 ) -> float:
     """Return the tokens times layers that an engine has memory for."""
     free_mb = size_mb - server.layers.count * engine.layer_mb
-    return free_mb * MEGABIT / (engine.token_bytes / engine.layers)
+    return free_mb * MEGA / (engine.token_bytes / engine.layers)
--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -7,11 +7,11 @@
 """
 
 __all__ = [
-    "check_not_crashing",
+    "raise_if_crashing",
     "note_broken_run",
-    "note_given_up_run",
+    "note_aborted_run",
     "note_ran",
-    "where_others_begin",
+    "backends_with_other_suspects",
 ]
 
 import logging
@@ -26,7 +26,7 @@
 logger = logging.getLogger(__name__)
 
 
-def check_not_crashing(
+def raise_if_crashing(
     ctx: EntryContext, job: Job, *, may_have_run: bool = False
 ) -> None:
     """Refuse a request under which too many backend servers have ended.
@@ -60,7 +60,7 @@
         ctx.suspect(first)
 
 
-def note_given_up_run(
+def note_aborted_run(
     ctx: EntryContext, job: Job, run: Run, backend_ids: Iterable[str]
 ) -> None:
     """Take in that a run was taken off backend servers that may be lost.
@@ -82,7 +82,7 @@
 
 def _note_lost(ctx: EntryContext, job: Job, run: Run, backend_id: str) -> bool:
     """Return whether a server may have crashed by a run, and nobody said so yet."""
-    if not _is_beginning(run):
+    if not _is_starting(run):
         note_ran(ctx, job)
         return False
     if not ctx.crashes.note_lost(job.fingerprint, backend_id):
@@ -105,7 +105,7 @@
     ctx.crashes.note_ran(job.fingerprint)
 
 
-def where_others_begin(ctx: EntryContext, job: Job) -> set[str]:
+def backends_with_other_suspects(ctx: EntryContext, job: Job) -> set[str]:
     """Return the backend servers where other suspects begin, if this is one itself.
 
     Args:
@@ -125,12 +125,12 @@
         if any(
             run.backend_ids[0] == server.backend_id
             and run.fingerprint != job.fingerprint
-            and _is_beginning(run)
+            and _is_starting(run)
             and ctx.crashes.is_suspect(run.fingerprint)
             for run in ctx.tracker.runs_on(server.backend_id)
         )
     }
 
 
-def _is_beginning(run: Run) -> bool:
+def _is_starting(run: Run) -> bool:
     return run.went_on_s < BEGINNING_S
--- a/wigeonscale/direct/detour.py
+++ b/wigeonscale/direct/detour.py
@@ -1,13 +1,13 @@
 """A running generation goes on along another path when an engine of its own is lost."""
 
-__all__ = ["change_path", "memory_of"]
+__all__ = ["change_path", "kv_cache_demand"]
 
 import logging
 from collections.abc import Sequence
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.admission import choose_detour
-from wigeonscale.direct.crashing import note_given_up_run
+from wigeonscale.direct.crashing import note_aborted_run
 from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.runs import Run
 from wigeonscale.layers import Part
@@ -16,7 +16,7 @@
 logger = logging.getLogger(__name__)
 
 
-def memory_of(job: Job, path: Sequence[Part]) -> dict[str, float]:
+def kv_cache_demand(job: Job, path: Sequence[Part]) -> dict[str, float]:
     """Return the memory that a run takes of each engine, in tokens times layers."""
     tokens = job.req.generation.prompt + job.req.generation.expected
     return {part.backend_id: float(tokens * part.layers.count) for part in path}
@@ -39,7 +39,7 @@
         return False
     kept = {part.backend_id for part in detour}
     lost = [part.backend_id for part in path if part.backend_id not in kept]
-    note_given_up_run(ctx, job, run, lost)
+    note_aborted_run(ctx, job, run, lost)
     if ctx.crashes.refused_for(job.fingerprint):
         # Not handed to further engines; the flow refuses it.
         return False
@@ -63,6 +63,6 @@
     if is_done:
         path[:] = detour
         ctx.tracker.replace(
-            run, tuple(part.backend_id for part in detour), memory_of(job, detour)
+            run, tuple(part.backend_id for part in detour), kv_cache_demand(job, detour)
         )
     return is_done
--- a/wigeonscale/direct/job.py
+++ b/wigeonscale/direct/job.py
@@ -68,14 +68,14 @@
         route: Its route.
         service: Service that shall serve it.
         organisation: The caller's organisation; None for none.
-        ends_at: Local instant of its final answer, whatever has happened.
+        deadline_at: Local instant of its final answer, whatever has happened.
     """
 
     req: CallerRequest
     route: Route
     service: Service
     organisation: Organisation | None
-    ends_at: float
+    deadline_at: float
 
     @property
     def priority(self) -> int:
@@ -116,6 +116,6 @@
             backend_id=backend_id,
             organisation=self.organisation_name,
             priority=self.priority,
-            left_s=self.ends_at - now,
+            left_s=self.deadline_at - now,
             **fields,
         )
--- a/wigeonscale/direct/next_path.py
+++ b/wigeonscale/direct/next_path.py
@@ -1,27 +1,27 @@
 """The path of the next send of a generation, waited for where that is worth it."""
 
-__all__ = ["NO_PATH_RETRY_S", "next_path"]
+__all__ = ["NO_PATH_RETRY_AFTER_S", "next_path"]
 
 import logging
 import math
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.direct.admission import PathChoice, choose_path_for, no_room
-from wigeonscale.direct.admission_queue import MAX_QUEUE_WAIT_S, ROOM_WAIT_S
-from wigeonscale.direct.crashing import where_others_begin
+from wigeonscale.direct.admission import PathChoice, choose_path_for, overloaded_error
+from wigeonscale.direct.admission_queue import MAX_QUEUE_WAIT_S, ON_TIME_WAIT_S
+from wigeonscale.direct.crashing import backends_with_other_suspects
 from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.progress import Progress
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
 # Word to callers when no path is whole: a lost engine is found and its layers are
 # loaded elsewhere in one to three seconds.
-NO_PATH_RETRY_S = 1.0
+NO_PATH_RETRY_AFTER_S = 1.0
 # A stream that was begun waits this long for a path before it is given up, in steps.
-PATH_WAIT_S = 1.0
+MAX_PATH_WAIT_S = 1.0
 # A request that is suspected to crash engines waits this long for a first engine where
 # no other suspect begins: a run that is no cause has gone on for 0.25 s by then.
-APART_WAIT_S = 0.6
-PATH_STEP_S = 0.1
+MAX_ISOLATION_WAIT_S = 0.6
+PATH_POLL_INTERVAL_S = 0.1
 
 logger = logging.getLogger(__name__)
 
@@ -39,64 +39,66 @@
         WigeonscaleError: ``NO_BACKEND``: no path is whole; ``OVERLOADED``: there is
             one, but no room.
     """
-    await _until_apart(ctx, job, progress)
-    if progress.must_go_on:
-        return await _find_path(ctx, job, progress)
-    return await _find_room(ctx, job, progress)
+    await _wait_until_isolated(ctx, job, progress)
+    if progress.must_finish:
+        return await _wait_for_path(ctx, job, progress)
+    return await _wait_for_capacity(ctx, job, progress)
 
 
-async def _until_apart(ctx: EntryContext, job: Job, progress: Progress) -> None:
+async def _wait_until_isolated(ctx: EntryContext, job: Job, progress: Progress) -> None:
     """Wait until a suspect can go on apart from others, or long enough."""
-    give_up_at = min(ctx.clock.now() + APART_WAIT_S, job.ends_at)
+    give_up_at = min(ctx.clock.now() + MAX_ISOLATION_WAIT_S, job.deadline_at)
     while (
-        where_others_begin(ctx, job)
-        and _choose_apart(ctx, job, progress) is None
+        backends_with_other_suspects(ctx, job)
+        and _choose_isolated(ctx, job, progress) is None
         and ctx.clock.now() < give_up_at
     ):
-        await ctx.clock.sleep(PATH_STEP_S)
+        await ctx.clock.sleep(PATH_POLL_INTERVAL_S)
 
 
-async def _find_path(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
+async def _wait_for_path(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
     """Return a path, as soon as there is one, also where engines are full."""
-    give_up_at = min(ctx.clock.now() + PATH_WAIT_S, job.ends_at)
+    give_up_at = min(ctx.clock.now() + MAX_PATH_WAIT_S, job.deadline_at)
     while True:
         choice = _choose(ctx, job, progress)
         if choice.path is not None:
             return choice
         if ctx.clock.now() >= give_up_at:
-            raise _no_path(job, progress)
-        await ctx.clock.sleep(PATH_STEP_S)
+            raise _no_path_error(job, progress)
+        await ctx.clock.sleep(PATH_POLL_INTERVAL_S)
 
 
-async def _find_room(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
+async def _wait_for_capacity(
+    ctx: EntryContext, job: Job, progress: Progress
+) -> PathChoice:
     """Return the path of an answer that is not begun, all of it with room."""
     choice = _choose(ctx, job, progress)
-    if choice.path is None and _held_for_s(ctx, choice) > MAX_QUEUE_WAIT_S:
-        raise _no_room(ctx, job, progress, choice)
+    if choice.path is None and _throttled_for_s(ctx, choice) > MAX_QUEUE_WAIT_S:
+        raise _no_capacity_error(ctx, job, progress, choice)
     if choice.path is not None and not choice.full and not len(ctx.admission_queue):
         return choice
-    place = _enter(ctx, job, progress)
+    ticket = _enqueue(ctx, job, progress)
     began_at = ctx.clock.now()
-    late_at = began_at + ROOM_WAIT_S
-    give_up_at = min(began_at + MAX_QUEUE_WAIT_S, job.ends_at)
-    got_room = None
+    demote_at = began_at + ON_TIME_WAIT_S
+    give_up_at = min(began_at + MAX_QUEUE_WAIT_S, job.deadline_at)
+    admitted = None
     try:
         while True:
-            if ctx.admission_queue.is_next(place):
+            if ctx.admission_queue.is_next(ticket):
                 choice = _choose(ctx, job, progress)
                 if choice.path is not None and not choice.full:
-                    got_room = True
+                    admitted = True
                     break
             now = ctx.clock.now()
             if now >= give_up_at:
-                got_room = False
-                raise _no_room(ctx, job, progress, choice)
-            if now >= late_at:
-                ctx.admission_queue.step_back(place)
-                late_at = give_up_at
+                admitted = False
+                raise _no_capacity_error(ctx, job, progress, choice)
+            if now >= demote_at:
+                ctx.admission_queue.demote(ticket)
+                demote_at = give_up_at
             await ctx.admission_queue.wait()
     finally:
-        ctx.admission_queue.leave(place, got_room=got_room)
+        ctx.admission_queue.release(ticket, admitted=admitted)
     logger.info(
         "waited for room",
         extra=log_fields(
@@ -108,61 +110,65 @@
     return choice
 
 
-def _enter(ctx: EntryContext, job: Job, progress: Progress) -> int:
+def _enqueue(ctx: EntryContext, job: Job, progress: Progress) -> int:
     """Return the place of a request among those that wait for room."""
     try:
-        return ctx.admission_queue.enter(
+        return ctx.admission_queue.enqueue(
             organisation=job.organisation_name,
             priority=job.priority,
             running=ctx.stalls.running,
         )
     except WigeonscaleError as exc:
-        may_have_run = bool(progress.ran_at)
-        raise no_room(exc.message, may_have_run=may_have_run, rng=ctx.rng) from None
+        may_have_run = bool(progress.ran_on)
+        raise overloaded_error(
+            exc.message, may_have_run=may_have_run, rng=ctx.rng
+        ) from None
 
 
 def _choose(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
-    return _choose_apart(ctx, job, progress) or choose_path_for(
-        ctx, job, lost=progress.lost, ran_at=progress.ran_at
+    return _choose_isolated(ctx, job, progress) or choose_path_for(
+        ctx, job, lost=progress.lost, ran_on=progress.ran_on
     )
 
 
-def _choose_apart(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice | None:
+def _choose_isolated(
+    ctx: EntryContext, job: Job, progress: Progress
+) -> PathChoice | None:
     """Return a path that begins where no other suspect does, for a suspect."""
-    others = where_others_begin(ctx, job)
+    others = backends_with_other_suspects(ctx, job)
     if not others:
         return None
     lost = progress.lost | others
-    choice = choose_path_for(ctx, job, lost=lost, ran_at=progress.ran_at)
+    choice = choose_path_for(ctx, job, lost=lost, ran_on=progress.ran_on)
     return choice if choice.path is not None else None
 
 
-def _no_path(job: Job, progress: Progress) -> WigeonscaleError:
+def _no_path_error(job: Job, progress: Progress) -> WigeonscaleError:
     return WigeonscaleError(
         ErrorKind.NO_BACKEND,
         f"no path through all layers of {job.service.name}",
-        run_state=RunState.UNKNOWN if progress.ran_at else RunState.NOT_RUN,
-        retry_after=NO_PATH_RETRY_S,
+        run_state=RunState.UNKNOWN if progress.ran_on else RunState.NOT_RUN,
+        retry_after=NO_PATH_RETRY_AFTER_S,
     )
 
 
-def _no_room(
+def _no_capacity_error(
     ctx: EntryContext, job: Job, progress: Progress, choice: PathChoice
 ) -> WigeonscaleError:
-    if choice.path is None and not choice.held:
-        return _no_path(job, progress)
-    held_for_s = _held_for_s(ctx, choice)
-    return no_room(
-        f"no room for one more at {', '.join(choice.full or choice.held)}",
-        may_have_run=bool(progress.ran_at),
+    if choice.path is None and not choice.throttled:
+        return _no_path_error(job, progress)
+    throttled_for_s = _throttled_for_s(ctx, choice)
+    return overloaded_error(
+        f"no room for one more at {', '.join(choice.full or choice.throttled)}",
+        may_have_run=bool(progress.ran_on),
         rng=ctx.rng,
-        least_wait_s=held_for_s if math.isfinite(held_for_s) else 0.0,
+        min_wait_s=throttled_for_s if math.isfinite(throttled_for_s) else 0.0,
     )
 
 
-def _held_for_s(ctx: EntryContext, choice: PathChoice) -> float:
+def _throttled_for_s(ctx: EntryContext, choice: PathChoice) -> float:
     """Return the time until a path may be had that none is, in seconds."""
     if choice.path is not None:
         return 0.0
-    waits_s = [ctx.notices.free_in_s(name) for name in choice.held]
+    waits_s = [ctx.notices.send_delay_s(name) for name in choice.throttled]
     return min(waits_s, default=math.inf)
--- a/wigeonscale/direct/notices.py
+++ b/wigeonscale/direct/notices.py
@@ -30,10 +30,10 @@
         self._clock = clock
         self._limits = limits
         self._newest: dict[str, ServerNotice] = {}
-        self._rests_until: dict[str, float] = {}
+        self._retry_at: dict[str, float] = {}
         self._leaving: set[str] = set()
 
-    def of(self, backend_id: str) -> ServerNotice:
+    def latest(self, backend_id: str) -> ServerNotice:
         """Return the newest notice of a backend server."""
         return self._newest.get(backend_id, ServerNotice())
 
@@ -56,11 +56,11 @@
         if notice is None:
             return
         self._limits.note(backend_id, notice.limit_per_s, sent_at=sent_at)
-        self._note_rest(backend_id, notice.rest_s)
+        self._note_retry_after(backend_id, notice.rest_s)
         if notice.is_leaving:
             # For good: an answer that says nothing of it was begun before.
             self._leaving.add(backend_id)
-        if notice == self.of(backend_id):
+        if notice == self.latest(backend_id):
             return
         self._newest[backend_id] = notice
         logger.info(
@@ -80,24 +80,24 @@
 
     def may_send(self, backend_id: str) -> bool:
         """Return whether a request may go to a backend server now."""
-        return self.free_in_s(backend_id) <= 0.0
+        return self.send_delay_s(backend_id) <= 0.0
 
-    def free_in_s(self, backend_id: str) -> float:
+    def send_delay_s(self, backend_id: str) -> float:
         """Return the time until a request may go there, in seconds.
 
         Infinite where that is not to be foreseen.
         """
         if self.is_leaving(backend_id):
             return math.inf
-        rests_until = self._rests_until.get(backend_id, -math.inf)
-        rest_s = max(0.0, rests_until - self._clock.now())
-        return max(rest_s, self._limits.free_in_s(backend_id))
+        retry_at = self._retry_at.get(backend_id, -math.inf)
+        rest_s = max(0.0, retry_at - self._clock.now())
+        return max(rest_s, self._limits.send_delay_s(backend_id))
 
-    def _note_rest(self, backend_id: str, rest_s: float) -> None:
+    def _note_retry_after(self, backend_id: str, rest_s: float) -> None:
         if rest_s > 0.0:
             until = self._clock.now() + rest_s
-            known = self._rests_until.get(backend_id, until)
-            self._rests_until[backend_id] = max(until, known)
+            known = self._retry_at.get(backend_id, until)
+            self._retry_at[backend_id] = max(until, known)
 
     def keep_only(self, backend_ids: Iterable[str]) -> None:
         """Forget backend servers that are gone.
@@ -110,6 +110,6 @@
             name: notice for name, notice in self._newest.items() if name in existing
         }
         self._leaving &= existing
-        self._rests_until = {
-            name: until for name, until in self._rests_until.items() if name in existing
+        self._retry_at = {
+            name: until for name, until in self._retry_at.items() if name in existing
         }
--- a/wigeonscale/direct/plain.py
+++ b/wigeonscale/direct/plain.py
@@ -10,10 +10,10 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.choice import choose_server
 from wigeonscale.direct.crashing import (
-    check_not_crashing,
+    backends_with_other_suspects,
     note_broken_run,
     note_ran,
-    where_others_begin,
+    raise_if_crashing,
 )
 from wigeonscale.direct.fleet import BackendServer
 from wigeonscale.direct.job import EntryContext, Job
@@ -23,10 +23,10 @@
 
 # A first try of a request that may be repeated gets this share of the time that is
 # left, so that the second one still has a chance against a server that hangs.
-FIRST_TRY_SHARE = 0.45
+FIRST_ATTEMPT_TIME_FRACTION = 0.45
 # Word to callers when no server took the request: one that refuses is avoided for
 # 0.4 s, and work takes some tens of milliseconds.
-RETRY_AFTER_S = 0.3
+NO_SERVER_RETRY_AFTER_S = 0.3
 
 logger = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
     failed: WholeAnswer | None = None
     while True:
         if failed is None:
-            check_not_crashing(ctx, job, may_have_run=may_have_run)
+            raise_if_crashing(ctx, job, may_have_run=may_have_run)
         server = _next_server(ctx, job, tried)
         if server is None or attempts >= job.route.max_attempts:
             break
@@ -59,7 +59,7 @@
         try:
             answer = await _send(ctx, job, server)
         except ExchangeError as exc:
-            _note(ctx, job, server, exc)
+            _note_failure(ctx, job, server, exc)
             if exc.fate is Fate.NOT_SENT:
                 attempts -= 1
                 continue
@@ -78,7 +78,7 @@
                 backend=server.backend_id,
                 status=answer.head.status,
                 attempts=attempts,
-                failures=round(ctx.tracker.of(server.backend_id).failures, 3),
+                failures=round(ctx.tracker.lookup(server.backend_id).failure_rate, 3),
                 outcome="may go on" if job.route.is_idempotent else "handed on",
             ),
         )
@@ -87,7 +87,7 @@
             return answer
     if failed is not None:
         return failed
-    raise _gave_up(ctx, job, may_have_run)
+    raise _final_error(ctx, job, may_have_run)
 
 
 def _next_server(ctx: EntryContext, job: Job, tried: set[str]) -> BackendServer | None:
@@ -106,15 +106,15 @@
             tried = tried | {server.backend_id}
 
     # Few servers run a plain service: apart from other suspects only where it can be.
-    return choose(tried | where_others_begin(ctx, job)) or choose(tried)
+    return choose(tried | backends_with_other_suspects(ctx, job)) or choose(tried)
 
 
 async def _send(ctx: EntryContext, job: Job, server: BackendServer) -> WholeAnswer:
     now = ctx.clock.now()
-    left_s = job.ends_at - now
+    left_s = job.deadline_at - now
     if left_s <= 0:
         raise ExchangeError(Fate.NOT_SENT, "no time is left")
-    limit_s = left_s * FIRST_TRY_SHARE if _may_try_again(job) else left_s
+    limit_s = left_s * FIRST_ATTEMPT_TIME_FRACTION if _may_retry(job) else left_s
     call = job.call(now=now, address=server.address, backend_id=server.name)
     run = Run((server.backend_id,), fingerprint=job.fingerprint)
     ctx.crashes.note_sent(job.fingerprint)
@@ -145,11 +145,11 @@
         ctx.tracker.end(run)
 
 
-def _may_try_again(job: Job) -> bool:
+def _may_retry(job: Job) -> bool:
     return job.route.is_idempotent and job.route.max_attempts > 1
 
 
-def _note(
+def _note_failure(
     ctx: EntryContext, job: Job, server: BackendServer, exc: ExchangeError
 ) -> None:
     ctx.tracker.note_outcome(server.backend_id, failed=True)
@@ -171,8 +171,8 @@
     )
 
 
-def _gave_up(ctx: EntryContext, job: Job, may_have_run: bool) -> WigeonscaleError:
-    is_late = ctx.clock.now() >= job.ends_at
+def _final_error(ctx: EntryContext, job: Job, may_have_run: bool) -> WigeonscaleError:
+    is_late = ctx.clock.now() >= job.deadline_at
     if may_have_run:
         kind = ErrorKind.DEADLINE_EXCEEDED if is_late else ErrorKind.BACKEND_FAILED
         return WigeonscaleError(
@@ -183,13 +183,13 @@
     return WigeonscaleError(
         ErrorKind.NO_BACKEND,
         f"no backend server of {job.service.name} took it",
-        retry_after=max(RETRY_AFTER_S, _all_held_for_s(ctx, job)),
+        retry_after=max(NO_SERVER_RETRY_AFTER_S, _throttled_for_s(ctx, job)),
     )
 
 
-def _all_held_for_s(ctx: EntryContext, job: Job) -> float:
+def _throttled_for_s(ctx: EntryContext, job: Job) -> float:
     """Return the time until a server of the service wants requests; 0 if unknown."""
     servers = ctx.fleet().by_service.get(job.service.name, ())
-    waits_s = [ctx.notices.free_in_s(server.backend_id) for server in servers]
+    waits_s = [ctx.notices.send_delay_s(server.backend_id) for server in servers]
     least_s = min(waits_s, default=0.0)
     return least_s if math.isfinite(least_s) else 0.0
--- a/wigeonscale/direct/progress.py
+++ b/wigeonscale/direct/progress.py
@@ -13,7 +13,7 @@
         last_id: Last event that the caller has; None before the first.
         is_begun: Whether the caller was sent the head.
         sends: Sends so far.
-        ran_at: First engines of the paths that may have run it.
+        ran_on: First engines of the paths that may have run it.
         lost: Engines that this request found lost.
         moves: Changes of the path of a running send.
         first_event_at: Instant at which the caller got its first event; None before it.
@@ -25,21 +25,21 @@
     last_id: int | None
     is_begun: bool = False
     sends: int = 0
-    ran_at: set[str] = field(default_factory=set)
+    ran_on: set[str] = field(default_factory=set)
     lost: set[str] = field(default_factory=set)
-    moves: int = 0
+    reroutes: int = 0
     first_event_at: float | None = None
     latest_event_at: float = 0.0
     longest_pause_s: float = 0.0
     paused_after: int | None = None
 
     @property
-    def must_go_on(self) -> bool:
+    def must_finish(self) -> bool:
         """Whether the request is lost to its caller if it is not finished here.
 
         The caller has part of the answer, or cannot be told that nothing ran.
         """
-        return self.is_begun or bool(self.ran_at)
+        return self.is_begun or bool(self.ran_on)
 
     def note_event(self, now: float, event_id: int | None) -> None:
         """Count an event that the caller was sent.
--- a/wigeonscale/direct/rate_limits.py
+++ b/wigeonscale/direct/rate_limits.py
@@ -9,25 +9,25 @@
 from dataclasses import dataclass, field
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.direct.backend_tracker import TOTALS_FRESH_S
+from wigeonscale.direct.backend_tracker import TOTALS_MAX_AGE_S
 from wigeonscale.limits import sharers
 from wigeonscale.ports import Clock
 
 # Share of a limit that is used: entries hear of each other late.
-SAFETY = 0.8
+USABLE_FRACTION = 0.8
 # Requests that come together may go together, up to what an entry's share allows in
 # this time; with a share of less than one they are strictly spaced.
 BURST_S = 0.5
 # Span over which an entry counts the requests that it has for a backend server.
-WANTED_S = 5.0
+DEMAND_WINDOW_S = 5.0
 # Most that it counts: what an entry asks of one server in that span, many times over.
-MOST_WANTED = 4096
+MAX_DEMAND_SAMPLES = 4096
 # That a limit has ended is told for so long, so that no older word of it comes back.
-ENDED_KEPT_S = 30.0
+ENDED_LIMIT_TTL_S = 30.0
 # Share of the entries whose word is enough to share a limit by: some come and go.
-NEARLY_ALL = 0.9
+MIN_REPORTING_FRACTION = 0.9
 # A backend server that takes nothing must be asked now and then whether it still does.
-LEAST_PER_S = 0.2
+MIN_RATE_PER_S = 0.2
 
 logger = logging.getLogger(__name__)
 
@@ -57,19 +57,21 @@
 
     Attributes:
         per_s: Requests a second; None where it has ended.
-        heard_at: Instant of the answer that said so.
+        received_at: Instant of the answer that said so.
         is_own: Whether that answer came to this entry.
-        wanted_at: Instants at which this entry lately had a request for it.
+        demand_at: Instants at which this entry lately had a request for it.
         shares: Weights of the entries that share it, by the newest word.
-        next_at: Instant from which the next request is due at an even pace.
+        next_send_at: Instant from which the next request is due at an even pace.
     """
 
     per_s: float | None
-    heard_at: float
+    received_at: float
     is_own: bool
-    wanted_at: deque[float] = field(default_factory=lambda: deque(maxlen=MOST_WANTED))
+    demand_at: deque[float] = field(
+        default_factory=lambda: deque(maxlen=MAX_DEMAND_SAMPLES)
+    )
     shares: Mapping[str, int] = field(default_factory=dict)
-    next_at: float = 0.0
+    next_send_at: float = 0.0
 
 
 class BackendRateLimits:
@@ -105,7 +107,7 @@
         self._entries = entries
         self._limits: dict[str, _Limit] = {}
         # When the other entries were last heard of, nearly all of them.
-        self._heard_all_at = -math.inf
+        self._totals_at = -math.inf
 
     def note(self, backend_id: str, per_s: float | None, *, sent_at: float) -> None:
         """Take in what an answer names.
@@ -119,19 +121,19 @@
         if limit is None:
             if per_s is None:
                 return
-            limit = self._begin(backend_id, per_s, self._clock.now())
-        elif per_s is None and sent_at < limit.heard_at:
+            limit = self._add(backend_id, per_s, self._clock.now())
+        elif per_s is None and sent_at < limit.received_at:
             # An answer may have been under way before the limit was named.
             return
         limit.per_s = per_s
-        limit.heard_at = self._clock.now()
+        limit.received_at = self._clock.now()
         limit.is_own = True
 
     def may_send(self, backend_id: str) -> bool:
         """Return whether a request may go to a backend server now."""
-        return self.free_in_s(backend_id) <= 0.0
+        return self.send_delay_s(backend_id) <= 0.0
 
-    def free_in_s(self, backend_id: str) -> float:
+    def send_delay_s(self, backend_id: str) -> float:
         """Return the time until a request may go there, in seconds.
 
         Infinite where the other entries have the whole limit for now.
@@ -142,17 +144,17 @@
         interval_s = self._interval_s(limit)
         if math.isinf(interval_s):
             return math.inf
-        due_at = limit.next_at - max(0.0, BURST_S - interval_s)
-        if not self._is_told():
+        due_at = limit.next_send_at - max(0.0, BURST_S - interval_s)
+        if not self._has_fresh_totals():
             # Others without word begin to send in the same moment.
-            due_at = max(due_at, self._heard_all_at + TOTALS_FRESH_S + interval_s)
+            due_at = max(due_at, self._totals_at + TOTALS_MAX_AGE_S + interval_s)
         return max(0.0, due_at - self._clock.now())
 
     def note_demand(self, backend_id: str) -> None:
         """Note that this entry has work for a backend server that names a limit."""
         limit = self._limits.get(backend_id)
         if limit is not None:
-            limit.wanted_at.append(self._clock.now())
+            limit.demand_at.append(self._clock.now())
 
     def note_sent(self, backend_id: str) -> None:
         """Count a request that goes out to a backend server."""
@@ -160,10 +162,10 @@
         if limit is None or limit.per_s is None:
             return
         now = self._clock.now()
-        limit.wanted_at.append(now)
+        limit.demand_at.append(now)
         interval_s = self._interval_s(limit)
         if math.isfinite(interval_s):
-            limit.next_at = max(limit.next_at, now) + interval_s
+            limit.next_send_at = max(limit.next_send_at, now) + interval_s
 
     def report(self) -> list[NamedLimit]:
         """Return what the other entries must know of the limits."""
@@ -171,13 +173,13 @@
         self._limits = {
             name: limit
             for name, limit in self._limits.items()
-            if limit.per_s is not None or now - limit.heard_at <= ENDED_KEPT_S
+            if limit.per_s is not None or now - limit.received_at <= ENDED_LIMIT_TTL_S
         }
         return [
             NamedLimit(
                 backend_id=name,
                 per_s=limit.per_s,
-                age_s=now - limit.heard_at if limit.is_own else None,
+                age_s=now - limit.received_at if limit.is_own else None,
                 demands={self._name: demand} if demand else {},
             )
             for name, limit in self._limits.items()
@@ -194,15 +196,15 @@
             limits: One word for each limit.
             tellers: Entries whose word is in it.
         """
-        words = {each.backend_id: each for each in limits}
-        for word in words.values():
-            self._take_value(word)
-        if tellers < NEARLY_ALL * self._entries():
+        reports = {each.backend_id: each for each in limits}
+        for report in reports.values():
+            self._apply_value(report)
+        if tellers < MIN_REPORTING_FRACTION * self._entries():
             return
-        self._heard_all_at = self._clock.now()
+        self._totals_at = self._clock.now()
         for backend_id, limit in self._limits.items():
-            word = words.get(backend_id)
-            self._take_demands(backend_id, limit, word.demands if word else {})
+            report = reports.get(backend_id)
+            self._apply_demands(backend_id, limit, report.demands if report else {})
 
     def keep_only(self, backend_ids: Iterable[str]) -> None:
         """Forget the limits of backend servers that are gone.
@@ -215,40 +217,40 @@
             name: limit for name, limit in self._limits.items() if name in existing
         }
 
-    def _begin(self, backend_id: str, per_s: float, heard_at: float) -> _Limit:
-        limit = _Limit(per_s=per_s, heard_at=heard_at, is_own=False)
+    def _add(self, backend_id: str, per_s: float, received_at: float) -> _Limit:
+        limit = _Limit(per_s=per_s, received_at=received_at, is_own=False)
         # What was sent before the limit was known counts as this entry's first.
-        limit.next_at = self._clock.now() + self._fair_interval_s(limit)
+        limit.next_send_at = self._clock.now() + self._fair_interval_s(limit)
         self._limits[backend_id] = limit
         return limit
 
-    def _take_value(self, word: NamedLimit) -> None:
-        if word.age_s is None:
+    def _apply_value(self, report: NamedLimit) -> None:
+        if report.age_s is None:
             return
-        heard_at = self._clock.now() - word.age_s
-        limit = self._limits.get(word.backend_id)
-        if limit is not None and heard_at <= limit.heard_at:
+        received_at = self._clock.now() - report.age_s
+        limit = self._limits.get(report.backend_id)
+        if limit is not None and received_at <= limit.received_at:
             return
         if limit is None:
-            if word.per_s is None:
+            if report.per_s is None:
                 return
-            limit = self._begin(word.backend_id, word.per_s, heard_at)
-        elif limit.per_s == word.per_s:
+            limit = self._add(report.backend_id, report.per_s, received_at)
+        elif limit.per_s == report.per_s:
             # Its own word comes back as if it were newer by the way there and back.
             return
-        limit.per_s = word.per_s
-        limit.heard_at = heard_at
+        limit.per_s = report.per_s
+        limit.received_at = received_at
         limit.is_own = False
         logger.info(
             "another entry heard a limit",
             extra=log_fields(
-                backend=word.backend_id,
-                limit_per_s=word.per_s,
-                age_s=round(word.age_s, 3),
+                backend=report.backend_id,
+                limit_per_s=report.per_s,
+                age_s=round(report.age_s, 3),
             ),
         )
 
-    def _take_demands(
+    def _apply_demands(
         self, backend_id: str, limit: _Limit, demands: Mapping[str, int]
     ) -> None:
         if limit.per_s is None:
@@ -262,24 +264,24 @@
         now = self._clock.now()
         if math.isinf(before_s):
             # Those that shared it before have requests under way.
-            limit.next_at = now + interval_s
+            limit.next_send_at = now + interval_s
         else:
-            left_s = max(0.0, limit.next_at - now)
-            limit.next_at = now + left_s * interval_s / before_s
+            left_s = max(0.0, limit.next_send_at - now)
+            limit.next_send_at = now + left_s * interval_s / before_s
 
     def _demand(self, limit: _Limit) -> int:
         """Return how many requests this entry had for a backend server lately."""
-        oldest = self._clock.now() - WANTED_S
-        while limit.wanted_at and limit.wanted_at[0] < oldest:
-            limit.wanted_at.popleft()
-        return len(limit.wanted_at)
+        oldest = self._clock.now() - DEMAND_WINDOW_S
+        while limit.demand_at and limit.demand_at[0] < oldest:
+            limit.demand_at.popleft()
+        return len(limit.demand_at)
 
-    def _is_told(self) -> bool:
-        return self._clock.now() - self._heard_all_at <= TOTALS_FRESH_S
+    def _has_fresh_totals(self) -> bool:
+        return self._clock.now() - self._totals_at <= TOTALS_MAX_AGE_S
 
     def _interval_s(self, limit: _Limit) -> float:
         """Return the time between two requests of this entry at an even pace."""
-        if not self._is_told():
+        if not self._has_fresh_totals():
             return self._fair_interval_s(limit)
         weight = limit.shares.get(self._name, 0)
         if not weight:
@@ -291,4 +293,4 @@
 
 
 def _used_per_s(per_s: float) -> float:
-    return SAFETY * max(per_s, LEAST_PER_S)
+    return USABLE_FRACTION * max(per_s, MIN_RATE_PER_S)
--- a/wigeonscale/direct/retry_budget.py
+++ b/wigeonscale/direct/retry_budget.py
@@ -9,26 +9,26 @@
 from wigeonscale.ports import Clock
 
 # Entries count apart and see each other's sends late, so not all of it is spent.
-SAFETY = 0.7
+USABLE_FRACTION = 0.7
 # Part of an entry's equal share that it may spend whatever the others do.
-OWN_SHARE = 0.45
+GUARANTEED_FRACTION = 0.45
 # What all entries have spent is known half a second late, in which each may take as
 # much again: of what is left an entry takes an equal part of a half at a time.
 POOL_ROUNDS = 2.0
 # Control tells the sums of all entries with each grant, twice a second by default.
-TOTALS_FRESH_S = 2.5
+TOTALS_MAX_AGE_S = 2.5
 # Share of its allowance that an entry keeps for streams that callers have part of:
 # a new request may be told to come back, a stream that ends midway is lost to its
 # caller.
-KEPT_FOR_BEGUN = 0.3
+RESERVED_FRACTION = 0.3
 
 
 @dataclass(slots=True)
-class _Sums:
+class _Counts:
     """Counts of all other entries over the window."""
 
     requests: int = 0
-    further: int = 0
+    retries: int = 0
 
 
 class SharedRetryBudget:
@@ -72,12 +72,12 @@
         self._window_s = window_s
         self._entries = entries
         self._requests: dict[str, deque[float]] = {}
-        self._further: dict[str, deque[float]] = {}
-        self._told: dict[str, tuple[int, int]] = {}
-        self._others: dict[str, _Sums] = {}
-        self._others_at = float("-inf")
+        self._retries: dict[str, deque[float]] = {}
+        self._reported: dict[str, tuple[int, int]] = {}
+        self._others: dict[str, _Counts] = {}
+        self._totals_at = float("-inf")
         # Further sends of this entry in the window when the last word came.
-        self._at_word: dict[str, int] = {}
+        self._retries_at_totals: dict[str, int] = {}
 
     def record(self, service: str) -> None:
         """Count a request."""
@@ -89,14 +89,14 @@
         Returns:
             Requests, and further sends, by service.
         """
-        self._told = {
+        self._reported = {
             service: (
                 len(self._recent(self._requests, service)),
-                len(self._recent(self._further, service)),
+                len(self._recent(self._retries, service)),
             )
             for service in self._requests
         }
-        return self._told
+        return self._reported
 
     def apply_totals(self, totals: Mapping[str, tuple[int, int]]) -> None:
         """Take in the counts of all entries, this one included.
@@ -105,14 +105,14 @@
             totals: Requests, and further sends, by service.
         """
         self._others = {}
-        for service, (requests, further) in totals.items():
-            own_requests, own_further = self._told.get(service, (0, 0))
-            self._others[service] = _Sums(
-                max(0, requests - own_requests), max(0, further - own_further)
+        for service, (requests, retries) in totals.items():
+            own_requests, own_retries = self._reported.get(service, (0, 0))
+            self._others[service] = _Counts(
+                max(0, requests - own_requests), max(0, retries - own_retries)
             )
-        self._others_at = self._clock.now()
-        self._at_word = {
-            service: len(self._recent(self._further, service)) for service in totals
+        self._totals_at = self._clock.now()
+        self._retries_at_totals = {
+            service: len(self._recent(self._retries, service)) for service in totals
         }
 
     def try_spend(self, service: str, *, is_begun: bool = True) -> bool:
@@ -125,32 +125,34 @@
         """
         limit = self._limit(service)
         if not is_begun:
-            limit *= 1.0 - KEPT_FOR_BEGUN
-        further = self._recent(self._further, service)
-        if len(further) + 1 > limit:
+            limit *= 1.0 - RESERVED_FRACTION
+        retries = self._recent(self._retries, service)
+        if len(retries) + 1 > limit:
             return False
-        further.append(self._clock.now())
+        retries.append(self._clock.now())
         return True
 
     def _limit(self, service: str) -> float:
         """Return how many further sends this entry may have made in the window."""
-        if self._clock.now() - self._others_at > TOTALS_FRESH_S:
-            return self._own_share(service, 1.0)
-        own_share = self._own_share(service, OWN_SHARE)
-        return max(own_share, self._at_word.get(service, 0)) + self._pool_part(service)
-
-    def _own_share(self, service: str, part: float) -> float:
+        if self._clock.now() - self._totals_at > TOTALS_MAX_AGE_S:
+            return self._guaranteed(service, 1.0)
+        own_share = self._guaranteed(service, GUARANTEED_FRACTION)
+        return max(
+            own_share, self._retries_at_totals.get(service, 0)
+        ) + self._pool_share(service)
+
+    def _guaranteed(self, service: str, part: float) -> float:
         """Return the further sends that this entry may make whatever the others do."""
         requests = len(self._recent(self._requests, service))
         slack = self._slack / max(1, self._entries())
-        return SAFETY * part * (self._ratio * requests + slack)
+        return USABLE_FRACTION * part * (self._ratio * requests + slack)
 
-    def _pool_part(self, service: str) -> float:
+    def _pool_share(self, service: str) -> float:
         """Return what this entry may take of the common rest until the next word."""
-        others = self._others.get(service, _Sums())
+        others = self._others.get(service, _Counts())
         requests = others.requests + len(self._recent(self._requests, service))
-        spent = others.further + self._at_word.get(service, 0)
-        left = SAFETY * (self._ratio * requests + self._slack) - spent
+        spent = others.retries + self._retries_at_totals.get(service, 0)
+        left = USABLE_FRACTION * (self._ratio * requests + self._slack) - spent
         return max(0.0, left) / max(1, self._entries()) / POOL_ROUNDS
 
     def _recent(self, counts: dict[str, deque[float]], service: str) -> deque[float]:
--- a/wigeonscale/direct/service.py
+++ b/wigeonscale/direct/service.py
@@ -23,14 +23,14 @@
 )
 
 # The final answer goes out this much before the caller stops waiting.
-ANSWER_MARGIN_S = 0.02
-NOT_READY_RETRY_S = 0.5
+RESPONSE_MARGIN_S = 0.02
+NOT_READY_RETRY_AFTER_S = 0.5
 # An entry that just started learns the configuration within a second, or, when control
 # starts too, after an election. Callers that come meanwhile are better served by a
 # short wait than by a refusal, after which many do not come again; but no longer than
 # this share of the time that they have.
-START_WAIT_S = 1.5
-START_WAIT_SHARE = 0.3
+MAX_STARTUP_WAIT_S = 1.5
+STARTUP_WAIT_FRACTION = 0.3
 
 logger = logging.getLogger(__name__)
 
@@ -73,21 +73,21 @@
                 was begun it must be cut.
         """
         if not self._known.is_set():
-            await self._wait_until_known(req)
+            await self._wait_for_config(req)
         if not self._may_serve():
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
                 "no majority of control confirms the configuration",
-                retry_after=NOT_READY_RETRY_S,
+                retry_after=NOT_READY_RETRY_AFTER_S,
             )
         job = self._job(req)
         ctx = self._around
-        left_s = job.ends_at - ctx.clock.now()
+        left_s = job.deadline_at - ctx.clock.now()
         ctx.budget.record(job.service.name)
         limit = asyncio.timeout(left_s)
         try:
             async with limit:
-                pauses = await self._run(job, sink)
+                pause_fields = await self._run(job, sink)
         except TimeoutError:
             if not limit.expired():
                 raise
@@ -105,21 +105,21 @@
                 service=job.service.name,
                 table=self._table().number,
                 took_s=round(ctx.clock.now() - req.arrived_at, 4),
-                **pauses,
+                **pause_fields,
             ),
         )
 
     async def _run(self, job: Job, sink: AnswerSink) -> dict[str, object]:
         """Answer a request; return what the log tells of the answer."""
         if job.route.repeat is Repeat.STREAM:
-            return _pauses(job, await relay_stream(self._around, job, sink))
+            return _pause_fields(job, await relay_stream(self._around, job, sink))
         await sink.send(await call_plain(self._around, job))
         return {}
 
-    async def _wait_until_known(self, req: CallerRequest) -> None:
-        wait_s = START_WAIT_S
+    async def _wait_for_config(self, req: CallerRequest) -> None:
+        wait_s = MAX_STARTUP_WAIT_S
         if req.deadline_s is not None:
-            wait_s = min(wait_s, req.deadline_s * START_WAIT_SHARE)
+            wait_s = min(wait_s, req.deadline_s * STARTUP_WAIT_FRACTION)
         try:
             async with asyncio.timeout(wait_s):
                 await self._known.wait()
@@ -127,7 +127,7 @@
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
                 f"no configuration was known in {wait_s:.3f} s",
-                retry_after=NOT_READY_RETRY_S,
+                retry_after=NOT_READY_RETRY_AFTER_S,
             ) from None
 
     def _job(self, req: CallerRequest) -> Job:
@@ -144,11 +144,11 @@
             route=route,
             service=table.services[choose_service(route, self._rng)],
             organisation=organisation,
-            ends_at=req.arrived_at + max(0.0, limit_s - ANSWER_MARGIN_S),
+            deadline_at=req.arrived_at + max(0.0, limit_s - RESPONSE_MARGIN_S),
         )
 
 
-def _pauses(job: Job, progress: Progress) -> dict[str, object]:
+def _pause_fields(job: Job, progress: Progress) -> dict[str, object]:
     """Return what makes a stream late, for the log: its start and its worst pause."""
     if progress.first_event_at is None:
         return {}
@@ -157,5 +157,5 @@
         "longest_pause_s": round(progress.longest_pause_s, 4),
         "paused_after": progress.paused_after,
         "sends": progress.sends,
-        "moves": progress.moves,
+        "moves": progress.reroutes,
     }
--- a/wigeonscale/direct/stalls.py
+++ b/wigeonscale/direct/stalls.py
@@ -18,51 +18,51 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.backend_tracker import BackendTracker
 from wigeonscale.direct.fleet import Fleet
-from wigeonscale.direct.probing import EngineProbes
+from wigeonscale.direct.probing import EngineProber
 from wigeonscale.direct.runs import Run
 from wigeonscale.ports import Clock, Reach
 from wigeonscale.ports.orders import EngineOrders
 
-CHECK_S = 0.02
+CHECK_INTERVAL_S = 0.02
 # Events come every 30 to 60 ms, and first ones within 150 ms, on a sound path with
 # usual load; a pause over 200 ms is late already.
 STALL_TIMEOUT_S = 0.25
-QUIET_FIRST_S = 0.4
+FIRST_EVENT_STALL_TIMEOUT_S = 0.4
 # A path is named to control, and its engines are probed, once so many of its own
 # intervals between events are over, and this time at least: a probe, the news of it and
 # another path take the rest of the 200 or 300 ms after which a pause is late.
-HINT_INTERVALS = 1.5
-HINT_QUIET_S = 0.06
+HINT_AFTER_INTERVALS = 1.5
+MIN_HINT_STALL_S = 0.06
 # A path of an answer that has not begun is in question from here on: first events take
 # 60 ms, 120 ms at the 99th percentile, and shall come within 500 ms of the request.
-QUIET_UNBEGUN_S = 0.25
+FIRST_EVENT_HINT_S = 0.25
 # A path on which events take so many times as long as its load explains has a slow
 # engine; where it does not know the load of a moment ago, an entry is wrong by less.
 SLOW_FACTOR = 2.0
 # A look that comes this late or later: what was not read meanwhile is no quiet of the
 # engines. To read a large document takes longer than that.
-LATE_S = 0.03
+MIN_LAG_S = 0.03
 # A look at all runs that comes this late means that this process did not get its turn;
 # what it did not read meanwhile says nothing of the engines.
-BEHIND_S = 0.1
+LAGGING_THRESHOLD_S = 0.1
 # For so long after that a connection that did not open in time is not held against the
 # engine either.
-BEHIND_FOR_S = 1.0
+LAGGING_HOLD_S = 1.0
 # What a report says is some hundred ms old, so an answer without a culprit is asked
 # for again after this long.
-ASK_AGAIN_S = 0.2
+QUERY_INTERVAL_S = 0.2
 # A first engine that says nothing for so long while its streams stand still is lost: a
 # lost packet costs 200 ms, and callers leave after two seconds.
-HEAD_ANSWER_S = 0.3
+HEAD_STATUS_TIMEOUT_S = 0.3
 # A wait that nothing explains is ended here: callers leave after two seconds, and
 # another path needs some tenths.
-HOPELESS_S = 1.3
+ABORT_STALL_S = 1.3
 # Engines that answer and name no culprit are busy. Sent elsewhere, the work would be
 # read once more, by engines that are as busy: it waits, unless most others at the same
 # first engine move on, for then its connection has gone silent.
-SOUND_S = 0.6
+HEALTHY_TTL_S = 0.6
 # Runs through an engine that control calls silent are ended once they are this quiet.
-QUIET_IF_SILENT_S = 0.06
+SILENT_ENGINE_STALL_S = 0.06
 
 logger = logging.getLogger(__name__)
 
@@ -100,17 +100,17 @@
         self._suspect = suspect
         self._hint = hint
         self._runs: set[Run] = set()
-        self._asked_at: dict[str, float] = {}
-        self._sound_at: dict[str, float] = {}
-        self._asking: set[asyncio.Task] = set()
-        self._behind_until = float("-inf")
-        self._probes = EngineProbes(
+        self._queried_at: dict[str, float] = {}
+        self._healthy_at: dict[str, float] = {}
+        self._queries: set[asyncio.Task] = set()
+        self._lagging_until = float("-inf")
+        self._prober = EngineProber(
             reach=reach,
             clock=clock,
             fleet=fleet,
             delay_s=delay_s,
-            is_moving=self._is_moving,
-            heard_since=self._heard_since,
+            has_progress=self._has_progress,
+            has_event_since=self._has_event_since,
             on_lost=self._note_lost,
         )
 
@@ -120,9 +120,9 @@
         return len(self._runs)
 
     @property
-    def is_behind(self) -> bool:
+    def is_lagging(self) -> bool:
         """Whether this process lately did not get its turn in time."""
-        return self._clock.now() < self._behind_until
+        return self._clock.now() < self._lagging_until
 
     def add(self, run: Run) -> None:
         """Watch a run.
@@ -141,16 +141,16 @@
         try:
             while True:
                 asleep_at = self._clock.now()
-                await self._clock.sleep(CHECK_S)
-                self.note_late(self._clock.now() - asleep_at - CHECK_S)
+                await self._clock.sleep(CHECK_INTERVAL_S)
+                self.note_lag(self._clock.now() - asleep_at - CHECK_INTERVAL_S)
                 self.check()
         finally:
-            for task in self._asking:
+            for task in self._queries:
                 task.cancel()
-            await asyncio.gather(*self._asking, return_exceptions=True)
-            await self._probes.close()
+            await asyncio.gather(*self._queries, return_exceptions=True)
+            await self._prober.close()
 
-    def note_late(self, late_s: float) -> None:
+    def note_lag(self, late_s: float) -> None:
         """Take a late look at the runs into account.
 
         Load pattern: one entry is left for all callers, or its VM is slow. All its
@@ -159,14 +159,14 @@
         Args:
             late_s: Time by which it is late, in seconds.
         """
-        if late_s < LATE_S:
+        if late_s < MIN_LAG_S:
             return
         now = self._clock.now()
         for run in self._runs:
             run.progress_at = min(now, run.progress_at + late_s)
-        if late_s < BEHIND_S:
+        if late_s < LAGGING_THRESHOLD_S:
             return
-        self._behind_until = now + BEHIND_FOR_S
+        self._lagging_until = now + LAGGING_HOLD_S
         logger.warning(
             "the process was behind",
             extra=log_fields(late_s=round(late_s, 3), running=len(self._runs)),
@@ -180,63 +180,69 @@
         heads = set()
         for run in list(self._runs):
             quiet_s = now - run.progress_at
-            if quiet_s > QUIET_IF_SILENT_S and not silent.isdisjoint(run.backend_ids):
-                run.leave_lost()
-            elif quiet_s > HOPELESS_S and self._is_hopeless(run, now):
-                run.end_wait()
-            elif quiet_s > (STALL_TIMEOUT_S if run.has_begun else QUIET_FIRST_S):
+            if quiet_s > SILENT_ENGINE_STALL_S and not silent.isdisjoint(
+                run.backend_ids
+            ):
+                run.reroute_or_abort()
+            elif quiet_s > ABORT_STALL_S and self._should_abort(run, now):
+                run.abort_wait()
+            elif quiet_s > (
+                STALL_TIMEOUT_S if run.has_events else FIRST_EVENT_STALL_TIMEOUT_S
+            ):
                 heads.add(run.backend_ids[0])
         for head in heads:
-            self._ask(head, now)
-        self._doubt_engines(now)
+            self._query_head(head, now)
+        self._report_stalled_engines(now)
 
-    def _doubt_engines(self, now: float) -> None:
+    def _report_stalled_engines(self, now: float) -> None:
         """Name the engines of quiet and slow paths to control, and probe the former."""
         quiet: Counter[str] = Counter()
         slow, moving = set(), set()
         for run in self._runs:
-            if _is_quiet(run, now):
+            if _is_stalled(run, now):
                 quiet.update(run.backend_ids)
-            elif run.has_begun:
+            elif run.has_events:
                 (slow if _is_slow(run) else moving).update(run.backend_ids)
         # An engine that another run of this entry moves through as usual is sound.
         for name in (quiet.keys() | slow) - moving:
             self._hint(name)
         # An entry short of processor time sees quiet everywhere, and probes would take
         # more of it.
-        if not self.is_behind:
-            self._probes.ask([n for n, _ in quiet.most_common() if n not in moving])
+        if not self.is_lagging:
+            self._prober.start_round(
+                [n for n, _ in quiet.most_common() if n not in moving]
+            )
 
-    def _is_moving(self, name: str) -> bool:
+    def _has_progress(self, name: str) -> bool:
         """Return whether nothing is to be said against an engine."""
         now = self._clock.now()
-        return self.is_behind or any(
-            run.has_begun and not _is_quiet(run, now)
+        return self.is_lagging or any(
+            run.has_events and not _is_stalled(run, now)
             for run in self._tracker.runs_on(name)
         )
 
-    def _heard_since(self, instant: float) -> bool:
-        return any(run.progress_at > instant for run in self._runs if run.has_begun)
+    def _has_event_since(self, instant: float) -> bool:
+        return any(run.progress_at > instant for run in self._runs if run.has_events)
 
     def _note_lost(self, name: str) -> None:
         self._tracker.note_lost(name)
         self._suspect(name)
 
-    def _is_hopeless(self, run: Run, now: float) -> bool:
+    def _should_abort(self, run: Run, now: float) -> bool:
         head = run.backend_ids[0]
-        if now - self._sound_at.get(head, float("-inf")) > SOUND_S:
+        if now - self._healthy_at.get(head, float("-inf")) > HEALTHY_TTL_S:
             return True
         others = [r for r in self._runs if r is not run and r.backend_ids[0] == head]
         moving = sum(now - other.progress_at < STALL_TIMEOUT_S for other in others)
         return 2 * moving >= len(others)
 
-    def _ask(self, head: str, now: float) -> None:
-        if now - self._asked_at.get(head, float("-inf")) < ASK_AGAIN_S:
+    def _query_head(self, head: str, now: float) -> None:
+        if now - self._queried_at.get(head, float("-inf")) < QUERY_INTERVAL_S:
             return
-        self._asked_at[head] = now
+        self._queried_at[head] = now
         task = asyncio.create_task(self._find_culprit(head))
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+        self._queries.add(task)
+        task.add_done_callback(self._queries.discard)
 
     async def _find_culprit(self, head: str) -> None:
         fleet = self._fleet()
@@ -244,14 +250,16 @@
         if server is None:
             self._tracker.note_lost(head)
             return
-        status = await self._orders.status(server.address, limit_s=HEAD_ANSWER_S)
+        status = await self._orders.status(
+            server.address, limit_s=HEAD_STATUS_TIMEOUT_S
+        )
         if status is None:
             culprits = [head]
         else:
             named = [fleet.by_address.get(at) for at in status.held_up_by]
             culprits = [each.backend_id for each in named if each is not None]
             if not culprits:
-                self._sound_at[head] = self._clock.now()
+                self._healthy_at[head] = self._clock.now()
         logger.info(
             "quiet path",
             extra=log_fields(
@@ -266,15 +274,17 @@
             self._note_lost(name)
 
 
-def _is_quiet(run: Run, now: float) -> bool:
+def _is_stalled(run: Run, now: float) -> bool:
     """Return whether a run stands still for longer than its events usually take."""
-    usual_s = QUIET_UNBEGUN_S
-    if run.has_begun:
-        usual_s = max(HINT_QUIET_S, HINT_INTERVALS * run.interval_s)
-    return now - run.progress_at > usual_s
+    expected_interval_s = FIRST_EVENT_HINT_S
+    if run.has_events:
+        expected_interval_s = max(
+            MIN_HINT_STALL_S, HINT_AFTER_INTERVALS * run.mean_interval_s
+        )
+    return now - run.progress_at > expected_interval_s
 
 
 def _is_slow(run: Run) -> bool:
     """Return whether its events take far longer than the load of its path explains."""
-    least_s = max(HINT_QUIET_S, SLOW_FACTOR * run.usual_s)
-    return run.usual_s > 0 and run.lately_s > least_s
+    least_s = max(MIN_HINT_STALL_S, SLOW_FACTOR * run.expected_interval_s)
+    return run.expected_interval_s > 0 and run.recent_interval_s > least_s
--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -15,14 +15,14 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.admission import PathChoice
 from wigeonscale.direct.crashing import (
-    check_not_crashing,
+    note_aborted_run,
     note_broken_run,
-    note_given_up_run,
     note_ran,
+    raise_if_crashing,
 )
-from wigeonscale.direct.detour import change_path, memory_of
+from wigeonscale.direct.detour import change_path, kv_cache_demand
 from wigeonscale.direct.job import EntryContext, Job
-from wigeonscale.direct.next_path import NO_PATH_RETRY_S, next_path
+from wigeonscale.direct.next_path import NO_PATH_RETRY_AFTER_S, next_path
 from wigeonscale.direct.progress import Progress
 from wigeonscale.direct.runs import Run
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
@@ -41,8 +41,8 @@
 # A stream that was begun waits this long, in such steps, until the budget of further
 # sends allows it one: word of what all entries have left comes twice a second, and
 # callers leave after two seconds without an event.
-SEND_WAIT_S = 1.0
-SEND_STEP_S = 0.1
+MAX_RETRY_BUDGET_WAIT_S = 1.0
+RETRY_BUDGET_POLL_INTERVAL_S = 0.1
 
 logger = logging.getLogger(__name__)
 
@@ -64,20 +64,20 @@
     progress = Progress(last_id=job.req.last_event_id)
     while True:
         # Before it waits for a path, and again when it has one.
-        check_not_crashing(ctx, job, may_have_run=bool(progress.ran_at))
+        raise_if_crashing(ctx, job, may_have_run=bool(progress.ran_on))
         choice = await next_path(ctx, job, progress)
-        check_not_crashing(ctx, job, may_have_run=bool(progress.ran_at))
+        raise_if_crashing(ctx, job, may_have_run=bool(progress.ran_on))
         path = choice.path
         progress.sends += 1
         try:
-            if await _try_path(ctx, job, sink, progress, choice):
+            if await _send_once(ctx, job, sink, progress, choice):
                 return progress
         except ExchangeError as exc:
             _note_failure(ctx, job, progress, path, exc)
-            await _wait_until_may_go_on(ctx, job, progress, exc)
+            await _wait_for_retry(ctx, job, progress, exc)
 
 
-async def _try_path(
+async def _send_once(
     ctx: EntryContext,
     job: Job,
     sink: AnswerSink,
@@ -89,7 +89,7 @@
     fleet = ctx.fleet()
     servers = [fleet.by_id[part.backend_id] for part in path]
     now = ctx.clock.now()
-    if now >= job.ends_at:
+    if now >= job.deadline_at:
         raise ExchangeError(Fate.NOT_SENT, "no time is left")
     is_split = path[0].layers.count > 0
     call = job.call(
@@ -102,13 +102,13 @@
     )
     run = Run(
         tuple(part.backend_id for part in path),
-        memory_of(job, path),
-        usual_s=choice.event_s,
+        kv_cache_demand(job, path),
+        expected_interval_s=choice.event_interval_s,
         fingerprint=job.fingerprint,
         sent_at=now,
     )
     if is_split:
-        run.move = functools.partial(_move, ctx, job, progress, run, path)
+        run.reroute = functools.partial(_reroute, ctx, job, progress, run, path)
     logger.info(
         "generation sent",
         extra=log_fields(
@@ -118,7 +118,7 @@
             path=",".join(part.backend_id for part in path),
             after_event=progress.last_id,
             sends=progress.sends,
-            held_back=",".join(choice.held),
+            held_back=",".join(choice.throttled),
         ),
     )
     ctx.crashes.note_sent(job.fingerprint)
@@ -130,45 +130,45 @@
     )
     try:
         # Ended by the watch over all streams, not by a time of its own.
-        async with asyncio.timeout(None) as run.watch:
+        async with asyncio.timeout(None) as run.wait_timeout:
             ctx.stalls.add(run)
             async with ctx.exchange.open(call) as stream:
                 note_notice(stream.head.notice)
-                progress.ran_at.add(first)
+                progress.ran_on.add(first)
                 is_whole = await _relay_events(ctx, job, sink, progress, run, stream)
         ctx.tracker.note_outcome(first, failed=False)
         if call.after_event is None:
-            ctx.admission_queue.note_answer(ctx.clock.now() - now)
+            ctx.admission_queue.note_response_time(ctx.clock.now() - now)
         note_ran(ctx, job)
         return is_whole
     except ExchangeError as exc:
         note_notice(exc.notice)
         if exc.fate is Fate.UNKNOWN:
             note_broken_run(ctx, job, run)
-            if not run.has_begun:
+            if not run.has_events:
                 ctx.tracker.note_unanswered(first)
         raise
     except TimeoutError:
-        if not run.watch.expired():
+        if not run.wait_timeout.expired():
             raise
-        note_given_up_run(ctx, job, run, (first,))
+        note_aborted_run(ctx, job, run, (first,))
         quiet_s = ctx.clock.now() - run.progress_at
         raise ExchangeError(
             Fate.UNKNOWN, f"no event from {servers[0].address} for {quiet_s:.2f} s"
         ) from None
     finally:
-        run.watch = None
-        if run.moving is not None:
-            run.moving.cancel()
+        run.wait_timeout = None
+        if run.reroute_task is not None:
+            run.reroute_task.cancel()
         ctx.stalls.remove(run)
         ctx.tracker.end(run)
 
 
-async def _move(
+async def _reroute(
     ctx: EntryContext, job: Job, progress: Progress, run: Run, path: list[Part]
 ) -> bool:
     is_done = await change_path(ctx, job, run, path)
-    progress.moves += is_done
+    progress.reroutes += is_done
     return is_done
 
 
@@ -181,7 +181,7 @@
     stream: BackendStream,
 ) -> bool:
     if not 200 <= stream.head.status < 300:
-        return await _relay_failure(sink, progress, stream)
+        return await _relay_error_response(sink, progress, stream)
     async with aclosing(stream.events()) as events:
         async for event in events:
             run.note_progress(ctx.clock.now())
@@ -199,7 +199,7 @@
     return True
 
 
-async def _relay_failure(
+async def _relay_error_response(
     sink: AnswerSink, progress: Progress, stream: BackendStream
 ) -> bool:
     body = await stream.rest()
@@ -235,14 +235,14 @@
 ) -> None:
     if exc.fate is Fate.UNKNOWN:
         # Also where not even the head of an answer came.
-        progress.ran_at.add(path[0].backend_id)
-    blamed = _blamed(ctx, path, exc)
+        progress.ran_on.add(path[0].backend_id)
+    blamed = _engine_at_fault(ctx, path, exc)
     if blamed and exc.fate is Fate.NOT_RUN and not exc.is_stranger:
         ctx.tracker.note_refused(blamed)
         if exc.at_fault:
             # It may lack room, or be gone: a probe by control tells.
             ctx.suspect(blamed)
-    elif blamed and exc.fate is Fate.NOT_SENT and ctx.stalls.is_behind:
+    elif blamed and exc.fate is Fate.NOT_SENT and ctx.stalls.is_lagging:
         # This process was too late to see the connection open.
         ctx.tracker.note_refused(blamed)
     elif blamed:
@@ -263,7 +263,7 @@
     )
 
 
-def _blamed(ctx: EntryContext, path: list[Part], exc: ExchangeError) -> str:
+def _engine_at_fault(ctx: EntryContext, path: list[Part], exc: ExchangeError) -> str:
     """Return the engine that a failure speaks against; empty for none in particular."""
     named = ctx.fleet().by_address.get(exc.at_fault)
     if named is not None:
@@ -271,7 +271,7 @@
     return "" if exc.fate is Fate.UNKNOWN else path[0].backend_id
 
 
-async def _wait_until_may_go_on(
+async def _wait_for_retry(
     ctx: EntryContext, job: Job, progress: Progress, exc: ExchangeError
 ) -> None:
     """Return once the request may be sent once more.
@@ -284,12 +284,12 @@
         WigeonscaleError: Its final answer: it is not to be sent again.
     """
     began_at = ctx.clock.now()
-    give_up_at = min(began_at + SEND_WAIT_S, job.ends_at)
-    is_allowed = _may_go_on(ctx, job, progress)
-    waits = progress.must_go_on and _may_repeat(job, progress)
+    give_up_at = min(began_at + MAX_RETRY_BUDGET_WAIT_S, job.deadline_at)
+    is_allowed = _try_acquire_retry(ctx, job, progress)
+    waits = progress.must_finish and _may_repeat(job, progress)
     while not is_allowed and waits and ctx.clock.now() < give_up_at:
-        await ctx.clock.sleep(SEND_STEP_S)
-        is_allowed = _may_go_on(ctx, job, progress)
+        await ctx.clock.sleep(RETRY_BUDGET_POLL_INTERVAL_S)
+        is_allowed = _try_acquire_retry(ctx, job, progress)
     waited_s = ctx.clock.now() - began_at
     if waited_s > 0 or not is_allowed:
         logger.info(
@@ -303,27 +303,27 @@
             ),
         )
     if not is_allowed:
-        raise _final_answer(ctx, job, progress, exc)
+        raise _final_error(ctx, job, progress, exc)
 
 
 def _may_repeat(job: Job, progress: Progress) -> bool:
     if progress.sends >= MAX_SENDS:
         return False
-    return job.route.is_idempotent or not progress.ran_at
+    return job.route.is_idempotent or not progress.ran_on
 
 
-def _may_go_on(ctx: EntryContext, job: Job, progress: Progress) -> bool:
+def _try_acquire_retry(ctx: EntryContext, job: Job, progress: Progress) -> bool:
     """Take one further send from the budget; return whether it may be made."""
-    if ctx.clock.now() >= job.ends_at or not _may_repeat(job, progress):
+    if ctx.clock.now() >= job.deadline_at or not _may_repeat(job, progress):
         return False
-    return ctx.budget.try_spend(job.service.name, is_begun=progress.must_go_on)
+    return ctx.budget.try_spend(job.service.name, is_begun=progress.must_finish)
 
 
-def _final_answer(
+def _final_error(
     ctx: EntryContext, job: Job, progress: Progress, exc: ExchangeError
 ) -> WigeonscaleError:
-    may_have_run = bool(progress.ran_at)
-    if ctx.clock.now() >= job.ends_at:
+    may_have_run = bool(progress.ran_on)
+    if ctx.clock.now() >= job.deadline_at:
         kind = ErrorKind.DEADLINE_EXCEEDED
     else:
         kind = ErrorKind.BACKEND_FAILED if may_have_run else ErrorKind.NO_BACKEND
@@ -331,5 +331,5 @@
         kind,
         exc.message,
         run_state=RunState.UNKNOWN if may_have_run else RunState.NOT_RUN,
-        retry_after=NO_PATH_RETRY_S,
+        retry_after=NO_PATH_RETRY_AFTER_S,
     )
--- a/wigeonscale/direct/tests/fakes.py
+++ b/wigeonscale/direct/tests/fakes.py
@@ -99,7 +99,7 @@
     def __init__(self, clock):
         self._clock = clock
         # Addresses that do not answer, and what others answer and after how long.
-        self.dark = set()
+        self.unreachable = set()
         self.answers = {}
         self.answer_s = {}
         self.probed = []
@@ -107,7 +107,7 @@
     async def __call__(self, address, limit_s):
         self.probed.append(address)
         takes_s = self.answer_s.get(address, 0.0)
-        if address in self.dark or takes_s > limit_s:
+        if address in self.unreachable or takes_s > limit_s:
             await self._clock.sleep(limit_s)
             return ProbeAnswer.NOTHING
         await self._clock.sleep(takes_s)
--- a/wigeonscale/direct/tests/support.py
+++ b/wigeonscale/direct/tests/support.py
@@ -194,7 +194,7 @@
             ),
             service=service,
             organisation=None,
-            ends_at=self.clock.now() + left_s,
+            deadline_at=self.clock.now() + left_s,
         )
 
 
--- a/wigeonscale/direct/tests/test_room_queue.py
+++ b/wigeonscale/direct/tests/test_admission_queue.py
@@ -7,8 +7,8 @@
 from wigeonscale.direct.admission_queue import (
     INITIAL_RESPONSE_TIME_S,
     MAX_QUEUE_WAIT_S,
+    ON_TIME_WAIT_S,
     QUEUE_POLL_INTERVAL_S,
-    ROOM_WAIT_S,
 )
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.testing import AsyncTestCase, ManualClock
@@ -21,39 +21,39 @@
         super().setUp()
         self.queue = AdmissionQueue(clock=ManualClock())
 
-    def enter(self, organisation="o", priority=1, running=MANY):
-        return self.queue.enter(
+    def enqueue(self, organisation="o", priority=1, running=MANY):
+        return self.queue.enqueue(
             organisation=organisation, priority=priority, running=running
         )
 
-    def served(self, places):
-        left, order = set(places), []
+    def served(self, tickets):
+        left, order = set(tickets), []
         while left:
-            place = next(each for each in left if self.queue.is_next(each))
-            self.queue.leave(place, got_room=True)
-            left.discard(place)
-            order.append(place)
+            ticket = next(each for each in left if self.queue.is_next(each))
+            self.queue.release(ticket, admitted=True)
+            left.discard(ticket)
+            order.append(ticket)
         return order
 
     def test_first_come_first_served(self):
-        places = [self.enter() for _ in range(5)]
-        self.assertEqual(places, self.served(places))
+        tickets = [self.enqueue() for _ in range(5)]
+        self.assertEqual(tickets, self.served(tickets))
 
     def test_more_urgent_ones_go_first(self):
-        late, urgent = self.enter(priority=3), self.enter(priority=0)
+        late, urgent = self.enqueue(priority=3), self.enqueue(priority=0)
         self.assertEqual([urgent, late], self.served([late, urgent]))
 
     def test_a_small_organisation_is_not_behind_all_of_a_large_one(self):
-        large = [self.enter(organisation="large") for _ in range(10)]
-        small = self.enter(organisation="small")
+        large = [self.enqueue(organisation="large") for _ in range(10)]
+        small = self.enqueue(organisation="small")
         self.assertTrue(self.served([*large, small]).index(small) <= 2)
 
     def test_as_many_wait_as_room_comes_free_for(self):
         running = int(3 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S)
         for _ in range(4):
-            self.enter(running=running)
+            self.enqueue(running=running)
         try:
-            self.enter(running=running)
+            self.enqueue(running=running)
         except WigeonscaleError as exc:
             self.assertEqual(ErrorKind.OVERLOADED, exc.kind)
         else:
@@ -63,54 +63,58 @@
     def test_few_wait_where_those_before_got_no_room(self):
         # Under lasting overload nobody is held only to be turned away.
         for _ in range(20):
-            self.queue.leave(self.enter(), got_room=False)
-        self.enter()
+            self.queue.release(self.enqueue(), admitted=False)
+        self.enqueue()
         try:
-            self.enter(running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1)
+            self.enqueue(
+                running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1
+            )
         except WigeonscaleError as exc:
             self.assertEqual(ErrorKind.OVERLOADED, exc.kind)
         else:
             self.fail("a second one waits")
 
     def test_many_wait_again_once_there_is_room_again(self):
-        for got_room in [False] * 20 + [True] * 20:
-            self.queue.leave(self.enter(), got_room=got_room)
+        for admitted in [False] * 20 + [True] * 20:
+            self.queue.release(self.enqueue(), admitted=admitted)
         for _ in range(5):
-            self.enter(running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1)
+            self.enqueue(
+                running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1
+            )
         self.assertEqual(5, len(self.queue))
 
     def test_fewer_wait_where_answers_take_longer(self):
         running = int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1
         for _ in range(40):
-            self.queue.note_answer(5 * INITIAL_RESPONSE_TIME_S)
-        places = [self.enter(running=running) for _ in range(2)]
-        self.assertRaises(WigeonscaleError, self.enter, running=running)
-        for place in places:
-            self.queue.leave(place, got_room=True)
+            self.queue.note_response_time(5 * INITIAL_RESPONSE_TIME_S)
+        tickets = [self.enqueue(running=running) for _ in range(2)]
+        self.assertRaises(WigeonscaleError, self.enqueue, running=running)
+        for ticket in tickets:
+            self.queue.release(ticket, admitted=True)
         for _ in range(40):
-            self.queue.note_answer(INITIAL_RESPONSE_TIME_S)
+            self.queue.note_response_time(INITIAL_RESPONSE_TIME_S)
         for _ in range(5):
-            self.enter(running=running)
+            self.enqueue(running=running)
 
     def test_answers_of_no_time_bound_the_queue_all_the_same(self):
         for _ in range(10_000):
-            self.queue.note_answer(0.0)
+            self.queue.note_response_time(0.0)
         # Of 0.1 s each, one running makes room for some fifteen in the longest wait.
         for _ in range(14):
-            self.enter(running=1)
+            self.enqueue(running=1)
         for _ in range(2):
             try:
-                self.enter(running=1)
+                self.enqueue(running=1)
             except WigeonscaleError:
                 return
         self.fail("sixteen wait")
 
     def test_who_cannot_be_in_time_any_more_goes_last(self):
-        late, urgent_late = self.enter(), self.enter(priority=0)
+        late, urgent_late = self.enqueue(), self.enqueue(priority=0)
         self.assertTrue(self.queue.is_next(urgent_late))
-        self.queue.step_back(late)
-        self.queue.step_back(urgent_late)
-        fresh = self.enter(priority=7)
+        self.queue.demote(late)
+        self.queue.demote(urgent_late)
+        fresh = self.enqueue(priority=7)
         self.assertEqual(3, len(self.queue))
         self.assertEqual(
             [fresh, late, urgent_late], self.served([late, urgent_late, fresh])
@@ -118,24 +122,26 @@
         self.assertEqual(0, len(self.queue))
 
     def test_a_late_one_that_leaves_holds_nobody_up(self):
-        places = [self.enter(), self.enter()]
-        for place in places:
-            self.queue.step_back(place)
-        self.queue.leave(places[0], got_room=None)
-        self.assertTrue(self.queue.is_next(places[1]))
+        tickets = [self.enqueue(), self.enqueue()]
+        for ticket in tickets:
+            self.queue.demote(ticket)
+        self.queue.release(tickets[0], admitted=None)
+        self.assertTrue(self.queue.is_next(tickets[1]))
 
     def test_callers_that_leave_say_nothing_of_room(self):
         for _ in range(20):
-            self.queue.leave(self.enter(), got_room=None)
+            self.queue.release(self.enqueue(), admitted=None)
         for _ in range(5):
-            self.enter(running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1)
+            self.enqueue(
+                running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1
+            )
 
     def test_one_that_leaves_holds_nobody_up(self):
-        places = [self.enter() for _ in range(3)]
-        self.assertTrue(self.queue.is_next(places[0]))
-        self.queue.leave(places[0], got_room=None)
-        self.queue.leave(places[1], got_room=None)
-        self.assertTrue(self.queue.is_next(places[2]))
+        tickets = [self.enqueue() for _ in range(3)]
+        self.assertTrue(self.queue.is_next(tickets[0]))
+        self.queue.release(tickets[0], admitted=None)
+        self.queue.release(tickets[1], admitted=None)
+        self.assertTrue(self.queue.is_next(tickets[2]))
 
 
 class WaitTest(AsyncTestCase):
@@ -143,7 +149,7 @@
         self.clock = ManualClock()
         self.queue = AdmissionQueue(clock=self.clock)
         self.first, self.second = (
-            self.queue.enter(organisation="o", priority=1, running=MANY)
+            self.queue.enqueue(organisation="o", priority=1, running=MANY)
             for _ in range(2)
         )
 
@@ -158,7 +164,7 @@
         # One look a step for one request each would serve 25 a second.
         waiting = asyncio.create_task(self.queue.wait())
         await self.clock.advance(0)
-        self.queue.leave(self.first, got_room=True)
+        self.queue.release(self.first, admitted=True)
         await self.clock.advance(0)
         self.assertTrue(waiting.done())
         self.assertTrue(self.queue.is_next(self.second))
@@ -191,7 +197,7 @@
 
     def test_they_are_served_late_rather_than_never(self):
         herd = {"waits": True, "herd": 60, "requests_per_s": 13.0}
-        impatient = Replay(patience_s=ROOM_WAIT_S, **herd)
+        impatient = Replay(patience_s=ON_TIME_WAIT_S, **herd)
         impatient.play()
         patient = Replay(**herd)
         patient.play()
@@ -259,31 +265,31 @@
         try:
             if not self._waits:
                 raise WigeonscaleError(ErrorKind.OVERLOADED, "nobody waits")
-            place = self._queue.enter(
+            ticket = self._queue.enqueue(
                 organisation="o", priority=1, running=self._running
             )
         except WigeonscaleError:
             self._turn_away(now, first_at, comes_back)
             return
-        self._waiting[place] = first_at
-        if self._patience_s > ROOM_WAIT_S:
-            self._at(now + ROOM_WAIT_S, self._step_back, place)
-        self._at(now + self._patience_s, self._give_up, place, comes_back)
+        self._waiting[ticket] = first_at
+        if self._patience_s > ON_TIME_WAIT_S:
+            self._at(now + ON_TIME_WAIT_S, self._step_back, ticket)
+        self._at(now + self._patience_s, self._give_up, ticket, comes_back)
 
     def _admit_next(self, now):
-        for place in list(self._waiting):
-            if self._has_room(now) and self._queue.is_next(place):
-                self._queue.leave(place, got_room=True)
-                self._serve(now, self._waiting.pop(place))
-
-    def _step_back(self, now, place):
-        if place in self._waiting:
-            self._queue.step_back(place)
-
-    def _give_up(self, now, place, comes_back):
-        if place in self._waiting:
-            self._queue.leave(place, got_room=False)
-            self._turn_away(now, self._waiting.pop(place), comes_back)
+        for ticket in list(self._waiting):
+            if self._has_room(now) and self._queue.is_next(ticket):
+                self._queue.release(ticket, admitted=True)
+                self._serve(now, self._waiting.pop(ticket))
+
+    def _step_back(self, now, ticket):
+        if ticket in self._waiting:
+            self._queue.demote(ticket)
+
+    def _give_up(self, now, ticket, comes_back):
+        if ticket in self._waiting:
+            self._queue.release(ticket, admitted=False)
+            self._turn_away(now, self._waiting.pop(ticket), comes_back)
 
     def _turn_away(self, now, first_at, comes_back):
         if comes_back:
--- a/wigeonscale/direct/tests/test_beliefs.py
+++ b/wigeonscale/direct/tests/test_backend_tracker.py
@@ -20,8 +20,8 @@
         tracker.begin(run)
         await clock.advance(100)
         tracker.keep_only([])
-        self.assertEqual(0.0, tracker.of("gone").failures)
-        self.assertEqual({run}, tracker.of("busy").runs)
+        self.assertEqual(0.0, tracker.lookup("gone").failure_rate)
+        self.assertEqual({run}, tracker.lookup("busy").runs)
 
 
 class ManyEntriesTest(AsyncTestCase):
@@ -34,7 +34,7 @@
     ENTRIES = 23
     PER_SECOND = 75
     LASTS_S = 2.3
-    TOLD_EVERY_S = 0.5
+    REPORT_INTERVAL_S = 0.5
     SIZES = Generation(prompt=700, most=300, expected=150)
 
     def setUp(self):
@@ -60,7 +60,7 @@
             for i in (0, 1)
         ]
         self.entries = [BackendTracker(clock=self.clock) for _ in range(self.ENTRIES)]
-        self.due = [self.rng.random() * self.TOLD_EVERY_S for _ in self.entries]
+        self.due = [self.rng.random() * self.REPORT_INTERVAL_S for _ in self.entries]
         self.told = [{} for _ in self.entries]
         self.running = []
 
@@ -68,7 +68,7 @@
         for number, tracker in enumerate(self.entries):
             if elapsed_s < self.due[number]:
                 continue
-            self.due[number] += self.TOLD_EVERY_S
+            self.due[number] += self.REPORT_INTERVAL_S
             self.told[number] = dict(tracker.report_loads())
             totals = {}
             for told in self.told:
--- a/wigeonscale/direct/tests/test_start.py
+++ b/wigeonscale/direct/tests/test_cold_start.py
@@ -13,7 +13,7 @@
 ENTRIES = 29
 # Requests of all callers that came back within the second before, for which the engines
 # have room.
-HERD = 150
+RETURNING_REQUESTS = 150
 LAYERS = 5
 SIZES = Generation(prompt=100, most=40, expected=20)
 
@@ -36,13 +36,13 @@
         ]
         rng = random.Random(3)
         weights = [rng.uniform(0.2, 3.0) for _ in self.entries]
-        self.herd = rng.choices(self.entries, weights, k=HERD)
+        self.herd = rng.choices(self.entries, weights, k=RETURNING_REQUESTS)
         self.taken = {server.backend_id: 0.0 for server in servers}
 
     def send(self, harness):
         """Begin one request; return whether there was room for it."""
         job = harness.job(Repeat.STREAM, service=MODEL, generation=SIZES)
-        choice = choose_path_for(harness.ctx, job, lost=(), ran_at=())
+        choice = choose_path_for(harness.ctx, job, lost=(), ran_on=())
         if choice.full:
             return False
         tokens = job.req.generation.prompt + job.req.generation.expected
@@ -54,7 +54,7 @@
 
     async def test_nobody_is_turned_away_from_empty_engines(self):
         served = sum(self.send(harness) for harness in self.herd)
-        self.assertEqual(HERD, served)
+        self.assertEqual(RETURNING_REQUESTS, served)
         free_mb = ENGINE.accelerators["k"].size_mb - LAYERS * ENGINE.layer_mb
         room = free_mb * 1e6 / (ENGINE.token_bytes / ENGINE.layers)
         self.assertTrue(max(self.taken.values()) <= FULL_SHARE * room)
--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -20,14 +20,14 @@
 HANG = FakeExchange.HANG
 
 
-def know(harness, job, *names):
+def note_crashes(harness, job, *names):
     known = KnownCrashes(
         fingerprint=job.fingerprint, backends=names, age_s=0.0, span_s=9.0
     )
     harness.ctx.crashes.take([known])
 
 
-class Ending:
+class EndEnginesMixin:
     """Marks engines as ended, as control does a moment after they crashed."""
 
     def end(self, *names):
@@ -39,12 +39,12 @@
         self.harness.ctx.crashes.look()
 
 
-class RefusedStreamTest(Ending, StreamCase):
+class RefusedStreamTest(EndEnginesMixin, StreamCase):
     def job(self, body=b"", **fields):
         return self.harness.job(body=body, **fields)
 
     async def test_refused_at_once_and_not_sent(self):
-        know(self.harness, self.job(), "x1", "x2", "x3")
+        note_crashes(self.harness, self.job(), "x1", "x2", "x3")
         exc = await self.refused()
         self.assertEqual(ErrorKind.CRASHES_BACKENDS, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
@@ -52,13 +52,13 @@
         self.assertEqual([], self.exchange.sent_to)
 
     async def test_another_body_is_another_request(self):
-        know(self.harness, self.job(), "x1", "x2", "x3")
+        note_crashes(self.harness, self.job(), "x1", "x2", "x3")
         self.exchange.script("a1", [event(1)])
         await self.relay(body=b"another")
         self.assertEqual([1], self.got())
 
     async def test_the_third_crash_is_the_last_send(self):
-        know(self.harness, self.job(), "x1", "x2")
+        note_crashes(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", unknown())
         exc = await self.refused()
         self.assertEqual(["a1"], self.exchange.sent_to)
@@ -119,7 +119,7 @@
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.got() == [1])
         await self.harness.clock.advance(BEGINNING_S)
-        self.harness.stalls.note_late(BEGINNING_S)
+        self.harness.stalls.note_lag(BEGINNING_S)
         future.set_result(None)
         await self.until(lambda: len(self.exchange.calls) == 2)
         self.assertTrue(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
@@ -127,7 +127,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
     async def test_served_in_the_end_it_is_cleared(self):
-        know(self.harness, self.job(), "x1", "x2")
+        note_crashes(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", [event(1)])
         await self.relay()
         self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
@@ -136,7 +136,7 @@
         """An engine behind the first one ends, and others hold its layers."""
         self.harness.fleet.by_id["a3"] = spare = engine("a3", 5, 10)
         self.harness.fleet.by_service["model"] += (spare,)
-        know(self.harness, self.job(), "x1", "x2")
+        note_crashes(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", [HANG])
         task = asyncio.create_task(self.refused())
         await self.until(lambda: self.exchange.calls)
@@ -149,7 +149,7 @@
         self.assertEqual([], self.harness.orders.moved)
 
 
-class KeptApartTest(Ending, StreamCase):
+class KeptApartTest(EndEnginesMixin, StreamCase):
     """Two requests were lost together, so that either may be the one that crashes."""
 
     async def prepare(self):
@@ -157,7 +157,7 @@
         self.one = self.harness.job(body=b"one")
         self.two = self.harness.job(body=b"two")
         for job in (self.one, self.two):
-            know(self.harness, job, "x1")
+            note_crashes(self.harness, job, "x1")
 
     async def test_they_go_on_at_different_first_engines(self):
         self.exchange.script("a1", [HANG])
@@ -214,14 +214,14 @@
 
     async def test_refused_before_it_is_sent(self):
         job = self.harness.job()
-        know(self.harness, job, "x1", "x2", "x3")
+        note_crashes(self.harness, job, "x1", "x2", "x3")
         exc = await self.failed(job)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
         self.assertEqual([], self.exchange.sent_to)
 
     async def test_the_third_crash_is_the_last_send(self):
         job = self.harness.job(max_attempts=5)
-        know(self.harness, job, "x1")
+        note_crashes(self.harness, job, "x1")
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, unknown())
         exc = await self.failed(job)
@@ -249,7 +249,7 @@
     async def test_suspects_go_to_different_servers(self):
         jobs = [self.harness.job(body=body) for body in (b"one", b"two")]
         for job in jobs:
-            know(self.harness, job, "x1")
+            note_crashes(self.harness, job, "x1")
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, HANG)
         # All of the others are full, so that both would go to the same one.
@@ -266,7 +266,7 @@
 
     async def test_answered_it_is_cleared(self):
         job = self.harness.job()
-        know(self.harness, job, "x1", "x2")
+        note_crashes(self.harness, job, "x1", "x2")
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, answer())
         await call_plain(self.harness.ctx, job)
--- a/wigeonscale/direct/tests/test_full.py
+++ b/wigeonscale/direct/tests/test_full_engines.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from wigeonscale.direct.admission_queue import MAX_QUEUE_WAIT_S, ROOM_WAIT_S
+from wigeonscale.direct.admission_queue import MAX_QUEUE_WAIT_S, ON_TIME_WAIT_S
 from wigeonscale.direct.choice import FULL_SHARE
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.support import (
@@ -67,7 +67,7 @@
         runs = self.fill("a1", "b2")
         self.exchange.script("a1", [event(1)])
         task = asyncio.create_task(self.relay())
-        await self.harness.clock.advance(ROOM_WAIT_S + 0.5)
+        await self.harness.clock.advance(ON_TIME_WAIT_S + 0.5)
         self.harness.tracker.end(runs[0])
         await self.harness.clock.advance(0.05)
         await task
--- a/wigeonscale/direct/tests/test_notices.py
+++ b/wigeonscale/direct/tests/test_notices.py
@@ -31,15 +31,15 @@
             for notice in (LIMITED, LIMITED, None, ServerNotice()):
                 notices.note("i-1", notice, request_id="r1", sent_at=0.0)
         self.assertEqual(2, len(logs.records))
-        self.assertEqual(ServerNotice(), notices.of("i-1"))
+        self.assertEqual(ServerNotice(), notices.latest("i-1"))
 
     def test_those_that_are_gone_are_forgotten(self):
         notices = self.harness.ctx.notices
         for name in ("i-1", "i-2"):
             notices.note(name, LIMITED, request_id="r1", sent_at=0.0)
         notices.keep_only(["i-2"])
-        self.assertEqual(ServerNotice(), notices.of("i-1"))
-        self.assertEqual(LIMITED, notices.of("i-2"))
+        self.assertEqual(ServerNotice(), notices.latest("i-1"))
+        self.assertEqual(LIMITED, notices.latest("i-2"))
 
 
 class HeardTest(AsyncTestCase):
@@ -50,8 +50,8 @@
         harness.exchange.script("p1", not_run(notice=ServerNotice(rest_s=2.0)))
         harness.exchange.script("p2", answer(LIMITED))
         await call_plain(harness.ctx, harness.job())
-        self.assertEqual(2.0, harness.ctx.notices.of("p1").rest_s)
-        self.assertEqual(LIMITED, harness.ctx.notices.of("p2"))
+        self.assertEqual(2.0, harness.ctx.notices.latest("p1").rest_s)
+        self.assertEqual(LIMITED, harness.ctx.notices.latest("p2"))
 
     async def test_stream(self):
         harness = EntryHarness(engine("a", 0, 10), engine("b", 0, 10, domain="b"))
@@ -59,5 +59,5 @@
         harness.exchange.script("b", [event(1)])
         job = harness.job(Repeat.STREAM, service=MODEL, resumable=True)
         await relay_stream(harness.ctx, job, FakeSink())
-        self.assertTrue(harness.ctx.notices.of("a").is_leaving)
-        self.assertEqual(ServerNotice(), harness.ctx.notices.of("b"))
+        self.assertTrue(harness.ctx.notices.latest("a").is_leaving)
+        self.assertEqual(ServerNotice(), harness.ctx.notices.latest("b"))
--- a/wigeonscale/direct/tests/test_probing.py
+++ b/wigeonscale/direct/tests/test_probing.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from wigeonscale.direct.probing import MOST_IN_A_ROUND
+from wigeonscale.direct.probing import MAX_PROBED_PER_ROUND
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.fakes import FakeExchange, FakeSink
 from wigeonscale.direct.tests.support import StreamCase, engine, event, fleet
@@ -9,7 +9,7 @@
 HANG = FakeExchange.HANG
 # Bound from the aim: a pause of over 300 ms is late, and the stream is read elsewhere
 # within 100 ms.
-FOUND_WITHIN_S = 0.2
+MAX_DETECTION_S = 0.2
 
 
 class DarkEngineTest(StreamCase):
@@ -37,7 +37,7 @@
             for gates in self.gates:
                 gates[number].set_result(None)
             await self.harness.clock.advance(0)
-        self.harness.reach.dark = {name}
+        self.harness.reach.unreachable = {name}
         return self.harness.clock.now()
 
     async def end(self):
@@ -52,7 +52,7 @@
             await self.until(lambda: all(task.done() for task in self.tasks))
             waited_s = self.harness.clock.now() - dark_at
             await self.end()
-            self.assertTrue(waited_s <= FOUND_WITHIN_S, (name, waited_s))
+            self.assertTrue(waited_s <= MAX_DETECTION_S, (name, waited_s))
             self.assertEqual([name], self.harness.suspected)
             self.assertTrue(all(sink.is_whole for sink in self.sinks))
 
@@ -67,14 +67,14 @@
 
     async def test_nobody_is_blamed_where_nobody_can_be_reached(self):
         await self.stream_until_dark("a1:80")
-        self.harness.reach.dark = {"a1:80", "a2:80"}
+        self.harness.reach.unreachable = {"a1:80", "a2:80"}
         await self.harness.clock.advance(0.22)
         await self.end()
         self.assertEqual([], self.harness.suspected)
 
     async def test_neighbours_that_go_dark_together_while_other_streams_move(self):
         dark_at = await self.stream_until_dark("a1:80", streams=1)
-        self.harness.reach.dark = {"a1:80", "a2:80"}
+        self.harness.reach.unreachable = {"a1:80", "a2:80"}
         other = Run(("b1", "b2"), events=1)
         self.harness.stalls.add(other)
         while not self.harness.suspected and self.harness.clock.now() < dark_at + 0.2:
@@ -101,18 +101,20 @@
         now = self.harness.clock.now()
         for number, name in enumerate(names):
             path = (name, "dark") if number % 2 else (name,)
-            self.harness.stalls.add(Run(path, events=9, began_at=now, progress_at=now))
+            self.harness.stalls.add(
+                Run(path, events=9, first_event_at=now, progress_at=now)
+            )
         await self.harness.clock.advance(0.1)
         self.harness.stalls.check()
         await self.harness.clock.advance(0.1)
         self.assertIn("dark:80", self.harness.reach.probed)
-        self.assertEqual(MOST_IN_A_ROUND, len(set(self.harness.reach.probed)))
+        self.assertEqual(MAX_PROBED_PER_ROUND, len(set(self.harness.reach.probed)))
 
     async def test_a_lost_packet_is_no_lost_engine(self):
         await self.stream_until_dark("a2:80")
         # The first probe is lost on its way, the next one is answered.
         await self.until(lambda: "a2:80" in self.harness.reach.probed)
-        self.harness.reach.dark = set()
+        self.harness.reach.unreachable = set()
         await self.harness.clock.advance(0.12)
         await self.end()
         self.assertEqual([], self.harness.suspected)
@@ -138,7 +140,7 @@
     async def test_before_the_first_event(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
-        self.harness.reach.dark = {"a1:80"}
+        self.harness.reach.unreachable = {"a1:80"}
         task = asyncio.create_task(self.relay())
         watch = asyncio.create_task(self.harness.stalls.run())
         began_at = self.harness.clock.now()
@@ -159,15 +161,15 @@
         self.assertTrue(2 <= asked <= 8, asked)
 
     async def test_not_while_the_entry_itself_is_behind(self):
-        runs = [Run(("a1", "a2"), usual_s=0.04) for _ in range(3)]
+        runs = [Run(("a1", "a2"), expected_interval_s=0.04) for _ in range(3)]
         for run in runs:
             self.harness.tracker.begin(run)
             run.note_progress(self.harness.clock.now())
             self.harness.stalls.add(run)
         await self.harness.clock.advance(0.2)
-        self.harness.reach.dark = {"a2:80"}
+        self.harness.reach.unreachable = {"a2:80"}
         self.harness.stalls.check()
-        self.harness.stalls.note_late(0.2)
+        self.harness.stalls.note_lag(0.2)
         await self.harness.clock.advance(0.12)
         self.assertEqual([], self.harness.suspected)
         # Nor does it ask any more.
--- a/wigeonscale/direct/tests/test_send_limits.py
+++ b/wigeonscale/direct/tests/test_rate_limits.py
@@ -1,8 +1,8 @@
 from wigeonscale.direct import BackendRateLimits, NamedLimit
-from wigeonscale.direct.rate_limits import MOST_WANTED
+from wigeonscale.direct.rate_limits import MAX_DEMAND_SAMPLES
 from wigeonscale.testing import AsyncTestCase, ManualClock
 
-WORD_S = 0.5
+REPORT_INTERVAL_S = 0.5
 
 
 def word(per_s, *, age_s=0.0, demands=None):
@@ -29,7 +29,7 @@
         """Return how many requests go out where there is always one."""
         sent = 0
         for step in range(round(seconds / step_s)):
-            if demands is not None and step % round(WORD_S / step_s) == 0:
+            if demands is not None and step % round(REPORT_INTERVAL_S / step_s) == 0:
                 self.limits.apply_reports(
                     [word(None, age_s=None, demands=demands)], tellers=4
                 )
@@ -72,7 +72,7 @@
         for name in names:
             limits = self.new(name)
             limits.apply_reports([word(1.0, demands=alike(*names))], tellers=4)
-            owners += limits.free_in_s("i") < 100.0
+            owners += limits.send_delay_s("i") < 100.0
         self.assertEqual(2, owners)
 
     async def test_who_has_the_most_requests_gets_the_most(self):
@@ -83,9 +83,9 @@
     async def test_a_larger_share_is_not_waited_for_as_long_as_a_small_one(self):
         self.named(2.0)
         self.limits.apply_reports([word(2.0, demands={"one": 1, "two": 63})], tellers=4)
-        self.assertTrue(self.limits.free_in_s("i") > 20.0)
+        self.assertTrue(self.limits.send_delay_s("i") > 20.0)
         self.limits.apply_reports([word(2.0, demands={"one": 64, "two": 1})], tellers=4)
-        self.assertTrue(self.limits.free_in_s("i") < 1.0)
+        self.assertTrue(self.limits.send_delay_s("i") < 1.0)
 
     async def test_without_word_from_control_each_takes_an_equal_part(self):
         self.named(2.0)
@@ -105,13 +105,13 @@
         self.named(2.0)
         everybody = alike("one", "two", "three", "four")
         self.limits.apply_reports([word(2.0, demands=everybody)], tellers=4)
-        before_s = self.limits.free_in_s("i")
+        before_s = self.limits.send_delay_s("i")
         self.limits.apply_reports([word(2.0, demands=alike("one"))], tellers=3)
-        self.assertEqual(before_s, self.limits.free_in_s("i"))
+        self.assertEqual(before_s, self.limits.send_delay_s("i"))
         await self.clock.advance(3.0)
         self.limits.apply_reports([word(2.0, demands=alike("one"))], tellers=3)
         # By then it takes what each would get if all sent.
-        self.assertTrue(self.limits.free_in_s("i") >= 1.9)
+        self.assertTrue(self.limits.send_delay_s("i") >= 1.9)
 
     async def test_who_begins_to_share_it_waits_its_turn(self):
         self.named(2.0)
@@ -122,7 +122,7 @@
             [word(2.0, demands=alike("one", "two", "three"))], tellers=4
         )
         self.assertFalse(self.limits.may_send("i"))
-        self.assertTrue(1.8 <= self.limits.free_in_s("i") <= 1.9)
+        self.assertTrue(1.8 <= self.limits.send_delay_s("i") <= 1.9)
 
     async def test_it_ends_with_an_answer_that_names_none(self):
         self.named(1.0)
@@ -177,9 +177,9 @@
     def test_what_is_wanted_is_counted_up_to_a_bound(self):
         # An entry that is cut off from control tells nobody and forgets nothing.
         self.named(1.0)
-        for _ in range(3 * MOST_WANTED):
+        for _ in range(3 * MAX_DEMAND_SAMPLES):
             self.limits.note_demand("i")
-        self.assertEqual({"one": MOST_WANTED}, self.limits.report()[0].demands)
+        self.assertEqual({"one": MAX_DEMAND_SAMPLES}, self.limits.report()[0].demands)
 
     async def test_those_that_are_gone_are_forgotten(self):
         self.named(1.0)
--- a/wigeonscale/direct/tests/test_rests.py
+++ b/wigeonscale/direct/tests/test_retry_after.py
@@ -31,10 +31,10 @@
 REQUESTS = 40
 STEP_S = 0.1
 # Requests on their way when it asked are borne.
-BORNE = 2
+MAX_SENDS_DURING_REST = 2
 
 
-def asks_for_rest():
+def refused_with_rest():
     return not_run(notice=ServerNotice(rest_s=REST_S))
 
 
@@ -65,7 +65,7 @@
         harness, sent_at = self.entry_of(
             engine("a", 0, 10), engine("b", 0, 10, domain="b")
         )
-        harness.exchange.script("a", *[asks_for_rest() for _ in range(REQUESTS)])
+        harness.exchange.script("a", *[refused_with_rest() for _ in range(REQUESTS)])
         harness.exchange.script("b", *[[event(1)] for _ in range(REQUESTS)])
 
         async def flow():
@@ -74,12 +74,14 @@
 
         await self.ask(harness, flow)
         sends = self.sends_in_rest(harness, "a", sent_at)
-        self.assertTrue(sends <= BORNE, f"{sends} sends while it rested")
+        self.assertTrue(
+            sends <= MAX_SENDS_DURING_REST, f"{sends} sends while it rested"
+        )
         self.assertEqual(REQUESTS, sum(to == "b" for _, to in sent_at))
 
     async def test_the_only_engine_for_longer_than_callers_wait(self):
         harness, _ = self.entry_of(engine("a", 0, 10))
-        harness.exchange.script("a", asks_for_rest())
+        harness.exchange.script("a", refused_with_rest())
         sink = FakeSink()
         for _ in range(2):
             job = harness.job(Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0)
@@ -113,13 +115,13 @@
             harness.ctx.notices.note(
                 "a", ServerNotice(rest_s=rest_s), request_id="r", sent_at=0.0
             )
-        self.assertEqual(REST_S, harness.ctx.notices.free_in_s("a"))
+        self.assertEqual(REST_S, harness.ctx.notices.send_delay_s("a"))
         await harness.clock.advance(REST_S)
         self.assertTrue(harness.ctx.notices.may_send("a"))
 
     async def test_the_only_plain_server(self):
         harness, sent_at = self.entry_of(server("p"))
-        harness.exchange.script("p", *[asks_for_rest() for _ in range(REQUESTS)])
+        harness.exchange.script("p", *[refused_with_rest() for _ in range(REQUESTS)])
         harness.exchange.script("p", *[answer() for _ in range(REQUESTS)])
         refusals = []
 
@@ -131,7 +133,9 @@
 
         await self.ask(harness, flow)
         sends = self.sends_in_rest(harness, "p", sent_at)
-        self.assertTrue(sends <= BORNE, f"{sends} sends while it rested")
+        self.assertTrue(
+            sends <= MAX_SENDS_DURING_REST, f"{sends} sends while it rested"
+        )
         # Each caller is told when it is worth coming back.
         first = refusals[0].retry_after
         self.assertTrue(0.9 * REST_S <= first <= REST_S, first)
--- a/wigeonscale/direct/tests/test_budget.py
+++ b/wigeonscale/direct/tests/test_retry_budget.py
@@ -42,7 +42,7 @@
     RATIO = 0.2
     SLACK = 320
     REQUESTS = 26
-    WORD_S = 0.5
+    REPORT_INTERVAL_S = 0.5
 
     def __init__(self, count):
         self.clock = ManualClock()
@@ -90,7 +90,7 @@
                 while left[budget] and budget.try_spend("s"):
                     left[budget] -= 1
                     gone_on += 1
-            await entries.clock.advance(entries.WORD_S)
+            await entries.clock.advance(entries.REPORT_INTERVAL_S)
         return gone_on
 
     async def test_what_others_do_not_need_is_taken(self):
@@ -111,7 +111,7 @@
                 for budget in entries.budgets:
                     while budget.try_spend("s"):
                         spent += 1
-                await entries.clock.advance(entries.WORD_S)
+                await entries.clock.advance(entries.REPORT_INTERVAL_S)
             self.assertTrue(spent <= entries.allowed, (count, spent, entries.allowed))
 
     async def test_without_fresh_word_each_has_its_equal_share(self):
--- a/wigeonscale/direct/tests/test_stalls.py
+++ b/wigeonscale/direct/tests/test_stalls.py
@@ -184,8 +184,8 @@
 class SlowTest(StreamCase):
     """An engine works many times slower than usual; its streams go on, but late."""
 
-    def run_on(self, *names, gap_s, usual_s=0.04):
-        run = Run(names, usual_s=usual_s)
+    def run_on(self, *names, gap_s, expected_interval_s=0.04):
+        run = Run(names, expected_interval_s=expected_interval_s)
         self.harness.stalls.add(run)
         now = self.harness.clock.now()
         for number in range(5):
@@ -204,7 +204,7 @@
         self.assertEqual({"a2"}, set(self.harness.hinted))
 
     async def test_what_load_explains_is_not_slow(self):
-        self.run_on("a1", "a2", gap_s=0.2, usual_s=0.1)
+        self.run_on("a1", "a2", gap_s=0.2, expected_interval_s=0.1)
         self.harness.stalls.check()
         self.assertEqual([], self.harness.hinted)
 
@@ -212,20 +212,20 @@
         run = self.run_on("a1", "a2", gap_s=0.2)
         for _ in range(6):
             run.note_progress(run.progress_at + 0.04)
-        self.assertTrue(run.lately_s < 0.06, run.lately_s)
+        self.assertTrue(run.recent_interval_s < 0.06, run.recent_interval_s)
 
 
 class BehindTest(StreamCase):
     """An entry alone with all callers gets no turn of the processor for a second."""
 
     async def test_what_was_not_read_meanwhile_is_not_held_against_engines(self):
-        runs = [Run(("a1", "a2"), usual_s=0.04) for _ in range(3)]
+        runs = [Run(("a1", "a2"), expected_interval_s=0.04) for _ in range(3)]
         for run in runs:
             self.harness.tracker.begin(run)
             run.note_progress(self.harness.clock.now())
             self.harness.stalls.add(run)
         await self.harness.clock.advance(1.5)
-        self.harness.stalls.note_late(1.47)
+        self.harness.stalls.note_lag(1.47)
         self.harness.stalls.check()
         await self.harness.clock.advance(0)
         self.assertEqual([], self.harness.hinted)
@@ -234,19 +234,19 @@
 
     async def test_a_short_hold_up_of_the_entry_is_no_quiet_of_engines(self):
         """A large document is read: nothing else is for some 65 ms."""
-        run = Run(("a1", "a2"), usual_s=0.04)
+        run = Run(("a1", "a2"), expected_interval_s=0.04)
         self.harness.tracker.begin(run)
         for _ in range(5):
             run.note_progress(self.harness.clock.now())
             await self.harness.clock.advance(0.035)
         self.harness.stalls.add(run)
         await self.harness.clock.advance(0.065)
-        self.harness.stalls.note_late(0.065)
+        self.harness.stalls.note_lag(0.065)
         self.harness.stalls.check()
         await self.harness.clock.advance(0)
         self.assertEqual([], self.harness.reach.probed)
         self.assertEqual([], self.harness.hinted)
-        self.assertFalse(self.harness.stalls.is_behind)
+        self.assertFalse(self.harness.stalls.is_lagging)
 
     async def test_quiet_engines_are_found_soon_after(self):
         run = Run(("a1", "a2"))
@@ -254,7 +254,7 @@
         run.note_progress(self.harness.clock.now())
         self.harness.stalls.add(run)
         await self.harness.clock.advance(1.5)
-        self.harness.stalls.note_late(1.47)
+        self.harness.stalls.note_lag(1.47)
         await self.harness.clock.advance(0.3)
         self.harness.stalls.check()
         await self.harness.clock.advance(0)
@@ -266,14 +266,14 @@
         self.harness.stalls.add(run)
         before = run.progress_at
         await self.harness.clock.advance(0.05)
-        self.harness.stalls.note_late(0.02)
+        self.harness.stalls.note_lag(0.02)
         self.assertEqual(before, run.progress_at)
-        self.assertFalse(self.harness.stalls.is_behind)
+        self.assertFalse(self.harness.stalls.is_lagging)
 
     async def test_a_connection_that_opened_too_late_to_be_seen(self):
         self.exchange.script("a1", not_sent(), [event(1)])
         self.exchange.script("b1", [event(1)])
-        self.harness.stalls.note_late(0.4)
+        self.harness.stalls.note_lag(0.4)
         await self.relay()
         self.assertTrue(self.harness.tracker.is_avoided("a1"))
         await self.harness.clock.advance(0.5)
--- a/wigeonscale/routes/build.py
+++ b/wigeonscale/routes/build.py
@@ -40,7 +40,7 @@
     named = _by_name(services)
     return RouteTable(
         number=number,
-        routes=_by_place(routes, named),
+        routes=_by_host_and_prefix(routes, named),
         services=named,
         organisations=_by_key(organisations or ()),
         needs_keys=organisations is not None,
@@ -52,39 +52,39 @@
     named: dict[str, Service] = {}
     for service in services:
         if service.name in named:
-            _refuse(f"service {service.name!r} stands twice")
+            _reject(f"service {service.name!r} stands twice")
         named[service.name] = service
     return named
 
 
-def _by_place(
+def _by_host_and_prefix(
     routes: Iterable[Route], services: dict[str, Service]
 ) -> dict[str, dict[str, Route]]:
-    places: dict[str, dict[str, Route]] = {}
+    by_host: dict[str, dict[str, Route]] = {}
     for route in routes:
         _check_route(route, services)
-        prefixes = places.setdefault(route.host, {})
+        prefixes = by_host.setdefault(route.host, {})
         if route.prefix in prefixes:
-            _refuse(
+            _reject(
                 f"routes {prefixes[route.prefix].name!r} and {route.name!r} share"
                 f" {route.host}{route.prefix}"
             )
         prefixes[route.prefix] = route
-    return places
+    return by_host
 
 
 def _check_route(route: Route, services: dict[str, Service]) -> None:
     if route.timeout_s <= 0:
-        _refuse(f"route {route.name!r}: its timeout is {route.timeout_s:g} s")
+        _reject(f"route {route.name!r}: its timeout is {route.timeout_s:g} s")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-        _refuse(f"route {route.name!r}: path prefix {route.prefix!r}")
+        _reject(f"route {route.name!r}: path prefix {route.prefix!r}")
     for share in route.shares:
         if share.service not in services:
-            _refuse(f"route {route.name!r}: unknown service {share.service!r}")
+            _reject(f"route {route.name!r}: unknown service {share.service!r}")
         if share.weight < 0:
-            _refuse(f"route {route.name!r}: weight {share.weight:g}")
+            _reject(f"route {route.name!r}: weight {share.weight:g}")
     if sum(share.weight for share in route.shares) <= 0:
-        _refuse(f"route {route.name!r}: its weights add up to nothing")
+        _reject(f"route {route.name!r}: its weights add up to nothing")
 
 
 def _by_key(organisations: Iterable[Organisation]) -> dict[str, Organisation]:
@@ -93,12 +93,12 @@
         for key in organisation.keys:
             holder = holders.setdefault(key, organisation)
             if holder is not organisation:
-                _refuse(
+                _reject(
                     f"organisations {holder.name!r} and {organisation.name!r}"
                     " share a key"
                 )
     return holders
 
 
-def _refuse(message: str) -> None:
+def _reject(message: str) -> None:
     raise SettingsError(message, kind=ErrorKind.INVALID_DOCUMENT)
