--- a/wigeonscale/direct/__init__.py
+++ b/wigeonscale/direct/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that an entry sends to backend servers itself, without agents."""
+"""Direct routing: an entry sends requests to backend servers without agents."""
 
 __all__ = [
     "BackendServer",
--- a/wigeonscale/direct/admission.py
+++ b/wigeonscale/direct/admission.py
@@ -1,4 +1,4 @@
-"""Whether a generation may begin, and on which path."""
+"""Admission of generations and the choice of their paths."""
 
 __all__ = ["PathChoice", "choose_detour", "choose_path_for", "overloaded_error"]
 
@@ -18,8 +18,8 @@
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.layers import LayerRange, Part, find_detour
 
-# Word to callers when the engines are full. Answers last about two seconds, so in one
-# about a third of the room becomes free.
+# Range of the Retry-After sent while the engines are full. Responses last about two
+# seconds, so about a third of the capacity is released within one second.
 OVERLOAD_RETRY_AFTER_S = (0.4, 1.4)
 
 
@@ -28,10 +28,10 @@
     """The cheapest path of one send.
 
     Attributes:
-        path: Its parts; None when no path is whole.
-        full: Engines of it that lack room for one more request of usual size.
-        held: First engines of better paths that want no request now.
-        event_s: Time between events to be expected on it; 0 where none is known.
+        path: Its parts; None if no path covers all layers.
+        full: Its engines without capacity for one more request of mean size.
+        throttled: First engines of cheaper paths that accept no request now.
+        event_interval_s: Expected time between events in seconds; 0 if unknown.
     """
 
     path: list[Part] | None
@@ -49,19 +49,19 @@
 ) -> PathChoice:
     """Return the path of one send.
 
-    Load pattern: more generations than the engines have memory for. One more would not
-    wait its turn: the engines put back others in mid-stream and read them again, so
-    that all get late. What is under way is therefore finished, and who comes new waits
-    a moment or is told when to come back, whatever the size of the request.
+    Engines do not queue a request beyond their memory: they preempt running
+    generations and prefill them again, which delays all of them. So running
+    generations are completed, and a new one waits briefly or is rejected with a
+    Retry-After, whatever its size.
 
-    First engines that want no request now are passed over, and counted as wanted: what
-    they take is shared by demand.
+    First engines that accept no request now are skipped, and the skip is recorded as
+    demand, because entries share the rate limit of an engine by demand.
 
     Args:
-        ctx: What the flows share.
+        ctx: Context of the entry.
         job: The request.
-        lost: Engines that must not be on it.
-        ran_on: First engines of the paths that may have run it.
+        lost: Engines to exclude.
+        ran_on: First engines of the paths that may have run the request.
     """
     throttled: set[str] = set()
     while True:
@@ -83,17 +83,17 @@
     throttled: Container[str],
     ran_on: Collection[str],
 ) -> PathChoice:
-    """Return the cheapest path that begins at none of the engines that hold back."""
+    """Return the cheapest path that does not begin at a throttled engine."""
     engine = job.service.engine
     servers = [
         server
         for server in ctx.fleet().by_service.get(job.service.name, ())
         if server.backend_id not in throttled
-        # It ends under what it gets from now on, wherever it stands on a path.
+        # An engine that shuts down would cut off the request at any place in a path.
         and not ctx.notices.is_leaving(server.backend_id)
     ]
     if len(ran_on) >= job.route.max_attempts:
-        # Of the engines that take requests in, only those that had this one before.
+        # No attempts are left: of the first engines, keep those that had the request.
         servers = [
             server
             for server in servers
@@ -123,19 +123,20 @@
 def choose_detour(
     ctx: EntryContext, job: Job, path: Sequence[Part]
 ) -> list[Part] | None:
-    """Return the path on which a run goes on without its lost engines.
+    """Return a path that replaces the lost engines of a running generation.
 
-    Load pattern: an engine is lost under many streams. Where others of its failure
-    domain hold its layers, only these read the requests again, and no connection, no
-    attempt and no share of the retry budget is spent.
+    If other engines of the same failure domain hold the layers of the lost engine, only
+    these prefill the request again. The reroute needs no new connection, no attempt and
+    no retry of the budget.
 
     Args:
-        ctx: What the flows share.
+        ctx: Context of the entry.
         job: The request.
-        path: The path with engines that are lost.
+        path: Current path, with lost engines.
 
     Returns:
-        The path, or None: its first engine is lost, or nobody near holds the layers.
+        The new path; None if no engine of the path is lost, its first engine is lost,
+        or no other engine of the domain holds the layers.
     """
     fleet = ctx.fleet()
     lost = {
@@ -173,13 +174,13 @@
     rng: random.Random,
     min_wait_s: float = 0.0,
 ) -> WigeonscaleError:
-    """Return the answer of a request that gets no room.
+    """Return the error for a request that is rejected for lack of capacity.
 
     Args:
-        reason: What it lacked.
-        may_have_run: Whether an earlier send of it may have run.
-        rng: Spreads the returns, or all would come back in the same instant.
-        min_wait_s: Time before which no room is to be had, in seconds.
+        reason: The missing capacity.
+        may_have_run: Whether an earlier send may have run.
+        rng: Adds jitter to the Retry-After, so that callers do not all retry at once.
+        min_wait_s: Time until capacity may be free, in seconds.
     """
     return WigeonscaleError(
         ErrorKind.OVERLOADED,
@@ -203,7 +204,7 @@
 def _choose_single_server(
     ctx: EntryContext, servers: Sequence[BackendServer], lost: Container[str]
 ) -> list[Part] | None:
-    """Return a path of one server, where each serves alone."""
+    """Return a path of one server, for a service that does not split its model."""
     server = choose_server(
         servers,
         tracker=ctx.tracker,
--- a/wigeonscale/direct/admission_queue.py
+++ b/wigeonscale/direct/admission_queue.py
@@ -1,16 +1,17 @@
-"""Requests that wait a moment for room at the engines.
-
-Load pattern: an engine is lost, or many callers come at once, and for a few tenths of
-a second the engines are full; answers last about two seconds, so room comes free all
-the time. Who is turned away comes back after the time in which the answer was wanted,
-and comes once only; who waits a moment is served in time. Under lasting overload
-waiting gains nothing, so the queue is as short as the room that will come free while
-one waits, by what became of those before; everybody else is turned away at once.
-
-Load pattern: all entries lose power and start again, and the callers that were cut off
-and those of the meantime come within half a second. Most have no further try left. Who
-has waited for so long that the answer cannot begin in time any more goes on waiting,
-behind those that still can be in time, and is served late instead of never.
+"""A bounded queue of requests that wait for engine capacity.
+
+After the loss of an engine or in a burst of requests, the engines are full for a few
+tenths of a second. Responses last about two seconds, so capacity is released all the
+time. A rejected caller retries too late for a timely response, and retries only once;
+a request that waits briefly is still served in time. Under sustained overload, waiting
+does not help. So the length of the queue is limited to the capacity that will be
+released during one wait, estimated from the outcome of earlier waits, and all other
+requests are rejected at once.
+
+After a power failure of all entries, interrupted callers and new ones arrive within
+half a second, and most of them have no retry left. A request that has waited too long
+for a timely response is moved behind those that can still be in time, and is served
+late rather than never.
 """
 
 __all__ = ["MAX_QUEUE_WAIT_S", "ON_TIME_WAIT_S", "AdmissionQueue"]
@@ -22,40 +23,39 @@
 from wigeonscale.limits import FairQueue
 from wigeonscale.ports import Clock
 
-# Wait after which an answer cannot be in time. Answers shall begin within 500 or 600
-# ms, and take 100 to 200 ms to begin once they are sent.
+# Longest wait after which a response can still be in time. Responses are due to begin
+# within 500 or 600 ms, and begin 100 to 200 ms after the send.
 ON_TIME_WAIT_S = 0.25
-# Longest wait: callers leave after two seconds without an event, and most of a herd
-# that is turned away has no further try.
+# Longest wait. Callers disconnect after two seconds without an event, and most callers
+# of a burst have no retry left after a rejection.
 MAX_QUEUE_WAIT_S = 1.5
-# Room at the engines is looked for this often; of 25 answers a second in a domain one
-# ends every 40 ms.
+# With 25 responses a second in a domain, one ends every 40 ms.
 QUEUE_POLL_INTERVAL_S = 0.04
-# Time of a usual answer until this entry has seen some: 160 tokens at 13 ms each.
+# Mean response time before any response was observed: 160 tokens at 13 ms each.
 INITIAL_RESPONSE_TIME_S = 2.0
-# Weight of the newest in the time of a usual answer; about ten count. Answers of one
-# deployment take twice as long as on another, and all of one as its engines fill up.
+# EWMA weight of the newest response time; covers about ten responses. Response times
+# differ by a factor of two between deployments, and within one as its engines fill up.
 RESPONSE_TIME_EWMA_WEIGHT = 0.1
-# Least time of a usual answer that is reckoned with: one of some tokens.
+# Lower bound of an observed response time, that of a response of a few tokens.
 MIN_RESPONSE_TIME_S = 0.1
-# Weight of the newest in the share of those that got room; about five count.
+# EWMA weight of the newest outcome in the admitted rate; covers about five outcomes.
 ADMITTED_RATE_EWMA_WEIGHT = 0.2
-# Where fewer than this share of those that waited got room, fewer may wait, so that
-# nobody waits in vain under lasting overload.
+# Below this share of admitted requests the queue gets shorter, so that requests do not
+# wait in vain under sustained overload.
 MIN_ADMITTED_RATE = 0.5
-# Bound on the queue whatever is in progress; memory, not service, would need it.
+# Most requests in the queue, whatever is in progress; it only bounds memory.
 MAX_WAITING = 32
 
 
 class AdmissionQueue:
-    """The order in which this entry's requests get the room that comes free.
+    """Queue in which this entry's requests wait for engine capacity.
 
     Args:
         clock: Clock port.
 
     Notes:
-        Those that can still be in time first; then by priority, then fair over
-        organisations, whatever the size of a request.
+        Requests that can still be in time come first, by priority and then fairly over
+        organisations, whatever their size. Late ones follow in order of arrival.
     """
 
     def __init__(self, *, clock: Clock):
@@ -66,7 +66,7 @@
         self._queue: FairQueue[int] = FairQueue(limit=MAX_WAITING, clock=clock)
         self._next: int | None = None
         self._tickets = itertools.count()
-        # Those that cannot be in time any more, in the order in which they came.
+        # Tickets of requests that are too late for a timely response, in order.
         self._late: dict[int, None] = {}
 
     def __len__(self) -> int:
@@ -76,19 +76,19 @@
         """Queue a request.
 
         Args:
-            organisation: Whose request it is; empty for nobody's.
-            priority: Its rank, 0 first.
-            running: Generations of this entry in progress; a share of them ends while
-                one waits.
+            organisation: Organisation of the request; empty if there is none.
+            priority: Its priority; 0 is the highest.
+            running: Generations of this entry in progress, some of which end during the
+                wait.
 
         Returns:
-            Its place, to be given back by ``leave``.
+            A ticket, to be passed to ``release``.
 
         Raises:
-            WigeonscaleError: ``OVERLOADED``: no room will come free for it in time.
+            WigeonscaleError: ``OVERLOADED`` if the queue is full.
         """
         share = min(1.0, self._admitted_rate / MIN_ADMITTED_RATE)
-        # One always waits, to see whether there is room again.
+        # One request may always wait, to detect free capacity.
         max_waiting = 1 + int(
             share * running * MAX_QUEUE_WAIT_S / self._mean_response_time_s
         )
@@ -102,10 +102,10 @@
         return ticket
 
     def note_response_time(self, took_s: float) -> None:
-        """Take the time of a whole answer into account.
+        """Update the mean response time with a complete response.
 
         Args:
-            took_s: From the send to its last event, in seconds.
+            took_s: Time from the send to the last event, in seconds.
         """
         took_s = max(MIN_RESPONSE_TIME_S, took_s)
         self._mean_response_time_s += RESPONSE_TIME_EWMA_WEIGHT * (
@@ -113,32 +113,32 @@
         )
 
     def demote(self, ticket: int) -> None:
-        """Let everybody who can still be in time go before a request.
+        """Move a request behind all requests that can still be in time.
 
         Args:
-            ticket: As ``enter`` returned it.
+            ticket: Its ticket.
         """
         self._remove(ticket)
         self._late[ticket] = None
 
     def release(self, ticket: int, *, admitted: bool | None) -> None:
-        """Give a place back.
+        """Remove a request from the queue.
 
         Args:
-            ticket: As ``enter`` returned it.
-            admitted: Whether the request got room; None if its caller left.
+            ticket: Its ticket.
+            admitted: Whether it got capacity; None if its caller disconnected.
         """
         if admitted is not None:
             self._admitted_rate += ADMITTED_RATE_EWMA_WEIGHT * (
                 admitted - self._admitted_rate
             )
         self._remove(ticket)
-        # Where there was room for one there may be more: the next looks at once.
+        # There may be capacity for more than one, so the next request checks at once.
         self._released.set()
         self._released = asyncio.Event()
 
     async def wait(self) -> None:
-        """Wait until it is time to look for room again."""
+        """Wait until capacity should be checked again."""
         sleep = asyncio.ensure_future(self._clock.sleep(QUEUE_POLL_INTERVAL_S))
         released = asyncio.ensure_future(self._released.wait())
         try:
@@ -148,7 +148,7 @@
             released.cancel()
 
     def is_next(self, ticket: int) -> bool:
-        """Return whether the next room is for the request at a place."""
+        """Return whether a request is the next one to be admitted."""
         if self._next is None:
             self._next = self._queue.pop()
         if self._next is None:
--- a/wigeonscale/direct/backend_tracker.py
+++ b/wigeonscale/direct/backend_tracker.py
@@ -1,4 +1,4 @@
-"""What this entry knows of backend servers from its own requests."""
+"""Load and health of backend servers as this entry observes them."""
 
 __all__ = ["BackendState", "BackendTracker"]
 
@@ -9,31 +9,33 @@
 from wigeonscale.direct.runs import Run
 from wigeonscale.ports import Clock
 
-# A backend server that could not be reached, or stalled a stream, is left alone for
-# this long: control marks a dead one silent within about four seconds.
+# An unreachable or stalled backend server is avoided for this long; control marks a
+# dead server silent within about four seconds.
 AVOID_LOST_S = 4.0
-# One that refused, for lack of room or because it gives layers up, is asked again soon.
+# A server that refused a request is short of capacity or is unloading layers, and may
+# accept requests again soon.
 AVOID_REFUSED_S = 0.4
-# Weight of the newest outcome in the share of failures; about ten count.
+# EWMA weight of the newest outcome in the failure rate; covers about ten outcomes.
 FAILURE_RATE_EWMA_WEIGHT = 0.1
-# Above this share of failed sends a backend server is left alone for as long as a lost
-# one: two in a row, of which the second came after it had been left alone once.
+# Failure rate above which a server is avoided for as long as a lost one. Two failures
+# in a row exceed it; the second comes after the server was avoided once.
 FAILING_RATE = 0.15
 IDLE_TTL_S = 60.0
-# Control tells the load of all entries with each grant, twice a second by default.
+# Control sends the totals of all entries with each lease grant, by default twice a
+# second.
 TOTALS_MAX_AGE_S = 2.5
 
 
 @dataclass(slots=True)
 class BackendState:
-    """What is known of one backend server.
+    """State of one backend server.
 
     Attributes:
         runs: Sends in progress.
-        token_layers: Memory that they take, in tokens times layers.
-        avoid_until: Instant until which it is left alone if others can serve.
-        failures: Recent share of failed sends.
-        last_used_at: Last use of this record.
+        token_layers: Their KV cache demand, in tokens times layers.
+        avoid_until: Time until which the server is used only as a last resort.
+        failure_rate: Moving average of the share of failed sends.
+        last_used_at: Time of the last send.
     """
 
     runs: set[Run] = field(default_factory=set)
@@ -44,7 +46,9 @@
 
 
 class BackendTracker:
-    """Beliefs by the name of the incarnation.
+    """Tracks load and health of backend servers, by name of the incarnation.
+
+    The load of other entries comes from control.
 
     Args:
         clock: Clock port.
@@ -56,30 +60,30 @@
         self._reported: dict[str, tuple[int, float]] = {}
         self._others: dict[str, tuple[int, float]] = {}
         self._totals_at = float("-inf")
-        # Its own load at the instant that word of the others is of.
+        # This entry's own load at the time to which the totals refer.
         self._baseline: dict[str, tuple[int, float]] = {}
 
     def lookup(self, backend_id: str) -> BackendState:
-        """Return what is known of a backend server."""
+        """Return the state of a backend server; create it if there is none."""
         state = self._states.get(backend_id)
         if state is None:
             state = self._states[backend_id] = BackendState()
         return state
 
     def report_loads(self) -> dict[str, tuple[int, float]]:
-        """Return this entry's own load by backend server, and remember it as told.
+        """Return this entry's own load, and record it as reported to control.
 
         Returns:
-            Sends, and tokens times layers, of each with any.
+            Number of sends, and tokens times layers, by backend server with any sends.
         """
         self._reported = self._own_loads()
         return self._reported
 
     def apply_totals(self, totals: Mapping[str, tuple[int, float]]) -> None:
-        """Take in what all entries have in progress, this one included.
+        """Apply the total load of all entries, this one included.
 
         Args:
-            totals: Sends, and tokens times layers, by backend server.
+            totals: Number of sends, and tokens times layers, by backend server.
         """
         self._others = {}
         for name, (running, token_layers) in totals.items():
@@ -88,8 +92,8 @@
                 max(0, running - own_running),
                 max(0.0, token_layers - own_layers),
             )
-        # What came in before the first word says nothing of the others: callers that
-        # were shut out come back in one instant, unevenly.
+        # Own requests from before the first totals say nothing about other entries:
+        # callers that were cut off return all at once and unevenly over the entries.
         is_first = math.isinf(self._totals_at)
         self._baseline = self._own_loads() if is_first else self._reported
         self._totals_at = self._clock.now()
@@ -106,27 +110,27 @@
 
         Args:
             backend_id: Name of the incarnation.
-            entries: Entries that send alike, this one included. Where control has not
-                told the others' load lately, each counts as this one; before it ever
-                did, nothing is inferred.
+            entries: Number of entries with similar traffic, this one included. If the
+                totals are stale, each other entry is assumed to have the same load as
+                this one. Before the first totals nothing is assumed.
 
         Returns:
-            Sends, and tokens times layers.
+            Number of sends, and tokens times layers.
         """
         state = self._states.get(backend_id)
         running = len(state.runs) if state is not None else 0
         token_layers = state.token_layers if state is not None else 0.0
         if math.isinf(self._totals_at):
-            # Load pattern: all entries start at once while the engines are empty, and
-            # callers that could not get in come back in one instant.
+            # When all entries start at once, the engines are empty and callers return
+            # all at once, so the own load must not be extrapolated.
             return running, token_layers
         if self._clock.now() - self._totals_at > TOTALS_MAX_AGE_S:
             return running * entries, token_layers * entries
         baseline_running, baseline_layers = self._baseline.get(backend_id, (0, 0.0))
         others = self._others.get(backend_id, (0, 0.0))
-        # Word of the others is up to a second old, and all entries act on the same
-        # word: what one finds empty all fill at once, and then all leave. So each
-        # takes it that the others did since then what it did itself.
+        # Totals are up to a second old, and all entries act on the same ones: they
+        # would fill an idle server together and then leave it together. So each entry
+        # assumes that the others changed their load since then as it did itself.
         other_entries = entries - 1
         return (
             max(0, running + others[0] + other_entries * (running - baseline_running)),
@@ -139,7 +143,7 @@
         )
 
     def is_avoided(self, backend_id: str) -> bool:
-        """Return whether a backend server is left alone for now."""
+        """Return whether a backend server is avoided now."""
         state = self._states.get(backend_id)
         return state is not None and self._clock.now() < state.avoid_until
 
@@ -149,7 +153,7 @@
         return state.runs if state is not None else ()
 
     def begin(self, run: Run) -> None:
-        """Count a send in."""
+        """Add a send to the load of its backend servers."""
         run.progress_at = self._clock.now()
         for name in run.backend_ids:
             state = self.lookup(name)
@@ -163,49 +167,49 @@
         backend_ids: tuple[str, ...],
         token_layers: dict[str, float],
     ) -> None:
-        """Count a send out where it ran, and in where it goes on."""
+        """Move a send in progress to other backend servers."""
         self.end(run)
         run.backend_ids = backend_ids
         run.token_layers = token_layers
         self.begin(run)
 
     def end(self, run: Run) -> None:
-        """Count a send out."""
+        """Remove a send from the load of its backend servers."""
         for name in run.backend_ids:
             state = self.lookup(name)
             state.runs.discard(run)
             state.token_layers -= run.token_layers.get(name, 0.0)
 
     def note_outcome(self, backend_id: str, *, failed: bool) -> None:
-        """Count one finished send in the share of failures."""
+        """Update the failure rate with one finished send."""
         state = self.lookup(backend_id)
         state.failure_rate += FAILURE_RATE_EWMA_WEIGHT * (failed - state.failure_rate)
 
     def note_refused(self, backend_id: str) -> None:
-        """Leave a backend server alone for a moment."""
+        """Avoid a backend server that refused a send for a short time."""
         self._avoid(backend_id, AVOID_REFUSED_S)
 
     def note_unanswered(self, backend_id: str) -> None:
-        """Leave a backend server alone that broke a send off before any answer.
+        """Avoid a backend server that closed a connection without any response.
 
-        Load pattern: an engine that resets what it gets has nothing to do, so that
-        every request would go there next.
+        An engine that resets all its connections appears idle, so without this it
+        would attract every request.
         """
         self.note_outcome(backend_id, failed=True)
         is_failing = self.lookup(backend_id).failure_rate > FAILING_RATE
         self._avoid(backend_id, AVOID_LOST_S if is_failing else AVOID_REFUSED_S)
 
     def note_lost(self, backend_id: str) -> None:
-        """Leave a backend server alone, and take all that runs there off it."""
+        """Avoid a lost backend server, and reroute or abort its sends."""
         self._avoid(backend_id, AVOID_LOST_S)
         for run in list(self.lookup(backend_id).runs):
             run.reroute_or_abort()
 
     def keep_only(self, backend_ids: Iterable[str]) -> None:
-        """Forget backend servers that are gone and idle.
+        """Drop the state of backend servers that are gone and idle.
 
         Args:
-            backend_ids: Those that exist.
+            backend_ids: Existing backend servers.
         """
         existing = set(backend_ids)
         oldest = self._clock.now() - IDLE_TTL_S
--- a/wigeonscale/direct/choice.py
+++ b/wigeonscale/direct/choice.py
@@ -1,4 +1,4 @@
-"""Where a request goes: decisions on plain data, without input or output."""
+"""Choice of the server or path of a request: pure functions without I/O."""
 
 __all__ = [
     "PathCosts",
@@ -18,42 +18,43 @@
 from wigeonscale.ports.exchange import Generation
 from wigeonscale.routes import EngineProfile
 
-# Load pattern: servers of one service differ little and are mostly idle, so a server
-# of the own domain is taken until it is half full; what crosses domains is priced and
-# takes a millisecond more.
+# Costs of a plain server, in units of its capacity. Servers of one service are similar
+# and mostly idle, and traffic between domains is charged and takes a millisecond
+# longer. So a server of the entry's own domain is preferred until it is half full.
 OTHER_DOMAIN_PENALTY = 0.5
-# A server that fails half of its requests counts like one that is full twice over.
+# A server that fails half of its requests costs as much as one with twice its capacity
+# in use.
 FAILURE_RATE_PENALTY = 4.0
-# Asked only when nobody else is left.
+# Silent and avoided servers are used only if there is no other.
 LAST_RESORT_PENALTY = 1000.0
 
-# Delay of each token between engines of one domain, in ms; the one between domains is
-# told.
+# Delay of each token between engines of one domain, in ms. The delay between domains
+# is part of the configuration.
 NEAR_HOP_MS = 0.1
 MEGA = 1e6
 BITS_PER_BYTE = 8
-# Where a path begins does not matter to the engines, but what the caller gets crosses
-# domains then. Load pattern: one domain has the fastest engines, and the entries of all
-# others crowd into it, each on word that is half a second old, while their own engines
-# stand idle. So another domain is taken only where the own one is full, or takes
-# longer by the time of this many usual answers on engines of mean pace, and this time
-# at least: engines refuse the less of a rush, the dearer it is to begin far away.
+# Cost of a path that begins in another failure domain than the entry's own: this many
+# mean responses on engines of mean speed, and at least FAR_START_MS. The engines do not
+# care where a path begins, but the response then crosses domains. With a lower cost,
+# the entries of all domains overload the domain with the fastest engines, because their
+# load data is half a second old, while their own engines are idle. The higher the cost,
+# the fewer requests engines refuse in such a rush.
 FAR_START_ANSWERS = 4.0
 FAR_START_MS = 300.0
-# A hop inside a path sends a prompt's activations over the link that all domains
-# share, 45 MB each. It is for the time in which no domain is whole; where one is, but
-# full, a request is better told to come back than sent along a path that crosses, so
-# that it costs more than the longest path of full engines.
+# A hop between domains inside a path sends the activations of a prompt, 45 MB, over the
+# link that all domains share. It is meant for times when no domain holds all layers. If
+# a domain does but is full, rejecting the request is better than such a hop. So a hop
+# costs more than the longest path of full engines.
 FAR_HOP_BASE_MS = 1_000_000.0
-# Costs beside which times of work do not count, in ms: an engine without room
-# preempts or refuses; one that is avoided stalls the request for seconds.
-# A path with slow engines costs seconds more than a sound one and is still better than
-# none; so full engines cost more than any slow ones.
+# Penalties that outweigh all computing times. A full engine preempts or refuses
+# requests; an avoided one stalls them for seconds. A path with slow engines costs
+# seconds more than a healthy one but is better than none, so a full engine costs more
+# than any slow one.
 FULL_PENALTY_MS = 20_000.0
 AVOIDED_PENALTY_MS = 10_000_000.0
-# Share of an engine's memory for requests above which it counts as full. Over 1, since
-# a request is counted at its final size, which few have at any moment; no higher, since
-# engines refuse the more sends.
+# Fraction of an engine's KV cache above which it counts as full. Above 1, because each
+# request is counted at its final size, which few have reached at any time; not higher,
+# because engines would refuse more sends.
 FULL_SHARE = 1.1
 
 
@@ -68,11 +69,11 @@
     """Return the backend server of a plain service for one send, or None.
 
     Args:
-        servers: Those of the service.
-        tracker: What is known of them.
+        servers: Servers of the service.
+        tracker: Their load and health.
         domain: The entry's own failure domain.
-        entries: Entries that send alike.
-        tried: Names of incarnations that this request was sent to already.
+        entries: Number of entries with similar traffic.
+        tried: Incarnations to which this request was already sent.
     """
 
     def rank(server: BackendServer) -> tuple[float, str]:
@@ -91,14 +92,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PathCosts:
-    """Costs of a path in milliseconds of the whole request.
+    """Cost functions of a path, in milliseconds of the whole request.
 
     Attributes:
-        part: Cost of running so many layers on an engine.
-        hop: Cost of going from one failure domain to another.
-        token: Time of one token on an engine that runs so many layers.
-        has_capacity: Whether an engine holds one more request of usual size in so many
-            of its layers.
+        part: Returns the cost of running a number of layers on an engine.
+        hop: Returns the cost of a hop between two failure domains.
+        token: Returns the time of one token on an engine that runs a number of layers.
+        has_capacity: Returns whether an engine has capacity for one more request of
+            mean size in a number of its layers.
         far_start: Cost of beginning in another failure domain than the entry's own.
     """
 
@@ -111,13 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _EngineCosts:
-    """What the costs of one engine are made of.
+    """Cost parameters of one engine.
 
     Attributes:
         token_ms: Time of one token in one layer.
         layer_ms: Cost of one layer for the whole request.
-        fixed_ms: Cost whatever the layers.
-        max_layers: Layers in which it has room for one more request of usual size.
+        fixed_ms: Cost that does not depend on the layers.
+        max_layers: Most layers in which it has capacity for one more request of mean
+            size.
     """
 
     token_ms: float
@@ -133,25 +135,25 @@
     tracker: BackendTracker,
     entries: int,
 ) -> PathCosts:
-    """Return the costs of one generation.
+    """Return the cost functions of one generation.
 
     Args:
-        engine: What its engines need.
+        engine: Engine profile of the service.
         generation: Sizes of the request.
-        tracker: What is known of the engines.
-        entries: Entries that send alike: what the others have in progress is
-            inferred from what this one has.
+        tracker: Load and health of the engines.
+        entries: Number of entries with similar traffic; see
+            :meth:`BackendTracker.load_of`.
 
     Notes:
         A token passes all engines one after another, so the times of the parts add
-        up. An engine works for all its requests in passes; the more there are, the
-        longer each takes.
+        up. An engine processes all its requests in a batch; the larger the batch, the
+        longer a step takes.
     """
     prompt = generation.prompt or engine.usual_prompt
     answer = generation.expected or engine.usual_answer
     tokens = prompt + answer
-    # The same for every request: judged by its own size, a large one would be turned
-    # away far more often than a small one.
+    # Capacity is checked with the mean size for every request. With its own size, a
+    # large request would be rejected far more often than a small one.
     usual_tokens = engine.usual_prompt + engine.usual_answer
     prefill_ms = 1000.0 * prompt / engine.read_tokens_per_s
     transfer_ms = (
@@ -167,8 +169,8 @@
     cache: dict[str, _EngineCosts] = {}
 
     def costs_of(server: BackendServer) -> _EngineCosts:
-        # Kept, since a choice asks for each range of layers that a path may take on an
-        # engine, some hundred times.
+        # Cached: one choice asks for each range of layers of an engine, some hundred
+        # times.
         costs = cache.get(server.backend_id)
         if costs is None:
             costs = cache[server.backend_id] = engine_costs(server)
@@ -184,14 +186,14 @@
             + engine.sequence_ms * (others + 1)
             + engine.context_ms * others * tokens / 1000.0
         )
-        # Load pattern: some engines work many times slower than usual, and the passes
-        # of all paths through them wait for them.
+        # Some engines work many times slower than usual, and every path through such
+        # an engine waits for it.
         token_ms = server.slowness * kind.pace * step_ms / engine.layers
         loaded_prefill_ms = kind.read_factor * prefill_ms * (1 + others / 8)
         is_avoided = server.is_silent or tracker.is_avoided(server.backend_id)
         free = FULL_SHARE * kv_cache_capacity(engine, server, kind.size_mb) - used
-        # Load pattern: all requests of a domain pass few first engines, which run as
-        # many as they have slots and let the others wait, whatever their memory.
+        # All requests of a domain pass through few first engines, which run as many as
+        # they have slots and queue the rest, whatever memory is free.
         if server.layers.first == 0 and engine.slots and others >= engine.slots:
             free = -1.0
         return _EngineCosts(
@@ -228,14 +230,14 @@
     domain: str,
     lost: Container[str] = (),
 ) -> list[Part] | None:
-    """Return the path of one generation, or None when there is none.
+    """Return the cheapest path of one generation, or None if there is none.
 
     Args:
         servers: Engines of the service.
-        engine: What they need.
-        costs: Costs of this generation.
+        engine: Their engine profile.
+        costs: Cost functions of this generation.
         domain: The entry's own failure domain.
-        lost: Names of incarnations that must not be on it.
+        lost: Incarnations to exclude.
     """
     holders = [
         server
@@ -252,7 +254,7 @@
 
 
 def _far_start_ms(engine: EngineProfile) -> float:
-    """Return the cost of beginning in another failure domain."""
+    """Return the cost of beginning a path in another failure domain."""
     paces = [kind.pace for kind in engine.accelerators.values()]
     if not paces:
         return FAR_START_MS
@@ -263,6 +265,12 @@
 def kv_cache_capacity(
     engine: EngineProfile, server: BackendServer, size_mb: float
 ) -> float:
-    """Return the tokens times layers that an engine has memory for."""
+    """Return the KV cache capacity of an engine, in tokens times layers.
+
+    Args:
+        engine: Engine profile of the service.
+        server: The engine.
+        size_mb: Memory of its accelerator, for layers and KV cache together.
+    """
     free_mb = size_mb - server.layers.count * engine.layer_mb
     return free_mb * MEGA / (engine.token_bytes / engine.layers)
--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -1,9 +1,10 @@
-"""A request under which backend servers crash: refused, and until then kept apart.
+"""Rejection and isolation of requests that crash backend servers.
 
-Load pattern: one request crashes each server that begins to run it and comes again
-under other ids; all that had just begun there is suspected with it. Sent on together,
-the suspects would reach the next server together, and none could be told from the
-other. So each of them goes on at a first engine where no other one begins.
+One request may crash each server that begins to run it, and its caller may retry it
+under new ids. All requests that had just begun on a crashed server are suspects. If
+the suspects were retried on the same server, they would crash together again and stay
+indistinguishable. So each suspect is retried at a first engine where no other suspect
+is starting.
 """
 
 __all__ = [
@@ -29,15 +30,15 @@
 def raise_if_crashing(
     ctx: EntryContext, job: Job, *, may_have_run: bool = False
 ) -> None:
-    """Refuse a request under which too many backend servers have ended.
+    """Reject a request that has crashed too many backend servers.
 
     Args:
-        ctx: What the flows share.
+        ctx: Context of the entry.
         job: The request.
-        may_have_run: Whether an earlier send of it may have run.
+        may_have_run: Whether an earlier send may have run.
 
     Raises:
-        WigeonscaleError: ``CRASHES_BACKENDS``, with word when it may be tried again.
+        WigeonscaleError: ``CRASHES_BACKENDS``, with a Retry-After.
     """
     run_state = RunState.UNKNOWN if may_have_run else RunState.NOT_RUN
     refusal = refusal_of(ctx.crashes, job.fingerprint, run_state=run_state)
@@ -46,34 +47,34 @@
 
 
 def note_broken_run(ctx: EntryContext, job: Job, run: Run) -> None:
-    """Take in that the first backend server of a run broke it off.
+    """Record that the first backend server of a run closed its connection.
 
     Args:
-        ctx: What the flows share.
-        job: Its request.
+        ctx: Context of the entry.
+        job: The request.
         run: The run.
     """
     first = run.backend_ids[0]
     ctx.crashes.note_broken(first)
     if _note_lost(ctx, job, run, first):
-        # Whether it has ended is known once control has asked it.
+        # Control probes the server and finds out whether it has crashed.
         ctx.suspect(first)
 
 
 def note_aborted_run(
     ctx: EntryContext, job: Job, run: Run, backend_ids: Iterable[str]
 ) -> None:
-    """Take in that a run was taken off backend servers that may be lost.
+    """Record that a run was removed from backend servers that may be lost.
 
-    Load pattern: all streams of an engine that ended are sent on at once, some of them
-    to it once more, and are taken off it while their connections are refused. These
-    were never there.
+    When an engine crashes, all its streams are retried at once, and some of them at the
+    same engine, which refuses their connections. These runs never reached the engine
+    and are not suspects.
 
     Args:
-        ctx: What the flows share.
-        job: Its request.
+        ctx: Context of the entry.
+        job: The request.
         run: The run.
-        backend_ids: Those servers.
+        backend_ids: Servers from which it was removed.
     """
     for backend_id in backend_ids:
         if not ctx.crashes.was_broken(backend_id, before=run.sent_at):
@@ -81,7 +82,7 @@
 
 
 def _note_lost(ctx: EntryContext, job: Job, run: Run, backend_id: str) -> bool:
-    """Return whether a server may have crashed by a run, and nobody said so yet."""
+    """Return whether a run is a new suspect for the loss of a server."""
     if not _is_starting(run):
         note_ran(ctx, job)
         return False
@@ -101,20 +102,20 @@
 
 
 def note_ran(ctx: EntryContext, job: Job) -> None:
-    """Take in that a run of a request went well beyond its beginning."""
+    """Record that a run of a request went on well after its start."""
     ctx.crashes.note_ran(job.fingerprint)
 
 
 def backends_with_other_suspects(ctx: EntryContext, job: Job) -> set[str]:
-    """Return the backend servers where other suspects begin, if this is one itself.
+    """Return the backend servers where other suspects are starting.
 
     Args:
-        ctx: What the flows share.
-        job: The request.
+        ctx: Context of the entry.
+        job: The request. The result is empty if it is no suspect.
 
     Notes:
         Linear in the runs of this entry, for suspects only. Suspects of other entries
-        are not seen.
+        are unknown here.
     """
     if not ctx.crashes.is_suspect(job.fingerprint):
         return set()
--- a/wigeonscale/direct/detour.py
+++ b/wigeonscale/direct/detour.py
@@ -1,4 +1,4 @@
-"""A running generation goes on along another path when an engine of its own is lost."""
+"""Rerouting of a running generation around a lost engine."""
 
 __all__ = ["change_path", "kv_cache_demand"]
 
@@ -17,22 +17,22 @@
 
 
 def kv_cache_demand(job: Job, path: Sequence[Part]) -> dict[str, float]:
-    """Return the memory that a run takes of each engine, in tokens times layers."""
+    """Return the KV cache demand by engine, in tokens times layers."""
     tokens = job.req.generation.prompt + job.req.generation.expected
     return {part.backend_id: float(tokens * part.layers.count) for part in path}
 
 
 async def change_path(ctx: EntryContext, job: Job, run: Run, path: list[Part]) -> bool:
-    """Take a run off its lost engines while it goes on.
+    """Reroute a run around its lost engines without a new send.
 
     Args:
-        ctx: What the flows share.
+        ctx: Context of the entry.
         job: The request.
         run: Its send in progress.
-        path: Where that runs; changed in place with it.
+        path: The path of the run; updated in place.
 
     Returns:
-        Whether it was done; else the request has to be sent anew.
+        Whether the path was changed; if not, the request must be sent again.
     """
     detour = choose_detour(ctx, job, path)
     if detour is None:
@@ -41,7 +41,7 @@
     lost = [part.backend_id for part in path if part.backend_id not in kept]
     note_aborted_run(ctx, job, run, lost)
     if ctx.crashes.refused_for(job.fingerprint):
-        # Not handed to further engines; the flow refuses it.
+        # The request crashes engines: it gets no new ones, and relay_stream rejects it.
         return False
     fleet = ctx.fleet()
     outcome = await ctx.orders.change_path(
--- a/wigeonscale/direct/fleet.py
+++ b/wigeonscale/direct/fleet.py
@@ -1,4 +1,4 @@
-"""Backend servers as an entry sees them, by service."""
+"""Backend servers known to an entry, by service."""
 
 __all__ = ["BackendServer", "Fleet", "read_fleet", "replaced_incarnations"]
 
@@ -14,17 +14,17 @@
     """One incarnation of a backend server.
 
     Attributes:
-        backend_id: Name of the incarnation: another one after each start.
-        service: Service that it belongs to.
-        address: Where it listens, ``ip:port``.
+        backend_id: Name of the incarnation; changes with each start.
+        service: Name of its service.
+        address: Its listen address, ``ip:port``.
         domain: Its failure domain.
         accelerator: Kind of accelerator; empty for a plain service.
         layers: Layers that it holds; empty for none.
-        slots: Requests that it runs at once.
-        is_silent: Whether control has not heard of it lately.
-        incarnation: Number of its incarnation, as control counts.
-        started_ms: Its start, Unix milliseconds; 0 where it does not say.
-        slowness: Times as long as usual that its work takes.
+        slots: Number of requests that it runs concurrently.
+        is_silent: Whether control lacks recent heartbeats of it.
+        incarnation: Number of its incarnation, as counted by control.
+        started_ms: Its start time in Unix milliseconds; 0 if unknown.
+        slowness: Factor by which it is slower than usual.
     """
 
     backend_id: str
@@ -41,7 +41,7 @@
 
     @property
     def name(self) -> str:
-        """Name that it gives itself, which it may keep when it starts again."""
+        """Name that the server gives itself; may stay the same after a restart."""
         if not self.started_ms:
             return self.backend_id
         return self.backend_id.removesuffix(_suffix(self.started_ms))
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """Backend servers that may get new work.
+    """Backend servers that may get new requests, and draining ones.
 
     Attributes:
-        by_service: Those of each service.
-        by_id: All by the name of their incarnation.
-        by_address: All by address.
-        draining: Those that get no new work but finish what they have, by the name of
-            their incarnation.
+        by_service: Servers that may get new requests, by service.
+        by_id: The same, by name of the incarnation.
+        by_address: The same, by address.
+        draining: Servers that get no new requests and complete the running ones, by
+            name of the incarnation.
     """
 
     by_service: Mapping[str, tuple[BackendServer, ...]] = field(default_factory=dict)
@@ -65,19 +65,19 @@
     draining: Mapping[str, BackendServer] = field(default_factory=dict)
 
     def has_ended(self, backend_id: str) -> bool:
-        """Return whether an incarnation is gone, or silent, without leaving."""
+        """Return whether an incarnation is silent, or is gone and not draining."""
         server = self.by_id.get(backend_id)
         if server is not None:
             return server.is_silent
         return backend_id not in self.draining
 
     def find(self, backend_id: str) -> BackendServer | None:
-        """Return a backend server, also one that is leaving, or None."""
+        """Return a backend server, draining or not, or None."""
         return self.by_id.get(backend_id) or self.draining.get(backend_id)
 
 
 def read_fleet(backends: Iterable[wire.Backend]) -> Fleet:
-    """Return the fleet of what control told.
+    """Return the fleet from the messages of control.
 
     Args:
         backends: Announced backend servers.
@@ -117,18 +117,18 @@
 def replaced_incarnations(
     before: Iterable[wire.Backend], now: Iterable[wire.Backend]
 ) -> list[str]:
-    """Return the names of incarnations that have ended since a later one is there.
+    """Return the incarnations that were replaced by a later one.
 
-    Load pattern: an engine starts again under its name or address within a second.
-    What ran on its former start stands still, and is found by a time limit otherwise.
+    An engine may restart under the same name or address within a second. Its former
+    sends get no more events, which otherwise only a timeout would detect.
 
     Args:
-        before: Announced backend servers, as known before.
-        now: As known now.
+        before: Backend servers announced before.
+        now: Backend servers announced now.
 
     Returns:
-        Incarnations of ``before``. One that is merely gone from ``now`` may be about
-        to leave and finish what it has, so it is not among them.
+        Names of replaced incarnations of ``before``. Those that are only missing from
+        ``now`` are left out, because they may still complete their requests.
     """
     names = {backend.agent_id: backend for backend in now}
     addresses = {backend.address: backend for backend in now}
--- a/wigeonscale/direct/job.py
+++ b/wigeonscale/direct/job.py
@@ -1,4 +1,4 @@
-"""One request on its way, and what every flow needs."""
+"""A routed request, and the context that all requests of an entry share."""
 
 __all__ = ["Job", "EntryContext"]
 
@@ -22,24 +22,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntryContext:
-    """What the flows of one entry share.
+    """Components that all requests of one entry share.
 
     Attributes:
         exchange: Port to the backend servers.
-        tracker: What is known of them.
-        budget: Bounds further sends.
+        tracker: Load and health of the backend servers.
+        budget: Limits retries.
         clock: Clock port.
         domain: The entry's own failure domain.
-        fleet: Returns the backend servers as of now.
-        entries: Returns how many entries send alike.
-        suspect: Tells control that a backend server does not answer.
-        rng: Source of randomness, to spread those that are told to come back.
-        orders: Port to the engines' orders.
-        stalls: Ends the waits of generations that stand still.
-        admission_queue: Requests that wait for room at the engines.
-        crashes: Which requests are refused since backend servers crash under them.
-        notices: What backend servers say of themselves.
-        limits: This entry's part of the limits that they name.
+        fleet: Returns the current backend servers.
+        entries: Returns the number of entries with similar traffic.
+        suspect: Reports to control that a backend server does not respond.
+        rng: Source of randomness for jitter of Retry-After.
+        orders: Port for orders to engines.
+        stalls: Detects stalled generations and aborts or reroutes them.
+        admission_queue: Requests that wait for engine capacity.
+        crashes: Requests that are rejected because they crash backend servers.
+        notices: Shutdown, rate limit and Retry-After notices of backend servers.
+        limits: This entry's share of the rate limits of backend servers.
     """
 
     exchange: Exchange
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Job:
-    """A request that was matched.
+    """A request with its route and service.
 
     Attributes:
         req: The caller's request.
         route: Its route.
-        service: Service that shall serve it.
-        organisation: The caller's organisation; None for none.
-        deadline_at: Local instant of its final answer, whatever has happened.
+        service: Service that handles it.
+        organisation: The caller's organisation; None if there is none.
+        deadline_at: Local time by which the final response must be sent.
     """
 
     req: CallerRequest
@@ -79,19 +79,19 @@
 
     @property
     def priority(self) -> int:
-        """Its rank at the backend servers, 0 first."""
+        """Priority at the backend servers; 0 is the highest."""
         if self.organisation is not None and self.organisation.priority is not None:
             return self.organisation.priority
         return self.route.priority
 
     @property
     def organisation_name(self) -> str:
-        """Name of the caller's organisation; empty for none."""
+        """Name of the caller's organisation; empty if there is none."""
         return self.organisation.name if self.organisation is not None else ""
 
     @property
     def fingerprint(self) -> bytes:
-        """What it shares with the same request under another id."""
+        """Hash that is the same for the same request under another id."""
         return request_fingerprint(
             caller=self.organisation_name,
             method=self.req.method,
@@ -102,13 +102,13 @@
     def call(
         self, *, now: float, address: str, backend_id: str, **fields
     ) -> BackendCall:
-        """Return one send of it.
+        """Return the call for one send of the request.
 
         Args:
-            now: Local instant.
-            address: Where it goes.
-            backend_id: Name that the backend server there must go by.
-            **fields: Further fields of the call.
+            now: Local time.
+            address: Address of the backend server.
+            backend_id: Expected name of the backend server.
+            **fields: Other fields of the call.
         """
         return BackendCall(
             req=self.req,
--- a/wigeonscale/direct/next_path.py
+++ b/wigeonscale/direct/next_path.py
@@ -1,4 +1,4 @@
-"""The path of the next send of a generation, waited for where that is worth it."""
+"""Choice of the path for the next send of a generation, with bounded waits."""
 
 __all__ = ["NO_PATH_RETRY_AFTER_S", "next_path"]
 
@@ -13,13 +13,14 @@
 from wigeonscale.direct.progress import Progress
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
-# Word to callers when no path is whole: a lost engine is found and its layers are
-# loaded elsewhere in one to three seconds.
+# Retry-After when no path covers all layers. A lost engine is detected, and its layers
+# are loaded elsewhere, in one to three seconds.
 NO_PATH_RETRY_AFTER_S = 1.0
-# A stream that was begun waits this long for a path before it is given up, in steps.
+# A request that must be finished waits this long for a path.
 MAX_PATH_WAIT_S = 1.0
-# A request that is suspected to crash engines waits this long for a first engine where
-# no other suspect begins: a run that is no cause has gone on for 0.25 s by then.
+# A request suspected of crashing engines waits this long for a first engine where no
+# other suspect is starting. By then a run that crashes nothing has gone on for 0.25 s
+# and is no suspect any more.
 MAX_ISOLATION_WAIT_S = 0.6
 PATH_POLL_INTERVAL_S = 0.1
 
@@ -27,17 +28,17 @@
 
 
 async def next_path(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
-    """Return the path of the next send; there is one.
+    """Return the path of the next send; its ``path`` is never None.
 
     Args:
-        ctx: What the flows share.
+        ctx: Context of the entry.
         job: The request.
-        progress: How far it has come: what would be lost to its caller is finished,
-            also where engines are full.
+        progress: Its progress. A request that must be finished may get a path through
+            full engines.
 
     Raises:
-        WigeonscaleError: ``NO_BACKEND``: no path is whole; ``OVERLOADED``: there is
-            one, but no room.
+        WigeonscaleError: ``NO_BACKEND`` if no path covers all layers; ``OVERLOADED`` if
+            the engines have no capacity.
     """
     await _wait_until_isolated(ctx, job, progress)
     if progress.must_finish:
@@ -46,7 +47,7 @@
 
 
 async def _wait_until_isolated(ctx: EntryContext, job: Job, progress: Progress) -> None:
-    """Wait until a suspect can go on apart from others, or long enough."""
+    """Wait until a suspect can be isolated from others, or the wait times out."""
     give_up_at = min(ctx.clock.now() + MAX_ISOLATION_WAIT_S, job.deadline_at)
     while (
         backends_with_other_suspects(ctx, job)
@@ -57,7 +58,7 @@
 
 
 async def _wait_for_path(ctx: EntryContext, job: Job, progress: Progress) -> PathChoice:
-    """Return a path, as soon as there is one, also where engines are full."""
+    """Return a path as soon as there is one, even if its engines are full."""
     give_up_at = min(ctx.clock.now() + MAX_PATH_WAIT_S, job.deadline_at)
     while True:
         choice = _choose(ctx, job, progress)
@@ -71,7 +72,7 @@
 async def _wait_for_capacity(
     ctx: EntryContext, job: Job, progress: Progress
 ) -> PathChoice:
-    """Return the path of an answer that is not begun, all of it with room."""
+    """Return a path on which all engines have capacity for a new request."""
     choice = _choose(ctx, job, progress)
     if choice.path is None and _throttled_for_s(ctx, choice) > MAX_QUEUE_WAIT_S:
         raise _no_capacity_error(ctx, job, progress, choice)
@@ -111,7 +112,7 @@
 
 
 def _enqueue(ctx: EntryContext, job: Job, progress: Progress) -> int:
-    """Return the place of a request among those that wait for room."""
+    """Add a request to the admission queue and return its ticket."""
     try:
         return ctx.admission_queue.enqueue(
             organisation=job.organisation_name,
@@ -134,7 +135,10 @@
 def _choose_isolated(
     ctx: EntryContext, job: Job, progress: Progress
 ) -> PathChoice | None:
-    """Return a path that begins where no other suspect does, for a suspect."""
+    """Return a path for a suspect that begins where no other suspect is starting.
+
+    Returns None if there is no such path, or no need for one.
+    """
     others = backends_with_other_suspects(ctx, job)
     if not others:
         return None
@@ -167,7 +171,10 @@
 
 
 def _throttled_for_s(ctx: EntryContext, choice: PathChoice) -> float:
-    """Return the time until a path may be had that none is, in seconds."""
+    """Return the time until a throttled engine accepts requests, in seconds.
+
+    It is 0 if there is a path, and infinite if no wait will give one.
+    """
     if choice.path is not None:
         return 0.0
     waits_s = [ctx.notices.send_delay_s(name) for name in choice.throttled]
--- a/wigeonscale/direct/notices.py
+++ b/wigeonscale/direct/notices.py
@@ -1,4 +1,4 @@
-"""What backend servers say of themselves, and when this entry may send to them."""
+"""Notices in responses of backend servers, and when this entry may send to them."""
 
 __all__ = ["Notices"]
 
@@ -15,15 +15,15 @@
 
 
 class Notices:
-    """Newest notice of each backend server that said anything.
+    """Newest notice of each backend server.
 
-    Load pattern: a server that turns a request away is empty and near, so that the next
-    one would go there again as soon as it may. So what it asks for bars it, however
-    cheap it is, and whoever has no other server is told when to come back.
+    A server that rejects requests appears idle and therefore cheap, and would get the
+    next request at once. So no request is sent to it during its Retry-After, whatever
+    its cost. Requests without another server are rejected with a Retry-After.
 
     Args:
         clock: Clock port.
-        limits: This entry's part of the limits that they name.
+        limits: This entry's share of the rate limits of backend servers.
     """
 
     def __init__(self, *, clock: Clock, limits: BackendRateLimits):
@@ -45,20 +45,20 @@
         request_id: str,
         sent_at: float,
     ) -> None:
-        """Take in what an answer says, and log what is new of it.
+        """Record the notice of a response, and log it if it has changed.
 
         Args:
-            backend_id: Name of the incarnation that answered.
-            notice: What it said; None where it did not answer itself.
-            request_id: The request that it answered.
-            sent_at: Instant at which that went out.
+            backend_id: Name of the incarnation that responded.
+            notice: Its notice; None if the response is not its own.
+            request_id: Id of the request.
+            sent_at: Time at which the request was sent.
         """
         if notice is None:
             return
         self._limits.note(backend_id, notice.limit_per_s, sent_at=sent_at)
         self._note_retry_after(backend_id, notice.rest_s)
         if notice.is_leaving:
-            # For good: an answer that says nothing of it was begun before.
+            # Permanent: a later response without this notice was begun before it.
             self._leaving.add(backend_id)
         if notice == self.latest(backend_id):
             return
@@ -75,17 +75,17 @@
         )
 
     def is_leaving(self, backend_id: str) -> bool:
-        """Return whether a backend server has said that it is about to end."""
+        """Return whether a backend server has announced its shutdown."""
         return backend_id in self._leaving
 
     def may_send(self, backend_id: str) -> bool:
-        """Return whether a request may go to a backend server now."""
+        """Return whether a request may be sent to a backend server now."""
         return self.send_delay_s(backend_id) <= 0.0
 
     def send_delay_s(self, backend_id: str) -> float:
-        """Return the time until a request may go there, in seconds.
+        """Return the time until a request may be sent, in seconds.
 
-        Infinite where that is not to be foreseen.
+        Infinite if it is unknown.
         """
         if self.is_leaving(backend_id):
             return math.inf
@@ -100,10 +100,10 @@
             self._retry_at[backend_id] = max(until, known)
 
     def keep_only(self, backend_ids: Iterable[str]) -> None:
-        """Forget backend servers that are gone.
+        """Drop the notices of backend servers that are gone.
 
         Args:
-            backend_ids: Those that exist.
+            backend_ids: Existing backend servers.
         """
         existing = set(backend_ids)
         self._newest = {
--- a/wigeonscale/direct/plain.py
+++ b/wigeonscale/direct/plain.py
@@ -1,4 +1,4 @@
-"""One request to a plain service: at most one run unless it may be repeated."""
+"""Requests to plain services: run at most once unless they are idempotent."""
 
 __all__ = ["call_plain"]
 
@@ -21,26 +21,26 @@
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.ports.exchange import ExchangeError, Fate, WholeAnswer
 
-# A first try of a request that may be repeated gets this share of the time that is
-# left, so that the second one still has a chance against a server that hangs.
-FIRST_ATTEMPT_TIME_FRACTION = 0.45
-# Word to callers when no server took the request: one that refuses is avoided for
-# 0.4 s, and work takes some tens of milliseconds.
+# Fraction of the remaining time that an attempt of an idempotent request gets, so that
+# a hanging server leaves time for another attempt.
+ATTEMPT_TIME_FRACTION = 0.45
+# Retry-After when no server accepted the request. A server that refuses is avoided for
+# 0.4 s, and requests take some tens of milliseconds.
 NO_SERVER_RETRY_AFTER_S = 0.3
 
 logger = logging.getLogger(__name__)
 
 
 async def call_plain(ctx: EntryContext, job: Job) -> WholeAnswer:
-    """Return the answer of a backend server.
+    """Return the response of a backend server.
 
     Args:
-        ctx: What the flows share.
+        ctx: Context of the entry.
         job: The request.
 
     Raises:
-        WigeonscaleError: With run state ``NOT_RUN`` only if no server can have run
-            it or ever will.
+        WigeonscaleError: Run state ``NOT_RUN`` guarantees that no server has run the
+            request or will run it.
     """
     tried: set[str] = set()
     attempts = 0
@@ -105,7 +105,7 @@
             ctx.limits.note_demand(server.backend_id)
             tried = tried | {server.backend_id}
 
-    # Few servers run a plain service: apart from other suspects only where it can be.
+    # A plain service has few servers, so suspects are isolated only if possible.
     return choose(tried | backends_with_other_suspects(ctx, job)) or choose(tried)
 
 
@@ -114,7 +114,7 @@
     left_s = job.deadline_at - now
     if left_s <= 0:
         raise ExchangeError(Fate.NOT_SENT, "no time is left")
-    limit_s = left_s * FIRST_ATTEMPT_TIME_FRACTION if _may_retry(job) else left_s
+    limit_s = left_s * ATTEMPT_TIME_FRACTION if _may_retry(job) else left_s
     call = job.call(now=now, address=server.address, backend_id=server.name)
     run = Run((server.backend_id,), fingerprint=job.fingerprint)
     ctx.crashes.note_sent(job.fingerprint)
@@ -188,7 +188,7 @@
 
 
 def _throttled_for_s(ctx: EntryContext, job: Job) -> float:
-    """Return the time until a server of the service wants requests; 0 if unknown."""
+    """Return the time until a server accepts requests, in seconds; 0 if unknown."""
     servers = ctx.fleet().by_service.get(job.service.name, ())
     waits_s = [ctx.notices.send_delay_s(server.backend_id) for server in servers]
     least_s = min(waits_s, default=0.0)
--- a/wigeonscale/direct/probing.py
+++ b/wigeonscale/direct/probing.py
@@ -1,9 +1,10 @@
-"""Asks the engines of a quiet path themselves whether they are there.
+"""Probes the engines of stalled paths with new connections.
 
-Load pattern: an engine goes dark, and every stream through it stands still at once. A
-pause over some 300 ms is late, and sent elsewhere a stream needs 100 to 150 ms to go
-on; so an engine has to be found lost within 200 ms. Its neighbours on the path let a
-connection open within a round trip, whatever their load is; it does not.
+When an engine becomes unreachable, every stream through it stalls at once. A pause of
+more than about 300 ms is late, and a stream that is sent to another path needs 100 to
+150 ms to continue. So a lost engine must be detected within 200 ms. The other engines
+of the path accept a connection within one round trip, whatever their load; the lost one
+does not.
 """
 
 __all__ = ["EngineProber"]
@@ -16,39 +17,39 @@
 from wigeonscale.direct.fleet import BackendServer, Fleet
 from wigeonscale.ports import Clock, ProbeAnswer, Reach
 
-# A connection opens within some 2 ms. One packet lost costs it a second, so another one
-# is tried, and a third, so that a link which loses packets does not make sound engines
-# look lost.
+# Start times of the probes of one engine. A connection opens within about 2 ms, but a
+# lost packet delays it by a second. A second and a third connection keep packet loss
+# from making a healthy engine look lost.
 PROBE_DELAYS_S = (0.0, 0.02, 0.035)
-# From the first probe on. The path has been quiet for some 70 ms by then, and going on
-# elsewhere takes the rest of the time after which a pause is late.
+# Timeout from the first probe on. The path has been stalled for about 70 ms by then,
+# and the switch to another path takes the rest of the time until a pause is late.
 PROBE_TIMEOUT_S = 0.05
-# Beside that, a connection takes this many times the delay to the engine's domain, as
-# told by the configuration.
+# The timeout is extended by this many times the configured one-way delay to the domain
+# of the engine.
 ONE_WAY_DELAYS_PER_PROBE = 2
-# Engines of one round. Load pattern: many paths are quiet at once, and an entry has a
-# small share of a core for all probes. Those come first that most quiet runs pass
-# through: a lost one is on all that it stopped.
+# Most engines in one round. Many paths may stall at once, and an entry has only a small
+# share of a core for probes. Engines with the most stalled runs come first, because all
+# runs through a lost engine are stalled.
 MAX_PROBED_PER_ROUND = 16
-# An engine is not asked again before this long. Load pattern: engines are so busy that
-# all paths are quiet, and each new connection takes them a millisecond.
+# Least time between two probes of an engine. When engines are so busy that all paths
+# stall, each new connection costs them another millisecond.
 PROBE_INTERVAL_S = 1.0
 
 logger = logging.getLogger(__name__)
 
 
 class EngineProber:
-    """Probes engines in rounds, and tells which are lost.
+    """Probes engines in rounds and reports the lost ones.
 
     Args:
-        reach: Finds out whether an engine's VM answers.
+        reach: Checks whether the VM of an engine responds.
         clock: Clock port.
-        fleet: Returns the backend servers as of now.
-        delay_s: Returns the delay of one way to a failure domain, in seconds.
-        has_progress: Returns whether something moves through an engine after all, or
-            nothing may be said of it; asked once the answers are there.
-        has_event_since: Returns whether any engine was heard of after an instant.
-        on_lost: Called with the name of each engine that is lost.
+        fleet: Returns the current backend servers.
+        delay_s: Returns the one-way delay to a failure domain, in seconds.
+        has_progress: Returns whether runs through an engine get events, or whether its
+            state cannot be judged; called after the probes have ended.
+        has_event_since: Returns whether any run got an event after a given time.
+        on_lost: Called with the name of each lost engine.
     """
 
     def __init__(
@@ -73,10 +74,10 @@
         self._rounds: set[asyncio.Task] = set()
 
     def start_round(self, names: Sequence[str]) -> None:
-        """Begin a round, unless all were asked lately.
+        """Start a round, unless all engines were probed recently.
 
         Args:
-            names: Engines in question, the most likely ones first.
+            names: Names of engines that may be lost, the most likely ones first.
         """
         now = self._clock.now()
         self._probed_at = {
@@ -98,7 +99,7 @@
         task.add_done_callback(self._rounds.discard)
 
     async def close(self) -> None:
-        """End the rounds that are under way."""
+        """Cancel the running rounds."""
         for task in self._rounds:
             task.cancel()
         await asyncio.gather(*self._rounds, return_exceptions=True)
@@ -115,7 +116,7 @@
             if answer is not ProbeAnswer.ANSWERED
             and not self._has_progress(server.backend_id)
         ]
-        # Where nobody can be reached, the fault is as likely on this side.
+        # If no engine responds, this entry may be the one that is cut off.
         is_isolated = not self._has_event_since(began_at) and all(
             answer is ProbeAnswer.NOTHING for answer in answers
         )
@@ -137,7 +138,7 @@
             self._on_lost(name)
 
     async def _probe_server(self, server: BackendServer) -> ProbeAnswer:
-        """Return the first answer that tells something, of a few probes."""
+        """Return the first conclusive result of several probes."""
         probes = [
             asyncio.create_task(self._probe_once(server, delay_s))
             for delay_s in PROBE_DELAYS_S
--- a/wigeonscale/direct/progress.py
+++ b/wigeonscale/direct/progress.py
@@ -1,4 +1,4 @@
-"""How far one generation has come, over all its sends."""
+"""Progress of one generation over all its sends."""
 
 __all__ = ["Progress"]
 
@@ -7,19 +7,19 @@
 
 @dataclass(slots=True)
 class Progress:
-    """How far a request has come.
+    """Progress of one request.
 
     Attributes:
-        last_id: Last event that the caller has; None before the first.
-        is_begun: Whether the caller was sent the head.
-        sends: Sends so far.
-        ran_on: First engines of the paths that may have run it.
-        lost: Engines that this request found lost.
-        moves: Changes of the path of a running send.
-        first_event_at: Instant at which the caller got its first event; None before it.
-        latest_event_at: Instant at which the caller got its latest event.
-        longest_pause_s: Longest time between two events that the caller got.
-        paused_after: Event after which that was; None where events have no id.
+        last_id: Id of the last event that the caller has; None before the first.
+        is_begun: Whether the response head was sent to the caller.
+        sends: Number of sends.
+        ran_on: First engines of the paths that may have run the request.
+        lost: Engines that failed during this request.
+        reroutes: Number of path changes of running sends.
+        first_event_at: Time of the first event to the caller; None before it.
+        latest_event_at: Time of the latest event to the caller.
+        longest_pause_s: Longest time between two events to the caller.
+        paused_after: Id of the event before that pause; None if events have no ids.
     """
 
     last_id: int | None
@@ -35,18 +35,19 @@
 
     @property
     def must_finish(self) -> bool:
-        """Whether the request is lost to its caller if it is not finished here.
+        """Whether only this entry can complete the request for its caller.
 
-        The caller has part of the answer, or cannot be told that nothing ran.
+        The caller has a part of the response, or the request may have run, so that the
+        caller cannot be told that it did not.
         """
         return self.is_begun or bool(self.ran_on)
 
     def note_event(self, now: float, event_id: int | None) -> None:
-        """Count an event that the caller was sent.
+        """Record an event that was sent to the caller.
 
         Args:
-            now: Local instant.
-            event_id: Its id; None where it has none.
+            now: Local time.
+            event_id: Id of the event; None if it has none.
         """
         if self.first_event_at is None:
             self.first_event_at = now
--- a/wigeonscale/direct/rate_limits.py
+++ b/wigeonscale/direct/rate_limits.py
@@ -1,4 +1,4 @@
-"""How much this entry may send to a backend server that names a limit."""
+"""This entry's share of the rate limits that backend servers announce."""
 
 __all__ = ["NamedLimit", "BackendRateLimits"]
 
@@ -13,20 +13,23 @@
 from wigeonscale.limits import sharers
 from wigeonscale.ports import Clock
 
-# Share of a limit that is used: entries hear of each other late.
+# Fraction of a limit that is used, because entries learn of each other's demand late.
 USABLE_FRACTION = 0.8
-# Requests that come together may go together, up to what an entry's share allows in
-# this time; with a share of less than one they are strictly spaced.
+# A burst may hold the requests that an entry's share allows in this time. If that is
+# less than one request, requests are evenly spaced.
 BURST_S = 0.5
-# Span over which an entry counts the requests that it has for a backend server.
+# Window over which an entry counts its demand for a backend server.
 DEMAND_WINDOW_S = 5.0
-# Most that it counts: what an entry asks of one server in that span, many times over.
+# Upper bound of that count, many times the usual demand of an entry in the window.
 MAX_DEMAND_SAMPLES = 4096
-# That a limit has ended is told for so long, so that no older word of it comes back.
+# The end of a limit is reported for this long, so that an older report cannot restore
+# the limit.
 ENDED_LIMIT_TTL_S = 30.0
-# Share of the entries whose word is enough to share a limit by: some come and go.
+# Fraction of the entries whose reports suffice to share a limit, because some entries
+# start and stop.
 MIN_REPORTING_FRACTION = 0.9
-# A backend server that takes nothing must be asked now and then whether it still does.
+# Lower limits count as this rate, so that a backend server that accepts no requests is
+# still tried now and then.
 MIN_RATE_PER_S = 0.2
 
 logger = logging.getLogger(__name__)
@@ -34,15 +37,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NamedLimit:
-    """Word of one limit between entries.
+    """Report of one rate limit, exchanged between entries.
 
     Attributes:
         backend_id: Name of the incarnation.
-        per_s: Requests a second that it takes from all entries; None where its newest
-            answer names no limit.
-        age_s: Time since that answer, in seconds; None where the teller has none of
-            its own.
-        demands: Requests that entries had for it lately, by the name of the entry.
+        per_s: Requests per second that it accepts from all entries; None if its newest
+            response has no limit.
+        age_s: Time since that response, in seconds; None if the reporting entry had no
+            response of its own.
+        demands: Recent number of requests for it, by name of the entry.
     """
 
     backend_id: str
@@ -53,15 +56,15 @@
 
 @dataclass(slots=True)
 class _Limit:
-    """What is known of one limit.
+    """State of one rate limit.
 
     Attributes:
-        per_s: Requests a second; None where it has ended.
-        received_at: Instant of the answer that said so.
-        is_own: Whether that answer came to this entry.
-        demand_at: Instants at which this entry lately had a request for it.
-        shares: Weights of the entries that share it, by the newest word.
-        next_send_at: Instant from which the next request is due at an even pace.
+        per_s: Requests per second; None if the limit has ended.
+        received_at: Time of the response with this limit.
+        is_own: Whether this entry received that response.
+        demand_at: Times of this entry's recent requests for the backend server.
+        shares: Weights of the entries that share the limit, by the newest reports.
+        next_send_at: Time of the next request at an even rate.
     """
 
     per_s: float | None
@@ -75,23 +78,23 @@
 
 
 class BackendRateLimits:
-    """This entry's part of the limits that backend servers name.
+    """This entry's share of the rate limits that backend servers announce.
 
-    Load pattern: an engine in need is as near and as empty as ever, so that all entries
-    of its failure domain go on beginning their paths there, and each that hears of the
-    limit would take the whole of it. So the entries that have work for it tell each
-    other through control, and share it by what they have; where they are too many for
-    the limit, those with the most have it and the others send elsewhere. An entry
-    without word from control takes what all entries would get if all sent.
+    An overloaded engine still appears near and idle, so all entries of its failure
+    domain would begin their paths there, and each of them would use the whole limit. So
+    entries report their demand to each other through control and share the limit by
+    demand. If there are too many entries for the limit, those with the highest demand
+    share it and the others send elsewhere. An entry without recent reports from control
+    uses an equal share among all entries.
 
     Args:
         name: Name of this entry.
         clock: Clock port.
-        entries: Returns how many entries send alike.
+        entries: Returns the number of entries with similar traffic.
 
     Notes:
-        Costs nothing for a backend server without a limit, and a few bytes a word for
-        each with one.
+        No cost for a backend server without a limit, and a few bytes per report for
+        each one with a limit.
 
     Example:
         >>> from wigeonscale.testing import ManualClock
@@ -106,16 +109,16 @@
         self._clock = clock
         self._entries = entries
         self._limits: dict[str, _Limit] = {}
-        # When the other entries were last heard of, nearly all of them.
+        # Time of the last totals that covered nearly all entries.
         self._totals_at = -math.inf
 
     def note(self, backend_id: str, per_s: float | None, *, sent_at: float) -> None:
-        """Take in what an answer names.
+        """Record the rate limit in a response.
 
         Args:
-            backend_id: Name of the incarnation that answered.
-            per_s: Its limit in requests a second; None for none.
-            sent_at: Instant at which the request went out that it answered.
+            backend_id: Name of the incarnation that responded.
+            per_s: Its limit in requests per second; None if there is none.
+            sent_at: Time at which the request was sent.
         """
         limit = self._limits.get(backend_id)
         if limit is None:
@@ -123,20 +126,20 @@
                 return
             limit = self._add(backend_id, per_s, self._clock.now())
         elif per_s is None and sent_at < limit.received_at:
-            # An answer may have been under way before the limit was named.
+            # The response may have been begun before the limit was announced.
             return
         limit.per_s = per_s
         limit.received_at = self._clock.now()
         limit.is_own = True
 
     def may_send(self, backend_id: str) -> bool:
-        """Return whether a request may go to a backend server now."""
+        """Return whether a request may be sent to a backend server now."""
         return self.send_delay_s(backend_id) <= 0.0
 
     def send_delay_s(self, backend_id: str) -> float:
-        """Return the time until a request may go there, in seconds.
+        """Return the time until a request may be sent, in seconds.
 
-        Infinite where the other entries have the whole limit for now.
+        Infinite if other entries use the whole limit.
         """
         limit = self._limits.get(backend_id)
         if limit is None or limit.per_s is None:
@@ -146,18 +149,18 @@
             return math.inf
         due_at = limit.next_send_at - max(0.0, BURST_S - interval_s)
         if not self._has_fresh_totals():
-            # Others without word begin to send in the same moment.
+            # Other entries without reports start to send at the same time.
             due_at = max(due_at, self._totals_at + TOTALS_MAX_AGE_S + interval_s)
         return max(0.0, due_at - self._clock.now())
 
     def note_demand(self, backend_id: str) -> None:
-        """Note that this entry has work for a backend server that names a limit."""
+        """Record that this entry has a request for a backend server with a limit."""
         limit = self._limits.get(backend_id)
         if limit is not None:
             limit.demand_at.append(self._clock.now())
 
     def note_sent(self, backend_id: str) -> None:
-        """Count a request that goes out to a backend server."""
+        """Record a request that is sent to a backend server."""
         limit = self._limits.get(backend_id)
         if limit is None or limit.per_s is None:
             return
@@ -168,7 +171,7 @@
             limit.next_send_at = max(limit.next_send_at, now) + interval_s
 
     def report(self) -> list[NamedLimit]:
-        """Return what the other entries must know of the limits."""
+        """Return the limits and demands to report to other entries."""
         now = self._clock.now()
         self._limits = {
             name: limit
@@ -187,14 +190,15 @@
         ]
 
     def apply_reports(self, limits: Iterable[NamedLimit], *, tellers: int) -> None:
-        """Take in what the entries told, this one included.
+        """Apply the merged reports of the entries, this one included.
 
-        Load pattern: control has no leader for some seconds, and each replica knows
-        its own entries only, which would share the whole limit among themselves.
+        Demands are ignored unless nearly all entries have reported. While control has
+        no leader, for some seconds, each replica knows only its own entries, which
+        would share the whole limit among themselves.
 
         Args:
-            limits: One word for each limit.
-            tellers: Entries whose word is in it.
+            limits: One report for each limit.
+            tellers: Number of entries whose reports are included.
         """
         reports = {each.backend_id: each for each in limits}
         for report in reports.values():
@@ -207,10 +211,10 @@
             self._apply_demands(backend_id, limit, report.demands if report else {})
 
     def keep_only(self, backend_ids: Iterable[str]) -> None:
-        """Forget the limits of backend servers that are gone.
+        """Drop the limits of backend servers that are gone.
 
         Args:
-            backend_ids: Those that exist.
+            backend_ids: Existing backend servers.
         """
         existing = set(backend_ids)
         self._limits = {
@@ -219,7 +223,7 @@
 
     def _add(self, backend_id: str, per_s: float, received_at: float) -> _Limit:
         limit = _Limit(per_s=per_s, received_at=received_at, is_own=False)
-        # What was sent before the limit was known counts as this entry's first.
+        # Requests sent before the limit was known count as this entry's first one.
         limit.next_send_at = self._clock.now() + self._fair_interval_s(limit)
         self._limits[backend_id] = limit
         return limit
@@ -236,7 +240,7 @@
                 return
             limit = self._add(report.backend_id, report.per_s, received_at)
         elif limit.per_s == report.per_s:
-            # Its own word comes back as if it were newer by the way there and back.
+            # This entry's own report comes back and seems newer by one round trip.
             return
         limit.per_s = report.per_s
         limit.received_at = received_at
@@ -263,14 +267,14 @@
             return
         now = self._clock.now()
         if math.isinf(before_s):
-            # Those that shared it before have requests under way.
+            # Entries that already share the limit have requests in flight.
             limit.next_send_at = now + interval_s
         else:
             left_s = max(0.0, limit.next_send_at - now)
             limit.next_send_at = now + left_s * interval_s / before_s
 
     def _demand(self, limit: _Limit) -> int:
-        """Return how many requests this entry had for a backend server lately."""
+        """Return this entry's recent number of requests for a backend server."""
         oldest = self._clock.now() - DEMAND_WINDOW_S
         while limit.demand_at and limit.demand_at[0] < oldest:
             limit.demand_at.popleft()
@@ -280,7 +284,7 @@
         return self._clock.now() - self._totals_at <= TOTALS_MAX_AGE_S
 
     def _interval_s(self, limit: _Limit) -> float:
-        """Return the time between two requests of this entry at an even pace."""
+        """Return the time between two requests of this entry at an even rate."""
         if not self._has_fresh_totals():
             return self._fair_interval_s(limit)
         weight = limit.shares.get(self._name, 0)
--- a/wigeonscale/direct/retry_budget.py
+++ b/wigeonscale/direct/retry_budget.py
@@ -1,4 +1,4 @@
-"""This entry's part of the budget of further sends, by service."""
+"""This entry's share of the retry budget, by service."""
 
 __all__ = ["SharedRetryBudget"]
 
@@ -8,45 +8,46 @@
 
 from wigeonscale.ports import Clock
 
-# Entries count apart and see each other's sends late, so not all of it is spent.
+# Fraction of the budget that is used. The rest covers retries that entries make before
+# they see each other's counts.
 USABLE_FRACTION = 0.7
-# Part of an entry's equal share that it may spend whatever the others do.
+# Fraction of an entry's equal share that it may use whatever the other entries do.
 GUARANTEED_FRACTION = 0.45
-# What all entries have spent is known half a second late, in which each may take as
-# much again: of what is left an entry takes an equal part of a half at a time.
+# Totals are half a second old, and each entry may take its part again in that time. So
+# an entry takes its equal part of half of what is left at a time.
 POOL_ROUNDS = 2.0
-# Control tells the sums of all entries with each grant, twice a second by default.
+# Control sends the totals of all entries with each lease grant, by default twice a
+# second.
 TOTALS_MAX_AGE_S = 2.5
-# Share of its allowance that an entry keeps for streams that callers have part of:
-# a new request may be told to come back, a stream that ends midway is lost to its
-# caller.
+# Fraction of the allowance that is reserved for streams that have begun. A new request
+# can be rejected with a Retry-After; a broken stream is lost to its caller.
 RESERVED_FRACTION = 0.3
 
 
 @dataclass(slots=True)
 class _Counts:
-    """Counts of all other entries over the window."""
+    """Counts of all other entries in the window."""
 
     requests: int = 0
     retries: int = 0
 
 
 class SharedRetryBudget:
-    """Bounds sends beyond the first of each request, over a sliding window.
+    """Limits retries over a sliding window.
 
-    All entries together may send ``ratio`` of their requests and ``slack`` more.
+    All entries together may make ``ratio`` times their requests plus ``slack`` retries.
 
-    Load pattern: engines are lost or full under a few entries' streams, while the
-    other entries have nothing to send again. With hundreds of entries the equal share
-    of each is a few sends; so each has only a part of it for certain, and takes the
-    rest from what all have left by the sums that control tells.
+    A lost or full engine often affects the streams of a few entries only. With hundreds
+    of entries, the equal share of each is a few retries. So only a part of this share
+    is guaranteed to an entry; the rest is a pool, which entries use according to the
+    totals that control sends.
 
     Args:
         clock: Clock port.
-        ratio: Further sends as a share of requests.
-        slack: Further sends beside that share, over all entries.
+        ratio: Retries as a fraction of requests.
+        slack: Additional retries of all entries together.
         window_s: Length of the window, in seconds.
-        entries: Returns how many entries share the slack.
+        entries: Returns the number of entries that share the slack.
 
     Example:
         >>> from wigeonscale.testing import ManualClock
@@ -76,7 +77,7 @@
         self._reported: dict[str, tuple[int, int]] = {}
         self._others: dict[str, _Counts] = {}
         self._totals_at = float("-inf")
-        # Further sends of this entry in the window when the last word came.
+        # Retries of this entry in the window when the last totals arrived.
         self._retries_at_totals: dict[str, int] = {}
 
     def record(self, service: str) -> None:
@@ -84,10 +85,10 @@
         self._recent(self._requests, service).append(self._clock.now())
 
     def report_sends(self) -> dict[str, tuple[int, int]]:
-        """Return this entry's counts over the window, and remember them as told.
+        """Return this entry's counts, and record them as reported to control.
 
         Returns:
-            Requests, and further sends, by service.
+            Requests and retries in the window, by service.
         """
         self._reported = {
             service: (
@@ -99,10 +100,10 @@
         return self._reported
 
     def apply_totals(self, totals: Mapping[str, tuple[int, int]]) -> None:
-        """Take in the counts of all entries, this one included.
+        """Apply the total counts of all entries, this one included.
 
         Args:
-            totals: Requests, and further sends, by service.
+            totals: Requests and retries in the window, by service.
         """
         self._others = {}
         for service, (requests, retries) in totals.items():
@@ -116,12 +117,12 @@
         }
 
     def try_spend(self, service: str, *, is_begun: bool = True) -> bool:
-        """Take one further send; return whether it may be made.
+        """Take one retry from the budget; return whether it is allowed.
 
         Args:
-            service: Where it goes.
-            is_begun: Whether the caller has part of the answer, or none can be told to
-                come back; other requests leave some of the allowance to those.
+            service: Service of the request.
+            is_begun: Whether the caller has a part of the response or cannot be told to
+                retry. Other requests may not use the reserved fraction.
         """
         limit = self._limit(service)
         if not is_begun:
@@ -133,7 +134,7 @@
         return True
 
     def _limit(self, service: str) -> float:
-        """Return how many further sends this entry may have made in the window."""
+        """Return the maximum number of retries of this entry in the window."""
         if self._clock.now() - self._totals_at > TOTALS_MAX_AGE_S:
             return self._guaranteed(service, 1.0)
         own_share = self._guaranteed(service, GUARANTEED_FRACTION)
@@ -142,13 +143,13 @@
         ) + self._pool_share(service)
 
     def _guaranteed(self, service: str, part: float) -> float:
-        """Return the further sends that this entry may make whatever the others do."""
+        """Return this entry's equal share of the retries, times a fraction."""
         requests = len(self._recent(self._requests, service))
         slack = self._slack / max(1, self._entries())
         return USABLE_FRACTION * part * (self._ratio * requests + slack)
 
     def _pool_share(self, service: str) -> float:
-        """Return what this entry may take of the common rest until the next word."""
+        """Return the retries that this entry may take from the pool for now."""
         others = self._others.get(service, _Counts())
         requests = others.requests + len(self._recent(self._requests, service))
         spent = others.retries + self._retries_at_totals.get(service, 0)
--- a/wigeonscale/direct/runs.py
+++ b/wigeonscale/direct/runs.py
@@ -1,4 +1,4 @@
-"""One send in progress, and the engines that it runs on."""
+"""A send in progress and the engines that run it."""
 
 __all__ = ["Run"]
 
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-# Weight of the newest in the mean time between the latest events; about three count.
+# EWMA weight of the newest interval between events; covers about three intervals.
 RECENT_INTERVAL_EWMA_WEIGHT = 0.4
 
 
@@ -15,20 +15,23 @@
     """One send in progress.
 
     Attributes:
-        backend_ids: Backend servers that it runs on; several for a path.
-        token_layers: Memory that it takes, in tokens times layers, by backend server.
-        progress_at: Instant of its last sign of progress.
-        watch: Its wait, which may be ended early; None where nobody waits so.
-        move: Takes it off the lost engines of its path while it goes on, and returns
-            whether that was done; None where that cannot be.
-        moving: A move under way.
-        began_at: Instant of the first sign of progress; None before it.
-        latest_event_at: Instant of the latest event, as it was read.
-        events: Signs of progress so far.
-        expected_interval_s: Time between events to be expected; 0 where none is known.
-        recent_interval_s: Mean time between the latest events; 0 before the second.
-        fingerprint: What its request shares with the same one under another id.
-        sent_at: Instant at which it was handed to the network.
+        backend_ids: Backend servers that run it; several for a path.
+        token_layers: KV cache demand by backend server, in tokens times layers.
+        progress_at: Time of the last event, or of the send before the first event. It
+            is moved forward by any time in which this process did not read events.
+        wait_timeout: Timeout of the wait for events, which may be rescheduled to abort
+            the wait; None if there is no such wait.
+        reroute: Reroutes the run around its lost engines and returns whether it did;
+            None if the run cannot be rerouted.
+        reroute_task: Task of the latest reroute.
+        first_event_at: Time of the first event; None before it.
+        latest_event_at: Time at which the latest event was read.
+        events: Number of events.
+        expected_interval_s: Expected time between events; 0 if unknown.
+        recent_interval_s: Moving average of the time between events; 0 before the
+            second event.
+        fingerprint: Hash that is the same for the same request under another id.
+        sent_at: Time at which the request was sent.
     """
 
     backend_ids: tuple[str, ...]
@@ -47,25 +50,25 @@
 
     @property
     def has_events(self) -> bool:
-        """Whether anything of an answer came."""
+        """Whether any event was received."""
         return self.events > 0
 
     @property
     def mean_interval_s(self) -> float:
-        """Mean time between its events; 0 before the second."""
+        """Mean time between all events; 0 before the second."""
         if self.events < 2:
             return 0.0
         return (self.progress_at - self.first_event_at) / (self.events - 1)
 
     @property
     def went_on_s(self) -> float:
-        """Time from its first event to its latest; 0 before the second."""
+        """Time from the first event to the latest; 0 before the second."""
         if self.first_event_at is None:
             return 0.0
         return self.latest_event_at - self.first_event_at
 
     def note_progress(self, now: float) -> None:
-        """Count an event in."""
+        """Record an event."""
         if self.first_event_at is None:
             self.first_event_at = now
         else:
@@ -77,7 +80,7 @@
         self.events += 1
 
     def reroute_or_abort(self) -> None:
-        """Go on without engines that are lost: in its place, or else elsewhere."""
+        """Reroute the run around its lost engines, or else abort its wait."""
         if self.reroute is None:
             self.abort_wait()
         elif self.reroute_task is None or self.reroute_task.done():
@@ -88,6 +91,6 @@
             self.abort_wait()
 
     def abort_wait(self) -> None:
-        """End its wait now, so that it goes on elsewhere."""
+        """Abort the wait for events, so that the request is sent again."""
         if self.wait_timeout is not None and not self.wait_timeout.expired():
             self.wait_timeout.reschedule(asyncio.get_running_loop().time())
--- a/wigeonscale/direct/service.py
+++ b/wigeonscale/direct/service.py
@@ -1,4 +1,4 @@
-"""Answers callers: matches a request, and hands it to the flow of its kind."""
+"""Entry point for callers' requests: routes each to the plain or stream handler."""
 
 __all__ = ["DirectService"]
 
@@ -22,13 +22,12 @@
     find_route,
 )
 
-# The final answer goes out this much before the caller stops waiting.
+# The final response is sent this long before the caller's deadline.
 RESPONSE_MARGIN_S = 0.02
 NOT_READY_RETRY_AFTER_S = 0.5
-# An entry that just started learns the configuration within a second, or, when control
-# starts too, after an election. Callers that come meanwhile are better served by a
-# short wait than by a refusal, after which many do not come again; but no longer than
-# this share of the time that they have.
+# A new entry gets the configuration within a second, or after an election if control
+# starts too. Requests wait for it this long, and at most this fraction of their time,
+# because many callers do not retry a rejected request.
 MAX_STARTUP_WAIT_S = 1.5
 STARTUP_WAIT_FRACTION = 0.3
 
@@ -36,13 +35,13 @@
 
 
 class DirectService:
-    """Answers the requests of one entry.
+    """Handles the requests of one entry.
 
     Args:
-        ctx: What the flows share.
-        table: Returns the route table in force; number 0 before any.
-        known: Set once the table and the backend servers are known.
-        may_serve: Returns whether what is known may still be acted on.
+        ctx: Context of the entry.
+        table: Returns the current route table; its number is 0 before the first.
+        known: Set once the route table and the backend servers are known.
+        may_serve: Returns whether the configuration is valid without a newer one.
         rng: Source of randomness for weighted shares.
     """
 
@@ -62,15 +61,15 @@
         self._rng = rng
 
     async def serve(self, req: CallerRequest, sink: AnswerSink) -> None:
-        """Answer one request.
+        """Handle one request.
 
         Args:
             req: The request.
-            sink: Where the answer goes.
+            sink: Receives the response.
 
         Raises:
-            WigeonscaleError: Its kind and run state make the answer; if the answer
-                was begun it must be cut.
+            WigeonscaleError: Its kind and run state determine the error response. If
+                the response has begun, the connection must be cut instead.
         """
         if not self._known.is_set():
             await self._wait_for_config(req)
@@ -110,7 +109,7 @@
         )
 
     async def _run(self, job: Job, sink: AnswerSink) -> dict[str, object]:
-        """Answer a request; return what the log tells of the answer."""
+        """Handle a request; return log fields about its response."""
         if job.route.repeat is Repeat.STREAM:
             return _pause_fields(job, await relay_stream(self._around, job, sink))
         await sink.send(await call_plain(self._around, job))
@@ -149,7 +148,7 @@
 
 
 def _pause_fields(job: Job, progress: Progress) -> dict[str, object]:
-    """Return what makes a stream late, for the log: its start and its worst pause."""
+    """Return log fields about the delays of a stream: its start and longest pause."""
     if progress.first_event_at is None:
         return {}
     return {
--- a/wigeonscale/direct/stalls.py
+++ b/wigeonscale/direct/stalls.py
@@ -1,11 +1,11 @@
-"""Finds out why generations stand still, and ends the waits that are in vain.
+"""Detects stalled generations and the engines that cause them.
 
-Load pattern: an engine that dies or goes dark stalls every stream through it at the
-same moment. The engines cut such work off only after two or three seconds; callers
-leave after two without an event. So one look at all runs fifty times a second, one
-question to the first engine of a quiet path however many runs are quiet, and all runs
-through the engine that it names go on elsewhere at once. Most dark engines are found
-before that question, by probes of all engines of the path.
+An engine that crashes or becomes unreachable stalls every stream through it at once.
+The other engines cut off such streams only after two or three seconds, but callers
+disconnect after two seconds without an event. So all runs are checked fifty times a
+second. The first engine of a stalled path is queried once, however many of its runs are
+stalled, and all runs through the engine that it blames are rerouted or retried at once.
+Probes of all engines of the path detect most unreachable engines before that query.
 """
 
 __all__ = ["StallDetector"]
@@ -24,61 +24,63 @@
 from wigeonscale.ports.orders import EngineOrders
 
 CHECK_INTERVAL_S = 0.02
-# Events come every 30 to 60 ms, and first ones within 150 ms, on a sound path with
-# usual load; a pause over 200 ms is late already.
+# Time without an event after which the first engine of a path is queried. On a healthy
+# path with usual load, events arrive every 30 to 60 ms and first events within 150 ms;
+# a pause of more than 200 ms is already late.
 STALL_TIMEOUT_S = 0.25
 FIRST_EVENT_STALL_TIMEOUT_S = 0.4
-# A path is named to control, and its engines are probed, once so many of its own
-# intervals between events are over, and this time at least: a probe, the news of it and
-# another path take the rest of the 200 or 300 ms after which a pause is late.
+# The engines of a path are hinted to control and probed after a pause of this many mean
+# event intervals of the run, and at least this time. The probe, its report and the
+# switch to another path take the rest of the 200 or 300 ms after which a pause is late.
 HINT_AFTER_INTERVALS = 1.5
 MIN_HINT_STALL_S = 0.06
-# A path of an answer that has not begun is in question from here on: first events take
-# 60 ms, 120 ms at the 99th percentile, and shall come within 500 ms of the request.
+# The same before the first event. First events take 60 ms, 120 ms at the 99th
+# percentile, and are due within 500 ms of the request.
 FIRST_EVENT_HINT_S = 0.25
-# A path on which events take so many times as long as its load explains has a slow
-# engine; where it does not know the load of a moment ago, an entry is wrong by less.
+# A path whose event intervals exceed the expected ones by this factor has a slow
+# engine. Errors from outdated load data of an entry are smaller.
 SLOW_FACTOR = 2.0
-# A look that comes this late or later: what was not read meanwhile is no quiet of the
-# engines. To read a large document takes longer than that.
+# A check that is late by at least this time shows that this process did not read events
+# meanwhile, so the time does not count as a stall. Reading a large document takes
+# longer than this.
 MIN_LAG_S = 0.03
-# A look at all runs that comes this late means that this process did not get its turn;
-# what it did not read meanwhile says nothing of the engines.
+# A check that is late by at least this time shows that this process lacked processor
+# time, and the pauses that it sees say nothing about the engines.
 LAGGING_THRESHOLD_S = 0.1
-# For so long after that a connection that did not open in time is not held against the
-# engine either.
+# After such a lag, a connection timeout does not mark an engine as lost for this long.
 LAGGING_HOLD_S = 1.0
-# What a report says is some hundred ms old, so an answer without a culprit is asked
-# for again after this long.
+# Status reports of engines are some hundred milliseconds old, so an engine that named
+# no culprit is queried again after this time.
 QUERY_INTERVAL_S = 0.2
-# A first engine that says nothing for so long while its streams stand still is lost: a
-# lost packet costs 200 ms, and callers leave after two seconds.
+# A first engine with stalled streams that does not respond within this time is lost. A
+# lost packet costs 200 ms, and callers disconnect after two seconds.
 HEAD_STATUS_TIMEOUT_S = 0.3
-# A wait that nothing explains is ended here: callers leave after two seconds, and
-# another path needs some tenths.
+# A stall without a known cause is aborted after this time. Callers disconnect after two
+# seconds, and another path needs some tenths of a second.
 ABORT_STALL_S = 1.3
-# Engines that answer and name no culprit are busy. Sent elsewhere, the work would be
-# read once more, by engines that are as busy: it waits, unless most others at the same
-# first engine move on, for then its connection has gone silent.
+# A first engine that responds without a culprit counts as busy for this time. Its
+# stalled runs wait, because another path would prefill them again on engines that are
+# as busy. A run is aborted all the same if most other runs at that engine get events,
+# because then only its own connection has failed.
 HEALTHY_TTL_S = 0.6
-# Runs through an engine that control calls silent are ended once they are this quiet.
+# Runs through an engine that control marks silent leave it after a pause of this time.
 SILENT_ENGINE_STALL_S = 0.06
 
 logger = logging.getLogger(__name__)
 
 
 class StallDetector:
-    """Watches the runs of generations.
+    """Monitors the running generations for stalls.
 
     Args:
-        tracker: Told which engines are lost; it ends the waits of their runs.
+        tracker: Receives the lost engines, and reroutes or aborts their runs.
         clock: Clock port.
-        orders: Asks engines how they are.
-        fleet: Returns the backend servers as of now.
-        suspect: Tells control of an engine.
-        hint: Tells control of an engine that may be to blame, as others may.
-        reach: Finds out whether an engine's VM answers.
-        delay_s: Returns the delay of one way to a failure domain, in seconds.
+        orders: Queries the status of engines.
+        fleet: Returns the current backend servers.
+        suspect: Reports an engine to control as lost.
+        hint: Reports an engine to control as one of several possible causes of a stall.
+        reach: Checks whether the VM of an engine responds.
+        delay_s: Returns the one-way delay to a failure domain, in seconds.
     """
 
     def __init__(
@@ -116,28 +118,28 @@
 
     @property
     def running(self) -> int:
-        """How many runs are watched."""
+        """Number of monitored runs."""
         return len(self._runs)
 
     @property
     def is_lagging(self) -> bool:
-        """Whether this process lately did not get its turn in time."""
+        """Whether this process recently lacked processor time."""
         return self._clock.now() < self._lagging_until
 
     def add(self, run: Run) -> None:
-        """Watch a run.
+        """Start to monitor a run.
 
         Args:
-            run: It has begun, and its ``watch`` is set.
+            run: A run in progress with its ``wait_timeout`` set.
         """
         self._runs.add(run)
 
     def remove(self, run: Run) -> None:
-        """Watch a run no more."""
+        """Stop monitoring a run."""
         self._runs.discard(run)
 
     async def run(self) -> None:
-        """Look at all runs until cancelled."""
+        """Check all runs periodically until cancelled."""
         try:
             while True:
                 asleep_at = self._clock.now()
@@ -151,13 +153,13 @@
             await self._prober.close()
 
     def note_lag(self, late_s: float) -> None:
-        """Take a late look at the runs into account.
+        """Account for a check that came late.
 
-        Load pattern: one entry is left for all callers, or its VM is slow. All its
-        streams stand still at once, and cut off, they would all be read again.
+        If one entry is left for all callers, or its VM is slow, all its streams appear
+        stalled at once. If they were aborted, engines would prefill all of them again.
 
         Args:
-            late_s: Time by which it is late, in seconds.
+            late_s: Delay of the check, in seconds.
         """
         if late_s < MIN_LAG_S:
             return
@@ -173,7 +175,7 @@
         )
 
     def check(self) -> None:
-        """Look at all runs once."""
+        """Check all runs once."""
         now = self._clock.now()
         fleet = self._fleet()
         silent = {s.backend_id for s in fleet.by_id.values() if s.is_silent}
@@ -195,7 +197,7 @@
         self._report_stalled_engines(now)
 
     def _report_stalled_engines(self, now: float) -> None:
-        """Name the engines of quiet and slow paths to control, and probe the former."""
+        """Hint engines of stalled and slow paths to control, and probe the former."""
         quiet: Counter[str] = Counter()
         slow, moving = set(), set()
         for run in self._runs:
@@ -203,18 +205,18 @@
                 quiet.update(run.backend_ids)
             elif run.has_events:
                 (slow if _is_slow(run) else moving).update(run.backend_ids)
-        # An engine that another run of this entry moves through as usual is sound.
+        # An engine is healthy if another run through it gets events as usual.
         for name in (quiet.keys() | slow) - moving:
             self._hint(name)
-        # An entry short of processor time sees quiet everywhere, and probes would take
-        # more of it.
+        # To an entry that lacks processor time, all paths seem stalled, and probes
+        # would cost more of it.
         if not self.is_lagging:
             self._prober.start_round(
                 [n for n, _ in quiet.most_common() if n not in moving]
             )
 
     def _has_progress(self, name: str) -> bool:
-        """Return whether nothing is to be said against an engine."""
+        """Return whether there is no evidence that an engine is lost."""
         now = self._clock.now()
         return self.is_lagging or any(
             run.has_events and not _is_stalled(run, now)
@@ -275,7 +277,7 @@
 
 
 def _is_stalled(run: Run, now: float) -> bool:
-    """Return whether a run stands still for longer than its events usually take."""
+    """Return whether the pause of a run is longer than its usual event intervals."""
     expected_interval_s = FIRST_EVENT_HINT_S
     if run.has_events:
         expected_interval_s = max(
@@ -285,6 +287,6 @@
 
 
 def _is_slow(run: Run) -> bool:
-    """Return whether its events take far longer than the load of its path explains."""
+    """Return whether its events are much slower than the load of its path explains."""
     least_s = max(MIN_HINT_STALL_S, SLOW_FACTOR * run.expected_interval_s)
     return run.expected_interval_s > 0 and run.recent_interval_s > least_s
--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -1,8 +1,8 @@
-"""One generation: its path, its events, and going on elsewhere when a path is lost.
+"""Relays generations to callers and resumes them when their path is lost.
 
-Load pattern: a lost engine breaks many streams at once, in the middle. Each goes on
-after the last event that its caller has, on a path without that engine; see
-``stalls`` for how it is found.
+A lost engine breaks many streams at once. Each of them resumes on a path without that
+engine, after the last event that its caller has. See ``stalls`` for the detection of
+lost engines.
 """
 
 __all__ = ["relay_stream"]
@@ -36,11 +36,12 @@
     WholeAnswer,
 )
 
-# Sends of one request in all: refusals that did not run do not count as attempts.
+# Most sends of one request. The attempts of a route do not limit them, because refused
+# sends that did not run are no attempts.
 MAX_SENDS = 6
-# A stream that was begun waits this long, in such steps, until the budget of further
-# sends allows it one: word of what all entries have left comes twice a second, and
-# callers leave after two seconds without an event.
+# A request that must be finished waits this long for a retry from the retry budget. The
+# totals of all entries arrive twice a second, and callers disconnect after two seconds
+# without an event.
 MAX_RETRY_BUDGET_WAIT_S = 1.0
 RETRY_BUDGET_POLL_INTERVAL_S = 0.1
 
@@ -48,22 +49,23 @@
 
 
 async def relay_stream(ctx: EntryContext, job: Job, sink: AnswerSink) -> Progress:
-    """Relay a generation to its caller, whole or not at all.
+    """Relay a generation to its caller, completely or with an error.
 
     Args:
-        ctx: What the flows share.
+        ctx: Context of the entry.
         job: The request.
-        sink: Where the answer goes.
+        sink: Receives the response.
 
     Returns:
-        How it went; the caller has the whole answer.
+        The progress of the request, whose caller has the complete response.
 
     Raises:
-        WigeonscaleError: It was given up; if the answer was begun it must be cut.
+        WigeonscaleError: The request failed. If the response has begun, the connection
+            must be cut.
     """
     progress = Progress(last_id=job.req.last_event_id)
     while True:
-        # Before it waits for a path, and again when it has one.
+        # Checked again after the wait for a path.
         raise_if_crashing(ctx, job, may_have_run=bool(progress.ran_on))
         choice = await next_path(ctx, job, progress)
         raise_if_crashing(ctx, job, may_have_run=bool(progress.ran_on))
@@ -84,7 +86,7 @@
     progress: Progress,
     choice: PathChoice,
 ) -> bool:
-    """Relay one run; return True once the caller has the whole answer."""
+    """Relay one send; return True once the caller has the complete response."""
     path = choice.path
     fleet = ctx.fleet()
     servers = [fleet.by_id[part.backend_id] for part in path]
@@ -129,7 +131,7 @@
         ctx.notices.note, first, request_id=job.req.request_id, sent_at=now
     )
     try:
-        # Ended by the watch over all streams, not by a time of its own.
+        # The stall detector reschedules this timeout to abort the wait.
         async with asyncio.timeout(None) as run.wait_timeout:
             ctx.stalls.add(run)
             async with ctx.exchange.open(call) as stream:
@@ -212,10 +214,10 @@
 
 
 def _is_next(progress: Progress, event: StreamEvent) -> bool:
-    """Return whether the caller lacks an event.
+    """Return whether an event is the next one for the caller, not a duplicate.
 
     Raises:
-        ExchangeError: Events before it are missing.
+        ExchangeError: If events before it are missing.
     """
     if event.event_id is None or progress.last_id is None:
         return True
@@ -234,16 +236,16 @@
     exc: ExchangeError,
 ) -> None:
     if exc.fate is Fate.UNKNOWN:
-        # Also where not even the head of an answer came.
+        # It may have run there even if no response head was received.
         progress.ran_on.add(path[0].backend_id)
     blamed = _engine_at_fault(ctx, path, exc)
     if blamed and exc.fate is Fate.NOT_RUN and not exc.is_stranger:
         ctx.tracker.note_refused(blamed)
         if exc.at_fault:
-            # It may lack room, or be gone: a probe by control tells.
+            # It may lack capacity or be lost; a probe by control finds out.
             ctx.suspect(blamed)
     elif blamed and exc.fate is Fate.NOT_SENT and ctx.stalls.is_lagging:
-        # This process was too late to see the connection open.
+        # This process may have been too slow to see the connection open.
         ctx.tracker.note_refused(blamed)
     elif blamed:
         ctx.tracker.note_lost(blamed)
@@ -264,7 +266,7 @@
 
 
 def _engine_at_fault(ctx: EntryContext, path: list[Part], exc: ExchangeError) -> str:
-    """Return the engine that a failure speaks against; empty for none in particular."""
+    """Return the engine that caused a failure; empty if it is unknown."""
     named = ctx.fleet().by_address.get(exc.at_fault)
     if named is not None:
         return named.backend_id
@@ -274,14 +276,14 @@
 async def _wait_for_retry(
     ctx: EntryContext, job: Job, progress: Progress, exc: ExchangeError
 ) -> None:
-    """Return once the request may be sent once more.
+    """Return once the request may be retried.
 
-    Load pattern: a lost engine breaks more streams of this entry at once than it may
-    send again for certain. What would be lost to its caller waits for the next word on
-    what all entries have left; a request that has not run is told to come back at once.
+    A lost engine may break more streams of this entry at once than its guaranteed
+    retries cover. A request that must be finished waits for the next totals of the
+    retry budget. A request that has not run is rejected at once.
 
     Raises:
-        WigeonscaleError: Its final answer: it is not to be sent again.
+        WigeonscaleError: The request may not be retried.
     """
     began_at = ctx.clock.now()
     give_up_at = min(began_at + MAX_RETRY_BUDGET_WAIT_S, job.deadline_at)
@@ -313,7 +315,7 @@
 
 
 def _try_acquire_retry(ctx: EntryContext, job: Job, progress: Progress) -> bool:
-    """Take one further send from the budget; return whether it may be made."""
+    """Take one retry from the budget if the request may be retried; return whether."""
     if ctx.clock.now() >= job.deadline_at or not _may_repeat(job, progress):
         return False
     return ctx.budget.try_spend(job.service.name, is_begun=progress.must_finish)
--- a/wigeonscale/routes/__init__.py
+++ b/wigeonscale/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes by host and path: the table, its checks and how a request is matched."""
+"""Routes by host and path: the route table, its validation and the matching."""
 
 __all__ = [
     "Accelerator",
--- a/wigeonscale/routes/build.py
+++ b/wigeonscale/routes/build.py
@@ -1,4 +1,4 @@
-"""Builds a route table and refuses one that contradicts itself."""
+"""Builds and validates a route table."""
 
 __all__ = ["build_table"]
 
@@ -22,20 +22,21 @@
     organisations: Iterable[Organisation] | None,
     limits: CallerLimits,
 ) -> RouteTable:
-    """Return a table in which everything that is named exists once.
+    """Return a validated route table.
 
     Args:
-        number: The operator's number.
+        number: Number that the operator gave the table.
         routes: All routes.
         services: All services.
-        organisations: All organisations; None where no request needs a key.
+        organisations: All organisations; None if no request needs a key.
         limits: Limits of callers.
 
     Raises:
-        SettingsError: ``INVALID_DOCUMENT``, naming the offending value.
+        SettingsError: ``INVALID_DOCUMENT``, for a duplicate or unknown name, a shared
+            key, or a bad value; the message names it.
 
     Notes:
-        Costs in proportion to the routes and keys.
+        Linear in the number of routes and keys.
     """
     named = _by_name(services)
     return RouteTable(
--- a/wigeonscale/routes/matching.py
+++ b/wigeonscale/routes/matching.py
@@ -1,4 +1,4 @@
-"""Which route and organisation a request belongs to, and which service serves it."""
+"""Matches requests to routes, organisations and services."""
 
 __all__ = ["choose_service", "find_organisation", "find_route"]
 
@@ -9,10 +9,10 @@
 
 
 def find_route(table: RouteTable, host: str, path: str) -> Route:
-    """Return the route with the longest prefix of a path.
+    """Return the route with the longest matching path prefix.
 
     Args:
-        table: Table in force.
+        table: Current route table.
         host: Host as the caller sent it, with or without a port.
         path: Path as the caller sent it, with or without a query.
 
@@ -20,7 +20,7 @@
         WigeonscaleError: ``NO_MATCHING_RULE``.
 
     Notes:
-        One look a segment of the path, however many routes there are.
+        One lookup for each segment of the path, however many routes there are.
     """
     prefixes = table.routes.get(host.partition(":")[0].lower(), {})
     prefix = path.partition("?")[0]
@@ -36,15 +36,15 @@
 
 
 def find_organisation(table: RouteTable, route: Route, key: str) -> Organisation | None:
-    """Return the organisation that holds a key, or None where none is needed.
+    """Return the organisation that holds a key, or None if none is required.
 
     Args:
-        table: Table in force.
+        table: Current route table.
         route: Route of the request.
-        key: Key that came with it; empty for none.
+        key: Key of the request; empty if there is none.
 
     Raises:
-        WigeonscaleError: ``UNKNOWN_KEY``. The key itself is not named.
+        WigeonscaleError: ``UNKNOWN_KEY``. The message does not contain the key.
     """
     organisation = table.organisations.get(key)
     if organisation is None and table.needs_keys and not route.public:
@@ -55,10 +55,10 @@
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
-    """Return the service of one request, drawn by the weights of the route.
+    """Return a random service of a route, according to the weights of the route.
 
     Args:
-        route: Its route.
+        route: Route of the request.
         rng: Source of randomness.
     """
     if len(route.shares) == 1:
--- a/wigeonscale/routes/model.py
+++ b/wigeonscale/routes/model.py
@@ -1,4 +1,4 @@
-"""Plain data of a route table: routes, services, organisations and limits."""
+"""Data model of a route table: routes, services, organisations and limits."""
 
 __all__ = [
     "Accelerator",
@@ -18,20 +18,20 @@
 
 
 class Repeat(StrEnum):
-    """What may be done again after a failure."""
+    """Which requests may be retried after a failure."""
 
-    SAFE = "safe"  # may run any number of times
+    SAFE = "safe"  # idempotent: may run any number of times
     UNSAFE = "unsafe"  # may run once for each attempt of the caller
-    STREAM = "stream"  # as unsafe, unless the route may be resumed
+    STREAM = "stream"  # as unsafe, unless the route is resumable
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Part of a route's requests that goes to one service.
+    """Share of a route's requests that goes to one service.
 
     Attributes:
         service: Name of the service.
-        weight: Its weight among the shares of the route.
+        weight: Its weight relative to the other shares of the route.
     """
 
     service: str
@@ -40,22 +40,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Where requests of one host and path prefix go.
+    """Route of the requests for one host and path prefix.
 
     Attributes:
         name: Name that the operator gave it.
         host: Host, in lower case.
         prefix: Path prefix; begins and ends with a slash.
-        repeat: What may be done again.
-        timeout_s: Longest time that a caller is kept waiting.
-        target_s: Time within which an answer earns its full credit.
-        gap_target_s: Longest pause between two events of a stream; 0: not told.
-        priority: Rank, 0 first.
+        repeat: Whether requests may be retried.
+        timeout_s: Timeout of a request.
+        target_s: Response time up to which a response gets full credit.
+        gap_target_s: Target for the longest pause between two events of a stream; 0 if
+            there is none.
+        priority: Priority; 0 is the highest.
         shares: Services with their weights.
-        max_attempts: Most backend servers that one attempt of a caller is sent to.
-        public: Whether it needs no key.
-        generates: Whether its requests are generations on model engines.
-        resumable: Whether a stream may go on at another backend server.
+        max_attempts: Most backend servers to which one attempt of a caller is sent.
+        public: Whether requests need no key.
+        generates: Whether requests are generations on model engines.
+        resumable: Whether a stream may resume at another backend server.
     """
 
     name: str
@@ -84,9 +85,9 @@
 
     Attributes:
         name: Name of the kind.
-        size_mb: Memory for layers and requests together.
-        pace: Factor on the time of a step, over the model's own.
-        read_factor: Factor on the time to read a prompt.
+        size_mb: Memory for layers and KV cache together.
+        pace: Factor on the model's time of a decode step.
+        read_factor: Factor on the model's time to prefill a prompt.
     """
 
     name: str
@@ -97,28 +98,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineProfile:
-    """What the engines of a service need and how long their work takes.
+    """Memory needs and computing times of the engines of a service.
 
-    Times hold for all layers on an accelerator of pace 1.
+    Times are for all layers on an accelerator with ``pace`` 1.
 
     Attributes:
-        layers: Layers of the model; 0 where an engine always holds all.
+        layers: Layers of the model; 0 if an engine always holds all.
         layer_mb: Memory of one layer.
-        token_bytes: Memory of one token in all layers.
-        room_tokens: Tokens of requests that an engine usually has room for.
-        activation_bytes: What one token sends over each hop.
+        token_bytes: KV cache of one token in all layers.
+        room_tokens: Usual KV cache capacity of an engine, in tokens.
+        activation_bytes: Bytes of activations per token that cross each hop.
         pipe_mbps: Rate of the link between two failure domains.
-        slots: Requests that an engine runs at once.
-        step_ms: One step.
-        event_tokens: Tokens in an event of a stream.
-        sequence_ms: Further time of a step for each request that is writing.
-        context_ms: Further time of a step for 1,000 tokens of context.
-        read_tokens_per_s: Rate at which prompts are read.
-        usual_prompt: Mean tokens of a prompt.
-        usual_answer: Mean tokens of an answer.
-        accelerators: Kinds by name.
-        delays_ms: One way between two failure domains, by the pair of their names in
-            order.
+        slots: Number of requests that an engine runs concurrently.
+        step_ms: Base time of a decode step.
+        event_tokens: Tokens per event of a stream.
+        sequence_ms: Additional time of a step for each decoding request.
+        context_ms: Additional time of a step for 1,000 tokens of context.
+        read_tokens_per_s: Prefill rate.
+        usual_prompt: Mean number of tokens of a prompt.
+        usual_answer: Mean number of tokens of a response.
+        accelerators: Kinds of accelerators, by name.
+        delays_ms: One-way delay between two failure domains, by the sorted pair of
+            their names.
     """
 
     layers: int = 0
@@ -139,7 +140,7 @@
     delays_ms: Mapping[tuple[str, str], float] = field(default_factory=dict)
 
     def delay_ms(self, here: str, there: str) -> float:
-        """Return the delay between two failure domains; 0 where none is told.
+        """Return the one-way delay between two failure domains; 0 if not configured.
 
         Example:
             >>> EngineProfile(delays_ms={("a", "b"): 0.5}).delay_ms("b", "a")
@@ -151,12 +152,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """Backend servers that do one kind of work.
+    """A group of backend servers with the same function.
 
     Attributes:
-        name: Its name.
-        max_connections: Connections that one of its backend servers takes.
-        engine: What its engines need; None for a plain service.
+        name: Name of the service.
+        max_connections: Most connections to one of its backend servers.
+        engine: Profile of its engines; None for a plain service.
     """
 
     name: str
@@ -169,9 +170,9 @@
     """A customer with its keys.
 
     Attributes:
-        name: Name that backend servers are told.
+        name: Name that is sent to backend servers.
         keys: Keys of its callers.
-        priority: Rank that goes before the route's; None: the route's holds.
+        priority: Overrides the priority of the route; None to use that of the route.
     """
 
     name: str
@@ -181,12 +182,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerLimits:
-    """What a caller may send and how long it may stay idle.
+    """Size and idle limits of callers' connections.
 
     Attributes:
-        header_bytes: Most bytes of headers.
-        body_bytes: Most bytes of a body.
-        idle_s: Longest pause between two requests on a connection.
+        header_bytes: Maximum size of the headers.
+        body_bytes: Maximum size of a body.
+        idle_s: Longest idle time between two requests on a connection.
     """
 
     header_bytes: int = 16_384
@@ -196,14 +197,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouteTable:
-    """A whole configuration of routes under its operator's number.
+    """A complete configuration of routes.
 
     Attributes:
-        number: The operator's number; 0 for none.
+        number: Number that the operator gave it; 0 before any configuration.
         routes: Routes by host, then by path prefix.
         services: Services by name.
         organisations: Organisations by key.
-        needs_keys: Whether requests need a key at all.
+        needs_keys: Whether requests need a key, except on public routes.
         limits: Limits of callers.
     """
 
@@ -215,7 +216,7 @@
     limits: CallerLimits = field(default_factory=CallerLimits)
 
     def delay_ms(self, here: str, there: str) -> float:
-        """Return the longest delay that any service tells between two domains."""
+        """Return the longest delay that any service configures between two domains."""
         engines = [service.engine for service in self.services.values()]
         told = [engine.delay_ms(here, there) for engine in engines if engine]
         return max(told, default=0.0)
