--- a/wigeonscale/direct/__init__.py
+++ b/wigeonscale/direct/__init__.py
@@ -1,17 +1,17 @@
 """Direct routing: an entry sends requests to backend servers without agents."""
 
 __all__ = [
+    "AdmissionQueue",
+    "BackendRateLimits",
     "BackendServer",
     "BackendTracker",
     "DirectService",
+    "EntryContext",
     "Fleet",
     "NamedLimit",
     "Notices",
-    "AdmissionQueue",
     "SharedRetryBudget",
-    "BackendRateLimits",
     "StallDetector",
-    "EntryContext",
     "read_fleet",
     "replaced_incarnations",
 ]
--- a/wigeonscale/direct/admission_queue.py
+++ b/wigeonscale/direct/admission_queue.py
@@ -94,7 +94,8 @@
         )
         if len(self) >= max_waiting:
             raise WigeonscaleError(
-                ErrorKind.OVERLOADED, f"{len(self)} requests wait for room already"
+                ErrorKind.OVERLOADED,
+                f"admission queue is full with {len(self)} requests",
             )
         ticket = next(self._tickets)
         # The queue takes larger priorities first.
--- a/wigeonscale/direct/detour.py
+++ b/wigeonscale/direct/detour.py
@@ -52,7 +52,7 @@
     )
     is_done = outcome in (OrderOutcome.BEGUN, OrderOutcome.HOLDS_ALREADY)
     logger.info(
-        "path of a generation changed" if is_done else "path not changed",
+        "generation rerouted" if is_done else "generation not rerouted",
         extra=log_fields(
             request_id=job.req.request_id,
             outcome=outcome,
--- a/wigeonscale/direct/job.py
+++ b/wigeonscale/direct/job.py
@@ -1,6 +1,6 @@
 """A routed request, and the context that all requests of an entry share."""
 
-__all__ = ["Job", "EntryContext"]
+__all__ = ["EntryContext", "Job"]
 
 import random
 from collections.abc import Callable
--- a/wigeonscale/direct/next_path.py
+++ b/wigeonscale/direct/next_path.py
@@ -101,7 +101,7 @@
     finally:
         ctx.admission_queue.release(ticket, admitted=admitted)
     logger.info(
-        "waited for room",
+        "waited for engine capacity",
         extra=log_fields(
             request_id=job.req.request_id,
             outcome="room",
@@ -150,7 +150,7 @@
 def _no_path_error(job: Job, progress: Progress) -> WigeonscaleError:
     return WigeonscaleError(
         ErrorKind.NO_BACKEND,
-        f"no path through all layers of {job.service.name}",
+        f"no path covers all layers of {job.service.name}",
         run_state=RunState.UNKNOWN if progress.ran_on else RunState.NOT_RUN,
         retry_after=NO_PATH_RETRY_AFTER_S,
     )
@@ -163,7 +163,7 @@
         return _no_path_error(job, progress)
     throttled_for_s = _throttled_for_s(ctx, choice)
     return overloaded_error(
-        f"no room for one more at {', '.join(choice.full or choice.throttled)}",
+        f"no capacity for a request at {', '.join(choice.full or choice.throttled)}",
         may_have_run=bool(progress.ran_on),
         rng=ctx.rng,
         min_wait_s=throttled_for_s if math.isfinite(throttled_for_s) else 0.0,
--- a/wigeonscale/direct/notices.py
+++ b/wigeonscale/direct/notices.py
@@ -64,7 +64,7 @@
             return
         self._newest[backend_id] = notice
         logger.info(
-            "a backend server says how it is",
+            "backend server notice changed",
             extra=log_fields(
                 request_id=request_id,
                 backend=backend_id,
--- a/wigeonscale/direct/plain.py
+++ b/wigeonscale/direct/plain.py
@@ -72,7 +72,7 @@
         if not is_failure:
             return answer
         logger.info(
-            "a server failed a request",
+            "backend server returned an error",
             extra=log_fields(
                 request_id=job.req.request_id,
                 backend=server.backend_id,
@@ -113,7 +113,7 @@
     now = ctx.clock.now()
     left_s = job.deadline_at - now
     if left_s <= 0:
-        raise ExchangeError(Fate.NOT_SENT, "no time is left")
+        raise ExchangeError(Fate.NOT_SENT, "deadline passed before the send")
     limit_s = left_s * ATTEMPT_TIME_FRACTION if _may_retry(job) else left_s
     call = job.call(now=now, address=server.address, backend_id=server.name)
     run = Run((server.backend_id,), fingerprint=job.fingerprint)
@@ -139,7 +139,7 @@
         raise
     except TimeoutError:
         raise ExchangeError(
-            Fate.UNKNOWN, f"{server.address} did not answer in {limit_s:.3f} s"
+            Fate.UNKNOWN, f"{server.address} did not respond within {limit_s:.3f} s"
         ) from None
     finally:
         ctx.tracker.end(run)
@@ -177,12 +177,12 @@
         kind = ErrorKind.DEADLINE_EXCEEDED if is_late else ErrorKind.BACKEND_FAILED
         return WigeonscaleError(
             kind,
-            f"no answer of {job.service.name}, it may have run",
+            f"no response from {job.service.name}; the request may have run",
             run_state=RunState.UNKNOWN,
         )
     return WigeonscaleError(
         ErrorKind.NO_BACKEND,
-        f"no backend server of {job.service.name} took it",
+        f"no backend server of {job.service.name} accepted the request",
         retry_after=max(NO_SERVER_RETRY_AFTER_S, _throttled_for_s(ctx, job)),
     )
 
--- a/wigeonscale/direct/probing.py
+++ b/wigeonscale/direct/probing.py
@@ -121,7 +121,7 @@
             answer is ProbeAnswer.NOTHING for answer in answers
         )
         logger.info(
-            "engines of quiet paths probed",
+            "engines of stalled paths probed",
             extra=log_fields(
                 outcome="none-reached"
                 if is_isolated
--- a/wigeonscale/direct/rate_limits.py
+++ b/wigeonscale/direct/rate_limits.py
@@ -1,6 +1,6 @@
 """This entry's share of the rate limits that backend servers announce."""
 
-__all__ = ["NamedLimit", "BackendRateLimits"]
+__all__ = ["BackendRateLimits", "NamedLimit"]
 
 import logging
 import math
@@ -246,7 +246,7 @@
         limit.received_at = received_at
         limit.is_own = False
         logger.info(
-            "another entry heard a limit",
+            "rate limit reported by another entry",
             extra=log_fields(
                 backend=report.backend_id,
                 limit_per_s=report.per_s,
--- a/wigeonscale/direct/service.py
+++ b/wigeonscale/direct/service.py
@@ -76,7 +76,7 @@
         if not self._may_serve():
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
-                "no majority of control confirms the configuration",
+                "no quorum of control confirms the configuration",
                 retry_after=NOT_READY_RETRY_AFTER_S,
             )
         job = self._job(req)
@@ -92,7 +92,7 @@
                 raise
             raise WigeonscaleError(
                 ErrorKind.DEADLINE_EXCEEDED,
-                f"not answered in {left_s:.3f} s",
+                f"no response within {left_s:.3f} s",
                 run_state=RunState.UNKNOWN,
             ) from None
         logger.info(
@@ -125,14 +125,14 @@
         except TimeoutError:
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
-                f"no configuration was known in {wait_s:.3f} s",
+                f"no configuration received within {wait_s:.3f} s",
                 retry_after=NOT_READY_RETRY_AFTER_S,
             ) from None
 
     def _job(self, req: CallerRequest) -> Job:
         table = self._table()
         if not req.request_id:
-            raise WigeonscaleError(ErrorKind.BAD_REQUEST, "the attempt has no id")
+            raise WigeonscaleError(ErrorKind.BAD_REQUEST, "the request has no id")
         route = find_route(table, req.host, req.path)
         organisation = find_organisation(table, route, req.key)
         limit_s = route.timeout_s
--- a/wigeonscale/direct/stalls.py
+++ b/wigeonscale/direct/stalls.py
@@ -170,7 +170,7 @@
             return
         self._lagging_until = now + LAGGING_HOLD_S
         logger.warning(
-            "the process was behind",
+            "stall check was late",
             extra=log_fields(late_s=round(late_s, 3), running=len(self._runs)),
         )
 
@@ -263,7 +263,7 @@
             if not culprits:
                 self._healthy_at[head] = self._clock.now()
         logger.info(
-            "quiet path",
+            "first engine of a stalled path queried",
             extra=log_fields(
                 outcome="culprit" if culprits else "none-named",
                 head=head,
--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -92,7 +92,7 @@
     servers = [fleet.by_id[part.backend_id] for part in path]
     now = ctx.clock.now()
     if now >= job.deadline_at:
-        raise ExchangeError(Fate.NOT_SENT, "no time is left")
+        raise ExchangeError(Fate.NOT_SENT, "deadline passed before the send")
     is_split = path[0].layers.count > 0
     call = job.call(
         now=now,
@@ -207,7 +207,7 @@
     body = await stream.rest()
     if progress.is_begun:
         raise ExchangeError(
-            Fate.UNKNOWN, f"status {stream.head.status} where a stream goes on"
+            Fate.UNKNOWN, f"status {stream.head.status} for a resumed stream"
         )
     await sink.send(WholeAnswer(stream.head, body))
     return True
@@ -223,7 +223,7 @@
         return True
     if event.event_id > progress.last_id + 1:
         raise ExchangeError(
-            Fate.UNKNOWN, f"event {event.event_id} follows {progress.last_id}"
+            Fate.UNKNOWN, f"event {event.event_id} follows event {progress.last_id}"
         )
     return event.event_id == progress.last_id + 1
 
@@ -295,7 +295,7 @@
     waited_s = ctx.clock.now() - began_at
     if waited_s > 0 or not is_allowed:
         logger.info(
-            "budget of further sends",
+            "retry budget checked",
             extra=log_fields(
                 request_id=job.req.request_id,
                 outcome="allowed" if is_allowed else "not sent again",
--- a/wigeonscale/routes/build.py
+++ b/wigeonscale/routes/build.py
@@ -53,7 +53,7 @@
     named: dict[str, Service] = {}
     for service in services:
         if service.name in named:
-            _reject(f"service {service.name!r} stands twice")
+            _reject(f"service {service.name!r} is defined twice")
         named[service.name] = service
     return named
 
@@ -76,16 +76,19 @@
 
 def _check_route(route: Route, services: dict[str, Service]) -> None:
     if route.timeout_s <= 0:
-        _reject(f"route {route.name!r}: its timeout is {route.timeout_s:g} s")
+        _reject(f"route {route.name!r}: timeout {route.timeout_s:g} s is not positive")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-        _reject(f"route {route.name!r}: path prefix {route.prefix!r}")
+        _reject(
+            f"route {route.name!r}: path prefix {route.prefix!r} must begin and end"
+            " with '/'"
+        )
     for share in route.shares:
         if share.service not in services:
             _reject(f"route {route.name!r}: unknown service {share.service!r}")
         if share.weight < 0:
-            _reject(f"route {route.name!r}: weight {share.weight:g}")
+            _reject(f"route {route.name!r}: negative weight {share.weight:g}")
     if sum(share.weight for share in route.shares) <= 0:
-        _reject(f"route {route.name!r}: its weights add up to nothing")
+        _reject(f"route {route.name!r}: the sum of its weights is not positive")
 
 
 def _by_key(organisations: Iterable[Organisation]) -> dict[str, Organisation]:
--- a/wigeonscale/routes/tests/test_routes.py
+++ b/wigeonscale/routes/tests/test_routes.py
@@ -52,8 +52,8 @@
         self.assert_refused("'t'", route(shares=(Share("t", 1.0),)))
 
     def test_weights_that_add_up_to_nothing(self):
-        self.assert_refused("nothing", route(shares=(Share("s", 0.0),)))
-        self.assert_refused("nothing", route(shares=()))
+        self.assert_refused("sum of its weights", route(shares=(Share("s", 0.0),)))
+        self.assert_refused("sum of its weights", route(shares=()))
 
     def test_no_timeout(self):
         self.assert_refused("timeout", replace(route(), timeout_s=0.0))
@@ -68,7 +68,7 @@
         self.assertEqual("one", built.organisations["k"].name)
 
     def test_service_twice(self):
-        self.assert_refused("stands twice", services=("s", "s"))
+        self.assert_refused("is defined twice", services=("s", "s"))
 
 
 class MatchingTest(AsyncTestCase):
