--- a/wigeonscale/direct/tests/test_admission_queue.py
+++ b/wigeonscale/direct/tests/test_admission_queue.py
@@ -39,16 +39,16 @@
         tickets = [self.enqueue() for _ in range(5)]
         self.assertEqual(tickets, self.served(tickets))
 
-    def test_more_urgent_ones_go_first(self):
+    def test_priority_order(self):
         late, urgent = self.enqueue(priority=3), self.enqueue(priority=0)
         self.assertEqual([urgent, late], self.served([late, urgent]))
 
-    def test_a_small_organisation_is_not_behind_all_of_a_large_one(self):
+    def test_fair_between_organisations(self):
         large = [self.enqueue(organisation="large") for _ in range(10)]
         small = self.enqueue(organisation="small")
         self.assertTrue(self.served([*large, small]).index(small) <= 2)
 
-    def test_as_many_wait_as_room_comes_free_for(self):
+    def test_queue_length_follows_running_requests(self):
         running = int(3 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S)
         for _ in range(4):
             self.enqueue(running=running)
@@ -60,7 +60,7 @@
             self.fail("a fifth one waits")
         self.assertEqual(4, len(self.queue))
 
-    def test_few_wait_where_those_before_got_no_room(self):
+    def test_queue_shrinks_after_failed_waits(self):
         # Under lasting overload nobody is held only to be turned away.
         for _ in range(20):
             self.queue.release(self.enqueue(), admitted=False)
@@ -74,7 +74,7 @@
         else:
             self.fail("a second one waits")
 
-    def test_many_wait_again_once_there_is_room_again(self):
+    def test_queue_grows_again_after_admissions(self):
         for admitted in [False] * 20 + [True] * 20:
             self.queue.release(self.enqueue(), admitted=admitted)
         for _ in range(5):
@@ -83,7 +83,7 @@
             )
         self.assertEqual(5, len(self.queue))
 
-    def test_fewer_wait_where_answers_take_longer(self):
+    def test_queue_shrinks_with_longer_responses(self):
         running = int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1
         for _ in range(40):
             self.queue.note_response_time(5 * INITIAL_RESPONSE_TIME_S)
@@ -96,7 +96,7 @@
         for _ in range(5):
             self.enqueue(running=running)
 
-    def test_answers_of_no_time_bound_the_queue_all_the_same(self):
+    def test_instant_responses_keep_queue_bounded(self):
         for _ in range(10_000):
             self.queue.note_response_time(0.0)
         # Of 0.1 s each, one running makes room for some fifteen in the longest wait.
@@ -109,7 +109,7 @@
                 return
         self.fail("sixteen wait")
 
-    def test_who_cannot_be_in_time_any_more_goes_last(self):
+    def test_late_requests_go_last(self):
         late, urgent_late = self.enqueue(), self.enqueue(priority=0)
         self.assertTrue(self.queue.is_next(urgent_late))
         self.queue.demote(late)
@@ -121,14 +121,14 @@
         )
         self.assertEqual(0, len(self.queue))
 
-    def test_a_late_one_that_leaves_holds_nobody_up(self):
+    def test_released_late_request_does_not_block(self):
         tickets = [self.enqueue(), self.enqueue()]
         for ticket in tickets:
             self.queue.demote(ticket)
         self.queue.release(tickets[0], admitted=None)
         self.assertTrue(self.queue.is_next(tickets[1]))
 
-    def test_callers_that_leave_say_nothing_of_room(self):
+    def test_disconnected_callers_do_not_shrink_queue(self):
         for _ in range(20):
             self.queue.release(self.enqueue(), admitted=None)
         for _ in range(5):
@@ -136,7 +136,7 @@
                 running=int(5 * INITIAL_RESPONSE_TIME_S / MAX_QUEUE_WAIT_S) + 1
             )
 
-    def test_one_that_leaves_holds_nobody_up(self):
+    def test_released_request_does_not_block(self):
         tickets = [self.enqueue() for _ in range(3)]
         self.assertTrue(self.queue.is_next(tickets[0]))
         self.queue.release(tickets[0], admitted=None)
@@ -153,14 +153,14 @@
             for _ in range(2)
         )
 
-    async def test_room_is_looked_for_again_after_a_step(self):
+    async def test_capacity_is_polled(self):
         waiting = asyncio.create_task(self.queue.wait())
         await self.clock.advance(QUEUE_POLL_INTERVAL_S / 2)
         self.assertFalse(waiting.done())
         await self.clock.advance(QUEUE_POLL_INTERVAL_S / 2)
         await waiting
 
-    async def test_once_one_has_room_the_next_looks_at_once(self):
+    async def test_admission_wakes_the_next_request(self):
         # One look a step for one request each would serve 25 a second.
         waiting = asyncio.create_task(self.queue.wait())
         await self.clock.advance(0)
@@ -177,7 +177,7 @@
     from second 10 to 12. Who is turned away comes back once, after 0.4 to 1.4 s.
     """
 
-    def test_more_are_served_in_time_and_no_fewer_at_all(self):
+    def test_waiting_serves_more_in_time_and_no_fewer_in_total(self):
         without = Replay(waits=False)
         without.play()
         replay = Replay(waits=True)
@@ -188,18 +188,18 @@
         self.assertTrue(replay.served >= without.served, replay.served)
 
 
-class HerdTest(AsyncTestCase):
+class BurstTest(AsyncTestCase):
     """All entries start again, and callers without a further try come at once.
 
     Engines are filled to two thirds otherwise. The herd is 1.5 times their places, as
     in a deployment of 26 entries in which 318 requests came within half a second.
     """
 
-    def test_they_are_served_late_rather_than_never(self):
-        herd = {"waits": True, "herd": 60, "requests_per_s": 13.0}
-        impatient = Replay(patience_s=ON_TIME_WAIT_S, **herd)
+    def test_burst_is_served_late_rather_than_rejected(self):
+        burst = {"waits": True, "burst": 60, "requests_per_s": 13.0}
+        impatient = Replay(patience_s=ON_TIME_WAIT_S, **burst)
         impatient.play()
-        patient = Replay(**herd)
+        patient = Replay(**burst)
         patient.play()
         self.assertEqual(impatient.asked, patient.asked)
         self.assertTrue(
@@ -211,22 +211,22 @@
 
 
 class Replay:
-    PLACES = 40
+    SLOTS = 40
     LOST_SHARE = 0.25
     LENGTH_S = 30.0
     # The answer shall begin after 0.6 s; the engines take some 0.15 s of that.
     IN_TIME_S = 0.45
 
-    HERD_AT_S = 20.0
-    HERD_S = 0.5
+    BURST_AT_S = 20.0
+    BURST_LENGTH_S = 0.5
 
     def __init__(
-        self, *, waits, patience_s=MAX_QUEUE_WAIT_S, herd=0, requests_per_s=18.0
+        self, *, waits, patience_s=MAX_QUEUE_WAIT_S, burst=0, requests_per_s=18.0
     ):
         self.asked = self.served = self.in_time = 0
         self._waits = waits
         self._patience_s = patience_s
-        self._herd = herd
+        self._burst = burst
         self._requests_per_s = requests_per_s
         self._rng = random.Random(7)
         self._queue = AdmissionQueue(clock=ManualClock(start=0.0))
@@ -241,9 +241,9 @@
             instant += self._rng.expovariate(self._requests_per_s)
             self._at(instant, self._arrive, instant, True)
             self.asked += 1
-        for number in range(self._herd):
+        for number in range(self._burst):
             # They were cut off before, and do not come back once more.
-            instant = self.HERD_AT_S + self.HERD_S * number / self._herd
+            instant = self.BURST_AT_S + self.BURST_LENGTH_S * number / self._burst
             self._at(instant, self._arrive, instant, False)
             self.asked += 1
         while self._events:
@@ -254,12 +254,12 @@
     def _at(self, instant, action, *args):
         heapq.heappush(self._events, (instant, next(self._order), action, args))
 
-    def _has_room(self, now):
+    def _has_capacity(self, now):
         lost = self.LOST_SHARE if 10.0 <= now < 12.0 else 0.0
-        return self._running < self.PLACES * (1 - lost)
+        return self._running < self.SLOTS * (1 - lost)
 
-    def _arrive(self, now, first_at, comes_back):
-        if self._has_room(now) and not self._waiting:
+    def _arrive(self, now, first_at, retries):
+        if self._has_capacity(now) and not self._waiting:
             self._serve(now, first_at)
             return
         try:
@@ -269,30 +269,30 @@
                 organisation="o", priority=1, running=self._running
             )
         except WigeonscaleError:
-            self._turn_away(now, first_at, comes_back)
+            self._reject(now, first_at, retries)
             return
         self._waiting[ticket] = first_at
         if self._patience_s > ON_TIME_WAIT_S:
-            self._at(now + ON_TIME_WAIT_S, self._step_back, ticket)
-        self._at(now + self._patience_s, self._give_up, ticket, comes_back)
+            self._at(now + ON_TIME_WAIT_S, self._demote, ticket)
+        self._at(now + self._patience_s, self._give_up, ticket, retries)
 
     def _admit_next(self, now):
         for ticket in list(self._waiting):
-            if self._has_room(now) and self._queue.is_next(ticket):
+            if self._has_capacity(now) and self._queue.is_next(ticket):
                 self._queue.release(ticket, admitted=True)
                 self._serve(now, self._waiting.pop(ticket))
 
-    def _step_back(self, now, ticket):
+    def _demote(self, now, ticket):
         if ticket in self._waiting:
             self._queue.demote(ticket)
 
-    def _give_up(self, now, ticket, comes_back):
+    def _give_up(self, now, ticket, retries):
         if ticket in self._waiting:
             self._queue.release(ticket, admitted=False)
-            self._turn_away(now, self._waiting.pop(ticket), comes_back)
+            self._reject(now, self._waiting.pop(ticket), retries)
 
-    def _turn_away(self, now, first_at, comes_back):
-        if comes_back:
+    def _reject(self, now, first_at, retries):
+        if retries:
             later = now + self._rng.uniform(0.4, 1.4)
             self._at(later, self._arrive, first_at, False)
 
--- a/wigeonscale/direct/tests/test_backend_tracker.py
+++ b/wigeonscale/direct/tests/test_backend_tracker.py
@@ -12,7 +12,7 @@
 
 
 class KeepOnlyTest(AsyncTestCase):
-    async def test_forgets_what_is_gone_and_idle(self):
+    async def test_drops_idle_servers_that_are_gone(self):
         clock = ManualClock()
         tracker = BackendTracker(clock=clock)
         tracker.note_outcome("gone", failed=True)
@@ -33,7 +33,7 @@
 
     ENTRIES = 23
     PER_SECOND = 75
-    LASTS_S = 2.3
+    DURATION_S = 2.3
     REPORT_INTERVAL_S = 0.5
     SIZES = Generation(prompt=700, most=300, expected=150)
 
@@ -86,9 +86,9 @@
         path = choose_path(self.servers, self.engine, costs, domain="abc"[number % 3])
         run = Run(tuple(part.backend_id for part in path), {})
         tracker.begin(run)
-        self.running.append((now + self.LASTS_S, tracker, run))
+        self.running.append((now + self.DURATION_S, tracker, run))
 
-    async def test_entries_do_not_rush_from_one_domain_to_the_next(self):
+    async def test_load_does_not_oscillate_between_domains(self):
         counts = {domain: [] for domain in "abc"}
         for step in range(20 * self.PER_SECOND):
             now = self.clock.now()
@@ -110,7 +110,7 @@
 class TotalsTest(AsyncTestCase):
     """Control tells what all entries have in progress."""
 
-    async def test_own_load_as_told_is_not_counted_twice(self):
+    async def test_reported_own_load_is_not_counted_twice(self):
         clock = ManualClock()
         tracker = BackendTracker(clock=clock)
         run = Run(("s",), {"s": 30.0})
@@ -129,7 +129,7 @@
         self.assertEqual((2, 7.0), tracker.load_of("t", entries=9))
         self.assertEqual((0, 0.0), tracker.load_of("u", entries=9))
 
-    async def test_without_fresh_word_each_entry_counts_as_this_one(self):
+    async def test_stale_totals_are_replaced_by_own_load(self):
         clock = ManualClock()
         tracker = BackendTracker(clock=clock)
         tracker.begin(Run(("s",), {"s": 30.0}))
--- a/wigeonscale/direct/tests/test_choice.py
+++ b/wigeonscale/direct/tests/test_choice.py
@@ -44,22 +44,22 @@
         self.assertEqual("near", self.chosen(entries=1))
         self.assertEqual("far", self.chosen(entries=4))
 
-    def test_one_that_fails_part_of_its_requests(self):
+    def test_failing_server_is_avoided(self):
         for _ in range(5):
             self.tracker.note_outcome("near", failed=True)
         self.assertEqual("far", self.chosen())
 
-    def test_lost_one_only_as_the_last_resort(self):
+    def test_lost_server_only_as_last_resort(self):
         self.tracker.note_lost("near")
         self.assertEqual("far", self.chosen())
         self.assertEqual("near", self.chosen(tried={"far"}))
 
-    async def test_lost_one_is_tried_again_later(self):
+    async def test_lost_server_is_tried_again_later(self):
         self.tracker.note_lost("near")
         await self.clock.advance(10)
         self.assertEqual("near", self.chosen())
 
-    def test_nobody_left(self):
+    def test_no_server_left(self):
         self.assertIsNone(self.chosen(tried={"near", "far"}))
 
 
@@ -82,15 +82,15 @@
     def test_stays_in_its_domain(self):
         self.assertEqual(["a0", "a1"], self.chosen())
 
-    def test_whole_path_of_another_domain_before_one_that_crosses(self):
+    def test_other_domain_before_a_path_across_domains(self):
         self.tracker.note_lost("a1")
         self.assertEqual(["b0", "b1"], self.chosen())
 
-    def test_crosses_when_no_domain_is_whole(self):
+    def test_path_across_domains_when_none_holds_all_layers(self):
         lost = {"a1", "b0", "c1"}
         self.assertEqual(["a0", "b1"], self.chosen(lost=lost))
 
-    def test_full_engines_are_left_for_another_domain(self):
+    def test_other_domain_when_engines_are_full(self):
         room = FULL_SHARE * (5000 - 500) * 1e6 / 1e5
         self.tracker.begin(Run(("a0",), {"a0": room}))
         self.assertEqual(["b0", "b1"], self.chosen())
@@ -108,7 +108,7 @@
             20_000.0 + 41.3 * 21.2 + 2.0, costs.part(server, 413), places=3
         )
 
-    def test_several_full_engines_before_a_path_that_crosses(self):
+    def test_several_full_engines_before_a_path_across_domains(self):
         self.servers = [
             server(f"{domain}{i}", "model", domain=domain, layers=(2 * i, 2 * i + 2))
             for domain in "ab"
@@ -118,7 +118,7 @@
             self.tracker.begin(Run((full,), {full: 1e9}))
         self.assertEqual([f"b{i}" for i in range(5)], self.chosen())
 
-    def test_slow_engines_are_left_for_another_domain(self):
+    def test_other_domain_when_engines_are_very_slow(self):
         # With 20 tokens of 1 ms the detour of 300 ms pays from a factor of some 30 on.
         self.servers[1] = replace(self.servers[1], slowness=16)
         self.assertEqual(["a0", "a1"], self.chosen())
@@ -131,12 +131,12 @@
             self.tracker.begin(Run(("a0", "a1")))
         self.assertEqual(["b0", "b1"], self.chosen())
 
-    def test_slots_of_later_engines_do_not_bind(self):
+    def test_slots_of_later_engines_are_ignored(self):
         for _ in range(ENGINE.slots):
             self.tracker.begin(Run(("a1",)))
         self.assertEqual(["a0", "a1"], self.chosen())
 
-    def test_a_faster_domain_is_left_to_its_own_entries(self):
+    def test_faster_domain_is_not_preferred_over_own(self):
         # Load pattern: one domain has the fastest engines of all.
         fast = Accelerator(name="fast", size_mb=5000.0, pace=0.25, read_factor=0.25)
         engine = replace(
@@ -154,7 +154,7 @@
         path = choose_path(servers, engine, costs, domain="a")
         self.assertEqual(["a0", "a1"], [part.backend_id for part in path])
 
-    def test_avoided_ones_when_nothing_else_is_left(self):
+    def test_avoided_engines_as_last_resort(self):
         for each in self.servers:
             self.tracker.note_lost(each.backend_id)
         self.assertEqual(["a0", "a1"], self.chosen())
--- a/wigeonscale/direct/tests/test_cold_start.py
+++ b/wigeonscale/direct/tests/test_cold_start.py
@@ -18,7 +18,7 @@
 SIZES = Generation(prompt=100, most=40, expected=20)
 
 
-class HerdTest(AsyncTestCase):
+class ColdStartTest(AsyncTestCase):
     """All entries lost power, and so did what they had sent: the engines are empty.
 
     Callers come back within a second, spread unevenly over the entries by a hash.
@@ -36,8 +36,8 @@
         ]
         rng = random.Random(3)
         weights = [rng.uniform(0.2, 3.0) for _ in self.entries]
-        self.herd = rng.choices(self.entries, weights, k=RETURNING_REQUESTS)
-        self.taken = {server.backend_id: 0.0 for server in servers}
+        self.receivers = rng.choices(self.entries, weights, k=RETURNING_REQUESTS)
+        self.used = {server.backend_id: 0.0 for server in servers}
 
     def send(self, harness):
         """Begin one request; return whether there was room for it."""
@@ -49,12 +49,12 @@
         layers = {p.backend_id: float(tokens * p.layers.count) for p in choice.path}
         harness.tracker.begin(Run(tuple(layers), layers))
         for name, token_layers in layers.items():
-            self.taken[name] += token_layers
+            self.used[name] += token_layers
         return True
 
-    async def test_nobody_is_turned_away_from_empty_engines(self):
-        served = sum(self.send(harness) for harness in self.herd)
+    async def test_no_rejections_while_engines_are_empty(self):
+        served = sum(self.send(harness) for harness in self.receivers)
         self.assertEqual(RETURNING_REQUESTS, served)
         free_mb = ENGINE.accelerators["k"].size_mb - LAYERS * ENGINE.layer_mb
         room = free_mb * 1e6 / (ENGINE.token_bytes / ENGINE.layers)
-        self.assertTrue(max(self.taken.values()) <= FULL_SHARE * room)
+        self.assertTrue(max(self.used.values()) <= FULL_SHARE * room)
--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -43,7 +43,7 @@
     def job(self, body=b"", **fields):
         return self.harness.job(body=body, **fields)
 
-    async def test_refused_at_once_and_not_sent(self):
+    async def test_known_crashing_request_is_not_sent(self):
         note_crashes(self.harness, self.job(), "x1", "x2", "x3")
         exc = await self.refused()
         self.assertEqual(ErrorKind.CRASHES_BACKENDS, exc.kind)
@@ -66,13 +66,13 @@
         # It may have run there, so this is no 503.
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
 
-    async def test_the_engine_is_asked_for_by_control(self):
+    async def test_broken_engine_is_reported_to_control(self):
         self.exchange.script("a1", unknown())
         self.exchange.script("b1", [event(1)])
         await self.relay()
         self.assertEqual(["a1"], self.harness.suspected)
 
-    async def test_a_run_that_went_on_is_not_to_blame(self):
+    async def test_long_run_is_no_suspect(self):
         future = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [event(1), future, event(2), unknown()], [event(3)])
         task = asyncio.create_task(self.relay())
@@ -83,7 +83,7 @@
         await task
         self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
-    async def test_sent_to_an_engine_that_is_gone_already_it_is_not_to_blame(self):
+    async def test_request_to_crashed_engine_is_no_suspect(self):
         """Its connection is still being refused when it is taken off the engine."""
         self.harness.ctx.crashes.note_broken("a1")
         await self.harness.clock.advance(0.01)
@@ -97,7 +97,7 @@
         await task
         self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
-    async def test_taken_off_an_engine_that_others_saw_end_it_is_suspected(self):
+    async def test_run_aborted_after_a_crash_is_suspect(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [HANG])
         task = asyncio.create_task(self.relay())
@@ -111,7 +111,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    async def test_a_break_that_is_read_late_is_one_of_a_beginning(self):
+    async def test_late_read_of_a_broken_connection_is_suspect(self):
         """This process stood still between the event and the break."""
         future = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [event(1), future, unknown()])
@@ -126,13 +126,13 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    async def test_served_in_the_end_it_is_cleared(self):
+    async def test_completed_request_is_no_suspect(self):
         note_crashes(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", [event(1)])
         await self.relay()
         self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
-    async def test_lost_layers_of_a_path_are_not_handed_on(self):
+    async def test_crashing_request_is_not_rerouted(self):
         """An engine behind the first one ends, and others hold its layers."""
         self.harness.fleet.by_id["a3"] = spare = engine("a3", 5, 10)
         self.harness.fleet.by_service["model"] += (spare,)
@@ -149,7 +149,7 @@
         self.assertEqual([], self.harness.orders.moved)
 
 
-class KeptApartTest(EndEnginesMixin, StreamCase):
+class IsolatedSuspectsTest(EndEnginesMixin, StreamCase):
     """Two requests were lost together, so that either may be the one that crashes."""
 
     async def prepare(self):
@@ -159,7 +159,7 @@
         for job in (self.one, self.two):
             note_crashes(self.harness, job, "x1")
 
-    async def test_they_go_on_at_different_first_engines(self):
+    async def test_suspects_use_different_first_engines(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
         first = asyncio.create_task(self.relay(body=b"one"))
@@ -169,7 +169,7 @@
         await asyncio.gather(first, return_exceptions=True)
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
 
-    async def test_one_waits_where_there_is_no_other(self):
+    async def test_suspect_waits_for_the_only_first_engine(self):
         self.harness.fleet.by_service["model"] = tuple(
             self.harness.fleet.by_id[name] for name in ("a1", "a2")
         )
@@ -184,7 +184,7 @@
         begun.set_result(None)
         await asyncio.gather(first, second)
 
-    async def test_it_does_not_wait_for_ever(self):
+    async def test_wait_of_a_suspect_is_bounded(self):
         self.harness.fleet.by_service["model"] = tuple(
             self.harness.fleet.by_id[name] for name in ("a1", "a2")
         )
@@ -197,7 +197,7 @@
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
 
-    async def test_others_go_where_they_like(self):
+    async def test_other_requests_are_not_isolated(self):
         self.exchange.script("a1", [HANG], [event(1)])
         first = asyncio.create_task(self.relay(body=b"one"))
         await self.until(lambda: self.exchange.calls)
@@ -212,7 +212,7 @@
         self.harness = EntryHarness(*(server(f"s{n}") for n in range(5)))
         self.exchange = self.harness.exchange
 
-    async def test_refused_before_it_is_sent(self):
+    async def test_known_crashing_plain_request_is_not_sent(self):
         job = self.harness.job()
         note_crashes(self.harness, job, "x1", "x2", "x3")
         exc = await self.failed(job)
@@ -229,7 +229,7 @@
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
         self.assertEqual(self.exchange.sent_to, self.harness.suspected)
 
-    async def test_an_answer_that_is_there_is_delivered(self):
+    async def test_received_error_is_returned_to_caller(self):
         job = self.harness.job()
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, answer(500, b"why"), unknown())
@@ -239,14 +239,14 @@
         got = await call_plain(self.harness.ctx, job)
         self.assertEqual(answer(500, b"why"), got)
 
-    async def test_what_was_not_sent_is_no_crash(self):
+    async def test_unsent_request_is_no_suspect(self):
         job = self.harness.job()
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, ExchangeError(Fate.NOT_SENT, "nobody there"))
         await self.failed(job)
         self.assertFalse(self.harness.ctx.crashes.is_suspect(job.fingerprint))
 
-    async def test_suspects_go_to_different_servers(self):
+    async def test_suspects_use_different_servers(self):
         jobs = [self.harness.job(body=body) for body in (b"one", b"two")]
         for job in jobs:
             note_crashes(self.harness, job, "x1")
@@ -264,7 +264,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         self.assertEqual(["s0", "s1"], self.exchange.sent_to)
 
-    async def test_answered_it_is_cleared(self):
+    async def test_answered_request_is_no_suspect(self):
         job = self.harness.job()
         note_crashes(self.harness, job, "x1", "x2")
         for name in self.harness.fleet.by_id:
--- a/wigeonscale/direct/tests/test_crashing_load.py
+++ b/wigeonscale/direct/tests/test_crashing_load.py
@@ -74,7 +74,7 @@
         )
 
 
-class LostTogetherTest(AsyncTestCase):
+class CommonCrashTest(AsyncTestCase):
     async def prepare(self):
         self.harness = EntryHarness(
             *(engine(name, 0, 10, domain=d) for d, name in ENGINES)
@@ -101,7 +101,7 @@
             return exc.kind
         return sink.is_whole
 
-    async def test_only_the_one_that_crashes_engines_is_refused(self):
+    async def test_only_the_crashing_request_is_rejected(self):
         bodies = [CRASHING, b"one", b"two", b"three"]
         tasks = [asyncio.create_task(self.ask(body)) for body in bodies]
         while not all(task.done() for task in tasks):
--- a/wigeonscale/direct/tests/test_fleet.py
+++ b/wigeonscale/direct/tests/test_fleet.py
@@ -26,12 +26,12 @@
         self.assertEqual(("i-1", "i-1"), (first.name, second.name))
         self.assertEqual((100, 200), (first.incarnation, second.incarnation))
 
-    def test_one_that_does_not_say_goes_by_its_name(self):
+    def test_name_without_start_time(self):
         server = read_fleet([backend("i-1")]).by_service["s"][0]
         self.assertEqual(("i-1", "i-1"), (server.backend_id, server.name))
         self.assertEqual(1, server.incarnation)
 
-    def test_those_that_leave_get_no_new_work(self):
+    def test_draining_servers_get_no_requests(self):
         fleet = read_fleet([backend("i-1", draining=True), backend("i-2")])
         self.assertEqual({"i-2"}, set(fleet.by_id))
         self.assertEqual("i-1:80", fleet.find("i-1").address)
@@ -39,7 +39,7 @@
 
 
 class ReplacedTest(AsyncTestCase):
-    def test_started_again_under_its_name(self):
+    def test_restart_under_the_same_name(self):
         self.assertEqual(
             ["i-1@100"],
             replaced_incarnations(
@@ -48,17 +48,17 @@
             ),
         )
 
-    def test_also_where_the_new_start_leaves_at_once(self):
+    def test_restarted_server_is_draining(self):
         now = [backend("i-1", 200, draining=True)]
         self.assertEqual(["i-1@100"], replaced_incarnations([backend("i-1", 100)], now))
 
-    def test_another_one_at_its_address(self):
+    def test_other_server_at_the_same_address(self):
         now = [backend("i-2", 200, address="i-1:80")]
         self.assertEqual(["i-1@100"], replaced_incarnations([backend("i-1", 100)], now))
 
-    def test_one_that_is_gone_finishes_what_it_has(self):
+    def test_missing_server_is_not_replaced(self):
         self.assertEqual([], replaced_incarnations([backend("i-1", 100)], []))
 
-    def test_a_change_of_the_same_start_ends_nothing(self):
+    def test_changed_state_is_no_replacement(self):
         now = [backend("i-1", 100, silent=True)]
         self.assertEqual([], replaced_incarnations([backend("i-1", 100)], now))
--- a/wigeonscale/direct/tests/test_full_engines.py
+++ b/wigeonscale/direct/tests/test_full_engines.py
@@ -25,7 +25,7 @@
             self.harness.tracker.begin(run)
         return runs
 
-    async def test_room_that_comes_free_in_a_moment_is_waited_for(self):
+    async def test_waits_for_capacity(self):
         runs = self.fill("a1", "b2")
         self.exchange.script("a1", [event(1)])
         task = asyncio.create_task(self.relay())
@@ -37,7 +37,7 @@
         self.assertEqual([1], self.got())
         self.assertEqual(0, len(self.harness.ctx.admission_queue))
 
-    async def test_turned_away_before_its_caller_leaves_with_word_when_to_return(self):
+    async def test_rejected_with_retry_after_before_the_caller_disconnects(self):
         self.fill("a1", "b2")
         task = asyncio.create_task(self.refused())
         # Callers leave after two seconds without an event.
@@ -51,7 +51,7 @@
         self.assertEqual([], self.exchange.calls)
         self.assertEqual(0, len(self.harness.ctx.admission_queue))
 
-    async def test_turned_away_at_once_where_enough_wait_already(self):
+    async def test_rejected_at_once_when_queue_is_full(self):
         self.fill("a1", "b2")
         waiting = asyncio.create_task(self.refused())
         await self.harness.clock.advance(0)
@@ -63,7 +63,7 @@
         await self.harness.clock.advance(MAX_QUEUE_WAIT_S + 0.05)
         await waiting
 
-    async def test_room_that_comes_late_is_taken_late(self):
+    async def test_late_capacity_is_used(self):
         runs = self.fill("a1", "b2")
         self.exchange.script("a1", [event(1)])
         task = asyncio.create_task(self.relay())
@@ -73,7 +73,7 @@
         await task
         self.assertEqual([1], self.got())
 
-    async def test_a_path_that_breaks_meanwhile_is_named_as_the_cause(self):
+    async def test_path_lost_during_the_wait(self):
         self.fill("a1", "b2")
         task = asyncio.create_task(self.refused())
         await self.harness.clock.advance(0.1)
@@ -83,7 +83,7 @@
         self.assertEqual(ErrorKind.NO_BACKEND, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
 
-    async def test_a_caller_that_leaves_gives_its_place_back(self):
+    async def test_disconnected_caller_leaves_the_queue(self):
         self.fill("a1", "b2")
         task = asyncio.create_task(self.relay())
         await self.harness.clock.advance(0.1)
@@ -91,13 +91,13 @@
         await asyncio.gather(task, return_exceptions=True)
         self.assertEqual(0, len(self.harness.ctx.admission_queue))
 
-    async def test_another_domain_with_room_takes_it(self):
+    async def test_other_domain_with_capacity(self):
         self.fill("a2")
         self.exchange.script("b1", [event(1)])
         await self.relay()
         self.assertEqual([1], self.got())
 
-    async def test_what_was_begun_is_finished(self):
+    async def test_begun_stream_is_completed_on_full_engines(self):
         gate = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [event(1), gate, unknown()])
         self.exchange.script("a1", [event(2)])
@@ -108,7 +108,7 @@
         await task
         self.assertEqual([1, 2], self.got())
 
-    async def test_what_may_have_run_is_finished(self):
+    async def test_request_that_may_have_run_is_completed_on_full_engines(self):
         gate = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [gate, unknown()], [event(1)])
         self.exchange.script("b1", [event(1)])
@@ -120,7 +120,7 @@
         await task
         self.assertEqual([1], self.got())
 
-    async def test_large_requests_are_not_turned_away_before_small_ones(self):
+    async def test_large_requests_are_admitted_like_small_ones(self):
         room = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
         usual = 5 * (ENGINE.usual_prompt + ENGINE.usual_answer)
         for name in ("a1", "b1"):
--- a/wigeonscale/direct/tests/test_leaving.py
+++ b/wigeonscale/direct/tests/test_leaving.py
@@ -14,11 +14,11 @@
 from wigeonscale.routes import Repeat
 from wigeonscale.testing import AsyncTestCase
 
-LEAVES = AnswerHead(200, (), ServerNotice(is_leaving=True))
+LEAVING_HEAD = AnswerHead(200, (), ServerNotice(is_leaving=True))
 
 
 class LeavingTest(AsyncTestCase):
-    def entry_of(self, *servers):
+    def prepare_entry(self, *servers):
         self.harness = EntryHarness(*servers)
         return self.harness
 
@@ -28,15 +28,15 @@
         )
         await relay_stream(self.harness.ctx, job, FakeSink())
 
-    def hear(self, name):
+    def receive_leaving(self, name):
         self.harness.ctx.notices.note(
-            name, LEAVES.notice, request_id="r0", sent_at=self.harness.clock.now()
+            name, LEAVING_HEAD.notice, request_id="r0", sent_at=self.harness.clock.now()
         )
 
-    async def test_first_engine_of_the_nearest_path(self):
-        harness = self.entry_of(engine("a", 0, 10), engine("b", 0, 10, domain="b"))
+    async def test_first_engine_of_a_path(self):
+        harness = self.prepare_entry(engine("a", 0, 10), engine("b", 0, 10, domain="b"))
         stream = FakeStream([event(1)])
-        stream.head = LEAVES
+        stream.head = LEAVING_HEAD
         harness.exchange.script("a", stream)
         harness.exchange.script("b", [event(1)], [event(1)])
         for _ in range(3):
@@ -44,26 +44,26 @@
         self.assertEqual(["a", "b", "b"], harness.exchange.sent_to)
 
     async def test_engine_inside_a_path(self):
-        harness = self.entry_of(
+        harness = self.prepare_entry(
             engine("a1", 0, 5), engine("a2", 5, 10), engine("a3", 5, 10)
         )
         harness.exchange.script("a1", [event(1)], [event(1)])
-        self.hear("a2")
+        self.receive_leaving("a2")
         await self.stream()
         (call,) = harness.exchange.calls
         self.assertEqual(["a1", "a3"], [part.backend_id for part in call.path])
 
     async def test_plain_server(self):
-        harness = self.entry_of(server("p1"), server("p2"))
-        harness.exchange.script("p1", WholeAnswer(LEAVES, b"whole"))
+        harness = self.prepare_entry(server("p1"), server("p2"))
+        harness.exchange.script("p1", WholeAnswer(LEAVING_HEAD, b"whole"))
         harness.exchange.script("p2", *[WholeAnswer(AnswerHead(200, ()), b"")] * 2)
         for _ in range(3):
             await call_plain(harness.ctx, harness.job())
         self.assertEqual(["p1", "p2", "p2"], harness.exchange.sent_to)
 
-    async def test_nobody_else_is_there(self):
-        harness = self.entry_of(engine("a", 0, 10))
-        self.hear("a")
+    async def test_no_other_engine(self):
+        harness = self.prepare_entry(engine("a", 0, 10))
+        self.receive_leaving("a")
         try:
             await self.stream()
         except WigeonscaleError as exc:
@@ -73,9 +73,9 @@
             self.assertTrue(exc.retry_after > 0)
         self.assertEqual([], harness.exchange.sent_to)
 
-    async def test_it_still_leaves_when_an_answer_from_before_comes(self):
-        harness = self.entry_of(server("p1"), server("p2"))
-        self.hear("p1")
+    async def test_earlier_response_does_not_cancel_the_notice(self):
+        harness = self.prepare_entry(server("p1"), server("p2"))
+        self.receive_leaving("p1")
         harness.ctx.notices.note(
             "p1", ServerNotice(), request_id="r0", sent_at=harness.clock.now() - 1.0
         )
--- a/wigeonscale/direct/tests/test_notices.py
+++ b/wigeonscale/direct/tests/test_notices.py
@@ -25,7 +25,7 @@
         super().setUp()
         self.harness = EntryHarness()
 
-    def test_one_line_for_each_change(self):
+    def test_one_log_line_per_change(self):
         notices = self.harness.ctx.notices
         with self.assertLogs("wigeonscale.direct.notices") as logs:
             for notice in (LIMITED, LIMITED, None, ServerNotice()):
@@ -33,7 +33,7 @@
         self.assertEqual(2, len(logs.records))
         self.assertEqual(ServerNotice(), notices.latest("i-1"))
 
-    def test_those_that_are_gone_are_forgotten(self):
+    def test_servers_that_are_gone_are_dropped(self):
         notices = self.harness.ctx.notices
         for name in ("i-1", "i-2"):
             notices.note(name, LIMITED, request_id="r1", sent_at=0.0)
@@ -42,7 +42,7 @@
         self.assertEqual(LIMITED, notices.latest("i-2"))
 
 
-class HeardTest(AsyncTestCase):
+class ResponseNoticeTest(AsyncTestCase):
     """Every answer is heard, also one that refuses."""
 
     async def test_plain(self):
--- a/wigeonscale/direct/tests/test_plain.py
+++ b/wigeonscale/direct/tests/test_plain.py
@@ -43,7 +43,7 @@
             self.assertEqual(200, (await self.call()).head.status)
             self.assertEqual(["one", "two"], self.exchange.sent_to)
 
-    async def test_a_failure_of_the_server_is_handed_on(self):
+    async def test_server_error_is_returned_if_the_retry_fails(self):
         self.exchange.script("one", answer(500, b"why"))
         self.exchange.script("two", unknown())
         self.assertEqual(answer(500, b"why"), await self.call())
@@ -55,7 +55,7 @@
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
         self.assertEqual(["one"], self.exchange.sent_to)
 
-    async def test_no_second_send_beyond_the_budget(self):
+    async def test_no_retry_without_budget(self):
         self.harness = EntryHarness(server("one"), server("two"), slack=0)
         self.exchange = self.harness.exchange
         self.exchange.script("one", not_run())
@@ -80,24 +80,24 @@
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
         self.assertEqual(["one"], self.exchange.sent_to)
 
-    async def test_an_error_of_the_server_is_its_answer(self):
+    async def test_server_error_is_returned(self):
         self.exchange.script("one", answer(500))
         got = await self.call(Repeat.UNSAFE)
         self.assertEqual(500, got.head.status)
         self.assertEqual(["one"], self.exchange.sent_to)
 
-    async def test_sent_on_when_it_was_not_sent(self):
+    async def test_retried_if_it_was_not_sent(self):
         self.exchange.script("one", not_sent())
         self.exchange.script("two", answer())
         self.assertEqual(answer(), await self.call(Repeat.UNSAFE, max_attempts=1))
         self.assertEqual(["one"], self.harness.suspected)
 
-    async def test_sent_on_when_the_server_says_it_did_not_run(self):
+    async def test_retried_if_the_server_did_not_run_it(self):
         self.exchange.script("one", not_run())
         self.exchange.script("two", answer())
         self.assertEqual(answer(), await self.call(Repeat.UNSAFE))
 
-    async def test_not_run_is_said_with_word_when_to_return(self):
+    async def test_not_run_error_has_retry_after(self):
         self.exchange.script("one", not_run())
         exc = await self.refused(max_attempts=1)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
@@ -110,7 +110,7 @@
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
         self.assertEqual([], self.exchange.calls)
 
-    async def test_all_servers_out_of_reach(self):
+    async def test_all_servers_unreachable(self):
         for name in ("one", "two"):
             self.exchange.script(name, *[not_sent()] * 50)
         exc = await self.refused()
--- a/wigeonscale/direct/tests/test_probing.py
+++ b/wigeonscale/direct/tests/test_probing.py
@@ -12,10 +12,10 @@
 MAX_DETECTION_S = 0.2
 
 
-class DarkEngineTest(StreamCase):
+class UnreachableEngineTest(StreamCase):
     """An engine goes dark under several streams; its neighbours answer as usual."""
 
-    async def stream_until_dark(self, name, *, streams=5):
+    async def stall_streams(self, name, *, streams=5):
         """Begin streams on a1 and a2, and stop all of them after a few events."""
         self.sinks = [FakeSink() for _ in range(streams)]
         self.gates = []
@@ -45,19 +45,19 @@
             task.cancel()
         await asyncio.gather(*self.tasks, self.watch, return_exceptions=True)
 
-    async def test_found_before_a_pause_is_late(self):
+    async def test_lost_engine_is_detected_in_time(self):
         for name in ("a1", "a2"):
             await self.prepare()
-            dark_at = await self.stream_until_dark(f"{name}:80")
+            stalled_at = await self.stall_streams(f"{name}:80")
             await self.until(lambda: all(task.done() for task in self.tasks))
-            waited_s = self.harness.clock.now() - dark_at
+            waited_s = self.harness.clock.now() - stalled_at
             await self.end()
             self.assertTrue(waited_s <= MAX_DETECTION_S, (name, waited_s))
             self.assertEqual([name], self.harness.suspected)
             self.assertTrue(all(sink.is_whole for sink in self.sinks))
 
-    async def test_engines_that_answer_keep_their_streams(self):
-        await self.stream_until_dark("nobody")
+    async def test_responding_engines_keep_their_streams(self):
+        await self.stall_streams("nobody")
         await self.harness.clock.advance(0.2)
         await self.end()
         self.assertEqual([], self.harness.suspected)
@@ -65,36 +65,38 @@
         # One probe each, not one a look and stream.
         self.assertEqual(["a1:80", "a2:80"], sorted(self.harness.reach.probed))
 
-    async def test_nobody_is_blamed_where_nobody_can_be_reached(self):
-        await self.stream_until_dark("a1:80")
+    async def test_no_engine_is_lost_if_none_responds(self):
+        await self.stall_streams("a1:80")
         self.harness.reach.unreachable = {"a1:80", "a2:80"}
         await self.harness.clock.advance(0.22)
         await self.end()
         self.assertEqual([], self.harness.suspected)
 
-    async def test_neighbours_that_go_dark_together_while_other_streams_move(self):
-        dark_at = await self.stream_until_dark("a1:80", streams=1)
+    async def test_all_engines_of_a_path_lost_while_others_get_events(self):
+        stalled_at = await self.stall_streams("a1:80", streams=1)
         self.harness.reach.unreachable = {"a1:80", "a2:80"}
         other = Run(("b1", "b2"), events=1)
         self.harness.stalls.add(other)
-        while not self.harness.suspected and self.harness.clock.now() < dark_at + 0.2:
+        while (
+            not self.harness.suspected and self.harness.clock.now() < stalled_at + 0.2
+        ):
             other.progress_at = self.harness.clock.now()
             await self.harness.clock.advance(0.01)
         await self.end()
         self.assertEqual({"a1", "a2"}, set(self.harness.suspected))
 
-    async def test_an_engine_far_away_has_longer_to_answer(self):
+    async def test_timeout_grows_with_the_delay(self):
         # A region 50 ms away: a connection takes 100 ms.
         for delay_s, blamed in ((0.05, []), (0.0, ["a2"])):
             await self.prepare()
-            await self.stream_until_dark("nobody")
+            await self.stall_streams("nobody")
             self.harness.reach.answer_s["a2:80"] = 0.105
             self.harness.delays_s["a"] = delay_s
             await self.harness.clock.advance(0.25)
             await self.end()
             self.assertEqual(blamed, self.harness.suspected)
 
-    async def test_many_quiet_paths_are_not_asked_all_at_once(self):
+    async def test_probes_per_round_are_bounded(self):
         """Half of the runs pass a dark engine; it is asked among the first."""
         names = [f"x{number:02}" for number in range(40)]
         self.harness.fleet = fleet(*[engine(name, 0, 10) for name in [*names, "dark"]])
@@ -110,8 +112,8 @@
         self.assertIn("dark:80", self.harness.reach.probed)
         self.assertEqual(MAX_PROBED_PER_ROUND, len(set(self.harness.reach.probed)))
 
-    async def test_a_lost_packet_is_no_lost_engine(self):
-        await self.stream_until_dark("a2:80")
+    async def test_lost_packet_does_not_mark_engine_lost(self):
+        await self.stall_streams("a2:80")
         # The first probe is lost on its way, the next one is answered.
         await self.until(lambda: "a2:80" in self.harness.reach.probed)
         self.harness.reach.unreachable = set()
@@ -119,8 +121,8 @@
         await self.end()
         self.assertEqual([], self.harness.suspected)
 
-    async def test_streams_that_move_again_meanwhile_stay(self):
-        await self.stream_until_dark("a2:80")
+    async def test_event_during_the_probe_keeps_the_engine(self):
+        await self.stall_streams("a2:80")
         await self.until(lambda: "a2:80" in self.harness.reach.probed)
         for run in self.harness.tracker.runs_on("a2"):
             run.note_progress(self.harness.clock.now() + 0.09)
@@ -128,16 +130,16 @@
         await self.end()
         self.assertEqual([], self.harness.suspected)
 
-    async def test_one_that_has_ended_is_left_at_once(self):
-        dark_at = await self.stream_until_dark("nobody")
+    async def test_refused_connection_marks_engine_lost_at_once(self):
+        stalled_at = await self.stall_streams("nobody")
         self.harness.reach.answers["a2:80"] = ProbeAnswer.REFUSED
         await self.until(lambda: all(task.done() for task in self.tasks))
-        waited_s = self.harness.clock.now() - dark_at
+        waited_s = self.harness.clock.now() - stalled_at
         await self.end()
         self.assertTrue(waited_s < 0.15, waited_s)
         self.assertEqual(["a2"], self.harness.suspected)
 
-    async def test_before_the_first_event(self):
+    async def test_engine_lost_before_the_first_event(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
         self.harness.reach.unreachable = {"a1:80"}
@@ -152,15 +154,15 @@
         # In time is 0.5 s, of which it takes 0.1 s elsewhere.
         self.assertTrue(waited_s < 0.4, waited_s)
 
-    async def test_busy_engines_are_not_asked_all_the_time(self):
-        await self.stream_until_dark("nobody")
+    async def test_probes_of_busy_engines_are_rate_limited(self):
+        await self.stall_streams("nobody")
         await self.harness.clock.advance(3.0)
         await self.end()
         asked = len(self.harness.reach.probed)
         # Two engines, once a second each at most.
         self.assertTrue(2 <= asked <= 8, asked)
 
-    async def test_not_while_the_entry_itself_is_behind(self):
+    async def test_no_probes_while_the_entry_lags(self):
         runs = [Run(("a1", "a2"), expected_interval_s=0.04) for _ in range(3)]
         for run in runs:
             self.harness.tracker.begin(run)
--- a/wigeonscale/direct/tests/test_rate_limits.py
+++ b/wigeonscale/direct/tests/test_rate_limits.py
@@ -5,15 +5,15 @@
 REPORT_INTERVAL_S = 0.5
 
 
-def word(per_s, *, age_s=0.0, demands=None):
+def report(per_s, *, age_s=0.0, demands=None):
     return NamedLimit(backend_id="i", per_s=per_s, age_s=age_s, demands=demands or {})
 
 
-def alike(*names):
+def equal_demands(*names):
     return {name: 8 for name in names}
 
 
-class SendLimitsTest(AsyncTestCase):
+class RateLimitsTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
@@ -22,7 +22,7 @@
     def new(self, name, *, entries=4):
         return BackendRateLimits(name=name, clock=self.clock, entries=lambda: entries)
 
-    def named(self, per_s):
+    def receive_limit(self, per_s):
         self.limits.note("i", per_s, sent_at=self.clock.now())
 
     async def sent_in(self, seconds, *, demands=None, step_s=0.05):
@@ -31,7 +31,7 @@
         for step in range(round(seconds / step_s)):
             if demands is not None and step % round(REPORT_INTERVAL_S / step_s) == 0:
                 self.limits.apply_reports(
-                    [word(None, age_s=None, demands=demands)], tellers=4
+                    [report(None, age_s=None, demands=demands)], tellers=4
                 )
             if self.limits.may_send("i"):
                 self.limits.note_sent("i")
@@ -39,134 +39,150 @@
             await self.clock.advance(step_s)
         return sent
 
-    async def test_without_a_limit_all_goes(self):
+    async def test_no_limit(self):
         self.assertTrue(self.limits.may_send("i"))
         self.limits.note_sent("i")
         self.assertTrue(self.limits.may_send("i"))
         self.assertEqual([], self.limits.report())
 
-    async def test_one_that_is_alone_uses_most_of_it(self):
-        self.named(10.0)
-        sent = await self.sent_in(10.0, demands=alike("one"))
+    async def test_single_entry_uses_most_of_the_limit(self):
+        self.receive_limit(10.0)
+        sent = await self.sent_in(10.0, demands=equal_demands("one"))
         self.assertTrue(70 <= sent <= 100, sent)
 
-    async def test_requests_that_come_together_go_together(self):
-        self.named(20.0)
-        await self.sent_in(1.0, demands=alike("one"))
+    async def test_burst(self):
+        self.receive_limit(20.0)
+        await self.sent_in(1.0, demands=equal_demands("one"))
         await self.clock.advance(1.0)
         self.limits.apply_reports(
-            [word(None, age_s=None, demands=alike("one"))], tellers=4
+            [report(None, age_s=None, demands=equal_demands("one"))], tellers=4
         )
         for _ in range(5):
             self.assertTrue(self.limits.may_send("i"))
             self.limits.note_sent("i")
 
-    async def test_those_that_want_it_share_it(self):
-        self.named(10.0)
-        sent = await self.sent_in(10.0, demands=alike("one", "two", "three", "four"))
+    async def test_equal_demands_share_the_limit(self):
+        self.receive_limit(10.0)
+        sent = await self.sent_in(
+            10.0, demands=equal_demands("one", "two", "three", "four")
+        )
         self.assertTrue(15 <= sent <= 25, sent)
 
-    async def test_where_too_many_want_it_a_few_have_it(self):
+    async def test_few_entries_share_a_small_limit(self):
         names = tuple(f"e{number:02d}" for number in range(40))
         owners = 0
         for name in names:
             limits = self.new(name)
-            limits.apply_reports([word(1.0, demands=alike(*names))], tellers=4)
+            limits.apply_reports(
+                [report(1.0, demands=equal_demands(*names))], tellers=4
+            )
             owners += limits.send_delay_s("i") < 100.0
         self.assertEqual(2, owners)
 
-    async def test_who_has_the_most_requests_gets_the_most(self):
-        self.named(10.0)
+    async def test_share_follows_demand(self):
+        self.receive_limit(10.0)
         sent = await self.sent_in(10.0, demands={"one": 30, "two": 3, "three": 2})
         self.assertTrue(60 <= sent <= 80, sent)
 
-    async def test_a_larger_share_is_not_waited_for_as_long_as_a_small_one(self):
-        self.named(2.0)
-        self.limits.apply_reports([word(2.0, demands={"one": 1, "two": 63})], tellers=4)
+    async def test_larger_share_shortens_the_wait(self):
+        self.receive_limit(2.0)
+        self.limits.apply_reports(
+            [report(2.0, demands={"one": 1, "two": 63})], tellers=4
+        )
         self.assertTrue(self.limits.send_delay_s("i") > 20.0)
-        self.limits.apply_reports([word(2.0, demands={"one": 64, "two": 1})], tellers=4)
+        self.limits.apply_reports(
+            [report(2.0, demands={"one": 64, "two": 1})], tellers=4
+        )
         self.assertTrue(self.limits.send_delay_s("i") < 1.0)
 
-    async def test_without_word_from_control_each_takes_an_equal_part(self):
-        self.named(2.0)
+    async def test_equal_share_without_reports(self):
+        self.receive_limit(2.0)
         sent = await self.sent_in(20.0)
         self.assertTrue(7 <= sent <= 10, sent)
 
-    async def test_control_is_lost_in_between(self):
+    async def test_reports_become_stale(self):
         # Those that do not share it now would all begin at once.
-        self.named(2.0)
-        self.limits.apply_reports([word(2.0, demands=alike("two"))], tellers=4)
+        self.receive_limit(2.0)
+        self.limits.apply_reports(
+            [report(2.0, demands=equal_demands("two"))], tellers=4
+        )
         self.assertEqual(0, await self.sent_in(2.5))
         await self.clock.advance(0.1)
         self.assertEqual(0, await self.sent_in(2.0))
         self.assertTrue(await self.sent_in(10.0) > 0)
 
-    async def test_word_of_some_entries_changes_no_share(self):
-        self.named(2.0)
-        everybody = alike("one", "two", "three", "four")
-        self.limits.apply_reports([word(2.0, demands=everybody)], tellers=4)
+    async def test_incomplete_reports_do_not_change_shares(self):
+        self.receive_limit(2.0)
+        everybody = equal_demands("one", "two", "three", "four")
+        self.limits.apply_reports([report(2.0, demands=everybody)], tellers=4)
         before_s = self.limits.send_delay_s("i")
-        self.limits.apply_reports([word(2.0, demands=alike("one"))], tellers=3)
+        self.limits.apply_reports(
+            [report(2.0, demands=equal_demands("one"))], tellers=3
+        )
         self.assertEqual(before_s, self.limits.send_delay_s("i"))
         await self.clock.advance(3.0)
-        self.limits.apply_reports([word(2.0, demands=alike("one"))], tellers=3)
+        self.limits.apply_reports(
+            [report(2.0, demands=equal_demands("one"))], tellers=3
+        )
         # By then it takes what each would get if all sent.
         self.assertTrue(self.limits.send_delay_s("i") >= 1.9)
 
-    async def test_who_begins_to_share_it_waits_its_turn(self):
-        self.named(2.0)
-        self.limits.apply_reports([word(2.0, demands=alike("two", "three"))], tellers=4)
+    async def test_new_sharer_waits_one_interval(self):
+        self.receive_limit(2.0)
+        self.limits.apply_reports(
+            [report(2.0, demands=equal_demands("two", "three"))], tellers=4
+        )
         await self.clock.advance(1.0)
         self.assertFalse(self.limits.may_send("i"))
         self.limits.apply_reports(
-            [word(2.0, demands=alike("one", "two", "three"))], tellers=4
+            [report(2.0, demands=equal_demands("one", "two", "three"))], tellers=4
         )
         self.assertFalse(self.limits.may_send("i"))
         self.assertTrue(1.8 <= self.limits.send_delay_s("i") <= 1.9)
 
-    async def test_it_ends_with_an_answer_that_names_none(self):
-        self.named(1.0)
-        self.named(None)
+    async def test_response_without_limit_ends_it(self):
+        self.receive_limit(1.0)
+        self.receive_limit(None)
         self.assertTrue(self.limits.may_send("i"))
-        (told,) = self.limits.report()
-        self.assertIsNone(told.per_s)
+        (reported,) = self.limits.report()
+        self.assertIsNone(reported.per_s)
         await self.clock.advance(60.0)
         self.assertEqual([], self.limits.report())
 
-    async def test_an_answer_from_before_does_not_end_it(self):
+    async def test_earlier_response_does_not_end_it(self):
         sent_at = self.clock.now()
         await self.clock.advance(0.1)
-        self.named(1.0)
+        self.receive_limit(1.0)
         self.limits.note("i", None, sent_at=sent_at)
         self.assertFalse(self.limits.may_send("i"))
 
-    async def test_others_tell_that_it_began_and_ended(self):
-        self.limits.apply_reports([word(1.0, age_s=0.3)], tellers=4)
+    async def test_reports_start_and_end_a_limit(self):
+        self.limits.apply_reports([report(1.0, age_s=0.3)], tellers=4)
         self.assertFalse(self.limits.may_send("i"))
         # It has nothing of its own to tell, but that it has work for the server.
         self.assertEqual([], self.limits.report())
         self.limits.note_demand("i")
-        (told,) = self.limits.report()
-        self.assertEqual((None, {"one": 1}), (told.age_s, told.demands))
+        (reported,) = self.limits.report()
+        self.assertEqual((None, {"one": 1}), (reported.age_s, reported.demands))
         await self.clock.advance(1.0)
-        self.limits.apply_reports([word(None, age_s=0.1)], tellers=4)
+        self.limits.apply_reports([report(None, age_s=0.1)], tellers=4)
         self.assertTrue(self.limits.may_send("i"))
 
-    async def test_older_word_changes_nothing(self):
-        self.named(None)
-        self.limits.apply_reports([word(None, age_s=0.1)], tellers=4)
-        self.named(1.0)
+    async def test_older_report_is_ignored(self):
+        self.receive_limit(None)
+        self.limits.apply_reports([report(None, age_s=0.1)], tellers=4)
+        self.receive_limit(1.0)
         await self.clock.advance(1.0)
-        self.limits.apply_reports([word(None, age_s=5.0)], tellers=4)
+        self.limits.apply_reports([report(None, age_s=5.0)], tellers=4)
         self.assertFalse(self.limits.may_send("i"))
 
-    async def test_nothing_at_all_is_asked_now_and_then(self):
-        self.named(0.0)
-        sent = await self.sent_in(60.0, demands=alike("one"))
+    async def test_limit_of_zero_is_probed(self):
+        self.receive_limit(0.0)
+        sent = await self.sent_in(60.0, demands=equal_demands("one"))
         self.assertTrue(1 <= sent <= 12, sent)
 
-    async def test_it_is_wanted_for_some_seconds(self):
-        self.named(1.0)
+    async def test_demand_expires(self):
+        self.receive_limit(1.0)
         self.assertEqual({}, self.limits.report()[0].demands)
         self.limits.note_demand("i")
         self.limits.note_sent("i")
@@ -174,14 +190,14 @@
         await self.clock.advance(6.0)
         self.assertEqual({}, self.limits.report()[0].demands)
 
-    def test_what_is_wanted_is_counted_up_to_a_bound(self):
+    def test_demand_count_is_bounded(self):
         # An entry that is cut off from control tells nobody and forgets nothing.
-        self.named(1.0)
+        self.receive_limit(1.0)
         for _ in range(3 * MAX_DEMAND_SAMPLES):
             self.limits.note_demand("i")
         self.assertEqual({"one": MAX_DEMAND_SAMPLES}, self.limits.report()[0].demands)
 
-    async def test_those_that_are_gone_are_forgotten(self):
-        self.named(1.0)
+    async def test_servers_that_are_gone_are_dropped(self):
+        self.receive_limit(1.0)
         self.limits.keep_only([])
         self.assertTrue(self.limits.may_send("i"))
--- a/wigeonscale/direct/tests/test_retry_after.py
+++ b/wigeonscale/direct/tests/test_retry_after.py
@@ -38,18 +38,18 @@
     return not_run(notice=ServerNotice(rest_s=REST_S))
 
 
-class RestTest(AsyncTestCase):
+class RetryAfterTest(AsyncTestCase):
     async def ask(self, harness, flow):
         for _ in range(REQUESTS):
             asking = asyncio.create_task(flow())
             await harness.clock.advance(STEP_S)
             await asyncio.gather(asking, return_exceptions=True)
 
-    def sends_in_rest(self, harness, name, sent_at):
+    def sends_during_rest(self, harness, name, sent_at):
         first = next(at for at, to in sent_at if to == name)
         return sum(to == name and first < at < first + REST_S for at, to in sent_at)
 
-    def entry_of(self, *servers):
+    def prepare_entry(self, *servers):
         harness = EntryHarness(*servers)
         sent_at = []
         open_stream = harness.exchange.open
@@ -61,8 +61,8 @@
         harness.exchange.open = open_noted
         return harness, sent_at
 
-    async def test_the_first_engine_of_the_nearest_path(self):
-        harness, sent_at = self.entry_of(
+    async def test_first_engine_of_the_cheapest_path(self):
+        harness, sent_at = self.prepare_entry(
             engine("a", 0, 10), engine("b", 0, 10, domain="b")
         )
         harness.exchange.script("a", *[refused_with_rest() for _ in range(REQUESTS)])
@@ -73,14 +73,14 @@
             await relay_stream(harness.ctx, job, FakeSink())
 
         await self.ask(harness, flow)
-        sends = self.sends_in_rest(harness, "a", sent_at)
+        sends = self.sends_during_rest(harness, "a", sent_at)
         self.assertTrue(
             sends <= MAX_SENDS_DURING_REST, f"{sends} sends while it rested"
         )
         self.assertEqual(REQUESTS, sum(to == "b" for _, to in sent_at))
 
-    async def test_the_only_engine_for_longer_than_callers_wait(self):
-        harness, _ = self.entry_of(engine("a", 0, 10))
+    async def test_only_engine_rests_longer_than_callers_wait(self):
+        harness, _ = self.prepare_entry(engine("a", 0, 10))
         harness.exchange.script("a", refused_with_rest())
         sink = FakeSink()
         for _ in range(2):
@@ -95,8 +95,8 @@
         )
         self.assertTrue(refused.retry_after >= REST_S)
 
-    async def test_the_only_engine_for_a_moment(self):
-        harness, sent_at = self.entry_of(engine("a", 0, 10))
+    async def test_only_engine_rests_briefly(self):
+        harness, sent_at = self.prepare_entry(engine("a", 0, 10))
         moment = not_run(notice=ServerNotice(rest_s=0.5))
         harness.exchange.script("a", moment, [event(1)])
         sink = FakeSink()
@@ -109,8 +109,8 @@
         (first, _), (second, _) = sent_at[:2]
         self.assertTrue(second - first >= 0.5)
 
-    async def test_a_shorter_rest_does_not_end_a_longer_one(self):
-        harness, _ = self.entry_of(engine("a", 0, 10))
+    async def test_shorter_rest_does_not_replace_longer_one(self):
+        harness, _ = self.prepare_entry(engine("a", 0, 10))
         for rest_s in (REST_S, 0.1):
             harness.ctx.notices.note(
                 "a", ServerNotice(rest_s=rest_s), request_id="r", sent_at=0.0
@@ -120,7 +120,7 @@
         self.assertTrue(harness.ctx.notices.may_send("a"))
 
     async def test_the_only_plain_server(self):
-        harness, sent_at = self.entry_of(server("p"))
+        harness, sent_at = self.prepare_entry(server("p"))
         harness.exchange.script("p", *[refused_with_rest() for _ in range(REQUESTS)])
         harness.exchange.script("p", *[answer() for _ in range(REQUESTS)])
         refusals = []
@@ -132,7 +132,7 @@
                 refusals.append(exc)
 
         await self.ask(harness, flow)
-        sends = self.sends_in_rest(harness, "p", sent_at)
+        sends = self.sends_during_rest(harness, "p", sent_at)
         self.assertTrue(
             sends <= MAX_SENDS_DURING_REST, f"{sends} sends while it rested"
         )
--- a/wigeonscale/direct/tests/test_retry_budget.py
+++ b/wigeonscale/direct/tests/test_retry_budget.py
@@ -25,7 +25,7 @@
         self.assertTrue(spent <= ratio * requests * entries + slack, spent)
         self.assertTrue(spent >= 0.5 * (ratio * requests * entries + slack), spent)
 
-    async def test_services_apart_and_windows_slide(self):
+    async def test_separate_services_and_sliding_window(self):
         budget = self.budget(ratio=0.0, slack=2)
         self.assertTrue(budget.try_spend("s"))
         self.assertFalse(budget.try_spend("s"))
@@ -65,40 +65,40 @@
         return self.RATIO * self.REQUESTS * len(self.budgets) + self.SLACK
 
     def sums(self):
-        told = [budget.report_sends()["s"] for budget in self.budgets]
-        return {"s": (sum(r for r, _ in told), sum(f for _, f in told))}
+        with_totals = [budget.report_sends()["s"] for budget in self.budgets]
+        return {"s": (sum(r for r, _ in with_totals), sum(f for _, f in with_totals))}
 
-    def tell(self, sums):
+    def apply_totals(self, sums):
         for budget in self.budgets:
             budget.apply_totals(sums)
 
 
-class CommonRestTest(AsyncTestCase):
+class SharedPoolTest(AsyncTestCase):
     """A few entries need many further sends, while the others need none."""
 
-    LOSERS = 7
+    AFFECTED_ENTRIES = 7
     STREAMS = 12
 
-    async def go_on(self, entries, *, told):
+    async def retry_streams(self, entries, *, with_totals):
         """Return how many streams of the losers go on within a second."""
-        left = dict.fromkeys(entries.budgets[: self.LOSERS], self.STREAMS)
-        gone_on = 0
+        left = dict.fromkeys(entries.budgets[: self.AFFECTED_ENTRIES], self.STREAMS)
+        retried = 0
         for _ in range(3):
-            if told:
-                entries.tell(entries.sums())
+            if with_totals:
+                entries.apply_totals(entries.sums())
             for budget in left:
                 while left[budget] and budget.try_spend("s"):
                     left[budget] -= 1
-                    gone_on += 1
+                    retried += 1
             await entries.clock.advance(entries.REPORT_INTERVAL_S)
-        return gone_on
+        return retried
 
-    async def test_what_others_do_not_need_is_taken(self):
-        self.assertEqual(42, await self.go_on(Entries(68), told=False))
-        gone_on = await self.go_on(Entries(68), told=True)
-        self.assertTrue(gone_on >= 78, gone_on)
+    async def test_unused_budget_of_others_is_used(self):
+        self.assertEqual(42, await self.retry_streams(Entries(68), with_totals=False))
+        retried = await self.retry_streams(Entries(68), with_totals=True)
+        self.assertTrue(retried >= 78, retried)
 
-    async def test_all_together_stay_below_the_bound_on_old_word(self):
+    async def test_stale_totals_stay_within_the_budget(self):
         for count in (5, 29, 68, 300, 900):
             entries = Entries(count)
             before = entries.sums()
@@ -106,7 +106,7 @@
             for _ in range(19):
                 now = entries.sums()
                 # Word of the others is one round late.
-                entries.tell(before)
+                entries.apply_totals(before)
                 before = now
                 for budget in entries.budgets:
                     while budget.try_spend("s"):
@@ -114,9 +114,9 @@
                 await entries.clock.advance(entries.REPORT_INTERVAL_S)
             self.assertTrue(spent <= entries.allowed, (count, spent, entries.allowed))
 
-    async def test_without_fresh_word_each_has_its_equal_share(self):
+    async def test_equal_share_without_recent_totals(self):
         entries = Entries(68)
-        entries.tell(entries.sums())
+        entries.apply_totals(entries.sums())
         await entries.clock.advance(3)
         budget = entries.budgets[0]
         spent = 0
@@ -124,7 +124,7 @@
             spent += 1
         self.assertEqual(6, spent)
 
-    async def test_new_requests_leave_some_to_streams_that_were_begun(self):
+    async def test_reserve_for_begun_streams(self):
         budget = Entries(68).budgets[0]
         while budget.try_spend("s", is_begun=False):
             pass
--- a/wigeonscale/direct/tests/test_service.py
+++ b/wigeonscale/direct/tests/test_service.py
@@ -82,27 +82,27 @@
         await self.serve()
         self.assertEqual(answer(), self.sink.answer)
 
-    async def test_time_handed_on_is_the_shorter_one(self):
+    async def test_remaining_time_is_the_shorter_limit(self):
         for deadline_s, most_s in ((1.5, 0.8), (0.3, 0.3), (None, 0.8)):
             self.exchange.script("one", answer())
             await self.serve(deadline_s=deadline_s)
             left_s = self.exchange.calls[-1].left_s
             self.assertTrue(most_s - 0.05 < left_s <= most_s, left_s)
 
-    async def test_priority_of_the_organisation_goes_first(self):
+    async def test_priority_of_the_organisation_overrides(self):
         self.exchange.script("one", answer())
         await self.serve()
         call = self.exchange.calls[0]
         self.assertEqual((7, "one"), (call.priority, call.organisation))
 
-    async def test_final_answer_at_the_routes_timeout(self):
+    async def test_timeout(self):
         self.exchange.script("one", FakeExchange.HANG)
         exc = await self.refused(deadline_s=0.1)
         self.assertEqual(ErrorKind.DEADLINE_EXCEEDED, exc.kind)
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
         self.assertEqual(["one"], self.exchange.cancelled)
 
-    async def test_refusals_of_the_table(self):
+    async def test_no_route_or_unknown_key(self):
         for fields, kind in (
             ({"host": "other"}, ErrorKind.NO_MATCHING_RULE),
             ({"key": "wrong"}, ErrorKind.UNKNOWN_KEY),
@@ -111,7 +111,7 @@
             self.assertEqual((kind, RunState.NOT_RUN), (exc.kind, exc.run_state))
         self.assertEqual([], self.exchange.calls)
 
-    async def test_unconfirmed_state_where_the_settings_forbid_it(self):
+    async def test_expired_lease(self):
         self.confirmed = False
         exc = await self.refused()
         self.assertEqual(ErrorKind.LEASE_EXPIRED, exc.kind)
@@ -119,7 +119,7 @@
 
 
 class StreamTest(ServiceCase):
-    async def test_streams_are_relayed_whatever_serves_them(self):
+    async def test_stream_of_a_plain_service(self):
         self.exchange.script("one", [event(1)])
         self.table = build_table(
             number=2,
@@ -165,7 +165,7 @@
         self.known.clear()
         self.table = RouteTable()
 
-    async def test_waits_for_table_and_backend_servers(self):
+    async def test_waits_for_the_configuration(self):
         self.exchange.script("one", answer())
         task = asyncio.create_task(self.serve())
         await asyncio.sleep(0)
@@ -176,7 +176,7 @@
         await task
         self.assertEqual(answer(), self.sink.answer)
 
-    async def test_not_for_ever(self):
+    async def test_wait_is_bounded(self):
         exc = await self.refused(deadline_s=0.1)
         self.assertEqual(ErrorKind.LEASE_EXPIRED, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
--- a/wigeonscale/direct/tests/test_stalls.py
+++ b/wigeonscale/direct/tests/test_stalls.py
@@ -11,7 +11,7 @@
 class StallTest(StreamCase):
     """An engine goes dark under several streams at once."""
 
-    async def test_all_streams_leave_the_engine_that_is_named(self):
+    async def test_all_streams_leave_the_culprit(self):
         self.exchange.script("a1", *[[event(1), HANG] for _ in range(5)])
         self.exchange.script("b1", *[[event(2), event(3)] for _ in range(5)])
         self.harness.orders.held_up_by["a1:80"] = ["a2:80"] * 5
@@ -33,7 +33,7 @@
         waited_s = self.harness.clock.now() - 1000.0
         self.assertTrue(waited_s < 1.0, waited_s)
 
-    async def test_first_engine_does_not_answer(self):
+    async def test_first_engine_does_not_respond(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
         self.harness.orders.held_up_by["a1:80"] = None
@@ -47,7 +47,7 @@
         # With 0.7 s, as orders have, its streams stood still for 0.95 s.
         self.assertTrue(max(self.harness.orders.limits) <= 0.3)
 
-    async def test_busy_but_sound_engines_are_waited_for(self):
+    async def test_streams_wait_for_busy_engines(self):
         """All streams stand still: another path would only read them once more."""
         self.exchange.script("a1", *[[event(1), HANG] for _ in range(3)])
         tasks = [asyncio.create_task(self.relay()) for _ in range(3)]
@@ -59,7 +59,7 @@
             task.cancel()
         await asyncio.gather(*tasks, watch, return_exceptions=True)
 
-    async def test_silent_connection_while_the_others_move_on(self):
+    async def test_single_stalled_connection_is_retried(self):
         self.exchange.script("a1", [event(1), HANG])
         self.exchange.script("a1", [event(2)])
         task = asyncio.create_task(self.relay())
@@ -78,7 +78,7 @@
         await asyncio.gather(task, watch, return_exceptions=True)
         self.assertEqual([1, 2], self.got())
 
-    async def test_engines_of_a_quiet_path_are_named_to_control_early(self):
+    async def test_engines_of_a_stalled_path_are_hinted_early(self):
         # Control probes them: one that has crashed refuses, and all entries hear of it.
         self.exchange.script("a1", [event(1), HANG])
         task = asyncio.create_task(self.relay())
@@ -90,7 +90,7 @@
         watch.cancel()
         await asyncio.gather(task, watch, return_exceptions=True)
 
-    async def test_engines_through_which_others_move_are_not_named(self):
+    async def test_engines_with_active_runs_are_not_hinted(self):
         self.exchange.script("a1", [event(1), HANG])
         task = asyncio.create_task(self.relay())
         await self.harness.clock.advance(0.15)
@@ -103,7 +103,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    async def test_engine_that_control_calls_silent(self):
+    async def test_engine_marked_silent_by_control(self):
         self.exchange.script("a1", [event(1), HANG])
         self.exchange.script("b1", [event(2)])
         task = asyncio.create_task(self.relay())
@@ -158,7 +158,7 @@
         self.assertEqual([1, 2], self.got())
         self.assertTrue(self.sink.is_whole)
 
-    async def test_goes_on_along_another_path_in_the_same_run(self):
+    async def test_rerouted_within_the_same_run(self):
         self.harness.orders.move_outcome = OrderOutcome.BEGUN
         await self.lose("a2")
         self.assertEqual([("a1:80", "r1", ["a1", "a3"])], self.harness.orders.moved)
@@ -167,14 +167,14 @@
         for name in ("a1", "a2", "a3"):
             self.assertEqual((0, 0.0), self.harness.tracker.load_of(name, 1))
 
-    async def test_sent_anew_where_the_engine_refuses_the_order(self):
+    async def test_retried_if_the_engine_refuses_the_reroute(self):
         self.harness.orders.move_outcome = OrderOutcome.MISFIT
         self.exchange.script("a1", [event(2)])
         await self.lose("a2")
         paths = [[p.backend_id for p in call.path] for call in self.exchange.calls]
         self.assertEqual([["a1", "a2"], ["a1", "a3"]], paths)
 
-    async def test_sent_elsewhere_where_the_first_engine_is_lost(self):
+    async def test_retried_if_the_first_engine_is_lost(self):
         self.harness.orders.move_outcome = OrderOutcome.BEGUN
         await self.lose("a1")
         self.assertEqual([], self.harness.orders.moved)
@@ -192,33 +192,33 @@
             run.note_progress(now - (4 - number) * gap_s)
         return run
 
-    async def test_named_to_control_though_events_come(self):
+    async def test_slow_path_is_hinted(self):
         self.run_on("a1", "a2", gap_s=0.2)
         self.harness.stalls.check()
         self.assertEqual({"a1", "a2"}, set(self.harness.hinted))
 
-    async def test_one_that_another_path_is_as_fast_as_usual_through_is_not(self):
+    async def test_engine_of_a_fast_path_is_not_hinted(self):
         self.run_on("a1", "a2", gap_s=0.2)
         self.run_on("a1", "b2", gap_s=0.04)
         self.harness.stalls.check()
         self.assertEqual({"a2"}, set(self.harness.hinted))
 
-    async def test_what_load_explains_is_not_slow(self):
+    async def test_expected_interval_includes_load(self):
         self.run_on("a1", "a2", gap_s=0.2, expected_interval_s=0.1)
         self.harness.stalls.check()
         self.assertEqual([], self.harness.hinted)
 
-    async def test_the_latest_events_count(self):
+    async def test_recent_interval_follows_latest_events(self):
         run = self.run_on("a1", "a2", gap_s=0.2)
         for _ in range(6):
             run.note_progress(run.progress_at + 0.04)
         self.assertTrue(run.recent_interval_s < 0.06, run.recent_interval_s)
 
 
-class BehindTest(StreamCase):
+class LaggingEntryTest(StreamCase):
     """An entry alone with all callers gets no turn of the processor for a second."""
 
-    async def test_what_was_not_read_meanwhile_is_not_held_against_engines(self):
+    async def test_lag_does_not_count_as_a_stall(self):
         runs = [Run(("a1", "a2"), expected_interval_s=0.04) for _ in range(3)]
         for run in runs:
             self.harness.tracker.begin(run)
@@ -232,7 +232,7 @@
         self.assertEqual([], self.harness.orders.asked)
         self.assertFalse(self.harness.tracker.is_avoided("a1"))
 
-    async def test_a_short_hold_up_of_the_entry_is_no_quiet_of_engines(self):
+    async def test_short_lag_does_not_count_as_a_stall(self):
         """A large document is read: nothing else is for some 65 ms."""
         run = Run(("a1", "a2"), expected_interval_s=0.04)
         self.harness.tracker.begin(run)
@@ -248,7 +248,7 @@
         self.assertEqual([], self.harness.hinted)
         self.assertFalse(self.harness.stalls.is_lagging)
 
-    async def test_quiet_engines_are_found_soon_after(self):
+    async def test_stall_after_a_lag_is_detected(self):
         run = Run(("a1", "a2"))
         self.harness.tracker.begin(run)
         run.note_progress(self.harness.clock.now())
@@ -260,7 +260,7 @@
         await self.harness.clock.advance(0)
         self.assertEqual(["a1:80"], self.harness.orders.asked)
 
-    async def test_a_look_in_time_changes_nothing(self):
+    async def test_check_in_time_changes_nothing(self):
         run = Run(("a1", "a2"))
         run.note_progress(self.harness.clock.now())
         self.harness.stalls.add(run)
@@ -270,7 +270,7 @@
         self.assertEqual(before, run.progress_at)
         self.assertFalse(self.harness.stalls.is_lagging)
 
-    async def test_a_connection_that_opened_too_late_to_be_seen(self):
+    async def test_connection_timeout_after_a_lag(self):
         self.exchange.script("a1", not_sent(), [event(1)])
         self.exchange.script("b1", [event(1)])
         self.harness.stalls.note_lag(0.4)
--- a/wigeonscale/direct/tests/test_stream.py
+++ b/wigeonscale/direct/tests/test_stream.py
@@ -30,14 +30,14 @@
         self.assertEqual([(0, 5), (5, 10)], [tuple(p.layers) for p in call.path])
         self.assertIsNone(call.after_event)
 
-    async def test_goes_on_after_the_last_event_elsewhere(self):
+    async def test_resumes_after_the_last_event(self):
         self.exchange.script("a1", [event(1), event(2), unknown()])
         self.exchange.script("a1", [event(3), event(4)])
         await self.relay()
         self.assertEqual([1, 2, 3, 4], self.got())
         self.assertEqual(2, self.exchange.calls[1].after_event)
 
-    async def test_events_that_the_caller_has_are_left_out(self):
+    async def test_duplicate_events_are_dropped(self):
         self.exchange.script("a1", [event(1), event(2), unknown()])
         self.exchange.script("a1", [event(2), event(3)])
         await self.relay()
@@ -49,13 +49,13 @@
         await self.relay()
         self.assertEqual([1, 2, 3], self.got())
 
-    async def test_the_callers_own_last_event_is_handed_on(self):
+    async def test_last_event_id_of_the_caller(self):
         self.exchange.script("a1", [event(8)])
         await self.relay(last_event_id=7)
         self.assertEqual(7, self.exchange.calls[0].after_event)
         self.assertEqual([8], self.got())
 
-    async def test_error_of_the_engine_is_handed_on(self):
+    async def test_engine_error_is_returned(self):
         self.exchange.script("a1", answer(500, b"why"))
         await self.relay()
         self.assertEqual(answer(500, b"why"), self.sink.answer)
@@ -68,14 +68,14 @@
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
         self.assertEqual(["a2"], self.harness.suspected)
 
-    async def test_first_engine_out_of_reach(self):
+    async def test_first_engine_unreachable(self):
         self.exchange.script("a1", not_sent())
         self.exchange.script("b1", [event(1)])
         await self.relay(resumable=False)
         self.assertEqual(["a1"], self.harness.suspected)
 
 
-class NothingLeftToSendTest(StreamCase):
+class ExhaustedBudgetTest(StreamCase):
     """The budget of further sends is spent when a stream breaks."""
 
     async def prepare(self):
@@ -86,7 +86,7 @@
         while self.budget.try_spend("model"):
             pass
 
-    async def test_a_begun_stream_waits_for_the_next_word(self):
+    async def test_begun_stream_waits_for_the_next_totals(self):
         self.exchange.script("a1", [event(1), unknown()], [event(2)])
         relaying = asyncio.create_task(self.relay())
         await self.until(lambda: self.got() == [1])
@@ -98,7 +98,7 @@
         await relaying
         self.assertEqual([1, 2], self.got())
 
-    async def test_it_is_given_up_before_its_caller_leaves(self):
+    async def test_fails_before_the_caller_disconnects(self):
         self.exchange.script("a1", [event(1), unknown()])
         relaying = asyncio.create_task(self.refused())
         began_at = self.harness.clock.now()
@@ -106,7 +106,7 @@
         self.assertTrue(self.harness.clock.now() - began_at < 1.3)
         self.assertEqual(RunState.UNKNOWN, (await relaying).run_state)
 
-    async def test_one_that_broke_before_its_first_event_waits_too(self):
+    async def test_request_that_may_have_run_waits_too(self):
         # It may have run, so that its caller cannot be told to come back.
         self.exchange.script("a1", unknown(), [event(1)])
         relaying = asyncio.create_task(self.relay())
@@ -118,7 +118,7 @@
         await relaying
         self.assertEqual([1], self.got())
 
-    async def test_a_new_request_is_told_to_come_back_at_once(self):
+    async def test_new_request_is_rejected_at_once(self):
         self.exchange.script("a1", not_run())
         exc = await self.refused()
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
@@ -128,7 +128,7 @@
 class WithoutLayersTest(StreamCase):
     """A stream whose service does not split a model over engines."""
 
-    async def test_relayed_as_it_comes_and_resumed_elsewhere(self):
+    async def test_relayed_and_resumed_elsewhere(self):
         self.harness.fleet = fleet(server("p1"), server("p2", domain="b"))
         self.exchange.script("p1", [event(1), not_sent()])
         self.exchange.script("p2", [event(2)])
@@ -140,8 +140,8 @@
         self.assertEqual([(), ()], [call.path for call in self.exchange.calls])
 
 
-class GivenUpTest(StreamCase):
-    async def test_not_resumable_is_never_sent_again_after_a_run(self):
+class FailedRequestTest(StreamCase):
+    async def test_not_resumable_stream_is_not_retried(self):
         self.exchange.script("a1", [event(1), unknown()])
         exc = await self.refused(resumable=False)
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
@@ -154,7 +154,7 @@
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
         self.assertEqual(["a1"], self.exchange.sent_to)
 
-    async def test_what_may_have_run_is_never_said_not_to(self):
+    async def test_run_state_stays_unknown_after_a_refusal(self):
         # The first send was reset before any answer, the second one was refused.
         self.exchange.script("a1", unknown(), *[not_run()] * 9)
         self.exchange.script("b1", *[not_run()] * 9)
@@ -163,7 +163,7 @@
         await self.until(task.done)
         self.assertEqual(RunState.UNKNOWN, (await task).run_state)
 
-    async def test_nor_when_the_engines_are_full_by_then(self):
+    async def test_run_state_stays_unknown_on_full_engines(self):
         # It is sent to them all the same, and they have no room for it.
         gate = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [gate, unknown()], *[not_run()] * 9)
@@ -179,7 +179,7 @@
         self.assertTrue(len(self.exchange.calls) > 1)
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
 
-    async def test_no_path_is_said_at_once(self):
+    async def test_no_path_fails_at_once(self):
         self.harness.fleet = fleet(engine("a1", 0, 5))
         exc = await self.refused()
         self.assertEqual(ErrorKind.NO_BACKEND, exc.kind)
@@ -203,7 +203,7 @@
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
 
-    async def test_back_to_a_first_engine_that_had_it_before(self):
+    async def test_returns_to_an_earlier_first_engine(self):
         self.harness.fleet = fleet(
             *self.harness.fleet.by_id.values(),
             engine("c1", 0, 5, domain="c"),
@@ -247,7 +247,7 @@
         await self.fail_at_a1()
         await self.relay_at("b1")
 
-    async def test_it_is_tried_again_soon_and_left_alone_for_longer(self):
+    async def test_second_failure_is_avoided_longer(self):
         await self.fail_at_a1()
         await self.harness.clock.advance(0.5)
         await self.fail_at_a1()
@@ -256,7 +256,7 @@
         await self.harness.clock.advance(1.5)
         await self.relay_at("a1")
 
-    async def test_one_that_serves_again_is_trusted_again(self):
+    async def test_recovered_engine_is_used_again(self):
         await self.fail_at_a1()
         await self.harness.clock.advance(0.5)
         for _ in range(8):
--- a/wigeonscale/routes/tests/test_routes.py
+++ b/wigeonscale/routes/tests/test_routes.py
@@ -41,7 +41,7 @@
         self.assertEqual(ErrorKind.INVALID_DOCUMENT, exc.kind)
         self.assertIn(text, exc.message)
 
-    def test_same_place_twice(self):
+    def test_same_host_and_prefix_twice(self):
         self.assert_refused("a.example/x/", route("one"), route("two"))
 
     def test_same_prefix_at_another_host(self):
@@ -51,7 +51,7 @@
     def test_unknown_service(self):
         self.assert_refused("'t'", route(shares=(Share("t", 1.0),)))
 
-    def test_weights_that_add_up_to_nothing(self):
+    def test_sum_of_weights_is_zero(self):
         self.assert_refused("sum of its weights", route(shares=(Share("s", 0.0),)))
         self.assert_refused("sum of its weights", route(shares=()))
 
@@ -81,7 +81,7 @@
         self.assertEqual("short", self.name_at("/x/yz"))
         self.assertEqual("long", self.name_at("/x/y/"))
 
-    def test_query_is_no_path(self):
+    def test_query_is_ignored(self):
         self.assertEqual("short", self.name_at("/x/q?a=/x/y/"))
 
     def test_host_in_any_case_and_with_a_port(self):
