--- a/wigeonscale/direct/tests/fakes.py
+++ b/wigeonscale/direct/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Backend servers, callers and VMs as tests want them, for the flows of an entry."""
+"""Fake backend servers, callers and VMs for tests of an entry."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -9,10 +9,11 @@
 
 
 class FakeExchange:
-    """Answers each call by the next of its server's script.
+    """Answers each call with the next step of its server's script.
 
-    A step is an error to raise, a whole answer, or a list of events; an error among
-    the events breaks the stream off, ``HANG`` stops it for ever, a future holds it up.
+    A step is an error to raise, a whole answer, or a list of events. In such a list, an
+    error breaks the stream, ``HANG`` stalls it forever, and a future stalls it until it
+    is set.
     """
 
     HANG = object()
@@ -69,7 +70,7 @@
 
 
 class FakeSink:
-    """What a caller got."""
+    """Records the response to a caller."""
 
     def __init__(self):
         self.answer = None
@@ -94,11 +95,11 @@
 
 
 class FakeReach:
-    """VMs that answer as a test says."""
+    """Returns the probe results that a test sets."""
 
     def __init__(self, clock):
         self._clock = clock
-        # Addresses that do not answer, and what others answer and after how long.
+        # Addresses that do not respond; result and delay of the others.
         self.unreachable = set()
         self.answers = {}
         self.answer_s = {}
@@ -115,7 +116,7 @@
 
 
 class FakeOrders:
-    """Engines that report what a test says; None for no answer."""
+    """Engines with the status that a test sets; None for no response."""
 
     def __init__(self):
         self.held_up_by = {}
--- a/wigeonscale/direct/tests/support.py
+++ b/wigeonscale/direct/tests/support.py
@@ -1,4 +1,4 @@
-"""Stand-ins around the flows of an entry: backend servers, callers and control."""
+"""Test harness of an entry: fake backend servers, callers and control."""
 
 import random
 
@@ -102,7 +102,7 @@
 
 
 class EntryHarness:
-    """An entry's flows over stand-ins."""
+    """An entry with fake backend servers and control, in manual time."""
 
     def __init__(
         self, *servers, slack=100, entries=1, domain="a", clock=None, name="entry"
@@ -115,7 +115,7 @@
         self.suspected = []
         self.hinted = []
         self.fleet = fleet(*servers)
-        # One way to each failure domain, in seconds.
+        # One-way delay to each failure domain, in seconds.
         self.delays_s = {}
         self.stalls = StallDetector(
             tracker=self.tracker,
--- a/wigeonscale/direct/tests/test_admission_queue.py
+++ b/wigeonscale/direct/tests/test_admission_queue.py
@@ -61,7 +61,7 @@
         self.assertEqual(4, len(self.queue))
 
     def test_queue_shrinks_after_failed_waits(self):
-        # Under lasting overload nobody is held only to be turned away.
+        # Under sustained overload, requests should not wait only to be rejected.
         for _ in range(20):
             self.queue.release(self.enqueue(), admitted=False)
         self.enqueue()
@@ -99,7 +99,7 @@
     def test_instant_responses_keep_queue_bounded(self):
         for _ in range(10_000):
             self.queue.note_response_time(0.0)
-        # Of 0.1 s each, one running makes room for some fifteen in the longest wait.
+        # At the minimum of 0.1 s each, 15 responses end during the longest wait.
         for _ in range(14):
             self.enqueue(running=1)
         for _ in range(2):
@@ -161,7 +161,7 @@
         await waiting
 
     async def test_admission_wakes_the_next_request(self):
-        # One look a step for one request each would serve 25 a second.
+        # With one check per poll interval, only 25 requests a second would be admitted.
         waiting = asyncio.create_task(self.queue.wait())
         await self.clock.advance(0)
         self.queue.release(self.first, admitted=True)
@@ -171,10 +171,10 @@
 
 
 class ReplayTest(AsyncTestCase):
-    """Engines are lost for two seconds: what is in time with waiting and without.
+    """A loss of engines for two seconds, with and without the admission queue.
 
-    40 places, answers of 2 s, 18 requests a second; a quarter of the places is gone
-    from second 10 to 12. Who is turned away comes back once, after 0.4 to 1.4 s.
+    40 slots, responses of 2 s, 18 requests a second; a quarter of the slots is lost
+    from second 10 to 12. Rejected callers retry once, after 0.4 to 1.4 s.
     """
 
     def test_waiting_serves_more_in_time_and_no_fewer_in_total(self):
@@ -189,10 +189,10 @@
 
 
 class BurstTest(AsyncTestCase):
-    """All entries start again, and callers without a further try come at once.
+    """After a restart of all entries, callers without a retry left arrive at once.
 
-    Engines are filled to two thirds otherwise. The herd is 1.5 times their places, as
-    in a deployment of 26 entries in which 318 requests came within half a second.
+    The engines are two thirds full otherwise. The burst is 1.5 times their slots, as in
+    a deployment of 26 entries in which 318 requests arrived within half a second.
     """
 
     def test_burst_is_served_late_rather_than_rejected(self):
@@ -205,7 +205,7 @@
         self.assertTrue(
             patient.served >= impatient.served + 10, (patient.served, impatient.served)
         )
-        # Nobody who could be in time is the worse for it, but for one in a hundred.
+        # At most one request in a hundred that could be in time is late because of it.
         least = impatient.in_time - patient.asked / 100
         self.assertTrue(patient.in_time >= least, (patient.in_time, least))
 
@@ -214,7 +214,7 @@
     SLOTS = 40
     LOST_SHARE = 0.25
     LENGTH_S = 30.0
-    # The answer shall begin after 0.6 s; the engines take some 0.15 s of that.
+    # Responses are due to begin within 0.6 s, of which the engines take about 0.15 s.
     IN_TIME_S = 0.45
 
     BURST_AT_S = 20.0
@@ -242,7 +242,7 @@
             self._at(instant, self._arrive, instant, True)
             self.asked += 1
         for number in range(self._burst):
-            # They were cut off before, and do not come back once more.
+            # These callers were cut off before and have no retry left.
             instant = self.BURST_AT_S + self.BURST_LENGTH_S * number / self._burst
             self._at(instant, self._arrive, instant, False)
             self.asked += 1
--- a/wigeonscale/direct/tests/test_backend_tracker.py
+++ b/wigeonscale/direct/tests/test_backend_tracker.py
@@ -25,10 +25,11 @@
 
 
 class ManyEntriesTest(AsyncTestCase):
-    """23 entries send 75 generations a second, each of which lasts 2.3 seconds.
+    """Entries with outdated load data must not overload one domain after the other.
 
-    All hear twice a second what all have in progress, each at another time. The third
-    failure domain is the fastest.
+    23 entries send 75 generations a second, each of which takes 2.3 seconds. Each entry
+    gets the totals of all entries twice a second, at different times. The third failure
+    domain is the fastest.
     """
 
     ENTRIES = 23
@@ -103,12 +104,12 @@
                     at = [run.backend_ids[0][0] for _, _, run in self.running]
                     seen.append(at.count(domain))
         spread = {d: statistics.pstdev(seen) for d, seen in counts.items()}
-        # 22 to 30 where each entry takes the word of the others as it is.
+        # 22 to 30 if entries use the totals without a correction for their age.
         self.assertTrue(max(spread.values()) < 8, spread)
 
 
 class TotalsTest(AsyncTestCase):
-    """Control tells what all entries have in progress."""
+    """Totals of all entries from control."""
 
     async def test_reported_own_load_is_not_counted_twice(self):
         clock = ManualClock()
@@ -118,13 +119,14 @@
         self.assertEqual({"s": (1, 30.0)}, tracker.report_loads())
         tracker.begin(Run(("s",), {"s": 5.0}))
         tracker.apply_totals({"s": (4, 100.0), "t": (2, 7.0)})
-        # Three of others, two of its own by now; nothing is inferred from what came
-        # before the first word.
+        # Three runs of others, two own ones by now; own runs from before the first
+        # totals are not extrapolated.
         self.assertEqual((5, 105.0), tracker.load_of("s", entries=9))
         tracker.report_loads()
         tracker.begin(Run(("s",), {"s": 5.0}))
         tracker.apply_totals({"s": (5, 105.0), "t": (2, 7.0)})
-        # Three of others, three of its own by now, and one more of each other since.
+        # Three runs of others, three own ones by now, and one assumed new run of each
+        # other entry since the report.
         self.assertEqual((6 + 8, 110.0 + 8 * 5.0), tracker.load_of("s", entries=9))
         self.assertEqual((2, 7.0), tracker.load_of("t", entries=9))
         self.assertEqual((0, 0.0), tracker.load_of("u", entries=9))
@@ -133,7 +135,7 @@
         clock = ManualClock()
         tracker = BackendTracker(clock=clock)
         tracker.begin(Run(("s",), {"s": 30.0}))
-        # Before any word nothing is inferred of the others.
+        # Before the first totals, nothing is assumed about the others.
         self.assertEqual((1, 30.0), tracker.load_of("s", entries=9))
         tracker.report_loads()
         tracker.apply_totals({"s": (1, 30.0)})
--- a/wigeonscale/direct/tests/test_choice.py
+++ b/wigeonscale/direct/tests/test_choice.py
@@ -37,7 +37,7 @@
         self.assertEqual("far", self.chosen())
 
     async def test_load_of_the_other_entries_is_inferred(self):
-        # Control told it once, and is cut off since.
+        # The entry got totals once and has been cut off from control since.
         self.tracker.apply_totals({})
         await self.clock.advance(5)
         self.tracker.begin(Run(("near",)))
@@ -98,10 +98,11 @@
     def test_costs_of_a_part_add_up_by_layers(self):
         costs = path_costs(ENGINE, SIZES, tracker=self.tracker, entries=1)
         server = self.servers[0]
-        # 20 tokens of 1.01 ms and 1 ms of reading for all 10 layers, and 20 short hops.
+        # All 10 layers: 20 tokens of 1.01 ms and 1 ms of prefill; 20 hops of 0.1 ms.
         self.assertAlmostEqual(0.5 * 21.2 + 2.0, costs.part(server, 5))
         self.assertAlmostEqual(0.505 + 0.1, costs.token(server, 5))
-        # 45,000 tokens in one layer, 1.1 of them, and 120 a request: 412 layers.
+        # Capacity of 45,000 tokens times layers, times 1.1, and 120 tokens per request:
+        # 412 layers.
         self.assertTrue(costs.has_capacity(server, 412))
         self.assertFalse(costs.has_capacity(server, 413))
         self.assertAlmostEqual(
@@ -119,14 +120,15 @@
         self.assertEqual([f"b{i}" for i in range(5)], self.chosen())
 
     def test_other_domain_when_engines_are_very_slow(self):
-        # With 20 tokens of 1 ms the detour of 300 ms pays from a factor of some 30 on.
+        # With 20 tokens of 1 ms, the penalty of 300 ms pays off from a factor of about
+        # 30.
         self.servers[1] = replace(self.servers[1], slowness=16)
         self.assertEqual(["a0", "a1"], self.chosen())
         self.servers[1] = replace(self.servers[1], slowness=64)
         self.assertEqual(["b0", "b1"], self.chosen())
 
     def test_first_engine_is_full_with_its_slots_taken(self):
-        # Memory for 45 of them, slots for 8.
+        # The engine has slots for 8 requests, but memory for 45.
         for _ in range(ENGINE.slots):
             self.tracker.begin(Run(("a0", "a1")))
         self.assertEqual(["b0", "b1"], self.chosen())
@@ -137,7 +139,7 @@
         self.assertEqual(["a0", "a1"], self.chosen())
 
     def test_faster_domain_is_not_preferred_over_own(self):
-        # Load pattern: one domain has the fastest engines of all.
+        # One domain has faster engines than all others.
         fast = Accelerator(name="fast", size_mb=5000.0, pace=0.25, read_factor=0.25)
         engine = replace(
             ENGINE,
--- a/wigeonscale/direct/tests/test_cold_start.py
+++ b/wigeonscale/direct/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Replay of the instant in which entries that just started know the configuration."""
+"""Requests in the moment in which restarted entries get the configuration."""
 
 import random
 
@@ -11,17 +11,19 @@
 from wigeonscale.testing import AsyncTestCase
 
 ENTRIES = 29
-# Requests of all callers that came back within the second before, for which the engines
-# have room.
+# Requests of all callers that returned within the last second. The engines have
+# capacity for all of them.
 RETURNING_REQUESTS = 150
 LAYERS = 5
 SIZES = Generation(prompt=100, most=40, expected=20)
 
 
 class ColdStartTest(AsyncTestCase):
-    """All entries lost power, and so did what they had sent: the engines are empty.
+    """After a power failure of all entries, the engines are empty.
 
-    Callers come back within a second, spread unevenly over the entries by a hash.
+    Callers return within a second, and a hash spreads them unevenly over the entries.
+    An entry with many of them must not assume that the others have as many and reject
+    requests.
     """
 
     async def prepare(self):
@@ -40,7 +42,7 @@
         self.used = {server.backend_id: 0.0 for server in servers}
 
     def send(self, harness):
-        """Begin one request; return whether there was room for it."""
+        """Start one request; return whether there was capacity for it."""
         job = harness.job(Repeat.STREAM, service=MODEL, generation=SIZES)
         choice = choose_path_for(harness.ctx, job, lost=(), ran_on=())
         if choice.full:
--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -28,7 +28,7 @@
 
 
 class EndEnginesMixin:
-    """Marks engines as ended, as control does a moment after they crashed."""
+    """Marks engines as silent, as control does shortly after a crash."""
 
     def end(self, *names):
         for name in names:
@@ -63,7 +63,7 @@
         exc = await self.refused()
         self.assertEqual(["a1"], self.exchange.sent_to)
         self.assertEqual(ErrorKind.CRASHES_BACKENDS, exc.kind)
-        # It may have run there, so this is no 503.
+        # It may have run there, so the response must not be a 503.
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
 
     async def test_broken_engine_is_reported_to_control(self):
@@ -84,7 +84,7 @@
         self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
     async def test_request_to_crashed_engine_is_no_suspect(self):
-        """Its connection is still being refused when it is taken off the engine."""
+        """The engine has crashed before, and its refusal is not yet received."""
         self.harness.ctx.crashes.note_broken("a1")
         await self.harness.clock.advance(0.01)
         self.exchange.script("a1", [HANG])
@@ -112,7 +112,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
     async def test_late_read_of_a_broken_connection_is_suspect(self):
-        """This process stood still between the event and the break."""
+        """The process was blocked between the first event and the broken connection."""
         future = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [event(1), future, unknown()])
         self.exchange.script("b1", [HANG])
@@ -133,7 +133,7 @@
         self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
     async def test_crashing_request_is_not_rerouted(self):
-        """An engine behind the first one ends, and others hold its layers."""
+        """An engine after the first one crashes, and another one holds its layers."""
         self.harness.fleet.by_id["a3"] = spare = engine("a3", 5, 10)
         self.harness.fleet.by_service["model"] += (spare,)
         note_crashes(self.harness, self.job(), "x1", "x2")
@@ -150,7 +150,7 @@
 
 
 class IsolatedSuspectsTest(EndEnginesMixin, StreamCase):
-    """Two requests were lost together, so that either may be the one that crashes."""
+    """Two requests were lost together, so either may have caused the crash."""
 
     async def prepare(self):
         await super().prepare()
@@ -234,7 +234,7 @@
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, answer(500, b"why"), unknown())
         book = self.harness.ctx.crashes
-        # Control's word comes while the first server still works on it.
+        # Control reports the request as crashing while the first server runs it.
         book.refused_for = lambda _: 5.0 if self.exchange.calls else 0.0
         got = await call_plain(self.harness.ctx, job)
         self.assertEqual(answer(500, b"why"), got)
@@ -252,7 +252,7 @@
             note_crashes(self.harness, job, "x1")
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, HANG)
-        # All of the others are full, so that both would go to the same one.
+        # All other servers are full, so both would be sent to the same one.
         for name in ("s1", "s2", "s3", "s4"):
             for _ in range(9):
                 self.harness.tracker.begin(Run((name,)))
--- a/wigeonscale/direct/tests/test_crashing_load.py
+++ b/wigeonscale/direct/tests/test_crashing_load.py
@@ -1,7 +1,7 @@
-"""Requests that begin together with the one that crashes engines, at one entry.
+"""Requests that start together with a crashing request at the same entry.
 
-All are lost together and sent on in the same instant, and all choose the same cheapest
-engine: so they would meet again at each crash, and be refused with the one that did it.
+All of them are lost together and retried at once. If all choose the same cheapest
+engine, they are lost together again at each crash and rejected with the crashing one.
 """
 
 import asyncio
@@ -20,15 +20,15 @@
 EVENT_S = 0.1
 CRASH_S = 0.05
 CRASHING = b"crash"
-# The first is near and cheapest; of the others each is busier than the one before.
+# The first engine is local and cheapest; the others are increasingly busy.
 ENGINES = [("a", "a1"), *(("b", f"b{n}") for n in range(1, 7))]
 
 
 class CrashingEngines:
-    """Engines that give an event every 0.1 s, and crash under one request.
+    """Engines that send an event every 0.1 s and crash with one request.
 
     Attributes:
-        crashed: Engines that did.
+        crashed: Names of crashed engines.
     """
 
     def __init__(self, harness):
@@ -52,7 +52,7 @@
             yield event(number)
 
     def _pause(self, end):
-        # The stream awaits a future; it fails when the engine ends.
+        # The stream awaits a future, which fails when the engine crashes.
         return asyncio.ensure_future(self._until_next(end))
 
     async def _until_next(self, end):
--- a/wigeonscale/direct/tests/test_fleet.py
+++ b/wigeonscale/direct/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry makes of the members that control tells."""
+"""Tests of the fleet that an entry builds from the members announced by control."""
 
 from wigeonscale.direct import read_fleet, replaced_incarnations
 from wigeonscale.testing import AsyncTestCase
--- a/wigeonscale/direct/tests/test_full_engines.py
+++ b/wigeonscale/direct/tests/test_full_engines.py
@@ -16,7 +16,7 @@
 
 
 class FullTest(StreamCase):
-    """Engines without room for one more request."""
+    """Engines without capacity for one more request."""
 
     def fill(self, *names):
         room = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
@@ -40,7 +40,7 @@
     async def test_rejected_with_retry_after_before_the_caller_disconnects(self):
         self.fill("a1", "b2")
         task = asyncio.create_task(self.refused())
-        # Callers leave after two seconds without an event.
+        # Callers disconnect after two seconds without an event.
         await self.harness.clock.advance(MAX_QUEUE_WAIT_S + 0.05)
         self.assertTrue(MAX_QUEUE_WAIT_S + 0.05 < 2.0)
         self.assertTrue(task.done())
@@ -55,7 +55,7 @@
         self.fill("a1", "b2")
         waiting = asyncio.create_task(self.refused())
         await self.harness.clock.advance(0)
-        # No time passes in this one.
+        # No time passes: it is rejected at once.
         exc = await self.refused()
         self.assertEqual(ErrorKind.OVERLOADED, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
--- a/wigeonscale/direct/tests/test_leaving.py
+++ b/wigeonscale/direct/tests/test_leaving.py
@@ -1,8 +1,8 @@
-"""A backend server says in its answers that it leaves, and goes on getting requests.
+"""A backend server that announces its shutdown must get no new requests.
 
-Control hears that a server drains from its heartbeats, and of some never. An entry that
-was told by the server itself took no notice: `Server-Leaving` stood in each answer, and
-each further request went there again, until it ended under those it still had.
+Control learns of a draining server from heartbeats, which not all servers send. If an
+entry ignores the `Server-Leaving` header of responses, it keeps sending requests, and
+the server cuts off those that run when it exits.
 """
 
 from wigeonscale.direct.plain import call_plain
--- a/wigeonscale/direct/tests/test_notices.py
+++ b/wigeonscale/direct/tests/test_notices.py
@@ -43,7 +43,7 @@
 
 
 class ResponseNoticeTest(AsyncTestCase):
-    """Every answer is heard, also one that refuses."""
+    """Notices are read from every response, including refusals."""
 
     async def test_plain(self):
         harness = EntryHarness(server("p1"), server("p2"))
--- a/wigeonscale/direct/tests/test_probing.py
+++ b/wigeonscale/direct/tests/test_probing.py
@@ -7,16 +7,15 @@
 from wigeonscale.ports import ProbeAnswer
 
 HANG = FakeExchange.HANG
-# Bound from the aim: a pause of over 300 ms is late, and the stream is read elsewhere
-# within 100 ms.
+# A pause of more than 300 ms is late, and prefill on another path takes up to 100 ms.
 MAX_DETECTION_S = 0.2
 
 
 class UnreachableEngineTest(StreamCase):
-    """An engine goes dark under several streams; its neighbours answer as usual."""
+    """An engine with several streams becomes unreachable; the others respond."""
 
     async def stall_streams(self, name, *, streams=5):
-        """Begin streams on a1 and a2, and stop all of them after a few events."""
+        """Start streams on a1 and a2, and stall all of them after a few events."""
         self.sinks = [FakeSink() for _ in range(streams)]
         self.gates = []
         self.tasks = []
@@ -62,7 +61,7 @@
         await self.end()
         self.assertEqual([], self.harness.suspected)
         self.assertEqual(5, len(self.exchange.calls))
-        # One probe each, not one a look and stream.
+        # One probe for each engine, not one for each check and stream.
         self.assertEqual(["a1:80", "a2:80"], sorted(self.harness.reach.probed))
 
     async def test_no_engine_is_lost_if_none_responds(self):
@@ -86,7 +85,7 @@
         self.assertEqual({"a1", "a2"}, set(self.harness.suspected))
 
     async def test_timeout_grows_with_the_delay(self):
-        # A region 50 ms away: a connection takes 100 ms.
+        # With a one-way delay of 50 ms, a connection takes 100 ms.
         for delay_s, blamed in ((0.05, []), (0.0, ["a2"])):
             await self.prepare()
             await self.stall_streams("nobody")
@@ -97,7 +96,7 @@
             self.assertEqual(blamed, self.harness.suspected)
 
     async def test_probes_per_round_are_bounded(self):
-        """Half of the runs pass a dark engine; it is asked among the first."""
+        """Half of the runs pass an unreachable engine; it is in the first round."""
         names = [f"x{number:02}" for number in range(40)]
         self.harness.fleet = fleet(*[engine(name, 0, 10) for name in [*names, "dark"]])
         now = self.harness.clock.now()
@@ -114,7 +113,7 @@
 
     async def test_lost_packet_does_not_mark_engine_lost(self):
         await self.stall_streams("a2:80")
-        # The first probe is lost on its way, the next one is answered.
+        # The packet of the first probe is lost; the next probe gets a response.
         await self.until(lambda: "a2:80" in self.harness.reach.probed)
         self.harness.reach.unreachable = set()
         await self.harness.clock.advance(0.12)
@@ -151,7 +150,7 @@
         watch.cancel()
         await asyncio.gather(task, watch, return_exceptions=True)
         self.assertEqual([1], self.got())
-        # In time is 0.5 s, of which it takes 0.1 s elsewhere.
+        # The first event is due within 0.5 s, and takes 0.1 s on the other path.
         self.assertTrue(waited_s < 0.4, waited_s)
 
     async def test_probes_of_busy_engines_are_rate_limited(self):
@@ -159,7 +158,7 @@
         await self.harness.clock.advance(3.0)
         await self.end()
         asked = len(self.harness.reach.probed)
-        # Two engines, once a second each at most.
+        # Two engines, each probed at most once a second.
         self.assertTrue(2 <= asked <= 8, asked)
 
     async def test_no_probes_while_the_entry_lags(self):
@@ -174,7 +173,7 @@
         self.harness.stalls.note_lag(0.2)
         await self.harness.clock.advance(0.12)
         self.assertEqual([], self.harness.suspected)
-        # Nor does it ask any more.
+        # It starts no new probes either.
         asked = len(self.harness.reach.probed)
         await self.harness.clock.advance(0.5)
         self.harness.stalls.check()
--- a/wigeonscale/direct/tests/test_rate_limits.py
+++ b/wigeonscale/direct/tests/test_rate_limits.py
@@ -26,7 +26,7 @@
         self.limits.note("i", per_s, sent_at=self.clock.now())
 
     async def sent_in(self, seconds, *, demands=None, step_s=0.05):
-        """Return how many requests go out where there is always one."""
+        """Return how many requests are sent if there is always one to send."""
         sent = 0
         for step in range(round(seconds / step_s)):
             if demands is not None and step % round(REPORT_INTERVAL_S / step_s) == 0:
@@ -101,7 +101,7 @@
         self.assertTrue(7 <= sent <= 10, sent)
 
     async def test_reports_become_stale(self):
-        # Those that do not share it now would all begin at once.
+        # Entries without a share must not all start to send at once.
         self.receive_limit(2.0)
         self.limits.apply_reports(
             [report(2.0, demands=equal_demands("two"))], tellers=4
@@ -124,7 +124,7 @@
         self.limits.apply_reports(
             [report(2.0, demands=equal_demands("one"))], tellers=3
         )
-        # By then it takes what each would get if all sent.
+        # By then it uses an equal share among all entries.
         self.assertTrue(self.limits.send_delay_s("i") >= 1.9)
 
     async def test_new_sharer_waits_one_interval(self):
@@ -159,7 +159,7 @@
     async def test_reports_start_and_end_a_limit(self):
         self.limits.apply_reports([report(1.0, age_s=0.3)], tellers=4)
         self.assertFalse(self.limits.may_send("i"))
-        # It has nothing of its own to tell, but that it has work for the server.
+        # It has no response of its own to report, only its demand.
         self.assertEqual([], self.limits.report())
         self.limits.note_demand("i")
         (reported,) = self.limits.report()
@@ -191,7 +191,7 @@
         self.assertEqual({}, self.limits.report()[0].demands)
 
     def test_demand_count_is_bounded(self):
-        # An entry that is cut off from control tells nobody and forgets nothing.
+        # An entry that is cut off from control does not report, so nothing expires.
         self.receive_limit(1.0)
         for _ in range(3 * MAX_DEMAND_SAMPLES):
             self.limits.note_demand("i")
--- a/wigeonscale/direct/tests/test_retry_after.py
+++ b/wigeonscale/direct/tests/test_retry_after.py
@@ -1,11 +1,10 @@
-"""A backend server turns an entry away and asks for rest, and is asked on and on.
-
-An engine refused with 503 and three seconds of `Retry-After`. The entry sent to it
-again 0.40, 0.82, 1.48, 2.10 and 2.90 s later, and was refused each time: it leaves a
-server that refuses alone for 0.4 s, whatever that asks for, and then takes it again
-where it is cheapest. Nothing read what the refusal asks for; the least distance between
-two refusals of one entry was 0.40 s, and 24 of 24 requests in those eight seconds were
-turned away.
+"""A backend server must get no requests during its `Retry-After`.
+
+An entry avoids a refusing server for 0.4 s and then chooses it again if it is cheapest.
+If the entry ignores the `Retry-After`, it retries too early: after a 503 with three
+seconds of `Retry-After`, it sent again 0.40, 0.82, 1.48, 2.10 and 2.90 s later and was
+refused each time. Two refusals were at least 0.40 s apart, and all 24 requests in eight
+seconds were rejected.
 """
 
 import asyncio
@@ -30,7 +29,7 @@
 REST_S = 3.0
 REQUESTS = 40
 STEP_S = 0.1
-# Requests on their way when it asked are borne.
+# Requests that are in flight during the refusal are allowed.
 MAX_SENDS_DURING_REST = 2
 
 
@@ -86,7 +85,7 @@
         for _ in range(2):
             job = harness.job(Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0)
             try:
-                # No time passes: neither of them is held back.
+                # No time passes: neither request waits.
                 await relay_stream(harness.ctx, job, sink)
             except WigeonscaleError as exc:
                 refused = exc
@@ -136,6 +135,6 @@
         self.assertTrue(
             sends <= MAX_SENDS_DURING_REST, f"{sends} sends while it rested"
         )
-        # Each caller is told when it is worth coming back.
+        # Each caller gets a Retry-After that covers the rest of the server.
         first = refusals[0].retry_after
         self.assertTrue(0.9 * REST_S <= first <= REST_S, first)
--- a/wigeonscale/direct/tests/test_retry_budget.py
+++ b/wigeonscale/direct/tests/test_retry_budget.py
@@ -37,7 +37,7 @@
 
 
 class Entries:
-    """Entries that count apart, and what control tells them of all."""
+    """Entries with separate counts and the totals from control."""
 
     RATIO = 0.2
     SLACK = 320
@@ -74,13 +74,13 @@
 
 
 class SharedPoolTest(AsyncTestCase):
-    """A few entries need many further sends, while the others need none."""
+    """A few entries need many retries, and the others need none."""
 
     AFFECTED_ENTRIES = 7
     STREAMS = 12
 
     async def retry_streams(self, entries, *, with_totals):
-        """Return how many streams of the losers go on within a second."""
+        """Return how many streams of the affected entries are retried."""
         left = dict.fromkeys(entries.budgets[: self.AFFECTED_ENTRIES], self.STREAMS)
         retried = 0
         for _ in range(3):
@@ -105,7 +105,7 @@
             spent = 0
             for _ in range(19):
                 now = entries.sums()
-                # Word of the others is one round late.
+                # The totals are one round late.
                 entries.apply_totals(before)
                 before = now
                 for budget in entries.budgets:
--- a/wigeonscale/direct/tests/test_service.py
+++ b/wigeonscale/direct/tests/test_service.py
@@ -146,7 +146,7 @@
 
 
 class ProgressTest(AsyncTestCase):
-    """The log tells what made a stream late: its start, or a pause and where."""
+    """The log shows the delays of a stream: its start and its longest pause."""
 
     def test_the_longest_pause_and_the_event_before_it(self):
         progress = Progress(last_id=None)
@@ -158,7 +158,7 @@
 
 
 class StartTest(ServiceCase):
-    """Requests that come before control has told anything."""
+    """Requests that arrive before the configuration."""
 
     async def prepare(self):
         await super().prepare()
--- a/wigeonscale/direct/tests/test_stalls.py
+++ b/wigeonscale/direct/tests/test_stalls.py
@@ -9,7 +9,7 @@
 
 
 class StallTest(StreamCase):
-    """An engine goes dark under several streams at once."""
+    """An engine with several streams becomes unreachable."""
 
     async def test_all_streams_leave_the_culprit(self):
         self.exchange.script("a1", *[[event(1), HANG] for _ in range(5)])
@@ -27,7 +27,7 @@
         for sink in sinks:
             self.assertEqual(b"id: 1\n\nid: 2\n\nid: 3\n\n", sink.data)
             self.assertTrue(sink.is_whole)
-        # One question for all of them; the engine is named to control.
+        # One query for all streams; the engine is reported to control.
         self.assertEqual(["a1:80"], self.harness.orders.asked)
         self.assertEqual(["a2"], self.harness.suspected)
         waited_s = self.harness.clock.now() - 1000.0
@@ -44,11 +44,11 @@
         await asyncio.gather(task, watch, return_exceptions=True)
         self.assertEqual([1], self.got())
         self.assertEqual(["a1"], self.harness.suspected)
-        # With 0.7 s, as orders have, its streams stood still for 0.95 s.
+        # With the timeout of 0.7 s that orders have, streams stalled for 0.95 s.
         self.assertTrue(max(self.harness.orders.limits) <= 0.3)
 
     async def test_streams_wait_for_busy_engines(self):
-        """All streams stand still: another path would only read them once more."""
+        """All streams stall: another path would only prefill them again."""
         self.exchange.script("a1", *[[event(1), HANG] for _ in range(3)])
         tasks = [asyncio.create_task(self.relay()) for _ in range(3)]
         watch = asyncio.create_task(self.harness.stalls.run())
@@ -79,7 +79,7 @@
         self.assertEqual([1, 2], self.got())
 
     async def test_engines_of_a_stalled_path_are_hinted_early(self):
-        # Control probes them: one that has crashed refuses, and all entries hear of it.
+        # Control probes them, and reports one that has crashed to all entries.
         self.exchange.script("a1", [event(1), HANG])
         task = asyncio.create_task(self.relay())
         watch = asyncio.create_task(self.harness.stalls.run())
@@ -97,7 +97,7 @@
         other = Run(("a1", "b2"), events=1, progress_at=self.harness.clock.now())
         self.harness.stalls.add(other)
         self.harness.stalls.check()
-        # It is probed, too, and answers.
+        # It is also probed, and responds.
         await self.harness.clock.advance(0)
         self.assertEqual({"a2"}, set(self.harness.hinted))
         task.cancel()
@@ -122,7 +122,7 @@
 
 
 class DetourTest(StreamCase):
-    """An engine is lost under a stream, and another one near it holds its layers."""
+    """An engine of a stream is lost; another one of the domain holds its layers."""
 
     async def prepare(self):
         await super().prepare()
@@ -139,7 +139,7 @@
             engine("b2", 5, 10, domain="b"),
         ]
         if lost:
-            # Not there before, so that the first path is sure.
+            # It is added only now, so that the first path is known.
             engines.append(engine("a3", 4, 10))
         return fleet(*engines)
 
@@ -151,7 +151,7 @@
         self.harness.stalls.check()
         await self.harness.clock.advance(0)
         if not self.gate.done():
-            # Its connection was kept, and the new path brings the rest.
+            # The connection was kept, and the rest arrives over the new path.
             self.gate.set_result(None)
         await self.until(task.done)
         await task
@@ -163,7 +163,7 @@
         await self.lose("a2")
         self.assertEqual([("a1:80", "r1", ["a1", "a3"])], self.harness.orders.moved)
         self.assertEqual(["a1"], self.exchange.sent_to)
-        # What it took of memory is given back where it ran at last.
+        # The load is removed from all engines that ran it.
         for name in ("a1", "a2", "a3"):
             self.assertEqual((0, 0.0), self.harness.tracker.load_of(name, 1))
 
@@ -182,7 +182,7 @@
 
 
 class SlowTest(StreamCase):
-    """An engine works many times slower than usual; its streams go on, but late."""
+    """An engine is many times slower than usual; its streams continue late."""
 
     def run_on(self, *names, gap_s, expected_interval_s=0.04):
         run = Run(names, expected_interval_s=expected_interval_s)
@@ -216,7 +216,7 @@
 
 
 class LaggingEntryTest(StreamCase):
-    """An entry alone with all callers gets no turn of the processor for a second."""
+    """The only entry left for all callers lacks processor time for a second."""
 
     async def test_lag_does_not_count_as_a_stall(self):
         runs = [Run(("a1", "a2"), expected_interval_s=0.04) for _ in range(3)]
@@ -233,7 +233,7 @@
         self.assertFalse(self.harness.tracker.is_avoided("a1"))
 
     async def test_short_lag_does_not_count_as_a_stall(self):
-        """A large document is read: nothing else is for some 65 ms."""
+        """Reading a large document blocks the process for about 65 ms."""
         run = Run(("a1", "a2"), expected_interval_s=0.04)
         self.harness.tracker.begin(run)
         for _ in range(5):
--- a/wigeonscale/direct/tests/test_stream.py
+++ b/wigeonscale/direct/tests/test_stream.py
@@ -76,7 +76,7 @@
 
 
 class ExhaustedBudgetTest(StreamCase):
-    """The budget of further sends is spent when a stream breaks."""
+    """The retry budget is exhausted when a stream breaks."""
 
     async def prepare(self):
         await super().prepare()
@@ -107,7 +107,7 @@
         self.assertEqual(RunState.UNKNOWN, (await relaying).run_state)
 
     async def test_request_that_may_have_run_waits_too(self):
-        # It may have run, so that its caller cannot be told to come back.
+        # It may have run, so it cannot be rejected with a Retry-After.
         self.exchange.script("a1", unknown(), [event(1)])
         relaying = asyncio.create_task(self.relay())
         await self.harness.clock.advance(0.4)
@@ -126,7 +126,7 @@
 
 
 class WithoutLayersTest(StreamCase):
-    """A stream whose service does not split a model over engines."""
+    """A stream of a service that does not split its model over engines."""
 
     async def test_relayed_and_resumed_elsewhere(self):
         self.harness.fleet = fleet(server("p1"), server("p2", domain="b"))
@@ -155,16 +155,16 @@
         self.assertEqual(["a1"], self.exchange.sent_to)
 
     async def test_run_state_stays_unknown_after_a_refusal(self):
-        # The first send was reset before any answer, the second one was refused.
+        # The first send was reset before any response, the second was refused.
         self.exchange.script("a1", unknown(), *[not_run()] * 9)
         self.exchange.script("b1", *[not_run()] * 9)
-        # It waits a little for a path, as one that was begun does.
+        # It waits briefly for a path, like a stream that has begun.
         task = asyncio.create_task(self.refused())
         await self.until(task.done)
         self.assertEqual(RunState.UNKNOWN, (await task).run_state)
 
     async def test_run_state_stays_unknown_on_full_engines(self):
-        # It is sent to them all the same, and they have no room for it.
+        # It is sent to the full engines all the same, and they refuse it.
         gate = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [gate, unknown()], *[not_run()] * 9)
         self.exchange.script("b1", *[not_run()] * 9)
@@ -195,7 +195,7 @@
         )
         self.exchange.script("a1", [event(1), not_sent()])
         self.exchange.script("b1", [event(2), not_sent()])
-        # A caller that has part of a stream waits a little for a path.
+        # A stream that has begun waits briefly for a path.
         task = asyncio.create_task(self.refused())
         await self.until(task.done)
         exc = await task
@@ -226,7 +226,7 @@
 
 
 class ResetTest(StreamCase):
-    """A first engine resets what it gets, or takes it and says nothing."""
+    """A first engine resets connections, or accepts them and never responds."""
 
     async def fail_at_a1(self):
         self.exchange.script("a1", unknown())
@@ -243,7 +243,7 @@
         self.assertEqual(name, self.exchange.sent_to[-1])
 
     async def test_the_next_request_does_not_go_there(self):
-        # It is idle, since nothing lasts there: it would draw every request.
+        # The engine appears idle and would otherwise attract every request.
         await self.fail_at_a1()
         await self.relay_at("b1")
 
