--- a/wigeonscale/direct/backend_tracker.py
+++ b/wigeonscale/direct/backend_tracker.py
@@ -186,7 +186,7 @@
         state.failure_rate += FAILURE_RATE_EWMA_WEIGHT * (failed - state.failure_rate)
 
     def note_refused(self, backend_id: str) -> None:
-        """Avoid a backend server that refused a send for a short time."""
+        """Avoid a backend server for a short time after it refused a send."""
         self._avoid(backend_id, AVOID_REFUSED_S)
 
     def note_unanswered(self, backend_id: str) -> None:
--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -8,11 +8,11 @@
 """
 
 __all__ = [
-    "raise_if_crashing",
-    "note_broken_run",
+    "backends_with_other_suspects",
     "note_aborted_run",
+    "note_broken_run",
     "note_ran",
-    "backends_with_other_suspects",
+    "raise_if_crashing",
 ]
 
 import logging
--- a/wigeonscale/direct/probing.py
+++ b/wigeonscale/direct/probing.py
@@ -117,14 +117,14 @@
             and not self._has_progress(server.backend_id)
         ]
         # If no engine responds, this entry may be the one that is cut off.
-        is_isolated = not self._has_event_since(began_at) and all(
+        is_cut_off = not self._has_event_since(began_at) and all(
             answer is ProbeAnswer.NOTHING for answer in answers
         )
         logger.info(
             "engines of stalled paths probed",
             extra=log_fields(
                 outcome="none-reached"
-                if is_isolated
+                if is_cut_off
                 else "lost"
                 if lost
                 else "all there",
@@ -132,7 +132,7 @@
                 lost=",".join(lost),
             ),
         )
-        if is_isolated:
+        if is_cut_off:
             return
         for name in lost:
             self._on_lost(name)
--- a/wigeonscale/direct/stalls.py
+++ b/wigeonscale/direct/stalls.py
@@ -58,10 +58,10 @@
 # A stall without a known cause is aborted after this time. Callers disconnect after two
 # seconds, and another path needs some tenths of a second.
 ABORT_STALL_S = 1.3
-# A first engine that responds without a culprit counts as busy for this time. Its
-# stalled runs wait, because another path would prefill them again on engines that are
-# as busy. A run is aborted all the same if most other runs at that engine get events,
-# because then only its own connection has failed.
+# A first engine that responds without a culprit counts as healthy but busy for this
+# time. Its stalled runs wait, because another path would prefill them again on engines
+# that are as busy. A run is aborted all the same if at least half of the other runs at
+# that engine get events, because then its own connection has failed.
 HEALTHY_TTL_S = 0.6
 # Runs through an engine that control marks silent leave it after a pause of this time.
 SILENT_ENGINE_STALL_S = 0.06
@@ -181,14 +181,14 @@
         silent = {s.backend_id for s in fleet.by_id.values() if s.is_silent}
         heads = set()
         for run in list(self._runs):
-            quiet_s = now - run.progress_at
-            if quiet_s > SILENT_ENGINE_STALL_S and not silent.isdisjoint(
+            pause_s = now - run.progress_at
+            if pause_s > SILENT_ENGINE_STALL_S and not silent.isdisjoint(
                 run.backend_ids
             ):
                 run.reroute_or_abort()
-            elif quiet_s > ABORT_STALL_S and self._should_abort(run, now):
+            elif pause_s > ABORT_STALL_S and self._should_abort(run, now):
                 run.abort_wait()
-            elif quiet_s > (
+            elif pause_s > (
                 STALL_TIMEOUT_S if run.has_events else FIRST_EVENT_STALL_TIMEOUT_S
             ):
                 heads.add(run.backend_ids[0])
@@ -198,21 +198,21 @@
 
     def _report_stalled_engines(self, now: float) -> None:
         """Hint engines of stalled and slow paths to control, and probe the former."""
-        quiet: Counter[str] = Counter()
-        slow, moving = set(), set()
+        stalled: Counter[str] = Counter()
+        slow, active = set(), set()
         for run in self._runs:
             if _is_stalled(run, now):
-                quiet.update(run.backend_ids)
+                stalled.update(run.backend_ids)
             elif run.has_events:
-                (slow if _is_slow(run) else moving).update(run.backend_ids)
+                (slow if _is_slow(run) else active).update(run.backend_ids)
         # An engine is healthy if another run through it gets events as usual.
-        for name in (quiet.keys() | slow) - moving:
+        for name in (stalled.keys() | slow) - active:
             self._hint(name)
         # To an entry that lacks processor time, all paths seem stalled, and probes
         # would cost more of it.
         if not self.is_lagging:
             self._prober.start_round(
-                [n for n, _ in quiet.most_common() if n not in moving]
+                [n for n, _ in stalled.most_common() if n not in active]
             )
 
     def _has_progress(self, name: str) -> bool:
@@ -235,8 +235,8 @@
         if now - self._healthy_at.get(head, float("-inf")) > HEALTHY_TTL_S:
             return True
         others = [r for r in self._runs if r is not run and r.backend_ids[0] == head]
-        moving = sum(now - other.progress_at < STALL_TIMEOUT_S for other in others)
-        return 2 * moving >= len(others)
+        active = sum(now - other.progress_at < STALL_TIMEOUT_S for other in others)
+        return 2 * active >= len(others)
 
     def _query_head(self, head: str, now: float) -> None:
         if now - self._queried_at.get(head, float("-inf")) < QUERY_INTERVAL_S:
--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -154,9 +154,9 @@
         if not run.wait_timeout.expired():
             raise
         note_aborted_run(ctx, job, run, (first,))
-        quiet_s = ctx.clock.now() - run.progress_at
+        pause_s = ctx.clock.now() - run.progress_at
         raise ExchangeError(
-            Fate.UNKNOWN, f"no event from {servers[0].address} for {quiet_s:.2f} s"
+            Fate.UNKNOWN, f"no event from {servers[0].address} for {pause_s:.2f} s"
         ) from None
     finally:
         run.wait_timeout = None
