--- a/wigeonscale/direct/detour.py
+++ b/wigeonscale/direct/detour.py
@@ -1,13 +1,13 @@
-"""A running generation goes on along another path when an engine of its own is lost."""
+"""Rerouting of a running generation around a lost engine."""
 
-__all__ = ["change_path", "memory_of"]
+__all__ = ["change_path", "kv_cache_demand"]
 
 import logging
 from collections.abc import Sequence
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.admission import choose_detour
-from wigeonscale.direct.crashing import note_given_up_run
+from wigeonscale.direct.crashing import note_aborted_run
 from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.runs import Run
 from wigeonscale.layers import Part
@@ -16,32 +16,32 @@
 logger = logging.getLogger(__name__)
 
 
-def memory_of(job: Job, path: Sequence[Part]) -> dict[str, float]:
-    """Return the memory that a run takes of each engine, in tokens times layers."""
+def kv_cache_demand(job: Job, path: Sequence[Part]) -> dict[str, float]:
+    """Return the KV cache demand by engine, in tokens times layers."""
     tokens = job.req.generation.prompt + job.req.generation.expected
     return {part.backend_id: float(tokens * part.layers.count) for part in path}
 
 
 async def change_path(ctx: EntryContext, job: Job, run: Run, path: list[Part]) -> bool:
-    """Take a run off its lost engines while it goes on.
+    """Reroute a run around its lost engines without a new send.
 
     Args:
-        ctx: What the flows share.
+        ctx: Context of the entry.
         job: The request.
         run: Its send in progress.
-        path: Where that runs; changed in place with it.
+        path: The path of the run; updated in place.
 
     Returns:
-        Whether it was done; else the request has to be sent anew.
+        Whether the path was changed; if not, the request must be sent again.
     """
     detour = choose_detour(ctx, job, path)
     if detour is None:
         return False
     kept = {part.backend_id for part in detour}
     lost = [part.backend_id for part in path if part.backend_id not in kept]
-    note_given_up_run(ctx, job, run, lost)
+    note_aborted_run(ctx, job, run, lost)
     if ctx.crashes.refusal_remaining_s(job.fingerprint):
-        # Not handed to further engines; the flow refuses it.
+        # The request crashes engines: it gets no new ones, and relay_stream rejects it.
         return False
     fleet = ctx.fleet()
     outcome = await ctx.orders.change_path(
@@ -52,7 +52,7 @@
     )
     is_done = outcome in (OrderOutcome.BEGUN, OrderOutcome.HOLDS_ALREADY)
     logger.info(
-        "path of a generation changed" if is_done else "path not changed",
+        "generation rerouted" if is_done else "generation not rerouted",
         extra=log_fields(
             request_id=job.req.request_id,
             outcome=outcome,
@@ -63,6 +63,6 @@
     if is_done:
         path[:] = detour
         ctx.tracker.replace(
-            run, tuple(part.backend_id for part in detour), memory_of(job, detour)
+            run, tuple(part.backend_id for part in detour), kv_cache_demand(job, detour)
         )
     return is_done
--- a/wigeonscale/direct/probing.py
+++ b/wigeonscale/direct/probing.py
@@ -1,12 +1,13 @@
-"""Asks the engines of a quiet path themselves whether they are there.
+"""Probes the engines of stalled paths with new connections.
 
-Load pattern: an engine goes dark, and every stream through it stands still at once. A
-pause over some 300 ms is late, and sent elsewhere a stream needs 100 to 150 ms to go
-on; so an engine has to be found lost within 200 ms. Its neighbours on the path let a
-connection open within a round trip, whatever their load is; it does not.
+When an engine becomes unreachable, every stream through it stalls at once. A pause of
+more than about 300 ms is late, and a stream that is sent to another path needs 100 to
+150 ms to continue. So a lost engine must be detected within 200 ms. The other engines
+of the path accept a connection within one round trip, whatever their load; the lost one
+does not.
 """
 
-__all__ = ["EngineProbes"]
+__all__ = ["EngineProber"]
 
 import asyncio
 import logging
@@ -16,39 +17,39 @@
 from wigeonscale.direct.fleet import BackendServer, Fleet
 from wigeonscale.ports import Clock, ProbeAnswer, Reach
 
-# A connection opens within some 2 ms. One packet lost costs it a second, so another one
-# is tried, and a third, so that a link which loses packets does not make sound engines
-# look lost.
+# Start times of the probes of one engine. A connection opens within about 2 ms, but a
+# lost packet delays it by a second. A second and a third connection keep packet loss
+# from making a healthy engine look lost.
 PROBE_DELAYS_S = (0.0, 0.02, 0.035)
-# From the first probe on. The path has been quiet for some 70 ms by then, and going on
-# elsewhere takes the rest of the time after which a pause is late.
-PROBE_LIMIT_S = 0.05
-# Beside that, a connection takes this many times the delay to the engine's domain, as
-# told by the configuration.
-DELAYS_OF_A_PROBE = 2
-# Engines of one round. Load pattern: many paths are quiet at once, and an entry has a
-# small share of a core for all probes. Those come first that most quiet runs pass
-# through: a lost one is on all that it stopped.
-MOST_IN_A_ROUND = 16
-# An engine is not asked again before this long. Load pattern: engines are so busy that
-# all paths are quiet, and each new connection takes them a millisecond.
-PROBE_AGAIN_S = 1.0
+# Timeout from the first probe on. The path has been stalled for about 70 ms by then,
+# and the switch to another path takes the rest of the time until a pause is late.
+PROBE_TIMEOUT_S = 0.05
+# The timeout is extended by this many times the configured one-way delay to the domain
+# of the engine.
+ONE_WAY_DELAYS_PER_PROBE = 2
+# Most engines in one round. Many paths may stall at once, and an entry has only a small
+# share of a core for probes. Engines with the most stalled runs come first, because all
+# runs through a lost engine are stalled.
+MAX_PROBED_PER_ROUND = 16
+# Least time between two probes of an engine. When engines are so busy that all paths
+# stall, each new connection costs them another millisecond.
+PROBE_INTERVAL_S = 1.0
 
 logger = logging.getLogger(__name__)
 
 
-class EngineProbes:
-    """Probes engines in rounds, and tells which are lost.
+class EngineProber:
+    """Probes engines in rounds and reports the lost ones.
 
     Args:
-        reach: Finds out whether an engine's VM answers.
+        reach: Checks whether the VM of an engine responds.
         clock: Clock port.
-        fleet: Returns the backend servers as of now.
-        delay_s: Returns the delay of one way to a failure domain, in seconds.
-        is_moving: Returns whether something moves through an engine after all, or
-            nothing may be said of it; asked once the answers are there.
-        heard_since: Returns whether any engine was heard of after an instant.
-        on_lost: Called with the name of each engine that is lost.
+        fleet: Returns the current backend servers.
+        delay_s: Returns the one-way delay to a failure domain, in seconds.
+        has_progress: Returns whether runs through an engine get events, or whether its
+            state cannot be judged; called after the probes have ended.
+        has_event_since: Returns whether any run got an event after a given time.
+        on_lost: Called with the name of each lost engine.
     """
 
     def __init__(
@@ -58,36 +59,38 @@
         clock: Clock,
         fleet: Callable[[], Fleet],
         delay_s: Callable[[str], float],
-        is_moving: Callable[[str], bool],
-        heard_since: Callable[[float], bool],
+        has_progress: Callable[[str], bool],
+        has_event_since: Callable[[float], bool],
         on_lost: Callable[[str], None],
     ):
         self._reach = reach
         self._clock = clock
         self._fleet = fleet
         self._delay_s = delay_s
-        self._is_moving = is_moving
-        self._heard_since = heard_since
+        self._has_progress = has_progress
+        self._has_event_since = has_event_since
         self._on_lost = on_lost
         self._probed_at: dict[str, float] = {}
         self._rounds: set[asyncio.Task] = set()
 
-    def ask(self, names: Sequence[str]) -> None:
-        """Begin a round, unless all were asked lately.
+    def start_round(self, names: Sequence[str]) -> None:
+        """Start a round, unless all engines were probed recently.
 
         Args:
-            names: Engines in question, the most likely ones first.
+            names: Names of engines that may be lost, the most likely ones first.
         """
         now = self._clock.now()
         self._probed_at = {
-            name: at for name, at in self._probed_at.items() if now - at < PROBE_AGAIN_S
+            name: at
+            for name, at in self._probed_at.items()
+            if now - at < PROBE_INTERVAL_S
         }
         by_id = self._fleet().by_id
         servers = [
             by_id[name]
             for name in names
             if name in by_id and name not in self._probed_at
-        ][:MOST_IN_A_ROUND]
+        ][:MAX_PROBED_PER_ROUND]
         if not servers:
             return
         self._probed_at |= {server.backend_id: now for server in servers}
@@ -96,42 +99,48 @@
         task.add_done_callback(self._rounds.discard)
 
     async def close(self) -> None:
-        """End the rounds that are under way."""
+        """Cancel the running rounds."""
         for task in self._rounds:
             task.cancel()
         await asyncio.gather(*self._rounds, return_exceptions=True)
 
     async def _round(self, servers: list[BackendServer]) -> None:
         began_at = self._clock.now()
-        answers = await asyncio.gather(*[self._answer(server) for server in servers])
-        signs = dict(zip(servers, answers, strict=True))
+        answers = await asyncio.gather(
+            *[self._probe_server(server) for server in servers]
+        )
+        results = dict(zip(servers, answers, strict=True))
         lost = [
             server.backend_id
-            for server, answer in signs.items()
+            for server, answer in results.items()
             if answer is not ProbeAnswer.ANSWERED
-            and not self._is_moving(server.backend_id)
+            and not self._has_progress(server.backend_id)
         ]
-        # Where nobody can be reached, the fault is as likely on this side.
-        is_cut = not self._heard_since(began_at) and all(
+        # If no engine responds, this entry may be the one that is cut off.
+        is_cut_off = not self._has_event_since(began_at) and all(
             answer is ProbeAnswer.NOTHING for answer in answers
         )
         logger.info(
-            "engines of quiet paths probed",
+            "engines of stalled paths probed",
             extra=log_fields(
-                outcome="none-reached" if is_cut else "lost" if lost else "all there",
+                outcome="none-reached"
+                if is_cut_off
+                else "lost"
+                if lost
+                else "all there",
                 probed=len(servers),
                 lost=",".join(lost),
             ),
         )
-        if is_cut:
+        if is_cut_off:
             return
         for name in lost:
             self._on_lost(name)
 
-    async def _answer(self, server: BackendServer) -> ProbeAnswer:
-        """Return the first answer that tells something, of a few probes."""
+    async def _probe_server(self, server: BackendServer) -> ProbeAnswer:
+        """Return the first conclusive result of several probes."""
         probes = [
-            asyncio.create_task(self._probe(server, delay_s))
+            asyncio.create_task(self._probe_once(server, delay_s))
             for delay_s in PROBE_DELAYS_S
         ]
         try:
@@ -145,7 +154,9 @@
                 probe.cancel()
             await asyncio.gather(*probes, return_exceptions=True)
 
-    async def _probe(self, server: BackendServer, delay_s: float) -> ProbeAnswer:
+    async def _probe_once(self, server: BackendServer, delay_s: float) -> ProbeAnswer:
         await self._clock.sleep(delay_s)
-        way_s = DELAYS_OF_A_PROBE * self._delay_s(server.domain)
-        return await self._reach(server.address, PROBE_LIMIT_S + way_s - delay_s)
+        round_trip_s = ONE_WAY_DELAYS_PER_PROBE * self._delay_s(server.domain)
+        return await self._reach(
+            server.address, PROBE_TIMEOUT_S + round_trip_s - delay_s
+        )
--- a/wigeonscale/direct/service.py
+++ b/wigeonscale/direct/service.py
@@ -1,4 +1,4 @@
-"""Answers callers: matches a request, and hands it to the flow of its kind."""
+"""Entry point for callers' requests: routes each to the plain or stream handler."""
 
 __all__ = ["DirectService"]
 
@@ -22,27 +22,26 @@
     find_route,
 )
 
-# The final answer goes out this much before the caller stops waiting.
-ANSWER_MARGIN_S = 0.02
-NOT_READY_RETRY_S = 0.5
-# An entry that just started learns the configuration within a second, or, when control
-# starts too, after an election. Callers that come meanwhile are better served by a
-# short wait than by a refusal, after which many do not come again; but no longer than
-# this share of the time that they have.
-START_WAIT_S = 1.5
-START_WAIT_SHARE = 0.3
+# The final response is sent this long before the caller's deadline.
+RESPONSE_MARGIN_S = 0.02
+NOT_READY_RETRY_AFTER_S = 0.5
+# A new entry gets the configuration within a second, or after an election if control
+# starts too. Requests wait for it this long, and at most this fraction of their time,
+# because many callers do not retry a rejected request.
+MAX_STARTUP_WAIT_S = 1.5
+STARTUP_WAIT_FRACTION = 0.3
 
 logger = logging.getLogger(__name__)
 
 
 class DirectService:
-    """Answers the requests of one entry.
+    """Handles the requests of one entry.
 
     Args:
-        ctx: What the flows share.
-        table: Returns the route table in force; number 0 before any.
-        known: Set once the table and the backend servers are known.
-        may_serve: Returns whether what is known may still be acted on.
+        ctx: Context of the entry.
+        table: Returns the current route table; its number is 0 before the first.
+        known: Set once the route table and the backend servers are known.
+        may_serve: Returns whether the configuration is valid without a newer one.
         rng: Source of randomness for weighted shares.
     """
 
@@ -62,38 +61,38 @@
         self._rng = rng
 
     async def serve(self, req: CallerRequest, sink: AnswerSink) -> None:
-        """Answer one request.
+        """Handle one request.
 
         Args:
             req: The request.
-            sink: Where the answer goes.
+            sink: Receives the response.
 
         Raises:
-            WigeonscaleError: Its kind and run state make the answer; if the answer
-                was begun it must be cut.
+            WigeonscaleError: Its kind and run state determine the error response. If
+                the response has begun, the connection must be cut instead.
         """
         if not self._known.is_set():
-            await self._wait_until_known(req)
+            await self._wait_for_config(req)
         if not self._may_serve():
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
-                "no majority of control confirms the configuration",
-                retry_after=NOT_READY_RETRY_S,
+                "no quorum of control confirms the configuration",
+                retry_after=NOT_READY_RETRY_AFTER_S,
             )
         job = self._job(req)
         ctx = self._around
-        left_s = job.ends_at - ctx.clock.now()
+        left_s = job.deadline_at - ctx.clock.now()
         ctx.budget.record(job.service.name)
         limit = asyncio.timeout(left_s)
         try:
             async with limit:
-                pauses = await self._run(job, sink)
+                pause_fields = await self._run(job, sink)
         except TimeoutError:
             if not limit.expired():
                 raise
             raise WigeonscaleError(
                 ErrorKind.DEADLINE_EXCEEDED,
-                f"not answered in {left_s:.3f} s",
+                f"no response within {left_s:.3f} s",
                 run_state=RunState.UNKNOWN,
             ) from None
         logger.info(
@@ -105,35 +104,35 @@
                 service=job.service.name,
                 table=self._table().number,
                 took_s=round(ctx.clock.now() - req.arrived_at, 4),
-                **pauses,
+                **pause_fields,
             ),
         )
 
     async def _run(self, job: Job, sink: AnswerSink) -> dict[str, object]:
-        """Answer a request; return what the log tells of the answer."""
+        """Handle a request; return log fields about its response."""
         if job.route.repeat is Repeat.STREAM:
-            return _pauses(job, await relay_stream(self._around, job, sink))
+            return _pause_fields(job, await relay_stream(self._around, job, sink))
         await sink.send(await call_plain(self._around, job))
         return {}
 
-    async def _wait_until_known(self, req: CallerRequest) -> None:
-        wait_s = START_WAIT_S
+    async def _wait_for_config(self, req: CallerRequest) -> None:
+        wait_s = MAX_STARTUP_WAIT_S
         if req.deadline_s is not None:
-            wait_s = min(wait_s, req.deadline_s * START_WAIT_SHARE)
+            wait_s = min(wait_s, req.deadline_s * STARTUP_WAIT_FRACTION)
         try:
             async with asyncio.timeout(wait_s):
                 await self._known.wait()
         except TimeoutError:
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
-                f"no configuration was known in {wait_s:.3f} s",
-                retry_after=NOT_READY_RETRY_S,
+                f"no configuration received within {wait_s:.3f} s",
+                retry_after=NOT_READY_RETRY_AFTER_S,
             ) from None
 
     def _job(self, req: CallerRequest) -> Job:
         table = self._table()
         if not req.request_id:
-            raise WigeonscaleError(ErrorKind.BAD_REQUEST, "the attempt has no id")
+            raise WigeonscaleError(ErrorKind.BAD_REQUEST, "the request has no id")
         route = find_route(table, req.host, req.path)
         organisation = find_organisation(table, route, req.key)
         limit_s = route.timeout_s
@@ -144,12 +143,12 @@
             route=route,
             service=table.services[choose_service(route, self._rng)],
             organisation=organisation,
-            ends_at=req.arrived_at + max(0.0, limit_s - ANSWER_MARGIN_S),
+            deadline_at=req.arrived_at + max(0.0, limit_s - RESPONSE_MARGIN_S),
         )
 
 
-def _pauses(job: Job, progress: Progress) -> dict[str, object]:
-    """Return what makes a stream late, for the log: its start and its worst pause."""
+def _pause_fields(job: Job, progress: Progress) -> dict[str, object]:
+    """Return log fields about the delays of a stream: its start and longest pause."""
     if progress.first_event_at is None:
         return {}
     return {
@@ -157,5 +156,5 @@
         "longest_pause_s": round(progress.longest_pause_s, 4),
         "paused_after": progress.paused_after,
         "sends": progress.sends,
-        "moves": progress.moves,
+        "moves": progress.reroutes,
     }
--- a/wigeonscale/direct/tests/test_beliefs.py
+++ b/wigeonscale/direct/tests/test_backend_tracker.py
@@ -12,7 +12,7 @@
 
 
 class KeepOnlyTest(AsyncTestCase):
-    async def test_forgets_what_is_gone_and_idle(self):
+    async def test_drops_idle_servers_that_are_gone(self):
         clock = ManualClock()
         tracker = BackendTracker(clock=clock)
         tracker.note_outcome("gone", failed=True)
@@ -20,21 +20,22 @@
         tracker.begin(run)
         await clock.advance(100)
         tracker.keep_only([])
-        self.assertEqual(0.0, tracker.of("gone").failures)
-        self.assertEqual({run}, tracker.of("busy").runs)
+        self.assertEqual(0.0, tracker.lookup("gone").failure_rate)
+        self.assertEqual({run}, tracker.lookup("busy").runs)
 
 
 class ManyEntriesTest(AsyncTestCase):
-    """23 entries send 75 generations a second, each of which lasts 2.3 seconds.
+    """Entries with outdated load data must not overload one domain after the other.
 
-    All hear twice a second what all have in progress, each at another time. The third
-    failure domain is the fastest.
+    23 entries send 75 generations a second, each of which takes 2.3 seconds. Each entry
+    gets the totals of all entries twice a second, at different times. The third failure
+    domain is the fastest.
     """
 
     ENTRIES = 23
     PER_SECOND = 75
-    LASTS_S = 2.3
-    TOLD_EVERY_S = 0.5
+    DURATION_S = 2.3
+    REPORT_INTERVAL_S = 0.5
     SIZES = Generation(prompt=700, most=300, expected=150)
 
     def setUp(self):
@@ -60,7 +61,7 @@
             for i in (0, 1)
         ]
         self.entries = [BackendTracker(clock=self.clock) for _ in range(self.ENTRIES)]
-        self.due = [self.rng.random() * self.TOLD_EVERY_S for _ in self.entries]
+        self.due = [self.rng.random() * self.REPORT_INTERVAL_S for _ in self.entries]
         self.told = [{} for _ in self.entries]
         self.running = []
 
@@ -68,7 +69,7 @@
         for number, tracker in enumerate(self.entries):
             if elapsed_s < self.due[number]:
                 continue
-            self.due[number] += self.TOLD_EVERY_S
+            self.due[number] += self.REPORT_INTERVAL_S
             self.told[number] = dict(tracker.report_loads())
             totals = {}
             for told in self.told:
@@ -86,9 +87,9 @@
         path = choose_path(self.servers, self.engine, costs, domain="abc"[number % 3])
         run = Run(tuple(part.backend_id for part in path), {})
         tracker.begin(run)
-        self.running.append((now + self.LASTS_S, tracker, run))
+        self.running.append((now + self.DURATION_S, tracker, run))
 
-    async def test_entries_do_not_rush_from_one_domain_to_the_next(self):
+    async def test_load_does_not_oscillate_between_domains(self):
         counts = {domain: [] for domain in "abc"}
         for step in range(20 * self.PER_SECOND):
             now = self.clock.now()
@@ -103,14 +104,14 @@
                     at = [run.backend_ids[0][0] for _, _, run in self.running]
                     seen.append(at.count(domain))
         spread = {d: statistics.pstdev(seen) for d, seen in counts.items()}
-        # 22 to 30 where each entry takes the word of the others as it is.
+        # 22 to 30 if entries use the totals without a correction for their age.
         self.assertTrue(max(spread.values()) < 8, spread)
 
 
 class TotalsTest(AsyncTestCase):
-    """Control tells what all entries have in progress."""
+    """Totals of all entries from control."""
 
-    async def test_own_load_as_told_is_not_counted_twice(self):
+    async def test_reported_own_load_is_not_counted_twice(self):
         clock = ManualClock()
         tracker = BackendTracker(clock=clock)
         run = Run(("s",), {"s": 30.0})
@@ -118,22 +119,23 @@
         self.assertEqual({"s": (1, 30.0)}, tracker.report_loads())
         tracker.begin(Run(("s",), {"s": 5.0}))
         tracker.apply_totals({"s": (4, 100.0), "t": (2, 7.0)})
-        # Three of others, two of its own by now; nothing is inferred from what came
-        # before the first word.
+        # Three runs of others, two own ones by now; own runs from before the first
+        # totals are not extrapolated.
         self.assertEqual((5, 105.0), tracker.load_of("s", entries=9))
         tracker.report_loads()
         tracker.begin(Run(("s",), {"s": 5.0}))
         tracker.apply_totals({"s": (5, 105.0), "t": (2, 7.0)})
-        # Three of others, three of its own by now, and one more of each other since.
+        # Three runs of others, three own ones by now, and one assumed new run of each
+        # other entry since the report.
         self.assertEqual((6 + 8, 110.0 + 8 * 5.0), tracker.load_of("s", entries=9))
         self.assertEqual((2, 7.0), tracker.load_of("t", entries=9))
         self.assertEqual((0, 0.0), tracker.load_of("u", entries=9))
 
-    async def test_without_fresh_word_each_entry_counts_as_this_one(self):
+    async def test_stale_totals_are_replaced_by_own_load(self):
         clock = ManualClock()
         tracker = BackendTracker(clock=clock)
         tracker.begin(Run(("s",), {"s": 30.0}))
-        # Before any word nothing is inferred of the others.
+        # Before the first totals, nothing is assumed about the others.
         self.assertEqual((1, 30.0), tracker.load_of("s", entries=9))
         tracker.report_loads()
         tracker.apply_totals({"s": (1, 30.0)})
--- a/wigeonscale/direct/tests/test_choice.py
+++ b/wigeonscale/direct/tests/test_choice.py
@@ -37,29 +37,29 @@
         self.assertEqual("far", self.chosen())
 
     async def test_load_of_the_other_entries_is_inferred(self):
-        # Control told it once, and is cut off since.
+        # The entry got totals once and has been cut off from control since.
         self.tracker.apply_totals({})
         await self.clock.advance(5)
         self.tracker.begin(Run(("near",)))
         self.assertEqual("near", self.chosen(entries=1))
         self.assertEqual("far", self.chosen(entries=4))
 
-    def test_one_that_fails_part_of_its_requests(self):
+    def test_failing_server_is_avoided(self):
         for _ in range(5):
             self.tracker.note_outcome("near", failed=True)
         self.assertEqual("far", self.chosen())
 
-    def test_lost_one_only_as_the_last_resort(self):
+    def test_lost_server_only_as_last_resort(self):
         self.tracker.note_lost("near")
         self.assertEqual("far", self.chosen())
         self.assertEqual("near", self.chosen(tried={"far"}))
 
-    async def test_lost_one_is_tried_again_later(self):
+    async def test_lost_server_is_tried_again_later(self):
         self.tracker.note_lost("near")
         await self.clock.advance(10)
         self.assertEqual("near", self.chosen())
 
-    def test_nobody_left(self):
+    def test_no_server_left(self):
         self.assertIsNone(self.chosen(tried={"near", "far"}))
 
 
@@ -82,15 +82,15 @@
     def test_stays_in_its_domain(self):
         self.assertEqual(["a0", "a1"], self.chosen())
 
-    def test_whole_path_of_another_domain_before_one_that_crosses(self):
+    def test_other_domain_before_a_path_across_domains(self):
         self.tracker.note_lost("a1")
         self.assertEqual(["b0", "b1"], self.chosen())
 
-    def test_crosses_when_no_domain_is_whole(self):
+    def test_path_across_domains_when_none_holds_all_layers(self):
         lost = {"a1", "b0", "c1"}
         self.assertEqual(["a0", "b1"], self.chosen(lost=lost))
 
-    def test_full_engines_are_left_for_another_domain(self):
+    def test_other_domain_when_engines_are_full(self):
         room = FULL_SHARE * (5000 - 500) * 1e6 / 1e5
         self.tracker.begin(Run(("a0",), {"a0": room}))
         self.assertEqual(["b0", "b1"], self.chosen())
@@ -98,17 +98,18 @@
     def test_costs_of_a_part_add_up_by_layers(self):
         costs = path_costs(ENGINE, SIZES, tracker=self.tracker, entries=1)
         server = self.servers[0]
-        # 20 tokens of 1.01 ms and 1 ms of reading for all 10 layers, and 20 short hops.
+        # All 10 layers: 20 tokens of 1.01 ms and 1 ms of prefill; 20 hops of 0.1 ms.
         self.assertAlmostEqual(0.5 * 21.2 + 2.0, costs.part(server, 5))
         self.assertAlmostEqual(0.505 + 0.1, costs.token(server, 5))
-        # 45,000 tokens in one layer, 1.1 of them, and 120 a request: 412 layers.
+        # Capacity of 45,000 tokens times layers, times 1.1, and 120 tokens per request:
+        # 412 layers.
         self.assertTrue(costs.has_capacity(server, 412))
         self.assertFalse(costs.has_capacity(server, 413))
         self.assertAlmostEqual(
             20_000.0 + 41.3 * 21.2 + 2.0, costs.part(server, 413), places=3
         )
 
-    def test_several_full_engines_before_a_path_that_crosses(self):
+    def test_several_full_engines_before_a_path_across_domains(self):
         self.servers = [
             server(f"{domain}{i}", "model", domain=domain, layers=(2 * i, 2 * i + 2))
             for domain in "ab"
@@ -118,26 +119,27 @@
             self.tracker.begin(Run((full,), {full: 1e9}))
         self.assertEqual([f"b{i}" for i in range(5)], self.chosen())
 
-    def test_slow_engines_are_left_for_another_domain(self):
-        # With 20 tokens of 1 ms the detour of 300 ms pays from a factor of some 30 on.
+    def test_other_domain_when_engines_are_very_slow(self):
+        # With 20 tokens of 1 ms, the penalty of 300 ms pays off from a factor of about
+        # 30.
         self.servers[1] = replace(self.servers[1], slowness=16)
         self.assertEqual(["a0", "a1"], self.chosen())
         self.servers[1] = replace(self.servers[1], slowness=64)
         self.assertEqual(["b0", "b1"], self.chosen())
 
     def test_first_engine_is_full_with_its_slots_taken(self):
-        # Memory for 45 of them, slots for 8.
+        # The engine has slots for 8 requests, but memory for 45.
         for _ in range(ENGINE.slots):
             self.tracker.begin(Run(("a0", "a1")))
         self.assertEqual(["b0", "b1"], self.chosen())
 
-    def test_slots_of_later_engines_do_not_bind(self):
+    def test_slots_of_later_engines_are_ignored(self):
         for _ in range(ENGINE.slots):
             self.tracker.begin(Run(("a1",)))
         self.assertEqual(["a0", "a1"], self.chosen())
 
-    def test_a_faster_domain_is_left_to_its_own_entries(self):
-        # Load pattern: one domain has the fastest engines of all.
+    def test_faster_domain_is_not_preferred_over_own(self):
+        # One domain has faster engines than all others.
         fast = Accelerator(name="fast", size_mb=5000.0, pace=0.25, read_factor=0.25)
         engine = replace(
             ENGINE,
@@ -154,7 +156,7 @@
         path = choose_path(servers, engine, costs, domain="a")
         self.assertEqual(["a0", "a1"], [part.backend_id for part in path])
 
-    def test_avoided_ones_when_nothing_else_is_left(self):
+    def test_avoided_engines_as_last_resort(self):
         for each in self.servers:
             self.tracker.note_lost(each.backend_id)
         self.assertEqual(["a0", "a1"], self.chosen())
--- a/wigeonscale/direct/tests/test_start.py
+++ b/wigeonscale/direct/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Replay of the instant in which entries that just started know the configuration."""
+"""Requests in the moment in which restarted entries get the configuration."""
 
 import random
 
@@ -11,17 +11,19 @@
 from wigeonscale.testing import AsyncTestCase
 
 ENTRIES = 29
-# Requests of all callers that came back within the second before, for which the engines
-# have room.
-HERD = 150
+# Requests of all callers that returned within the last second. The engines have
+# capacity for all of them.
+RETURNING_REQUESTS = 150
 LAYERS = 5
 SIZES = Generation(prompt=100, most=40, expected=20)
 
 
-class HerdTest(AsyncTestCase):
-    """All entries lost power, and so did what they had sent: the engines are empty.
+class ColdStartTest(AsyncTestCase):
+    """After a power failure of all entries, the engines are empty.
 
-    Callers come back within a second, spread unevenly over the entries by a hash.
+    Callers return within a second, and a hash spreads them unevenly over the entries.
+    An entry with many of them must not assume that the others have as many and reject
+    requests.
     """
 
     async def prepare(self):
@@ -36,25 +38,25 @@
         ]
         rng = random.Random(3)
         weights = [rng.uniform(0.2, 3.0) for _ in self.entries]
-        self.herd = rng.choices(self.entries, weights, k=HERD)
-        self.taken = {server.backend_id: 0.0 for server in servers}
+        self.receivers = rng.choices(self.entries, weights, k=RETURNING_REQUESTS)
+        self.used = {server.backend_id: 0.0 for server in servers}
 
     def send(self, harness):
-        """Begin one request; return whether there was room for it."""
+        """Start one request; return whether there was capacity for it."""
         job = harness.job(Repeat.STREAM, service=MODEL, generation=SIZES)
-        choice = choose_path_for(harness.ctx, job, lost=(), ran_at=())
+        choice = choose_path_for(harness.ctx, job, lost=(), ran_on=())
         if choice.full:
             return False
         tokens = job.req.generation.prompt + job.req.generation.expected
         layers = {p.backend_id: float(tokens * p.layers.count) for p in choice.path}
         harness.tracker.begin(Run(tuple(layers), layers))
         for name, token_layers in layers.items():
-            self.taken[name] += token_layers
+            self.used[name] += token_layers
         return True
 
-    async def test_nobody_is_turned_away_from_empty_engines(self):
-        served = sum(self.send(harness) for harness in self.herd)
-        self.assertEqual(HERD, served)
+    async def test_no_rejections_while_engines_are_empty(self):
+        served = sum(self.send(harness) for harness in self.receivers)
+        self.assertEqual(RETURNING_REQUESTS, served)
         free_mb = ENGINE.accelerators["k"].size_mb - LAYERS * ENGINE.layer_mb
         room = free_mb * 1e6 / (ENGINE.token_bytes / ENGINE.layers)
-        self.assertTrue(max(self.taken.values()) <= FULL_SHARE * room)
+        self.assertTrue(max(self.used.values()) <= FULL_SHARE * room)
--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -20,15 +20,15 @@
 HANG = FakeExchange.HANG
 
 
-def know(harness, job, *names):
+def note_crashes(harness, job, *names):
     known = KnownCrashes(
         fingerprint=job.fingerprint, backends=names, age_s=0.0, span_s=9.0
     )
     harness.ctx.crashes.apply_records([known])
 
 
-class Ending:
-    """Marks engines as ended, as control does a moment after they crashed."""
+class EndEnginesMixin:
+    """Marks engines as silent, as control does shortly after a crash."""
 
     def end(self, *names):
         for name in names:
@@ -39,12 +39,12 @@
         self.harness.ctx.crashes.confirm_crashes()
 
 
-class RefusedStreamTest(Ending, StreamCase):
+class RefusedStreamTest(EndEnginesMixin, StreamCase):
     def job(self, body=b"", **fields):
         return self.harness.job(body=body, **fields)
 
-    async def test_refused_at_once_and_not_sent(self):
-        know(self.harness, self.job(), "x1", "x2", "x3")
+    async def test_known_crashing_request_is_not_sent(self):
+        note_crashes(self.harness, self.job(), "x1", "x2", "x3")
         exc = await self.refused()
         self.assertEqual(ErrorKind.CRASHES_BACKENDS, exc.kind)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
@@ -52,27 +52,27 @@
         self.assertEqual([], self.exchange.sent_to)
 
     async def test_another_body_is_another_request(self):
-        know(self.harness, self.job(), "x1", "x2", "x3")
+        note_crashes(self.harness, self.job(), "x1", "x2", "x3")
         self.exchange.script("a1", [event(1)])
         await self.relay(body=b"another")
         self.assertEqual([1], self.got())
 
     async def test_the_third_crash_is_the_last_send(self):
-        know(self.harness, self.job(), "x1", "x2")
+        note_crashes(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", unknown())
         exc = await self.refused()
         self.assertEqual(["a1"], self.exchange.sent_to)
         self.assertEqual(ErrorKind.CRASHES_BACKENDS, exc.kind)
-        # It may have run there, so this is no 503.
+        # It may have run there, so the response must not be a 503.
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
 
-    async def test_the_engine_is_asked_for_by_control(self):
+    async def test_broken_engine_is_reported_to_control(self):
         self.exchange.script("a1", unknown())
         self.exchange.script("b1", [event(1)])
         await self.relay()
         self.assertEqual(["a1"], self.harness.suspected)
 
-    async def test_a_run_that_went_on_is_not_to_blame(self):
+    async def test_long_run_is_no_suspect(self):
         future = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [event(1), future, event(2), unknown()], [event(3)])
         task = asyncio.create_task(self.relay())
@@ -83,8 +83,8 @@
         await task
         self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
-    async def test_sent_to_an_engine_that_is_gone_already_it_is_not_to_blame(self):
-        """Its connection is still being refused when it is taken off the engine."""
+    async def test_request_to_crashed_engine_is_no_suspect(self):
+        """The engine has crashed before, and its refusal is not yet received."""
         self.harness.ctx.crashes.note_abort("a1")
         await self.harness.clock.advance(0.01)
         self.exchange.script("a1", [HANG])
@@ -97,7 +97,7 @@
         await task
         self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
-    async def test_taken_off_an_engine_that_others_saw_end_it_is_suspected(self):
+    async def test_run_aborted_after_a_crash_is_suspect(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [HANG])
         task = asyncio.create_task(self.relay())
@@ -111,32 +111,32 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    async def test_a_break_that_is_read_late_is_one_of_a_beginning(self):
-        """This process stood still between the event and the break."""
+    async def test_late_read_of_a_broken_connection_is_suspect(self):
+        """The process was blocked between the first event and the broken connection."""
         future = asyncio.get_running_loop().create_future()
         self.exchange.script("a1", [event(1), future, unknown()])
         self.exchange.script("b1", [HANG])
         task = asyncio.create_task(self.relay())
         await self.until(lambda: self.got() == [1])
         await self.harness.clock.advance(START_CRASH_WINDOW_S)
-        self.harness.stalls.note_late(START_CRASH_WINDOW_S)
+        self.harness.stalls.note_lag(START_CRASH_WINDOW_S)
         future.set_result(None)
         await self.until(lambda: len(self.exchange.calls) == 2)
         self.assertTrue(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    async def test_served_in_the_end_it_is_cleared(self):
-        know(self.harness, self.job(), "x1", "x2")
+    async def test_completed_request_is_no_suspect(self):
+        note_crashes(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", [event(1)])
         await self.relay()
         self.assertFalse(self.harness.ctx.crashes.is_suspect(self.job().fingerprint))
 
-    async def test_lost_layers_of_a_path_are_not_handed_on(self):
-        """An engine behind the first one ends, and others hold its layers."""
+    async def test_crashing_request_is_not_rerouted(self):
+        """An engine after the first one crashes, and another one holds its layers."""
         self.harness.fleet.by_id["a3"] = spare = engine("a3", 5, 10)
         self.harness.fleet.by_service["model"] += (spare,)
-        know(self.harness, self.job(), "x1", "x2")
+        note_crashes(self.harness, self.job(), "x1", "x2")
         self.exchange.script("a1", [HANG])
         task = asyncio.create_task(self.refused())
         await self.until(lambda: self.exchange.calls)
@@ -149,17 +149,17 @@
         self.assertEqual([], self.harness.orders.moved)
 
 
-class KeptApartTest(Ending, StreamCase):
-    """Two requests were lost together, so that either may be the one that crashes."""
+class IsolatedSuspectsTest(EndEnginesMixin, StreamCase):
+    """Two requests were lost together, so either may have caused the crash."""
 
     async def prepare(self):
         await super().prepare()
         self.one = self.harness.job(body=b"one")
         self.two = self.harness.job(body=b"two")
         for job in (self.one, self.two):
-            know(self.harness, job, "x1")
+            note_crashes(self.harness, job, "x1")
 
-    async def test_they_go_on_at_different_first_engines(self):
+    async def test_suspects_use_different_first_engines(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
         first = asyncio.create_task(self.relay(body=b"one"))
@@ -169,7 +169,7 @@
         await asyncio.gather(first, return_exceptions=True)
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
 
-    async def test_one_waits_where_there_is_no_other(self):
+    async def test_suspect_waits_for_the_only_first_engine(self):
         self.harness.fleet.by_service["model"] = tuple(
             self.harness.fleet.by_id[name] for name in ("a1", "a2")
         )
@@ -184,7 +184,7 @@
         begun.set_result(None)
         await asyncio.gather(first, second)
 
-    async def test_it_does_not_wait_for_ever(self):
+    async def test_wait_of_a_suspect_is_bounded(self):
         self.harness.fleet.by_service["model"] = tuple(
             self.harness.fleet.by_id[name] for name in ("a1", "a2")
         )
@@ -197,7 +197,7 @@
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
 
-    async def test_others_go_where_they_like(self):
+    async def test_other_requests_are_not_isolated(self):
         self.exchange.script("a1", [HANG], [event(1)])
         first = asyncio.create_task(self.relay(body=b"one"))
         await self.until(lambda: self.exchange.calls)
@@ -212,16 +212,16 @@
         self.harness = EntryHarness(*(server(f"s{n}") for n in range(5)))
         self.exchange = self.harness.exchange
 
-    async def test_refused_before_it_is_sent(self):
+    async def test_known_crashing_plain_request_is_not_sent(self):
         job = self.harness.job()
-        know(self.harness, job, "x1", "x2", "x3")
+        note_crashes(self.harness, job, "x1", "x2", "x3")
         exc = await self.failed(job)
         self.assertEqual(RunState.NOT_RUN, exc.run_state)
         self.assertEqual([], self.exchange.sent_to)
 
     async def test_the_third_crash_is_the_last_send(self):
         job = self.harness.job(max_attempts=5)
-        know(self.harness, job, "x1")
+        note_crashes(self.harness, job, "x1")
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, unknown())
         exc = await self.failed(job)
@@ -229,30 +229,30 @@
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
         self.assertEqual(self.exchange.sent_to, self.harness.suspected)
 
-    async def test_an_answer_that_is_there_is_delivered(self):
+    async def test_received_error_is_returned_to_caller(self):
         job = self.harness.job()
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, answer(500, b"why"), unknown())
         book = self.harness.ctx.crashes
-        # Control's word comes while the first server still works on it.
+        # Control reports the request as crashing while the first server runs it.
         book.refusal_remaining_s = lambda _: 5.0 if self.exchange.calls else 0.0
         got = await call_plain(self.harness.ctx, job)
         self.assertEqual(answer(500, b"why"), got)
 
-    async def test_what_was_not_sent_is_no_crash(self):
+    async def test_unsent_request_is_no_suspect(self):
         job = self.harness.job()
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, ExchangeError(Fate.NOT_SENT, "nobody there"))
         await self.failed(job)
         self.assertFalse(self.harness.ctx.crashes.is_suspect(job.fingerprint))
 
-    async def test_suspects_go_to_different_servers(self):
+    async def test_suspects_use_different_servers(self):
         jobs = [self.harness.job(body=body) for body in (b"one", b"two")]
         for job in jobs:
-            know(self.harness, job, "x1")
+            note_crashes(self.harness, job, "x1")
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, HANG)
-        # All of the others are full, so that both would go to the same one.
+        # All other servers are full, so both would be sent to the same one.
         for name in ("s1", "s2", "s3", "s4"):
             for _ in range(9):
                 self.harness.tracker.begin(Run((name,)))
@@ -264,9 +264,9 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         self.assertEqual(["s0", "s1"], self.exchange.sent_to)
 
-    async def test_answered_it_is_cleared(self):
+    async def test_answered_request_is_no_suspect(self):
         job = self.harness.job()
-        know(self.harness, job, "x1", "x2")
+        note_crashes(self.harness, job, "x1", "x2")
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, answer())
         await call_plain(self.harness.ctx, job)
--- a/wigeonscale/direct/tests/test_probing.py
+++ b/wigeonscale/direct/tests/test_probing.py
@@ -1,22 +1,21 @@
 import asyncio
 
-from wigeonscale.direct.probing import MOST_IN_A_ROUND
+from wigeonscale.direct.probing import MAX_PROBED_PER_ROUND
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.fakes import FakeExchange, FakeSink
 from wigeonscale.direct.tests.support import StreamCase, engine, event, fleet
 from wigeonscale.ports import ProbeAnswer
 
 HANG = FakeExchange.HANG
-# Bound from the aim: a pause of over 300 ms is late, and the stream is read elsewhere
-# within 100 ms.
-FOUND_WITHIN_S = 0.2
+# A pause of more than 300 ms is late, and prefill on another path takes up to 100 ms.
+MAX_DETECTION_S = 0.2
 
 
-class DarkEngineTest(StreamCase):
-    """An engine goes dark under several streams; its neighbours answer as usual."""
+class UnreachableEngineTest(StreamCase):
+    """An engine with several streams becomes unreachable; the others respond."""
 
-    async def stream_until_dark(self, name, *, streams=5):
-        """Begin streams on a1 and a2, and stop all of them after a few events."""
+    async def stall_streams(self, name, *, streams=5):
+        """Start streams on a1 and a2, and stall all of them after a few events."""
         self.sinks = [FakeSink() for _ in range(streams)]
         self.gates = []
         self.tasks = []
@@ -37,7 +36,7 @@
             for gates in self.gates:
                 gates[number].set_result(None)
             await self.harness.clock.advance(0)
-        self.harness.reach.dark = {name}
+        self.harness.reach.unreachable = {name}
         return self.harness.clock.now()
 
     async def end(self):
@@ -45,80 +44,84 @@
             task.cancel()
         await asyncio.gather(*self.tasks, self.watch, return_exceptions=True)
 
-    async def test_found_before_a_pause_is_late(self):
+    async def test_lost_engine_is_detected_in_time(self):
         for name in ("a1", "a2"):
             await self.prepare()
-            dark_at = await self.stream_until_dark(f"{name}:80")
+            stalled_at = await self.stall_streams(f"{name}:80")
             await self.until(lambda: all(task.done() for task in self.tasks))
-            waited_s = self.harness.clock.now() - dark_at
+            waited_s = self.harness.clock.now() - stalled_at
             await self.end()
-            self.assertTrue(waited_s <= FOUND_WITHIN_S, (name, waited_s))
+            self.assertTrue(waited_s <= MAX_DETECTION_S, (name, waited_s))
             self.assertEqual([name], self.harness.suspected)
             self.assertTrue(all(sink.is_whole for sink in self.sinks))
 
-    async def test_engines_that_answer_keep_their_streams(self):
-        await self.stream_until_dark("nobody")
+    async def test_responding_engines_keep_their_streams(self):
+        await self.stall_streams("nobody")
         await self.harness.clock.advance(0.2)
         await self.end()
         self.assertEqual([], self.harness.suspected)
         self.assertEqual(5, len(self.exchange.calls))
-        # One probe each, not one a look and stream.
+        # One probe for each engine, not one for each check and stream.
         self.assertEqual(["a1:80", "a2:80"], sorted(self.harness.reach.probed))
 
-    async def test_nobody_is_blamed_where_nobody_can_be_reached(self):
-        await self.stream_until_dark("a1:80")
-        self.harness.reach.dark = {"a1:80", "a2:80"}
+    async def test_no_engine_is_lost_if_none_responds(self):
+        await self.stall_streams("a1:80")
+        self.harness.reach.unreachable = {"a1:80", "a2:80"}
         await self.harness.clock.advance(0.22)
         await self.end()
         self.assertEqual([], self.harness.suspected)
 
-    async def test_neighbours_that_go_dark_together_while_other_streams_move(self):
-        dark_at = await self.stream_until_dark("a1:80", streams=1)
-        self.harness.reach.dark = {"a1:80", "a2:80"}
+    async def test_all_engines_of_a_path_lost_while_others_get_events(self):
+        stalled_at = await self.stall_streams("a1:80", streams=1)
+        self.harness.reach.unreachable = {"a1:80", "a2:80"}
         other = Run(("b1", "b2"), events=1)
         self.harness.stalls.add(other)
-        while not self.harness.suspected and self.harness.clock.now() < dark_at + 0.2:
+        while (
+            not self.harness.suspected and self.harness.clock.now() < stalled_at + 0.2
+        ):
             other.progress_at = self.harness.clock.now()
             await self.harness.clock.advance(0.01)
         await self.end()
         self.assertEqual({"a1", "a2"}, set(self.harness.suspected))
 
-    async def test_an_engine_far_away_has_longer_to_answer(self):
-        # A region 50 ms away: a connection takes 100 ms.
+    async def test_timeout_grows_with_the_delay(self):
+        # With a one-way delay of 50 ms, a connection takes 100 ms.
         for delay_s, blamed in ((0.05, []), (0.0, ["a2"])):
             await self.prepare()
-            await self.stream_until_dark("nobody")
+            await self.stall_streams("nobody")
             self.harness.reach.answer_s["a2:80"] = 0.105
             self.harness.delays_s["a"] = delay_s
             await self.harness.clock.advance(0.25)
             await self.end()
             self.assertEqual(blamed, self.harness.suspected)
 
-    async def test_many_quiet_paths_are_not_asked_all_at_once(self):
-        """Half of the runs pass a dark engine; it is asked among the first."""
+    async def test_probes_per_round_are_bounded(self):
+        """Half of the runs pass an unreachable engine; it is in the first round."""
         names = [f"x{number:02}" for number in range(40)]
         self.harness.fleet = fleet(*[engine(name, 0, 10) for name in [*names, "dark"]])
         now = self.harness.clock.now()
         for number, name in enumerate(names):
             path = (name, "dark") if number % 2 else (name,)
-            self.harness.stalls.add(Run(path, events=9, began_at=now, progress_at=now))
+            self.harness.stalls.add(
+                Run(path, events=9, first_event_at=now, progress_at=now)
+            )
         await self.harness.clock.advance(0.1)
         self.harness.stalls.check()
         await self.harness.clock.advance(0.1)
         self.assertIn("dark:80", self.harness.reach.probed)
-        self.assertEqual(MOST_IN_A_ROUND, len(set(self.harness.reach.probed)))
+        self.assertEqual(MAX_PROBED_PER_ROUND, len(set(self.harness.reach.probed)))
 
-    async def test_a_lost_packet_is_no_lost_engine(self):
-        await self.stream_until_dark("a2:80")
-        # The first probe is lost on its way, the next one is answered.
+    async def test_lost_packet_does_not_mark_engine_lost(self):
+        await self.stall_streams("a2:80")
+        # The packet of the first probe is lost; the next probe gets a response.
         await self.until(lambda: "a2:80" in self.harness.reach.probed)
-        self.harness.reach.dark = set()
+        self.harness.reach.unreachable = set()
         await self.harness.clock.advance(0.12)
         await self.end()
         self.assertEqual([], self.harness.suspected)
 
-    async def test_streams_that_move_again_meanwhile_stay(self):
-        await self.stream_until_dark("a2:80")
+    async def test_event_during_the_probe_keeps_the_engine(self):
+        await self.stall_streams("a2:80")
         await self.until(lambda: "a2:80" in self.harness.reach.probed)
         for run in self.harness.tracker.runs_on("a2"):
             run.note_progress(self.harness.clock.now() + 0.09)
@@ -126,19 +129,19 @@
         await self.end()
         self.assertEqual([], self.harness.suspected)
 
-    async def test_one_that_has_ended_is_left_at_once(self):
-        dark_at = await self.stream_until_dark("nobody")
+    async def test_refused_connection_marks_engine_lost_at_once(self):
+        stalled_at = await self.stall_streams("nobody")
         self.harness.reach.answers["a2:80"] = ProbeAnswer.REFUSED
         await self.until(lambda: all(task.done() for task in self.tasks))
-        waited_s = self.harness.clock.now() - dark_at
+        waited_s = self.harness.clock.now() - stalled_at
         await self.end()
         self.assertTrue(waited_s < 0.15, waited_s)
         self.assertEqual(["a2"], self.harness.suspected)
 
-    async def test_before_the_first_event(self):
+    async def test_engine_lost_before_the_first_event(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
-        self.harness.reach.dark = {"a1:80"}
+        self.harness.reach.unreachable = {"a1:80"}
         task = asyncio.create_task(self.relay())
         watch = asyncio.create_task(self.harness.stalls.run())
         began_at = self.harness.clock.now()
@@ -147,30 +150,30 @@
         watch.cancel()
         await asyncio.gather(task, watch, return_exceptions=True)
         self.assertEqual([1], self.got())
-        # In time is 0.5 s, of which it takes 0.1 s elsewhere.
+        # The first event is due within 0.5 s, and takes 0.1 s on the other path.
         self.assertTrue(waited_s < 0.4, waited_s)
 
-    async def test_busy_engines_are_not_asked_all_the_time(self):
-        await self.stream_until_dark("nobody")
+    async def test_probes_of_busy_engines_are_rate_limited(self):
+        await self.stall_streams("nobody")
         await self.harness.clock.advance(3.0)
         await self.end()
         asked = len(self.harness.reach.probed)
-        # Two engines, once a second each at most.
+        # Two engines, each probed at most once a second.
         self.assertTrue(2 <= asked <= 8, asked)
 
-    async def test_not_while_the_entry_itself_is_behind(self):
-        runs = [Run(("a1", "a2"), usual_s=0.04) for _ in range(3)]
+    async def test_no_probes_while_the_entry_lags(self):
+        runs = [Run(("a1", "a2"), expected_interval_s=0.04) for _ in range(3)]
         for run in runs:
             self.harness.tracker.begin(run)
             run.note_progress(self.harness.clock.now())
             self.harness.stalls.add(run)
         await self.harness.clock.advance(0.2)
-        self.harness.reach.dark = {"a2:80"}
+        self.harness.reach.unreachable = {"a2:80"}
         self.harness.stalls.check()
-        self.harness.stalls.note_late(0.2)
+        self.harness.stalls.note_lag(0.2)
         await self.harness.clock.advance(0.12)
         self.assertEqual([], self.harness.suspected)
-        # Nor does it ask any more.
+        # It starts no new probes either.
         asked = len(self.harness.reach.probed)
         await self.harness.clock.advance(0.5)
         self.harness.stalls.check()
--- a/wigeonscale/direct/tests/test_rests.py
+++ b/wigeonscale/direct/tests/test_retry_after.py
@@ -1,11 +1,10 @@
-"""A backend server turns an entry away and asks for rest, and is asked on and on.
-
-An engine refused with 503 and three seconds of `Retry-After`. The entry sent to it
-again 0.40, 0.82, 1.48, 2.10 and 2.90 s later, and was refused each time: it leaves a
-server that refuses alone for 0.4 s, whatever that asks for, and then takes it again
-where it is cheapest. Nothing read what the refusal asks for; the least distance between
-two refusals of one entry was 0.40 s, and 24 of 24 requests in those eight seconds were
-turned away.
+"""A backend server must get no requests during its `Retry-After`.
+
+An entry avoids a refusing server for 0.4 s and then chooses it again if it is cheapest.
+If the entry ignores the `Retry-After`, it retries too early: after a 503 with three
+seconds of `Retry-After`, it sent again 0.40, 0.82, 1.48, 2.10 and 2.90 s later and was
+refused each time. Two refusals were at least 0.40 s apart, and all 24 requests in eight
+seconds were rejected.
 """
 
 import asyncio
@@ -30,26 +29,26 @@
 REST_S = 3.0
 REQUESTS = 40
 STEP_S = 0.1
-# Requests on their way when it asked are borne.
-BORNE = 2
+# Requests that are in flight during the refusal are allowed.
+MAX_SENDS_DURING_REST = 2
 
 
-def asks_for_rest():
+def refused_with_rest():
     return not_run(notice=ServerNotice(rest_s=REST_S))
 
 
-class RestTest(AsyncTestCase):
+class RetryAfterTest(AsyncTestCase):
     async def ask(self, harness, flow):
         for _ in range(REQUESTS):
             asking = asyncio.create_task(flow())
             await harness.clock.advance(STEP_S)
             await asyncio.gather(asking, return_exceptions=True)
 
-    def sends_in_rest(self, harness, name, sent_at):
+    def sends_during_rest(self, harness, name, sent_at):
         first = next(at for at, to in sent_at if to == name)
         return sum(to == name and first < at < first + REST_S for at, to in sent_at)
 
-    def entry_of(self, *servers):
+    def prepare_entry(self, *servers):
         harness = EntryHarness(*servers)
         sent_at = []
         open_stream = harness.exchange.open
@@ -61,11 +60,11 @@
         harness.exchange.open = open_noted
         return harness, sent_at
 
-    async def test_the_first_engine_of_the_nearest_path(self):
-        harness, sent_at = self.entry_of(
+    async def test_first_engine_of_the_cheapest_path(self):
+        harness, sent_at = self.prepare_entry(
             engine("a", 0, 10), engine("b", 0, 10, domain="b")
         )
-        harness.exchange.script("a", *[asks_for_rest() for _ in range(REQUESTS)])
+        harness.exchange.script("a", *[refused_with_rest() for _ in range(REQUESTS)])
         harness.exchange.script("b", *[[event(1)] for _ in range(REQUESTS)])
 
         async def flow():
@@ -73,18 +72,20 @@
             await relay_stream(harness.ctx, job, FakeSink())
 
         await self.ask(harness, flow)
-        sends = self.sends_in_rest(harness, "a", sent_at)
-        self.assertTrue(sends <= BORNE, f"{sends} sends while it rested")
+        sends = self.sends_during_rest(harness, "a", sent_at)
+        self.assertTrue(
+            sends <= MAX_SENDS_DURING_REST, f"{sends} sends while it rested"
+        )
         self.assertEqual(REQUESTS, sum(to == "b" for _, to in sent_at))
 
-    async def test_the_only_engine_for_longer_than_callers_wait(self):
-        harness, _ = self.entry_of(engine("a", 0, 10))
-        harness.exchange.script("a", asks_for_rest())
+    async def test_only_engine_rests_longer_than_callers_wait(self):
+        harness, _ = self.prepare_entry(engine("a", 0, 10))
+        harness.exchange.script("a", refused_with_rest())
         sink = FakeSink()
         for _ in range(2):
             job = harness.job(Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0)
             try:
-                # No time passes: neither of them is held back.
+                # No time passes: neither request waits.
                 await relay_stream(harness.ctx, job, sink)
             except WigeonscaleError as exc:
                 refused = exc
@@ -93,8 +94,8 @@
         )
         self.assertTrue(refused.retry_after >= REST_S)
 
-    async def test_the_only_engine_for_a_moment(self):
-        harness, sent_at = self.entry_of(engine("a", 0, 10))
+    async def test_only_engine_rests_briefly(self):
+        harness, sent_at = self.prepare_entry(engine("a", 0, 10))
         moment = not_run(notice=ServerNotice(rest_s=0.5))
         harness.exchange.script("a", moment, [event(1)])
         sink = FakeSink()
@@ -107,19 +108,19 @@
         (first, _), (second, _) = sent_at[:2]
         self.assertTrue(second - first >= 0.5)
 
-    async def test_a_shorter_rest_does_not_end_a_longer_one(self):
-        harness, _ = self.entry_of(engine("a", 0, 10))
+    async def test_shorter_rest_does_not_replace_longer_one(self):
+        harness, _ = self.prepare_entry(engine("a", 0, 10))
         for rest_s in (REST_S, 0.1):
             harness.ctx.notices.note(
                 "a", ServerNotice(rest_s=rest_s), request_id="r", sent_at=0.0
             )
-        self.assertEqual(REST_S, harness.ctx.notices.free_in_s("a"))
+        self.assertEqual(REST_S, harness.ctx.notices.send_delay_s("a"))
         await harness.clock.advance(REST_S)
         self.assertTrue(harness.ctx.notices.may_send("a"))
 
     async def test_the_only_plain_server(self):
-        harness, sent_at = self.entry_of(server("p"))
-        harness.exchange.script("p", *[asks_for_rest() for _ in range(REQUESTS)])
+        harness, sent_at = self.prepare_entry(server("p"))
+        harness.exchange.script("p", *[refused_with_rest() for _ in range(REQUESTS)])
         harness.exchange.script("p", *[answer() for _ in range(REQUESTS)])
         refusals = []
 
@@ -130,8 +131,10 @@
                 refusals.append(exc)
 
         await self.ask(harness, flow)
-        sends = self.sends_in_rest(harness, "p", sent_at)
-        self.assertTrue(sends <= BORNE, f"{sends} sends while it rested")
-        # Each caller is told when it is worth coming back.
+        sends = self.sends_during_rest(harness, "p", sent_at)
+        self.assertTrue(
+            sends <= MAX_SENDS_DURING_REST, f"{sends} sends while it rested"
+        )
+        # Each caller gets a Retry-After that covers the rest of the server.
         first = refusals[0].retry_after
         self.assertTrue(0.9 * REST_S <= first <= REST_S, first)
