--- a/bench/prefixes.py
+++ b/bench/prefixes.py
@@ -105,7 +105,7 @@
         )
         self._table.started(agent_id, "o")
         self.links.add_stream(stream)
-        while await stream.take():
+        while await stream.read():
             pass
         if stream.error is not None:
             raise stream.error
