--- a/wigeonscale/replication/__init__.py
+++ b/wigeonscale/replication/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated log: election, replication, storage, snapshots, membership."""
+"""Replicated log based on Raft, with election, snapshots and membership changes."""
 
 __all__ = [
     "DiskFolder",
--- a/wigeonscale/replication/admission.py
+++ b/wigeonscale/replication/admission.py
@@ -1,14 +1,14 @@
-"""Who may vote: first start, lost disks and new members.
+"""Voting rights: bootstrap of a cluster, lost disks and new members.
 
 A replica with an empty folder cannot know whether it starts for the first time or
-lost its disk. It asks all other voters: only when each of them answers and none
-ever had a log does the cluster start for the first time. All, not a majority: two
-replicas that lost their disks while the third is out of reach must not begin an
-empty log over an accepted configuration.
-
-A replica that lost its disk, or found it broken, has a new storage id and no vote
-until the leader, once it has caught up, commits a change of members that names
-that storage id. Neither does it count for that commit.
+lost its disk. It asks all other members. The cluster is bootstrapped only if each of
+them replies and none ever had a log. A majority is not enough: two replicas that
+lost their disks while the third is unreachable would start an empty log and lose the
+accepted configuration.
+
+A replica that lost its disk, or found its files damaged, has a new storage id and may
+not vote until it has caught up and the leader has committed a change of members that
+contains that storage id. The replica does not count towards that commit.
 """
 
 __all__ = [
@@ -39,7 +39,7 @@
 
 
 async def run_bootstrap(state: ReplicaState) -> None:
-    """Find out whether an empty folder is a first start or a lost disk."""
+    """Determine whether an empty folder means bootstrap or a lost disk."""
     while state.storage.vote.admission is Admission.NEW:
         replies = await asyncio.gather(
             *(_query_log_history(state, peer) for peer in state.peers.values())
@@ -50,17 +50,18 @@
 
 
 async def update_admission(state: ReplicaState, *, caught_up: bool) -> None:
-    """Vote once a committed change says so; holds the lock.
+    """Admit this replica once a committed change allows it; the caller holds the lock.
 
-    Either it names this disk, or it just added this replica, without a vote. One
-    that was just added never acknowledged or voted anything that counts, so there is
-    nothing that it could have forgotten; it counts for its own vote then, which four
-    voters with one gone could not commit otherwise.
+    The change either contains this storage id or has just added this replica as a
+    non-voting member. No vote or acknowledgement of a member that was just added
+    has ever counted, so it cannot have lost any. It may therefore count towards
+    the change that makes it a voting member; otherwise four voters of which one is
+    lost could not commit that change.
 
     Args:
         state: State of the follower.
-        caught_up: Whether its log has all that the leader knows to be committed: an
-            older change may have added it too.
+        caught_up: Whether its log contains everything that the leader knows to be
+            committed. If not, the change that added it may be an older one.
     """
     vote = state.storage.vote
     if vote.admission is not Admission.AWAITING:
@@ -79,11 +80,11 @@
 
 
 def admit_if_caught_up(state: ReplicaState, peer: PeerState) -> None:
-    """Append the change that gives a peer its vote, once it has caught up.
+    """Make a peer a voting member once it has caught up.
 
     Args:
         state: State of the leader.
-        peer: Peer that just replied.
+        peer: Peer whose reply was just handled.
     """
     member = peer.member
     if _is_admitted(member, peer.storage_id) or (peer.admitted and member.voting):
@@ -101,11 +102,11 @@
 
 
 def _can_commit(state: ReplicaState, members: Sequence[Member]) -> bool:
-    """Return whether those that are heard and count make a majority of members.
+    """Return whether the reachable admitted replicas are a majority of the members.
 
-    A replica whose disk was lost does not count for its own admission. Were that
-    change appended with too few others in reach, nothing after it would be committed
-    either, not even the change that takes out one that is gone.
+    A replica that lost its disk does not count towards its own admission. If that
+    change were appended while too few others are reachable, no later entry could be
+    committed either, not even the change that removes a lost replica.
     """
     now = state.clock.now()
     peers = [
@@ -122,11 +123,11 @@
 
 
 def can_change_members(state: ReplicaState) -> bool:
-    """Return whether a leader may begin a change of members.
+    """Return whether the leader may append a change of members.
 
     Notes:
-        One change at a time, and only after an entry of the leader's own term is
-        committed; otherwise two disjoint majorities could form.
+        Only one change may be in progress, and an entry of the leader's own term
+        must be committed first; otherwise two disjoint majorities could form.
     """
     own_term = state.commit_index >= state.term_start_index
     return own_term and state.member_log.index <= state.commit_index
@@ -138,12 +139,12 @@
     """Return the members after one change.
 
     Args:
-        members: Members before it.
+        members: Members before the change.
         add: Member to add; it has no vote until it is admitted.
         remove: Node id of the member to remove.
 
     Raises:
-        WigeonscaleError: ``BAD_REQUEST`` for a change that cannot be made.
+        WigeonscaleError: ``BAD_REQUEST`` for an invalid change.
     """
     if (add is None) == (remove is None):
         _reject("a change adds one member or removes one")
@@ -161,8 +162,8 @@
 
 
 def _check_admissible(members: Sequence[Member]) -> None:
-    # The second voter of two is needed for each commit, that of its own admission
-    # too, for which it does not count.
+    # With two voters each commit needs both, but the second voter does not count
+    # towards the commit of its own admission.
     voting = [member.node_id for member in members if member.voting]
     waiting = [member.node_id for member in members if not member.voting]
     if len(voting) == 1 and waiting:
@@ -213,7 +214,7 @@
         return
     if any(reply is None for reply in replies):
         return
-    # Had this replica voted before it lost its disk, that term is among these.
+    # If this replica voted before it lost its disk, a peer knows that term.
     highest = max((reply.term for reply in replies), default=0)
     logger.info("replica %s starts for the first time", state.node_id)
     await state.storage.save_vote(
--- a/wigeonscale/replication/commit.py
+++ b/wigeonscale/replication/commit.py
@@ -1,8 +1,8 @@
 """Proposal, sync, commit and application of entries.
 
-The leader's sync runs beside replication and covers all that was appended
-meanwhile. The idea is from Kahveci, "Log replication in MicroRaft" (2023), after
-section 10.2.1 of the Raft dissertation; ``bench/replication.py`` holds it against a
+The leader syncs its log concurrently with replication; one sync covers all entries
+appended in the meantime. After Kahveci, "Log replication in MicroRaft" (2023), and
+section 10.2.1 of the Raft dissertation. ``bench/replication.py`` compares it with a
 sync before sending.
 """
 
@@ -25,18 +25,18 @@
 from wigeonscale.replication.voters import majority_value
 from wigeonscale.wire import wire_pb2 as wire
 
-MAX_PENDING_PROPOSALS = 4096  # proposals without an outcome
+MAX_PENDING_PROPOSALS = 4096  # proposals that await their result
 
 logger = logging.getLogger(__name__)
 
 
 def check_can_propose(state: ReplicaState) -> None:
-    """Refuse a proposal that this replica could not commit.
+    """Reject a proposal that this replica could not commit.
 
     Raises:
-        NotLeaderError: This replica does not lead, or leaves.
-        WigeonscaleError: ``NO_QUORUM`` with run state ``NOT_RUN`` when no majority
-            answered lately, ``OVERLOADED`` when too many proposals wait.
+        NotLeaderError: This replica is not the leader, or is stopping.
+        WigeonscaleError: ``NO_QUORUM`` with run state ``NOT_RUN`` if no majority
+            replied recently, ``OVERLOADED`` if too many proposals are pending.
     """
     if not state.leading or state.stopping:
         leader = "" if state.leading else state.leader_address
@@ -60,7 +60,7 @@
 
 
 def append_as_leader(state: ReplicaState, kind: EntryKind, data: bytes) -> int:
-    """Append one entry in memory and let it be synced and sent.
+    """Append one entry in memory and trigger its sync and replication.
 
     Returns:
         Index of the entry.
@@ -76,7 +76,7 @@
 
 
 async def run_sync(state: ReplicaState) -> None:
-    """Sync what this replica appends as leader; runs beside replication."""
+    """Sync the entries that the leader appends, concurrently with replication."""
     while True:
         await state.sync_requested.wait()
         state.sync_requested.clear()
@@ -87,11 +87,11 @@
 
 
 def advance_commit(state: ReplicaState) -> None:
-    """Commit and apply what a majority has made durable.
+    """Commit and apply the entries that are durable on a majority.
 
     Notes:
-        Only entries of the leader's own term are counted; earlier ones are
-        committed by them.
+        Only an entry of the leader's own term is committed by counting replicas;
+        earlier entries are committed with it (section 5.4.2 of the Raft paper).
     """
 
     def durable_index(node_id: str) -> int:
@@ -113,7 +113,7 @@
 
 
 def update_lease(state: ReplicaState) -> None:
-    """Note the newest instant at which a majority still followed this leader."""
+    """Update the newest time at which a majority still followed this leader."""
 
     def last_acked_at(node_id: str) -> float:
         if node_id == state.node_id:
@@ -124,17 +124,18 @@
     state.majority_acked_at = max(
         state.majority_acked_at, majority_value(state.members, last_acked_at)
     )
-    # Before its first own commit a leader may not know all that was committed.
+    # Before an entry of its own term is committed, a leader may not know which
+    # earlier entries are committed.
     all_applied = state.applied_index == state.commit_index
     if all_applied and state.applied_index >= state.term_start_index:
         state.advance_fresh_at(state.majority_acked_at)
 
 
 def apply_up_to(state: ReplicaState, commit_index: int) -> None:
-    """Advance the commit index and apply what it covers.
+    """Advance the commit index and apply the entries up to it.
 
-    An entry that is prepared in a thread first holds up those after it; they are
-    applied when it is done.
+    An entry that needs preparation in a thread blocks the entries after it; they
+    are applied once the preparation is done.
     """
     state.commit_index = max(state.commit_index, commit_index)
     before = state.applied_index
@@ -160,7 +161,7 @@
     try:
         return state.machine.apply(entry.index, entry.term, entry.data)
     except Exception as exc:
-        # Every replica fails alike, so going on keeps them equal.
+        # Every replica fails in the same way, so skipping the entry keeps them equal.
         logger.exception("entry %d could not be applied", entry.index)
         return WigeonscaleError(
             ErrorKind.INTERNAL,
--- a/wigeonscale/replication/echo.py
+++ b/wigeonscale/replication/echo.py
@@ -1,4 +1,4 @@
-"""Times that a peer echoes, so that only the own clock is ever compared."""
+"""Timestamps that peers echo, so that clocks of two nodes are never compared."""
 
 __all__ = ["MICROSECONDS_PER_S", "EchoClock"]
 
@@ -11,10 +11,10 @@
 
 
 class EchoClock:
-    """Readings of the own clock as sent to peers.
+    """Timestamps of the local clock for messages to peers.
 
-    They begin at a random offset: a reading that an earlier process on this node
-    sent must not pass for one of this process.
+    They have a random offset, so that a timestamp sent by an earlier process on this
+    node is not mistaken for one of this process.
 
     Args:
         clock: Clock port.
@@ -27,11 +27,14 @@
         self._started_us = self.now()
 
     def now(self) -> int:
-        """Return the reading to send, in microseconds."""
+        """Return the timestamp to send, in microseconds."""
         return self._offset + int(self._clock.now() * MICROSECONDS_PER_S)
 
     def local_time_of(self, echo_us: int) -> float | None:
-        """Return the local time of an echoed reading, or None when it is not ours."""
+        """Return the local time of an echoed timestamp, in seconds.
+
+        None if this process did not send the timestamp.
+        """
         if not self._started_us <= echo_us <= self.now():
             return None
         return (echo_us - self._offset) / MICROSECONDS_PER_S
--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -1,4 +1,4 @@
-"""Election: timeouts, pre-vote, votes and the leader's lease."""
+"""Leader election: timeouts, pre-vote, votes and the leader's lease."""
 
 __all__ = [
     "adopt_term",
@@ -24,17 +24,15 @@
 from wigeonscale.replication.waiting import run_shielded, with_timeout
 from wigeonscale.wire import wire_pb2 as wire
 
-JITTER_SHARE = 0.5  # share of the election timeout added at random
+JITTER_SHARE = 0.5  # maximum random addition, as a share of the election timeout
 MAX_TERM = 1 << 53
-RETRY_TIMEOUT_SHARE = (
-    0.25  # of the election timeout, between two tries without a winner
-)
+RETRY_TIMEOUT_SHARE = 0.25  # timeout after an election without a winner, as a share
 
 logger = logging.getLogger(__name__)
 
 
 async def run_elections(state: ReplicaState) -> None:
-    """Campaign when no leader is heard; step down when no majority is."""
+    """Start an election when no leader is heard; step down when the lease expires."""
     timeout = _add_jitter(state, state.options.election_timeout_s)
     while True:
         if state.leading:
@@ -54,7 +52,7 @@
 
 
 async def adopt_term(state: ReplicaState, term: int) -> None:
-    """Follow a higher term; the caller holds the lock."""
+    """Adopt a higher term; the caller holds the lock."""
     if term <= state.term:
         return
     step_down(state, f"term {term} began")
@@ -62,11 +60,11 @@
 
 
 async def adopt_term_of_reply(state: ReplicaState, term: int) -> None:
-    """Follow the term of a peer's reply when it is higher.
+    """Adopt the term of a peer's reply if it is higher.
 
     Notes:
-        Goes on when the caller is cancelled: the lock must be held until the term
-        is durable, or another task would begin from the term before.
+        Continues when the caller is cancelled. The lock must be held until the term
+        is durable; otherwise another task would start from the previous term.
     """
     if state.term < term <= MAX_TERM:
         await run_shielded(state.shielded_tasks, _lock_and_adopt_term(state, term))
@@ -78,7 +76,7 @@
 
 
 def check_term(term: int) -> None:
-    """Refuse a term that no replica reaches.
+    """Reject a term that is out of range.
 
     Raises:
         WigeonscaleError: ``BAD_REQUEST``.
@@ -90,7 +88,7 @@
 
 
 def step_down(state: ReplicaState, reason: str) -> None:
-    """Stop leading or campaigning, at once."""
+    """Become a follower immediately and fail the pending proposals."""
     if state.role is Role.FOLLOWER:
         return
     logger.info("replica %s steps down: %s", state.node_id, reason)
@@ -103,7 +101,7 @@
 
 
 async def handle_vote(state: ReplicaState, req: wire.VoteRequest) -> wire.VoteReply:
-    """Answer a candidate, or a replica that asks whether the log ever began."""
+    """Answer a candidate, or a new replica that asks whether a log exists."""
     check_term(req.term)
     async with state.lock:
         if req.node_id in state.peers:
@@ -120,8 +118,8 @@
 async def _decide_vote(state: ReplicaState, req: wire.VoteRequest) -> bool:
     if not state.may_vote:
         return False
-    # A leader in reach is not unseated, neither by a returning replica nor by one
-    # that was removed, unless it asked for that itself.
+    # A returning or removed replica must not depose a leader that is still heard. A
+    # leadership transfer, which the leader itself requested, is exempt.
     if state.heard_leader_recently and not req.transfer:
         return False
     if req.pre_vote:
@@ -164,7 +162,8 @@
     if not await _gather_votes(state, _vote_request(state, term, pre_vote=True)):
         return
     async with state.lock:
-        # A leader was heard, or a vote given, since this began; or it stops.
+        # Give up if a leader was heard or a vote was granted during the pre-vote, or
+        # if this replica is stopping.
         superseded = (
             state.election_timer_start != election_timer_start or state.term + 1 != term
         )
@@ -175,7 +174,7 @@
 
 
 async def begin_candidacy(state: ReplicaState) -> None:
-    """Begin the next term with the own vote; holds the lock."""
+    """Start the next term and vote for this replica; the caller holds the lock."""
     state.role = Role.CANDIDATE
     vote = state.storage.vote
     await state.storage.save_vote(
@@ -186,15 +185,15 @@
 async def run_candidacy(
     state: ReplicaState, term: int, *, transfer: bool = False
 ) -> bool:
-    """Ask for votes and lead if a majority grants its own.
+    """Request votes and become the leader if a majority grants them.
 
     Args:
         state: State of the candidate.
-        term: Term that its candidacy began.
-        transfer: Whether the leader of the term before asked for it.
+        term: Term of the candidacy.
+        transfer: Whether the leader of the previous term requested it.
 
     Returns:
-        Whether this replica leads the term.
+        Whether this replica became the leader of the term.
     """
     requested_at = state.clock.now()
     req = _vote_request(state, term, transfer=transfer)
@@ -235,7 +234,7 @@
 
 
 async def _gather_votes(state: ReplicaState, req: wire.VoteRequest) -> bool:
-    """Return whether a majority, this replica included, grants its vote."""
+    """Return whether a majority, including this replica, grants its vote."""
     members = state.members
     if all(m.node_id != state.node_id or not m.voting for m in members):
         return False
--- a/wigeonscale/replication/files.py
+++ b/wigeonscale/replication/files.py
@@ -1,4 +1,4 @@
-"""What the files of a replica hold, how it is encoded and what loading finds."""
+"""Content, encoding and loading of the files of a replica."""
 
 __all__ = [
     "LOG_NAME",
@@ -39,19 +39,19 @@
 class Admission(StrEnum):
     """Whether a replica may vote."""
 
-    NEW = "new"  # empty folder: a first start or a lost disk, not known yet
-    AWAITING = "awaiting"  # forgot what it acknowledged, so it has no vote
+    NEW = "new"  # empty folder: not known yet whether bootstrap or a lost disk
+    AWAITING = "awaiting"  # lost what it acknowledged, so it may not vote
     ADMITTED = "admitted"
 
 
 @dataclass(frozen=True, slots=True)
 class VoteState:
-    """What a replica must never forget between two messages.
+    """State that must be durable before a replica answers a message.
 
     Attributes:
         term: Highest term seen.
         voted_for: Candidate voted for in that term, or empty.
-        storage_id: Identity of this disk, new after each loss.
+        storage_id: Identity of this disk; a new one is drawn after each data loss.
         admission: Whether the replica may vote.
     """
 
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """State of the machine after one log position."""
+    """State of the state machine after the entry at one log position."""
 
     index: int = 0
     term: int = 0
@@ -73,15 +73,16 @@
 
 @dataclass(slots=True)
 class LoadedFiles:
-    """What was read from a data folder.
+    """Content of a data folder.
 
     Attributes:
-        vote: Vote state, or None when its file is missing or broken.
+        vote: Vote state, or None if its file is missing or damaged.
         snapshot: Newest snapshot, or None.
-        base_index: Position before the first entry.
-        base_term: Term at that position.
-        entries: Sound entries that follow one another.
-        damage: What is broken, naming file, entry and byte; empty for nothing.
+        base_index: Index before the first entry.
+        base_term: Term at that index.
+        entries: Valid entries with consecutive indexes.
+        damage: Description of the damage with file, entry and byte offset; empty
+            if there is none.
     """
 
     vote: VoteState | None = None
@@ -92,7 +93,7 @@
     damage: str = ""
 
     def add_damage(self, text: str) -> None:
-        """Add one finding to :attr:`damage`."""
+        """Add one description to :attr:`damage`."""
         self.damage = f"{self.damage}; {text}" if self.damage else text
 
 
@@ -120,7 +121,7 @@
         folder: Data folder port.
 
     Returns:
-        What it holds; None for a folder in which nothing was ever acknowledged.
+        Its content, or None if nothing was ever acknowledged from this folder.
     """
     vote_file = folder.read(VOTE_NAME)
     log_file = folder.read(LOG_NAME)
@@ -163,7 +164,10 @@
 
 
 def _reconcile_snapshot(loaded: LoadedFiles) -> None:
-    """Make log and snapshot meet; a crash between their two writes is no damage."""
+    """Align the log with the snapshot.
+
+    A crash between the writes of the two files is not treated as damage.
+    """
     snapshot = loaded.snapshot or Snapshot()
     if loaded.base_index > snapshot.index:
         loaded.add_damage(
@@ -191,7 +195,7 @@
 
 
 def _decode_entries(payloads: Iterable[bytes]) -> list[wire.LogEntry]:
-    """Return the base record and the entries that follow one another."""
+    """Return the base record and the consecutive entries that follow it."""
     entries = []
     for payload in payloads:
         try:
--- a/wigeonscale/replication/folder.py
+++ b/wigeonscale/replication/folder.py
@@ -1,4 +1,4 @@
-"""The port to one data folder and its adapter for a disk."""
+"""Port to the data folder of a replica, and its adapter for a local disk."""
 
 __all__ = ["DiskFolder", "Folder"]
 
@@ -17,44 +17,44 @@
 LOCK_NAME = "lock"
 TEMPORARY_SUFFIX = ".new"
 DISK_FULL_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT})
-# Room comes back when somebody makes some; an attempt costs one refused write.
+# Space returns only when something is deleted; an attempt costs one failed write.
 DISK_FULL_RETRY_S = 0.25
 
 logger = logging.getLogger(__name__)
 
 
 class Folder(Protocol):
-    """Files of one replica. What a coroutine wrote is synced when it returns.
+    """Files of one replica; data is synced to disk when a writing method returns.
 
-    Every call may raise ``OSError``, which names the file.
+    Every method may raise ``OSError`` whose ``filename`` is the file concerned.
     """
 
     def read(self, name: str) -> bytes | None:
-        """Return the content of a file, or None when there is none."""
+        """Return the content of a file, or None if it does not exist."""
 
     async def append(self, name: str, data: bytes) -> None:
-        """Add ``data`` at the end of a file."""
+        """Append ``data`` to a file."""
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Put a whole file in place, so that a crash leaves the old or the new."""
+        """Replace a file atomically: a crash leaves either the old or the new one."""
 
     async def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes."""
+        """Truncate a file to ``size`` bytes."""
 
     def close(self) -> None:
-        """Release what the adapter holds."""
+        """Release the resources of the adapter."""
 
 
 class DiskFolder:
-    """A folder on a disk, held by one process at a time.
+    """A folder on a local disk, locked by one process at a time.
 
-    Blocking calls run in a thread, so that a slow disk delays no heartbeat.
+    Writes run in a thread so that a slow disk does not delay heartbeats.
 
     Args:
-        path: The folder; made when absent.
+        path: The folder; created if it does not exist.
 
     Raises:
-        SettingsError: Another process holds the folder.
+        SettingsError: Another process has locked the folder.
     """
 
     def __init__(self, *, path: str | os.PathLike[str]):
@@ -71,7 +71,7 @@
         self._fds: dict[str, int] = {}
 
     def read(self, name: str) -> bytes | None:
-        """Return the content of a file, or None when there is none."""
+        """Return the content of a file, or None if it does not exist."""
         try:
             with self._set_error_filename(name):
                 return (self._path / name).read_bytes()
@@ -79,22 +79,22 @@
             return None
 
     async def append(self, name: str, data: bytes) -> None:
-        """Add ``data`` at the end of a file and sync it."""
+        """Append ``data`` to a file and sync it."""
         with self._set_error_filename(name):
             await self._retry_while_full(self._append, name, data)
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Put a whole file in place by a synced temporary file and a rename."""
+        """Replace a file atomically by syncing a temporary file and renaming it."""
         with self._set_error_filename(name):
             await self._retry_while_full(self._replace, name, data)
 
     async def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes and sync it."""
+        """Truncate a file to ``size`` bytes and sync it."""
         with self._set_error_filename(name):
             await asyncio.to_thread(self._truncate, name, size)
 
     def close(self) -> None:
-        """Close the files and let another process hold the folder."""
+        """Close the files and release the lock of the folder."""
         for fd in self._fds.values():
             os.close(fd)
         self._fds.clear()
@@ -105,10 +105,10 @@
     async def _retry_while_full(
         self, write: Callable[[str, bytes], None], name: str, data: bytes
     ) -> None:
-        """Write in a thread, waiting while the disk is full.
+        """Write in a thread and retry while the disk is full.
 
-        A replica whose disk is full acknowledges nothing; that it waits, and does not
-        end, keeps what it serves from memory and its place among the members.
+        A replica whose disk is full acknowledges nothing. It waits instead of
+        exiting, so that it keeps serving reads from memory and stays a member.
         """
         was_full = False
         while True:
@@ -131,7 +131,7 @@
         try:
             yield
         except OSError as exc:
-            exc.filename = str(self._path / name)  # reads and syncs name no file
+            exc.filename = str(self._path / name)  # not set by read and fsync
             raise
 
     def _append(self, name: str, data: bytes) -> None:
@@ -140,7 +140,7 @@
         try:
             _write_all(fd, data)
         except OSError:
-            # What was written of it must not stand before the next attempt.
+            # A partial write must not remain in front of the next attempt.
             os.ftruncate(fd, size)
             raise
         os.fsync(fd)
--- a/wigeonscale/replication/follower.py
+++ b/wigeonscale/replication/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication."""
+"""Handling of append requests by a follower."""
 
 __all__ = ["handle_append"]
 
@@ -22,11 +22,13 @@
 async def handle_append(
     state: ReplicaState, req: wire.AppendRequest
 ) -> wire.AppendReply:
-    """Take entries or a snapshot chunk of the leader; durable when it returns.
+    """Append entries or receive a snapshot chunk of the leader.
+
+    Entries and a complete snapshot are durable when this returns.
 
     Raises:
-        WigeonscaleError: ``BAD_REQUEST`` or ``CORRUPT_LOG`` for a request that no
-            leader sends; nothing was changed.
+        WigeonscaleError: ``BAD_REQUEST`` or ``CORRUPT_LOG`` for a request that a
+            correct leader never sends; nothing was changed.
     """
     _validate_request(req)
     async with state.lock:
@@ -133,7 +135,7 @@
         return _reply(state, req, success=False, match_index=mismatch)
     for position, entry in enumerate(req.entries):
         if entry.index <= storage.base_index:
-            continue  # covered by the snapshot
+            continue  # included in the snapshot
         term = storage.term_at(entry.index)
         if term == entry.term:
             continue
@@ -150,7 +152,7 @@
 
 
 def _find_mismatch(state: ReplicaState, req: wire.AppendRequest) -> int | None:
-    """Return where the leader should try next, or None when the logs meet."""
+    """Return the index that the leader should try next, or None if the logs match."""
     storage = state.storage
     previous = req.previous_index
     if previous < storage.base_index:
@@ -160,7 +162,7 @@
         return None
     if term is None:
         return storage.last_index
-    # Skip the whole conflicting term, but never what is committed.
+    # Skip all entries of the conflicting term, but no committed entry.
     while previous > max(state.commit_index, storage.base_index):
         if storage.term_at(previous) != term:
             break
--- a/wigeonscale/replication/member_log.py
+++ b/wigeonscale/replication/member_log.py
@@ -1,4 +1,4 @@
-"""The members of the cluster at each position of the log."""
+"""Members of the cluster as of each log index."""
 
 __all__ = ["MemberLog"]
 
@@ -11,14 +11,14 @@
 
 
 class MemberLog:
-    """The changes of members in one replica's log, committed or not.
+    """Changes of members in the log of one replica, committed or not.
 
     Args:
-        voters: Members of the first start, which hold until a change.
+        voters: Initial members, in effect until the first change.
 
     Notes:
-        A change counts from the moment it is appended (section 4.1 of the Raft
-        dissertation), so a truncated one must be taken back.
+        A change takes effect when it is appended (section 4.1 of the Raft
+        dissertation), so it must be reverted if its entry is truncated.
     """
 
     def __init__(self, *, voters: Sequence[Member]):
@@ -27,20 +27,20 @@
 
     @property
     def latest(self) -> tuple[Member, ...]:
-        """Members by the latest change."""
+        """Members according to the latest change."""
         return self._changes[-1][1]
 
     @property
     def index(self) -> int:
-        """Log index of the latest change; 0 for the members of the first start."""
+        """Log index of the latest change; 0 for the initial members."""
         return self._changes[-1][0]
 
     def at(self, index: int) -> tuple[Member, ...]:
-        """Return the members by the latest change up to ``index``."""
+        """Return the members as of the entry at ``index``."""
         return next(members for at, members in reversed(self._changes) if at <= index)
 
     def load(self, storage: LogStorage) -> None:
-        """Read the changes anew from snapshot and log."""
+        """Reload the changes from snapshot and log."""
         snapshot = storage.snapshot
         if snapshot and snapshot.members:
             self._changes = [(snapshot.index, snapshot.members)]
@@ -50,12 +50,12 @@
         self.add(storage.entries(first, storage.last_index))
 
     def add(self, entries: Iterable[wire.LogEntry]) -> None:
-        """Take up the changes among entries just appended."""
+        """Add the changes among entries that were just appended."""
         for entry in entries:
             if entry.kind == EntryKind.MEMBERS:
                 voters = wire.VoterSet.FromString(entry.data).voters
                 self._changes.append((entry.index, members_from_wire(voters)))
 
     def drop_from(self, index: int) -> None:
-        """Drop the changes from ``index`` (1 or more) on, which was truncated."""
+        """Revert the changes from ``index`` (at least 1) on, after a truncation."""
         self._changes = [change for change in self._changes if change[0] < index]
--- a/wigeonscale/replication/model.py
+++ b/wigeonscale/replication/model.py
@@ -1,4 +1,4 @@
-"""Plain data of the replicated log: roles, members, options and the state machine."""
+"""Data types and protocols of the replicated log."""
 
 __all__ = [
     "EntryKind",
@@ -18,7 +18,7 @@
 
 
 class Role(StrEnum):
-    """Part that a replica plays in its term."""
+    """Role of a replica in the current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -26,12 +26,12 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry carries; the values are those of the wire."""
+    """Kind of a log entry; the values are those of the wire format."""
 
     COMMAND = 0
     NO_OP = 1
     MEMBERS = 2
-    BASE = 3  # only on disk: position before the first entry of the file
+    BASE = 3  # on disk only: the position before the first entry of the log file
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,10 +39,11 @@
     """One replica of the log.
 
     Attributes:
-        node_id: Stable name.
+        node_id: Stable identifier.
         address: ip:port of its gRPC server.
-        voting: Whether it counts in the quorum.
-        storage_id: Identity of the disk that was admitted; empty in settings.
+        voting: Whether it counts towards the quorum.
+        storage_id: Identity of the disk that was admitted to vote; empty for a
+            member that comes from the settings.
     """
 
     node_id: str
@@ -53,18 +54,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaOptions:
-    """Times and sizes of a replica.
+    """Timeouts and batch sizes of a replica.
 
     Attributes:
-        election_timeout_s: Silence of the leader before an election; the real
-            wait is drawn between this and one and a half times this. It is the
-            leader's lease too: without a majority for as long it steps down.
-        heartbeat_s: Longest pause between two messages to a follower.
-        snapshot_entries: Applied entries between two snapshots.
-        batch_entries: Most entries in one append.
-        batch_bytes: Most bytes of entries in one append, but for a single one.
-        sync_before_send: Plain variant for measurements: the leader syncs an
-            entry before it sends it.
+        election_timeout_s: Time without a message of the leader before a follower
+            starts an election, in seconds. The actual timeout is drawn at random
+            between this and 1.5 times this. It is also the length of the leader's
+            lease: a leader that no majority has acknowledged for this long steps
+            down.
+        heartbeat_s: Longest interval between two messages to a follower, in
+            seconds.
+        snapshot_entries: Number of applied entries between two snapshots.
+        batch_entries: Maximum number of entries in one append request.
+        batch_bytes: Maximum size of the entries in one append request, in bytes. A
+            single entry may be larger.
+        sync_before_send: Whether the leader syncs an entry before it sends it; the
+            baseline of a benchmark.
     """
 
     election_timeout_s: float = 1.0
@@ -76,44 +81,45 @@
 
 
 class StateMachine(Protocol):
-    """What the committed entries are applied to; must be deterministic.
+    """State machine that committed entries are applied to; must be deterministic.
 
     Notes:
-        A machine may have two more methods, ``preparation(data)`` for a command and
-        ``restore_preparation(data)`` for a snapshot. They return a function to be
-        called in a thread before the command is applied or the snapshot restored,
-        or None. It must change nothing that the results depend on.
+        A state machine may have two optional methods: ``preparation(data)`` for a
+        command and ``restore_preparation(data)`` for a snapshot. Each returns None
+        or a function that is called in a thread before the command is applied or
+        the snapshot is restored. That function must not change anything that
+        results depend on.
     """
 
     def apply(self, index: int, term: int, data: bytes) -> object:
         """Apply one committed command and return its result."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the complete state, serialised."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by one that :meth:`snapshot` returned."""
+        """Replace the complete state by one that :meth:`snapshot` returned."""
 
 
 class SharedState(Protocol):
-    """Soft state that replicas pass on with the messages of the log.
+    """Soft state that replicas piggyback on append requests and replies.
 
-    Nothing of it is stored or agreed on; it may be lost, doubled or late.
+    It is neither stored nor agreed on, and may be lost, duplicated or delayed.
     """
 
     def to_peer(self, node_id: str) -> bytes:
-        """Return what a peer shall know now."""
+        """Return the data to send to a peer."""
 
     def from_peer(self, node_id: str, data: bytes) -> None:
-        """Take in what a peer told."""
+        """Process the data that a peer sent."""
 
 
 class NotLeaderError(WigeonscaleError):
-    """Only the leader takes proposals.
+    """A proposal was made to a replica that is not the leader.
 
     Args:
-        node_id: Replica that was asked.
-        leader: Address of the leader as far as known, else empty.
+        node_id: Replica that received the proposal.
+        leader: Address of the leader; empty when it is not known.
     """
 
     def __init__(self, *, node_id: str, leader: str):
--- a/wigeonscale/replication/preparation.py
+++ b/wigeonscale/replication/preparation.py
@@ -1,4 +1,4 @@
-"""Work that the state machine does in a thread before an entry is applied."""
+"""Preparation of entries and snapshots by the state machine in a thread."""
 
 __all__ = ["prepare_if_needed", "restore_machine"]
 
@@ -16,7 +16,7 @@
 def prepare_if_needed(
     state: ReplicaState, entry: wire.LogEntry, on_ready: Callable[[], None]
 ) -> bool:
-    """Return whether an entry must wait, and those after it with it.
+    """Start the preparation of an entry if the state machine asks for it.
 
     Args:
         state: State of the replica.
@@ -24,7 +24,8 @@
         on_ready: Called when the entry may be applied.
 
     Returns:
-        True while a thread prepares it, which this call may have begun.
+        True while a thread prepares the entry: it must not be applied yet, nor any
+        later entry.
     """
     if state.preparing_index == entry.index:
         return True
@@ -51,7 +52,7 @@
     try:
         await asyncio.to_thread(work)
     except Exception:
-        # Applying it will tell what is wrong with it.
+        # The error is reported again when the entry is applied.
         logger.exception("entry %d could not be prepared", index)
     state.preparing_index = 0
     state.prepared_index = index
@@ -59,7 +60,9 @@
 
 
 async def restore_machine(state: ReplicaState, data: bytes) -> None:
-    """Replace the machine's state by a snapshot, read in a thread where it can be.
+    """Restore the state machine from a snapshot.
+
+    The snapshot is decoded in a thread if the state machine supports that.
 
     Args:
         state: State of the replica.
--- a/wigeonscale/replication/proposals.py
+++ b/wigeonscale/replication/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals that were appended and wait for their outcome."""
+"""Pending proposals: entries that were appended and await their result."""
 
 __all__ = ["Proposals"]
 
@@ -9,10 +9,10 @@
 
 
 class Proposals:
-    """Proposals of one leader by the index of their entry.
+    """Pending proposals of one leader, by the index of their entry.
 
     Args:
-        retry_after_s: Advice to a proposer whose outcome is not known, in seconds.
+        retry_after_s: Retry delay in the error for an unknown outcome, in seconds.
     """
 
     def __init__(self, *, retry_after_s: float):
@@ -20,28 +20,28 @@
         self._pending: dict[int, tuple[int, asyncio.Future]] = {}
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of pending proposals."""
         return len(self._pending)
 
     async def wait_for_result(self, index: int, term: int) -> object:
-        """Wait for what became of an entry.
+        """Wait for the result of an entry.
 
         Args:
             index: Index of the entry.
-            term: Its term.
+            term: Term of the entry.
 
         Returns:
-            What the state machine returned for it.
+            What the state machine returned for the entry.
 
         Raises:
-            WigeonscaleError: The error that :meth:`answer` or :meth:`fail_all` gave.
+            WigeonscaleError: The error set by :meth:`resolve` or :meth:`fail_all`.
         """
         fut = asyncio.get_running_loop().create_future()
         self._pending[index] = (term, fut)
         return await fut
 
     def resolve(self, entry: wire.LogEntry, result: object) -> None:
-        """Give the result of a committed entry to its proposer, if one waits."""
+        """Set the result of a committed entry if its proposal is pending."""
         term, fut = self._pending.pop(entry.index, (None, None))
         if fut is None or fut.done() or term != entry.term:
             return
@@ -51,7 +51,7 @@
             fut.set_result(result)
 
     def fail_all(self, message: str) -> None:
-        """Tell every waiting proposer that its outcome is not known."""
+        """Fail every pending proposal with an unknown outcome."""
         pending = [fut for _, fut in self._pending.values()]
         self._pending.clear()
         for fut in pending:
--- a/wigeonscale/replication/records.py
+++ b/wigeonscale/replication/records.py
@@ -1,8 +1,8 @@
-"""Checksummed records: how log entries, snapshots and the vote lie on disk.
+"""Checksummed records, the on-disk format of log entries, snapshots and votes.
 
 A record is a header (length, checksum of the payload, checksum of the header)
-and the payload. The header has its own checksum so that a flipped byte in the
-length is told apart from a record that a crash cut short.
+followed by the payload. The header has a checksum of its own so that a corrupt
+length can be distinguished from a record that a crash truncated.
 """
 
 __all__ = [
@@ -25,12 +25,12 @@
 
 
 class ScanFault(StrEnum):
-    """Why the reading of a file of records ended early.
+    """Why a scan of a file of records stopped before the end of the file.
 
     Attributes:
-        NONE: It did not.
-        TORN: A crash cut the last record short, which was never acknowledged.
-        CORRUPT: Anything else.
+        NONE: The scan reached the end.
+        TORN: A crash truncated the last record, which was never acknowledged.
+        CORRUPT: Any other damage.
     """
 
     NONE = ""
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ScanResult:
-    """What was read from a file of records.
+    """Result of a scan of a file of records.
 
     Attributes:
-        payloads: Payloads of the whole records, in order.
-        offsets: Offset of each record in bytes.
-        valid_bytes: Length of the part that holds whole records.
-        fault: What follows that part.
+        payloads: Payloads of the complete records, in order.
+        offsets: Offset of each record, in bytes.
+        valid_bytes: Length of the prefix that holds complete records, in bytes.
+        fault: Kind of damage after that prefix.
     """
 
     payloads: tuple[bytes, ...]
@@ -65,11 +65,11 @@
     """Read records up to the end or the first fault.
 
     Notes:
-        A record is torn when its bytes end before its length says, or when
-        nothing but zeros follows (a file that grew before its data was written).
-        A complete record with a wrong checksum counts as corrupt also when it is
-        the last: it may have been acknowledged, and taking it for torn would
-        forget a commit. Cost: one pass.
+        A record is torn when the file ends before the length in its header, or
+        when only zeros follow (the file size was extended before the data was
+        written). A complete record with a wrong checksum is corrupt even when it is
+        the last one: it may have been acknowledged, and treating it as torn would
+        lose a committed entry. Takes one pass over the data.
     """
     payloads = []
     offsets = []
@@ -87,7 +87,7 @@
 
 
 def decode_single(data: bytes) -> bytes | None:
-    """Return the payload of a file that holds one record; None when it is bad."""
+    """Return the payload of a file that holds one record, or None if it is damaged."""
     payload = _payload_at(data, 0)
     if payload is None or HEADER_BYTES + len(payload) != len(data):
         return None
--- a/wigeonscale/replication/replica.py
+++ b/wigeonscale/replication/replica.py
@@ -1,4 +1,4 @@
-"""One replica of the replicated log: the class that other packages use."""
+"""One replica of the replicated log; the entry point for other packages."""
 
 __all__ = ["Replica"]
 
@@ -45,9 +45,10 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 STORAGE_ID_BITS = 128
-# Share of the election timeout that a replica that just started does not wait. Where
-# all start at once nobody leads, and callers wait for an election; where others run, a
-# leader is heard or, by their answers to the vote asked for in advance, there is one.
+# Share of the first election timeout that a replica skips after its start. When all
+# replicas start together there is no leader and callers wait for an election. When the
+# others already run, the shorter timeout does no harm: the replica hears the leader in
+# time, or the pre-vote fails because the others hear it.
 STARTUP_TIMEOUT_REDUCTION = 0.75
 
 Handler = Callable[[ReplicaState, Message], Awaitable[Message]]
@@ -57,18 +58,19 @@
     """One replica of the replicated log.
 
     Args:
-        node_id: Stable name of this replica.
+        node_id: Stable identifier of this replica.
         address: ip:port of its own gRPC server.
-        voters: All replicas of the first start, this one included.
+        voters: Initial members of the cluster, including this replica.
         folder: Data folder port, for example ``DiskFolder(path=...)``.
         machine: State machine that committed entries are applied to.
         transport: Transport to the peers, for example ``GrpcTransport()``.
         clock: Clock port.
-        options: Times and sizes.
-        rng: Source of jitter and identities; tests pass a seeded one.
-        allow_bootstrap: Whether an empty folder may be a first start. If not, it is a
-            lost disk or a new replica, which waits to be admitted.
-        shared: Soft state to pass on with the messages of the log; None for none.
+        options: Timeouts and batch sizes.
+        rng: Source of jitter and storage ids; tests pass a seeded one.
+        allow_bootstrap: Whether an empty folder may bootstrap a new cluster. If
+            not, it belongs to a new replica or one that lost its disk, which waits
+            to be admitted.
+        shared: Soft state to piggyback on replication messages, or None.
 
     Example:
         >>> replica = Replica(node_id="a", address="127.0.0.1:7001", ...)
@@ -79,11 +81,11 @@
         >>> result = await replica.propose(command.SerializeToString())
 
     Notes:
-        An entry costs the leader one message to each follower and each replica a
-        share of one sync; under load both are shared by a batch.
+        An entry costs one message from the leader to each follower and one sync on
+        each replica. Under load a batch of entries shares both.
 
     Attributes:
-        on_applied: Subject of the applied index, after each batch.
+        on_applied: Subject that emits the applied index after each batch.
     """
 
     def __init__(
@@ -120,7 +122,7 @@
         self._failure: asyncio.Future | None = None
 
     async def run(self) -> None:
-        """Load the log and take part until cancelled.
+        """Load the log and run the replica until cancelled.
 
         Raises:
             OSError: The data folder failed; the replica has stopped.
@@ -153,10 +155,10 @@
             What the state machine's ``apply`` returned.
 
         Raises:
-            NotLeaderError: This replica does not lead; nothing was appended.
-            WigeonscaleError: ``NO_QUORUM``, with run state ``NOT_RUN`` when
-                nothing was appended, else ``UNKNOWN``; ``OVERLOADED`` when too
-                many proposals wait.
+            NotLeaderError: This replica is not the leader; nothing was appended.
+            WigeonscaleError: ``NO_QUORUM``, with run state ``NOT_RUN`` if nothing
+                was appended, else ``UNKNOWN``; ``OVERLOADED`` if too many proposals
+                are pending; or the error that ``apply`` caused.
         """
         state = self._state
         check_can_propose(state)
@@ -168,18 +170,17 @@
     ) -> None:
         """Commit one change of the members.
 
-        A member that is added has no vote at first; the leader gives it one by
-        itself once it has caught up.
+        An added member has no vote at first. The leader makes it a voting member
+        once it has caught up.
 
         Args:
             add: Member to add.
             remove: Node id of the member to remove.
 
         Raises:
-            NotLeaderError: This replica does not lead.
+            NotLeaderError: This replica is not the leader.
             WigeonscaleError: ``IN_PROGRESS`` while another change is not committed,
-                ``BAD_REQUEST`` for a change that cannot be made, or as
-                :meth:`propose`.
+                ``BAD_REQUEST`` for an invalid change, or as :meth:`propose`.
         """
         state = self._state
         check_can_propose(state)
@@ -196,22 +197,23 @@
         )
 
     async def transfer_leadership(self) -> bool:
-        """Give up leading for good, before a planned stop.
+        """Transfer leadership to another replica before a planned stop.
 
-        Proposals in flight are committed first and new ones refused as not run.
-        The most caught-up voter is asked to campaign at once. Takes at most an
-        election timeout; returns at once when this replica does not lead.
+        New proposals are rejected with run state ``NOT_RUN``; those in flight are
+        committed first. Then the most caught-up voter is asked to campaign. Takes at
+        most one election timeout; returns immediately if this replica is not the
+        leader. This replica does not stand for election again.
 
         Returns:
-            Whether another replica leads instead of this one.
+            Whether another replica has become the leader.
         """
         return await transfer_leadership(self._state)
 
-    # ------------------------------------------------------------- what is known
+    # ------------------------------------------------------------- status
 
     @property
     def role(self) -> Role:
-        """Part that this replica plays."""
+        """Role of this replica."""
         return self._state.role
 
     @property
@@ -221,7 +223,7 @@
 
     @property
     def leader_address(self) -> str:
-        """Address of the leader as far as known, else empty."""
+        """Address of the leader; empty if it is not known."""
         return self._state.leader_address
 
     @property
@@ -231,22 +233,22 @@
 
     @property
     def applied_index(self) -> int:
-        """Index of the last entry applied."""
+        """Index of the last applied entry."""
         return self._state.applied_index
 
     @property
     def applied_term(self) -> int:
-        """Term of the last entry applied."""
+        """Term of the last applied entry."""
         return self._state.applied_term
 
     @property
     def may_vote(self) -> bool:
-        """Whether this replica has a vote; false after a lost disk."""
+        """Whether this replica may vote; false after it lost its disk."""
         return self._state.may_vote
 
     @property
     def syncs(self) -> int:
-        """Syncs of log entries so far."""
+        """Number of syncs of log entries so far."""
         return self._state.storage.syncs
 
     def last_position(self) -> tuple[int, int]:
@@ -255,52 +257,52 @@
         return storage.last_term, storage.last_index
 
     def fresh_at(self) -> float | None:
-        """Return when the applied state is known to have been current.
+        """Return the time as of which the applied state is known to be up to date.
 
         Returns:
-            A local instant of the clock port: every entry that was committed
-            before it is applied here. None when nothing is known yet.
+            A local time of the clock port; every entry committed before it is
+            applied here. None if no such time is known yet.
         """
         if self._state.leading:
             update_lease(self._state)
         return self._state.fresh_at
 
     def members(self) -> tuple[Member, ...]:
-        """Return the members by the latest change in the log."""
+        """Return the members according to the latest change in the log."""
         return self._state.members
 
     @property
     def cluster_has_log(self) -> bool:
-        """Whether this replica knows that its cluster ever had a log."""
+        """Whether this replica knows that its cluster already has a log."""
         return self._state.storage.last_index > 0 or self._state.may_vote
 
     def seconds_since_leader_contact(self) -> float:
-        """Return the seconds since a leader was heard; 0 while leading."""
+        """Return the seconds since the last message of a leader; 0 while leading."""
         if self._state.leading:
             return 0.0
         return self._state.clock.now() - self._state.leader_heard_at
 
     def seconds_since_peer_contact(self, node_id: str) -> float:
-        """Return the seconds since the last message of a peer; inf if none came."""
+        """Return the seconds since the last message of a peer; inf if none arrived."""
         peer = self._state.peers.get(node_id)
         return self._state.clock.now() - peer.heard_at if peer else math.inf
 
     # ------------------------------------------------------------- peers
 
     async def handle_append(self, req: wire.AppendRequest) -> wire.AppendReply:
-        """Answer an append of the leader."""
+        """Handle an append request of the leader."""
         return await self._handle(handle_append, req)
 
     async def handle_vote(self, req: wire.VoteRequest) -> wire.VoteReply:
-        """Answer a request for a vote."""
+        """Handle a vote request."""
         return await self._handle(handle_vote, req)
 
     async def handle_campaign(self, req: wire.CampaignRequest) -> wire.CampaignReply:
-        """Answer a leader that asks this replica to succeed it."""
+        """Handle the request of a leader to take over leadership."""
         return await self._handle(handle_campaign, req)
 
     async def _handle(self, handler: Handler, req: Message) -> Message:
-        """Run a handler to its end, also when the peer's stream breaks."""
+        """Run a handler to completion, even if the peer's stream breaks."""
         if self._stopped:
             raise WigeonscaleError(
                 ErrorKind.STOPPING, f"replica {self._state.node_id} has stopped"
@@ -320,7 +322,7 @@
                 ErrorKind.INTERNAL, f"storage of {self._state.node_id} failed: {exc}"
             ) from exc
 
-    # ------------------------------------------------------------- inside
+    # ------------------------------------------------------------- internals
 
     async def _load(self) -> None:
         state = self._state
--- a/wigeonscale/replication/replicate.py
+++ b/wigeonscale/replication/replicate.py
@@ -1,9 +1,8 @@
-"""The leader's side of replication: one task a peer, one append at a time.
+"""Replication by the leader: one task per peer, one outstanding append request.
 
-What is proposed while an append is under way goes out in the next one, so that
-batches grow with the load. The idea is from Kahveci, "Log replication in MicroRaft"
-(2023), after section 10.2.2 of the Raft dissertation; ``bench/replication.py``
-holds it against one entry an append.
+Entries proposed during a request are sent in the next one, so that batches grow with
+the load. After Kahveci, "Log replication in MicroRaft" (2023), and section 10.2.2 of
+the Raft dissertation. ``bench/replication.py`` compares it with one entry per request.
 """
 
 __all__ = ["run_peer"]
@@ -19,13 +18,13 @@
 from wigeonscale.replication.waiting import with_timeout
 from wigeonscale.wire import wire_pb2 as wire
 
-AGE_UNKNOWN_US = -1  # age_us when no majority has confirmed this leader yet
+AGE_UNKNOWN_US = -1  # age_us until a majority has confirmed this leader
 
 logger = logging.getLogger(__name__)
 
 
 async def run_peer(state: ReplicaState, peer: PeerState) -> None:
-    """Bring one peer up to date while this replica leads; ends when cancelled."""
+    """Replicate the log to one peer while this replica leads; runs until cancelled."""
     try:
         while True:
             if not state.leading:
@@ -44,14 +43,14 @@
     try:
         return await _send_append(state, peer)
     except OSError:
-        raise  # the data folder failed, and with it this replica
+        raise  # the data folder failed, which stops this replica
     except Exception:
         logger.exception("exchange with %s failed", peer.member.node_id)
         return False
 
 
 async def _send_append(state: ReplicaState, peer: PeerState) -> bool:
-    """Send one append and take its reply; return whether the link works."""
+    """Send one append request and handle its reply; return whether it succeeded."""
     peer.wake.clear()
     req = _next_request(state, peer)
     sent_at = state.clock.now()
@@ -61,7 +60,7 @@
         )
     except (TimeoutError, ConnectionError) as exc:
         logger.debug("append to %s failed: %s", peer.member.node_id, exc)
-        # A connection that went silent stays so; a new one may work.
+        # A connection that stopped responding does not recover; a new one may work.
         await peer.client.reset()
         peer.echo_us = 0
         peer.outgoing_snapshot = None
@@ -121,7 +120,7 @@
     if state.shared is not None and reply.shared:
         state.shared.from_peer(reply.node_id, reply.shared)
     if reply.storage_id != peer.storage_id:
-        peer.match_index = 0  # what it acknowledged went with its disk
+        peer.match_index = 0  # what it acknowledged is lost with its disk
     peer.admitted = not reply.needs_admission
     peer.storage_id = reply.storage_id
     peer.acked_at = sent_at
@@ -139,7 +138,7 @@
 
 
 def _update_match_index(state: ReplicaState, peer: PeerState, index: int) -> None:
-    # Never beyond the own log, whatever a reply says.
+    # Bounded by the local log, whatever the reply contains.
     index = min(index, state.storage.last_index)
     peer.match_index = max(peer.match_index, index)
     peer.next_index = peer.match_index + 1
--- a/wigeonscale/replication/snapshots.py
+++ b/wigeonscale/replication/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: taken when due, sent in chunks, installed at a follower."""
+"""Snapshots: creation, transfer in chunks and installation at a follower."""
 
 __all__ = ["next_chunk", "run_snapshots", "receive_chunk"]
 
@@ -11,18 +11,18 @@
 from wigeonscale.replication.voters import members_from_wire, members_to_wire
 from wigeonscale.wire import wire_pb2 as wire
 
-RETAINED_DIVISOR = 4  # a quarter of a snapshot's entries stay for followers that lag
+RETAINED_DIVISOR = 4  # a quarter of the entries is retained for lagging followers
 CHUNK_BYTES = 256 * 1024
 
 logger = logging.getLogger(__name__)
 
 
 async def run_snapshots(state: ReplicaState) -> None:
-    """Take a snapshot and drop old entries whenever one is due."""
+    """Take a snapshot whenever one is due and compact the log."""
     while True:
         await state.snapshot_due.wait()
         state.snapshot_due.clear()
-        async with state.lock:  # not while one of the leader is being installed
+        async with state.lock:  # not while a snapshot of the leader is installed
             snapshot = _take_snapshot(state)
         if snapshot is not None:
             retained = state.options.snapshot_entries // RETAINED_DIVISOR
@@ -67,15 +67,15 @@
 async def receive_chunk(
     state: ReplicaState, chunk: wire.SnapshotChunk
 ) -> tuple[bool, int]:
-    """Take one chunk of the leader's snapshot; install it with the last one.
+    """Receive one chunk of the leader's snapshot; install it after the last one.
 
     Args:
         state: State of the follower.
         chunk: The chunk.
 
     Returns:
-        Whether to go on (else the leader begins anew), and the index up to which
-        this replica now holds the leader's log; 0 while that is not known.
+        Whether the chunk was accepted (if not, the leader restarts the transfer), and
+        the index up to which the log now matches the leader's; 0 if not known yet.
     """
     if chunk.last_index <= state.commit_index:
         return True, chunk.last_index
@@ -93,7 +93,7 @@
 
 
 def _append_chunk(state: ReplicaState, chunk: wire.SnapshotChunk) -> bytearray | None:
-    """Return the bytes so far, or None when the chunk does not follow them."""
+    """Return the bytes received so far, or None if the chunk does not follow them."""
     position = (chunk.last_index, chunk.last_term)
     if chunk.offset == 0:
         state.incoming_snapshot = (*position, bytearray())
@@ -113,7 +113,7 @@
         members=members_from_wire(chunk.voters),
         data=data,
     )
-    # Restored first: a state that cannot be read must not become durable.
+    # Restore first: a snapshot that cannot be decoded must not become durable.
     await restore_machine(state, data)
     state.commit_index = snapshot.index
     state.applied_index = snapshot.index
--- a/wigeonscale/replication/state.py
+++ b/wigeonscale/replication/state.py
@@ -1,4 +1,4 @@
-"""What the tasks of one replica share."""
+"""State that the tasks of one replica share."""
 
 __all__ = ["PeerState", "ReplicaState"]
 
@@ -30,24 +30,26 @@
 
 
 class PeerState:
-    """What this replica knows of one peer, mostly as its leader.
+    """State that this replica keeps for one peer, mostly while it is the leader.
 
     Args:
         member: The peer.
-        client: Client of it.
+        client: Client for its replication service.
 
     Attributes:
-        next_index: Next entry to send.
-        match_index: Last entry known to be durable at the peer in this term.
-        acked_at: Local time of sending of the newest append it acknowledged.
+        next_index: Index of the next entry to send.
+        match_index: Index of the last entry known to be durable at the peer in this
+            term.
+        acked_at: Local time at which the newest append that it acknowledged was
+            sent.
         heard_at: Local time of its last message.
-        admitted: Whether its acknowledgements count for a majority.
-        storage_id: Identity of its disk by its last reply.
-        echo_us: Its own time in its last reply.
-        sent_commit_index: Commit index that it was last sent.
+        admitted: Whether its acknowledgements count towards a majority.
+        storage_id: Storage id in its last reply.
+        echo_us: Timestamp in its last reply, by its own clock; sent back to it.
+        sent_commit_index: Commit index in the last append sent to it.
         outgoing_snapshot: Snapshot being sent, or None.
-        snapshot_bytes_sent: Bytes of that snapshot sent so far.
-        wake: Set when there is something to send.
+        snapshot_bytes_sent: Number of bytes of that snapshot sent so far.
+        wake: Set when there may be something to send.
     """
 
     def __init__(self, *, member: Member, client: PeerClient):
@@ -59,7 +61,7 @@
         self.reset_progress(last_index=0)
 
     def reset_progress(self, *, last_index: int) -> None:
-        """Forget what was known when this replica begins to lead."""
+        """Reset the replication progress when this replica becomes the leader."""
         self.next_index = last_index + 1
         self.match_index = 0
         self.acked_at = -math.inf
@@ -72,22 +74,22 @@
 
 
 class ReplicaState:
-    """State of one replica, changed by its tasks on one event loop.
+    """State of one replica, modified by its tasks on one event loop.
 
-    Everything that depends on term or vote and awaits in between holds ``lock``.
+    Code that depends on the term or the vote across an ``await`` holds ``lock``.
 
     Args:
-        node_id: Name of this replica.
+        node_id: Identifier of this replica.
         address: ip:port of its gRPC server.
-        voters: Members of the first start.
-        storage: Durable side.
+        voters: Initial members of the cluster.
+        storage: Durable storage.
         machine: State machine.
         transport: Transport port.
         clock: Clock port.
-        options: Times and sizes.
+        options: Timeouts and batch sizes.
         rng: Source of randomness.
-        allow_bootstrap: Whether an empty folder may be a first start.
-        shared: Soft state to pass on; None for none.
+        allow_bootstrap: Whether an empty folder may bootstrap a new cluster.
+        shared: Soft state to piggyback on replication messages, or None.
     """
 
     def __init__(
@@ -122,20 +124,23 @@
         self.leader_address = ""
         self.leader_heard_at = -math.inf
         self.election_timer_start = clock.now()
+        # The newest local time at which a majority followed this leader.
         self.majority_acked_at = -math.inf
         self.term_start_index = 0
         self.commit_index = 0
         self.applied_index = 0
         self.applied_term = 0
-        self.preparing_index = 0  # entry that a thread prepares; 0: none
+        self.preparing_index = 0  # entry being prepared in a thread; 0: none
         self.prepared_index = 0
         self.fresh_at: float | None = None
         self.peers: dict[str, PeerState] = {}
         self.proposals = Proposals(retry_after_s=options.election_timeout_s)
         self.incoming_snapshot: tuple[int, int, bytearray] | None = None
-        self.shielded_tasks: set[asyncio.Task] = set()  # what no cancel cuts short
-        self.stopping = False  # stops as planned: leads no more
-        self.progress = asyncio.Event()  # a match, what is applied or the role moved
+        # These tasks are not cancelled together with their callers.
+        self.shielded_tasks: set[asyncio.Task] = set()
+        self.stopping = False  # planned stop: does not lead again
+        # Set when a match index, the applied index or the role changes.
+        self.progress = asyncio.Event()
         self.sync_requested = asyncio.Event()
         self.snapshot_due = asyncio.Event()
         self.on_applied: Subject = Subject()
@@ -151,7 +156,7 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this replica leads."""
+        """Whether this replica is the leader."""
         return self.role is Role.LEADER
 
     @property
@@ -161,27 +166,27 @@
 
     @property
     def may_campaign(self) -> bool:
-        """Whether this replica may be elected."""
+        """Whether this replica may stand for election."""
         return self.may_vote and not self.stopping
 
     @property
     def heard_leader_recently(self) -> bool:
-        """Whether a leader was heard within the shortest election timeout."""
+        """Whether a leader was heard within the minimum election timeout."""
         at = self.majority_acked_at if self.leading else self.leader_heard_at
         return self.clock.now() - at < self.options.election_timeout_s
 
     @property
     def append_timeout_s(self) -> float:
-        """Silence after which a link is dropped and opened anew, in seconds."""
+        """Timeout of a call to a peer, in seconds; then the connection is reopened."""
         return max(2 * self.options.heartbeat_s, self.options.election_timeout_s / 2)
 
     def advance_fresh_at(self, at: float) -> None:
-        """Record that the applied state was current at a local time."""
+        """Record that the applied state was up to date at a local time."""
         if at > (self.fresh_at if self.fresh_at is not None else -math.inf):
             self.fresh_at = at
 
     def wake_peers(self) -> None:
-        """Let every peer's task look for something to send."""
+        """Make the task of every peer check for something to send."""
         for peer in self.peers.values():
             peer.wake.set()
 
@@ -189,26 +194,26 @@
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """Members by the latest change in the log, committed or not."""
+        """Members according to the latest change in the log, committed or not."""
         return self.member_log.latest
 
     def load_members(self) -> None:
-        """Read the members from snapshot and log, or else from the settings."""
+        """Read the members from snapshot and log, by default the initial ones."""
         self.member_log.load(self.storage)
         self.update_peers()
 
     def add_member_changes(self, entries: Sequence[wire.LogEntry]) -> None:
-        """Take up the member changes among entries just appended."""
+        """Apply the member changes among entries that were just appended."""
         self.member_log.add(entries)
         self.update_peers()
 
     def drop_member_changes_from(self, index: int) -> None:
-        """Drop the member changes from ``index`` on, which was truncated."""
+        """Revert the member changes from ``index`` on, where the log was truncated."""
         self.member_log.drop_from(index)
         self.update_peers()
 
     def update_peers(self) -> None:
-        """Start and stop peers so that they match the members."""
+        """Start and stop peer tasks to match the current members."""
         wanted = {m.node_id: m for m in self.members if m.node_id != self.node_id}
         for node_id, peer in list(self.peers.items()):
             member = wanted.get(node_id)
--- a/wigeonscale/replication/storage.py
+++ b/wigeonscale/replication/storage.py
@@ -1,9 +1,9 @@
-"""The durable side of one replica: vote, log entries and snapshot.
+"""Durable storage of one replica: vote, log entries and snapshot.
 
-Entries are appended in memory at once and become durable with
-:meth:`LogStorage.sync`; callers that wait at the same time share one sync (group
-commit). Every write runs to its end even when its caller is cancelled, so that
-memory and disk never part.
+Entries are appended in memory first and become durable with
+:meth:`LogStorage.sync`; concurrent callers share one sync (group commit). A write
+always completes, even if its caller is cancelled, so that memory and disk stay
+consistent.
 """
 
 __all__ = ["LogStorage"]
@@ -47,9 +47,9 @@
     Attributes:
         vote: Durable vote state.
         snapshot: Newest durable snapshot, or None.
-        base_index: Position before the first entry held.
-        base_term: Term at that position.
-        synced_index: Last durable entry.
+        base_index: Index before the first entry in memory.
+        base_term: Term at that index.
+        synced_index: Index of the last durable entry.
         syncs: Number of syncs of log entries so far.
     """
 
@@ -59,7 +59,9 @@
         self._writes: set[asyncio.Task] = set()
         self._failure: OSError | None = None
         self._entries: list[wire.LogEntry] = []
-        self._offsets: list[int] = []  # of the durable entries, in the log file
+        self._offsets: list[
+            int
+        ] = []  # byte offsets of the durable entries in the log file
         self._size = 0
         self.vote = VoteState()
         self.snapshot: Snapshot | None = None
@@ -69,16 +71,17 @@
         self.syncs = 0
 
     async def load(self, new_storage_id: str) -> str:
-        """Read the folder, cut a torn tail and set aside what is broken.
+        """Read the folder, drop a torn tail and back up damaged files.
 
-        A broken file never stops the replica: it keeps what is sound, takes a new
-        identity and has no vote until the others have healed and admitted it.
+        A damaged file does not stop the replica: it keeps the valid part, takes a new
+        storage id and may not vote until it has caught up and the others have
+        admitted it again.
 
         Args:
-            new_storage_id: Identity to take when the folder is empty or broken.
+            new_storage_id: Storage id to take if the folder is empty or damaged.
 
         Returns:
-            What was found broken; empty for nothing.
+            Description of the damage; empty if there is none.
         """
         with self._recording_failure():
             loaded = load_files(self._folder)
@@ -94,8 +97,8 @@
             self.vote = loaded.vote
         else:
             logger.error("damaged storage: %s", loaded.damage)
-            # The vote goes first: a crash in between must not bring a replica
-            # back that votes on what is left.
+            # The vote is written first: after a crash between the two writes, the
+            # replica must not vote on the basis of an incomplete log.
             await self.save_vote(self._vote_after_damage(loaded.vote, new_storage_id))
             await self._run_write(self._back_up_damaged_files())
         await self._run_write(self._rewrite())
@@ -114,7 +117,7 @@
         return self._entries[-1].term if self._entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None when it is not held."""
+        """Return the term of an entry, or None if it is not in memory."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -122,17 +125,17 @@
         return None
 
     def entry(self, index: int) -> wire.LogEntry:
-        """Return the entry at ``index``, which must be held."""
+        """Return the entry at ``index``, which must be in memory."""
         return self._entries[index - self.base_index - 1]
 
     def entries(self, first: int, last: int) -> Sequence[wire.LogEntry]:
-        """Return the entries ``first..last``, both inclusive and held."""
+        """Return the entries ``first..last``, inclusive; all must be in memory."""
         return self._entries[first - self.base_index - 1 : last - self.base_index]
 
     def batch(
         self, first: int, max_entries: int, max_bytes: int
     ) -> list[wire.LogEntry]:
-        """Return entries from ``first`` on within a count and a size in bytes."""
+        """Return entries from ``first`` on, limited in number and total bytes."""
         selected = []
         size = 0
         for entry in self.entries(first, min(self.last_index, first + max_entries - 1)):
@@ -148,12 +151,12 @@
         """Make the vote state durable.
 
         Raises:
-            ValueError: The term would fall.
+            ValueError: The term would decrease.
         """
         await self._run_write(self._save_vote(vote))
 
     def append(self, entries: Sequence[wire.LogEntry]) -> None:
-        """Add entries in memory; :meth:`sync` makes them durable."""
+        """Append entries in memory; :meth:`sync` makes them durable."""
         for entry in entries:
             if entry.index != self.last_index + 1:
                 raise WigeonscaleError(
@@ -169,16 +172,17 @@
             await self._run_write(self._sync_to(target))
 
     async def truncate_from(self, index: int) -> None:
-        """Drop the entry at ``index`` and all after it, on disk too."""
+        """Remove the entry at ``index`` and all later ones, also on disk."""
         await self._run_write(self._truncate_from(index))
 
     async def save_snapshot(self, snapshot: Snapshot, keep_from: int) -> None:
-        """Make a snapshot durable, then drop entries before ``keep_from``.
+        """Make a snapshot durable, then remove entries before ``keep_from``.
 
         Args:
-            snapshot: Snapshot newer than the one held.
-            keep_from: First entry to keep, at most ``snapshot.index + 1``. A log
-                that does not hold the snapshot's position is dropped whole.
+            snapshot: The snapshot; ignored unless it is newer than the current one.
+            keep_from: Index of the first entry to keep, at most
+                ``snapshot.index + 1``. A log that has no entry at the snapshot's
+                index and term is dropped completely.
         """
         await self._run_write(self._save_snapshot(snapshot, keep_from))
 
@@ -203,7 +207,7 @@
         try:
             yield
         except OSError as exc:
-            # After a failed sync nobody knows what the disk holds.
+            # After a failed sync the content of the disk is unknown.
             self._failure = exc
             logger.error(
                 "data folder failed, this replica ends: %s",
@@ -289,7 +293,7 @@
 
 
 def _encode(entries: Iterable[wire.LogEntry], offset: int) -> tuple[bytes, list[int]]:
-    """Return the records of entries and the offset of each in the file."""
+    """Return the encoded records of entries and the file offset of each."""
     records = []
     offsets = []
     for entry in entries:
--- a/wigeonscale/replication/transfer.py
+++ b/wigeonscale/replication/transfer.py
@@ -1,9 +1,10 @@
-"""Transfer of leadership when the leader stops as planned.
+"""Leadership transfer before a planned stop of the leader.
 
-The leader takes no more proposals, waits until those in flight are committed and
-answered, and asks a voter that holds its whole log to campaign at once. The voter
-needs no pre-vote and the others vote although they still hear the leader, because
-the leader itself asked. After section 3.10 of the Raft dissertation (Ongaro, 2014).
+The leader rejects new proposals, waits until those in flight are committed and
+answered, and asks a voter that has its complete log to campaign immediately. The voter
+skips the pre-vote, and the others grant their votes although they still hear the
+leader, because the request carries the leader's consent. After section 3.10 of the
+Raft dissertation (Ongaro, 2014).
 """
 
 __all__ = ["handle_campaign", "transfer_leadership"]
@@ -25,13 +26,13 @@
 
 
 async def transfer_leadership(state: ReplicaState) -> bool:
-    """Give up leading for good, to another voter where one can take over.
+    """Transfer leadership to another voter, if one can take over, and step down.
 
-    Takes at most an election timeout; then this replica just steps down, and the
-    others elect a leader once they miss it.
+    Takes at most one election timeout. If the transfer fails, this replica steps down
+    anyway, and the others elect a leader after their election timeouts.
 
     Returns:
-        Whether another voter leads.
+        Whether another voter has become the leader.
     """
     state.stopping = True
     limit_s = state.options.election_timeout_s
@@ -50,7 +51,7 @@
 async def handle_campaign(
     state: ReplicaState, req: wire.CampaignRequest
 ) -> wire.CampaignReply:
-    """Campaign at once, as the leader asks, and answer whether it was won."""
+    """Campaign immediately at the leader's request and report whether it was won."""
     won = False
     async with state.lock:
         accepted = _can_take_over(state, req)
@@ -104,7 +105,7 @@
 
 
 def _peers_by_progress(state: ReplicaState) -> list[PeerState]:
-    """Return the peers, the most caught-up one first; one without a vote declines."""
+    """Return the peers, most caught-up first; those that may not vote will decline."""
 
     def progress(peer: PeerState) -> tuple[int, float]:
         return peer.match_index, peer.acked_at
--- a/wigeonscale/replication/transport.py
+++ b/wigeonscale/replication/transport.py
@@ -1,4 +1,4 @@
-"""The port to the other replicas, and its adapter for gRPC."""
+"""Transport port between replicas, and its adapter for gRPC."""
 
 __all__ = ["GrpcTransport", "PeerClient", "ReplicationServicer", "Transport"]
 
@@ -20,27 +20,27 @@
 
 
 class PeerClient(Protocol):
-    """A link to one peer. Each call may hang; the caller limits it."""
+    """Client of one peer. A call may hang; the caller sets the timeout."""
 
     async def append(self, req: wire.AppendRequest) -> wire.AppendReply:
-        """Send one append and return its reply; one at a time.
+        """Send one append request and return its reply; not to be called concurrently.
 
         Raises:
-            ConnectionError: The link broke.
+            ConnectionError: The connection failed.
         """
 
     async def vote(self, req: wire.VoteRequest) -> wire.VoteReply:
-        """Ask for a vote.
+        """Send a vote request and return its reply.
 
         Raises:
-            ConnectionError: The link broke.
+            ConnectionError: The connection failed.
         """
 
     async def campaign(self, req: wire.CampaignRequest) -> wire.CampaignReply:
-        """Ask the peer to succeed this leader; returns once that is decided.
+        """Ask the peer to campaign; returns once its election is decided.
 
         Raises:
-            ConnectionError: The link broke.
+            ConnectionError: The connection failed.
         """
 
     async def reset(self) -> None:
@@ -48,17 +48,17 @@
 
 
 class Transport(Protocol):
-    """Makes links."""
+    """Factory of peer clients."""
 
     def connect(self, address: str) -> PeerClient:
         """Return a link to the replica at ip:port; it connects on first use."""
 
 
 class GrpcTransport:
-    """Links over gRPC.
+    """Transport over gRPC.
 
     Args:
-        channel: Opens a channel with a connection of its own to an address.
+        channel: Opens a channel, with a separate connection, to an address.
     """
 
     def __init__(self, *, channel: Callable[[str], grpc.aio.Channel] = open_channel):
@@ -70,7 +70,7 @@
 
 
 class GrpcPeerClient:
-    """One Append stream, and calls for votes beside it.
+    """Client with one Append stream and unary calls for elections.
 
     Args:
         address: ip:port of the peer.
@@ -84,17 +84,17 @@
         self._stream: grpc.aio.StreamStreamCall | None = None
 
     async def append(self, req: wire.AppendRequest) -> wire.AppendReply:
-        """Send one append on the open stream and return its reply."""
+        """Send one append request on the stream and return its reply."""
         if self._stream is None:
             self._stream = self._stub().Append()
         return await self._translate_errors(self._write_and_read(self._stream, req))
 
     async def vote(self, req: wire.VoteRequest) -> wire.VoteReply:
-        """Ask for a vote."""
+        """Send a vote request and return its reply."""
         return await self._translate_errors(self._stub().Vote(req))
 
     async def campaign(self, req: wire.CampaignRequest) -> wire.CampaignReply:
-        """Ask the peer to succeed this leader."""
+        """Ask the peer to campaign; returns once its election is decided."""
         return await self._translate_errors(self._stub().Campaign(req))
 
     async def reset(self) -> None:
@@ -127,7 +127,7 @@
 
 
 class ReplicationServicer(wire_pb2_grpc.ReplicationServicer):
-    """Serves a replica to its peers.
+    """gRPC servicer through which peers call a replica.
 
     Args:
         replica: A :class:`~wigeonscale.replication.replica.Replica`.
@@ -137,16 +137,16 @@
         self._replica = replica
 
     async def Append(self, request_iterator, context):  # noqa: N802
-        """Answer the appends of one leader, one after another."""
+        """Handle the append requests of one leader in order."""
         async for req in request_iterator:
             yield await self._reply_or_abort(self._replica.handle_append(req), context)
 
     async def Vote(self, request, context):  # noqa: N802
-        """Answer one request for a vote."""
+        """Handle a vote request."""
         return await self._reply_or_abort(self._replica.handle_vote(request), context)
 
     async def Campaign(self, request, context):  # noqa: N802
-        """Answer a leader that asks this replica to succeed it."""
+        """Handle the request of a leader to take over leadership."""
         return await self._reply_or_abort(
             self._replica.handle_campaign(request), context
         )
--- a/wigeonscale/replication/voters.py
+++ b/wigeonscale/replication/voters.py
@@ -1,4 +1,4 @@
-"""Members on the wire, and the majority of the voting ones."""
+"""Wire format of members, and majorities of the voting members."""
 
 __all__ = ["majority_value", "members_from_wire", "members_to_wire", "quorum_size"]
 
@@ -9,7 +9,7 @@
 
 
 def members_to_wire(members: Iterable[Member]) -> list[wire.Voter]:
-    """Return members as wire messages."""
+    """Convert members to wire messages."""
     return [
         wire.Voter(
             node_id=member.node_id,
@@ -22,7 +22,7 @@
 
 
 def members_from_wire(voters: Iterable[wire.Voter]) -> tuple[Member, ...]:
-    """Return wire messages as members."""
+    """Convert wire messages to members."""
     return tuple(
         Member(
             node_id=voter.node_id,
@@ -35,7 +35,7 @@
 
 
 def quorum_size(members: Sequence[Member]) -> int:
-    """Return how many voting members make a majority."""
+    """Return the number of voting members that form a majority."""
     return sum(member.voting for member in members) // 2 + 1
 
 
@@ -45,8 +45,8 @@
     """Return the largest value that a majority of the voting members reached.
 
     Args:
-        members: All members; those without a vote do not count.
-        value_of: Value of a member by its node id.
+        members: All members; non-voting ones are ignored.
+        value_of: Returns the value of a member, given its node id.
 
     Example:
         >>> values = {"a": 7, "b": 5, "c": 3}
--- a/wigeonscale/replication/waiting.py
+++ b/wigeonscale/replication/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting with a limit, and work that a cancelled caller must not cut short."""
+"""Timeouts by the clock port, and tasks shielded from cancellation."""
 
 __all__ = ["run_shielded", "with_timeout"]
 
@@ -9,18 +9,18 @@
 
 
 async def with_timeout(clock: Clock, seconds: float, coro: Coroutine) -> object:
-    """Await a coroutine for at most ``seconds`` of the clock port.
+    """Await a coroutine for at most ``seconds``, as measured by the clock port.
 
     Args:
         clock: Clock port.
-        seconds: Limit in seconds.
-        coro: What to await; cancelled at the limit.
+        seconds: Timeout in seconds.
+        coro: Coroutine to await; cancelled at the timeout.
 
     Returns:
         The coroutine's result.
 
     Raises:
-        TimeoutError: The limit passed first.
+        TimeoutError: The timeout expired first.
         ConnectionError: The coroutine was cancelled, but not by the caller.
     """
     task = asyncio.create_task(coro)
@@ -28,7 +28,7 @@
     try:
         await asyncio.wait({task, timer}, return_when=asyncio.FIRST_COMPLETED)
         if task.cancelled():
-            # A link was reset, or its other end stops; the caller was not cancelled.
+            # The client was reset or the server is stopping; the caller lives on.
             raise ConnectionError("the call was cancelled by the other side")
         if task.done():
             return task.result()
@@ -40,11 +40,11 @@
 
 
 async def run_shielded(tasks: set[asyncio.Task], coro: Coroutine) -> object:
-    """Await a coroutine that goes on when the caller is cancelled.
+    """Await a coroutine that continues when the caller is cancelled.
 
     Args:
-        tasks: Holds the task until it is done, so that its owner can wait.
-        coro: What to run.
+        tasks: Holds the task until it is done, so that its owner can await it.
+        coro: Coroutine to run.
 
     Returns:
         The coroutine's result.
