--- a/wigeonscale/replication/admission.py
+++ b/wigeonscale/replication/admission.py
@@ -75,7 +75,7 @@
         for member in state.member_log.at(state.applied_index)
     )
     if names_disk or is_new:
-        logger.info("replica %s is admitted and may vote", state.node_id)
+        logger.info("replica %s was admitted as a voting member", state.node_id)
         await state.storage.save_vote(replace(vote, admission=Admission.ADMITTED))
 
 
@@ -97,7 +97,7 @@
     )
     if not _can_commit(state, members):
         return
-    logger.info("replica %s is to be admitted", member.node_id)
+    logger.info("proposing replica %s as a voting member", member.node_id)
     append_members(state, members)
 
 
@@ -147,11 +147,11 @@
         WigeonscaleError: ``BAD_REQUEST`` for an invalid change.
     """
     if (add is None) == (remove is None):
-        _reject("a change adds one member or removes one")
+        _reject("a change must either add or remove exactly one member")
     known = {member.node_id for member in members}
     if add is not None:
         if add.node_id in known:
-            _reject(f"{add.node_id} is a member already")
+            _reject(f"{add.node_id} is already a member")
         changed = (*members, Member(add.node_id, add.address, voting=False))
     else:
         if remove not in known or len(members) == 1:
@@ -168,8 +168,8 @@
     waiting = [member.node_id for member in members if not member.voting]
     if len(voting) == 1 and waiting:
         _reject(
-            f"the single voter {voting[0]} cannot admit {', '.join(waiting)}; begin"
-            " with three voters, or remove the waiting member first"
+            f"the single voter {voting[0]} cannot admit {', '.join(waiting)}; start"
+            " with three voters, or remove the non-voting member first"
         )
 
 
@@ -209,14 +209,17 @@
     is_voter = any(member.node_id == state.node_id for member in state.members)
     had_log = any(reply is not None and reply.had_log for reply in replies)
     if had_log or not is_voter or not state.allow_bootstrap:
-        logger.warning("replica %s has an empty disk and no vote", state.node_id)
+        logger.warning(
+            "replica %s has an empty data folder and may not vote until admitted",
+            state.node_id,
+        )
         await state.storage.save_vote(replace(vote, admission=Admission.AWAITING))
         return
     if any(reply is None for reply in replies):
         return
     # If this replica voted before it lost its disk, a peer knows that term.
     highest = max((reply.term for reply in replies), default=0)
-    logger.info("replica %s starts for the first time", state.node_id)
+    logger.info("replica %s bootstraps a new cluster", state.node_id)
     await state.storage.save_vote(
         VoteState(
             term=highest + 1 if highest else 0,
--- a/wigeonscale/replication/commit.py
+++ b/wigeonscale/replication/commit.py
@@ -46,15 +46,15 @@
     if silence > state.options.election_timeout_s / 2:
         raise WigeonscaleError(
             ErrorKind.NO_QUORUM,
-            f"no majority has answered {state.node_id} for {silence:.3f} s",
+            f"no majority has replied to {state.node_id} for {silence:.3f} s",
             run_state=RunState.NOT_RUN,
             retry_after=state.options.election_timeout_s,
         )
     if len(state.proposals) >= MAX_PENDING_PROPOSALS:
         raise WigeonscaleError(
             ErrorKind.OVERLOADED,
-            f"{len(state.proposals)} proposals wait, at most {MAX_PENDING_PROPOSALS}"
-            " may",
+            f"{len(state.proposals)} proposals are pending, the limit is"
+            f" {MAX_PENDING_PROPOSALS}",
             retry_after=state.options.election_timeout_s,
         )
 
@@ -107,9 +107,13 @@
     apply_up_to(state, index)
     state.wake_peers()
     if all(member.node_id != state.node_id for member in state.member_log.at(index)):
-        logger.info("replica %s was removed and steps down", state.node_id)
+        logger.info(
+            "replica %s steps down: it was removed from the members", state.node_id
+        )
         state.role = Role.FOLLOWER
-        state.proposals.fail_all(f"replica {state.node_id} was removed")
+        state.proposals.fail_all(
+            f"replica {state.node_id} was removed from the members"
+        )
 
 
 def update_lease(state: ReplicaState) -> None:
@@ -162,10 +166,10 @@
         return state.machine.apply(entry.index, entry.term, entry.data)
     except Exception as exc:
         # Every replica fails in the same way, so skipping the entry keeps them equal.
-        logger.exception("entry %d could not be applied", entry.index)
+        logger.exception("failed to apply entry %d", entry.index)
         return WigeonscaleError(
             ErrorKind.INTERNAL,
-            f"entry {entry.index} could not be applied: {exc!r}",
+            f"failed to apply entry {entry.index}: {exc!r}",
             run_state=RunState.UNKNOWN,
         )
 
@@ -174,4 +178,4 @@
     try:
         state.on_applied.on_next(state.applied_index)
     except Exception:
-        logger.exception("a subscriber to applied entries failed")
+        logger.exception("a subscriber of on_applied failed")
--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -55,7 +55,7 @@
     """Adopt a higher term; the caller holds the lock."""
     if term <= state.term:
         return
-    step_down(state, f"term {term} began")
+    step_down(state, f"newer term {term} started")
     await state.storage.save_vote(replace(state.storage.vote, term=term, voted_for=""))
 
 
@@ -83,7 +83,7 @@
     """
     if not 0 <= term <= MAX_TERM:
         raise WigeonscaleError(
-            ErrorKind.BAD_REQUEST, f"term {term} is not within 0..{MAX_TERM}"
+            ErrorKind.BAD_REQUEST, f"term {term} is out of range 0..{MAX_TERM}"
         )
 
 
@@ -96,7 +96,7 @@
     state.leader_id = ""
     state.leader_address = ""
     state.election_timer_start = state.clock.now()
-    state.proposals.fail_all(f"replica {state.node_id} stopped leading: {reason}")
+    state.proposals.fail_all(f"replica {state.node_id} stepped down: {reason}")
     state.progress.set()
 
 
@@ -151,7 +151,7 @@
     update_lease(state)
     silence = state.clock.now() - state.majority_acked_at
     if silence > state.options.election_timeout_s:
-        step_down(state, f"no majority answered for {silence:.3f} s")
+        step_down(state, f"no reply from a majority for {silence:.3f} s")
 
 
 async def _campaign(state: ReplicaState) -> None:
@@ -209,7 +209,7 @@
 
 
 def _become_leader(state: ReplicaState, requested_at: float) -> None:
-    logger.info("replica %s leads term %d", state.node_id, state.term)
+    logger.info("replica %s became the leader of term %d", state.node_id, state.term)
     state.role = Role.LEADER
     state.leader_id = state.node_id
     state.leader_address = state.address
--- a/wigeonscale/replication/files.py
+++ b/wigeonscale/replication/files.py
@@ -171,7 +171,7 @@
     snapshot = loaded.snapshot or Snapshot()
     if loaded.base_index > snapshot.index:
         loaded.add_damage(
-            f"{LOG_NAME}: begins after entry {loaded.base_index}, but the snapshot"
+            f"{LOG_NAME}: starts after entry {loaded.base_index}, but the snapshot"
             f" ends at entry {snapshot.index}"
         )
     elif _term_at(loaded, snapshot.index) == snapshot.term:
--- a/wigeonscale/replication/folder.py
+++ b/wigeonscale/replication/folder.py
@@ -66,7 +66,7 @@
         except OSError as exc:
             os.close(self._lock_fd)
             raise SettingsError(
-                f"data folder {self._path} is held by another process"
+                f"data folder {self._path} is locked by another process"
             ) from exc
         self._fds: dict[str, int] = {}
 
@@ -118,12 +118,16 @@
                 if exc.errno not in DISK_FULL_ERRNOS:
                     raise
                 if not was_full:
-                    logger.error("%s waits: the disk is full: %s", name, exc)
+                    logger.error(
+                        "cannot write %s, retrying until the disk has free space: %s",
+                        name,
+                        exc,
+                    )
                 was_full = True
                 await asyncio.sleep(DISK_FULL_RETRY_S)
             else:
                 if was_full:
-                    logger.warning("%s is written: the disk has room again", name)
+                    logger.warning("wrote %s: the disk has free space again", name)
                 return
 
     @contextlib.contextmanager
--- a/wigeonscale/replication/follower.py
+++ b/wigeonscale/replication/follower.py
@@ -71,16 +71,16 @@
 
 def _validate_entry(entry: wire.LogEntry) -> None:
     if entry.kind not in REPLICATED_KINDS:
-        _reject(f"entry {entry.index} is of the unknown kind {entry.kind}")
+        _reject(f"entry {entry.index} has the unknown kind {entry.kind}")
     if entry.kind == EntryKind.MEMBERS and not _names_members(entry.data):
-        _reject(f"entry {entry.index} changes the members to none")
+        _reject(f"entry {entry.index} contains no valid list of members")
 
 
 def _validate_chunk(chunk: wire.SnapshotChunk, term: int) -> None:
     if chunk.last_index < 1 or not 0 <= chunk.last_term <= term:
-        _reject(f"snapshot at entry {chunk.last_index} of term {chunk.last_term}")
+        _reject(f"invalid snapshot index {chunk.last_index} or term {chunk.last_term}")
     if chunk.final and not chunk.voters:
-        _reject(f"snapshot at entry {chunk.last_index} names no members")
+        _reject(f"snapshot at entry {chunk.last_index} contains no members")
 
 
 def _names_members(data: bytes) -> bool:
@@ -98,11 +98,11 @@
     if state.leading:
         raise WigeonscaleError(
             ErrorKind.CORRUPT_LOG,
-            f"replica {req.leader_id} claims to lead term {req.term}, which"
-            f" {state.node_id} leads",
+            f"replica {req.leader_id} claims to be the leader of term {req.term}, but"
+            f" {state.node_id} is",
         )
     if state.role is Role.CANDIDATE:
-        step_down(state, f"{req.leader_id} leads term {req.term}")
+        step_down(state, f"{req.leader_id} is the leader of term {req.term}")
     state.leader_id = req.leader_id
     state.leader_address = req.leader_address
     state.leader_heard_at = state.clock.now()
@@ -174,7 +174,7 @@
     if index <= state.commit_index:
         raise WigeonscaleError(
             ErrorKind.CORRUPT_LOG,
-            f"entry {index} of the leader contradicts committed entry"
+            f"entry {index} of the leader conflicts with the log committed up to entry"
             f" {state.commit_index}",
         )
     await state.storage.truncate_from(index)
--- a/wigeonscale/replication/model.py
+++ b/wigeonscale/replication/model.py
@@ -126,7 +126,7 @@
         known = f"the leader is at {leader}" if leader else "no leader is known"
         super().__init__(
             ErrorKind.NOT_LEADER,
-            f"replica {node_id} does not lead; {known}",
+            f"replica {node_id} is not the leader; {known}",
             retry_after=0.5,
         )
         self.leader = leader
--- a/wigeonscale/replication/preparation.py
+++ b/wigeonscale/replication/preparation.py
@@ -53,7 +53,7 @@
         await asyncio.to_thread(work)
     except Exception:
         # The error is reported again when the entry is applied.
-        logger.exception("entry %d could not be prepared", index)
+        logger.exception("failed to prepare entry %d", index)
     state.preparing_index = 0
     state.prepared_index = index
     on_ready()
--- a/wigeonscale/replication/replica.py
+++ b/wigeonscale/replication/replica.py
@@ -187,8 +187,8 @@
         if not can_change_members(state):
             raise WigeonscaleError(
                 ErrorKind.IN_PROGRESS,
-                f"the change of members at entry {state.member_log.index} is not"
-                " committed yet",
+                f"the change of members at entry {state.member_log.index} is not yet"
+                " committed",
                 retry_after=1.0,
             )
         members = changed_members(state.members, add=add, remove=remove)
@@ -342,7 +342,7 @@
     async def _close(self) -> None:
         state = self._state
         self._stopped = True
-        step_down(state, "it stops")
+        step_down(state, "it is stopping")
         tasks = list(state.shielded_tasks)
         for task in tasks:
             task.cancel()
--- a/wigeonscale/replication/replicate.py
+++ b/wigeonscale/replication/replicate.py
@@ -45,7 +45,9 @@
     except OSError:
         raise  # the data folder failed, which stops this replica
     except Exception:
-        logger.exception("exchange with %s failed", peer.member.node_id)
+        logger.exception(
+            "unexpected error while replicating to %s", peer.member.node_id
+        )
         return False
 
 
--- a/wigeonscale/replication/snapshots.py
+++ b/wigeonscale/replication/snapshots.py
@@ -34,7 +34,7 @@
     try:
         data = state.machine.snapshot()
     except Exception:
-        logger.exception("no snapshot could be taken at entry %d", index)
+        logger.exception("failed to take a snapshot at entry %d", index)
         return None
     return Snapshot(
         index=index,
@@ -86,7 +86,9 @@
         return True, 0
     state.incoming_snapshot = None
     if zlib.crc32(data) != chunk.crc:
-        logger.warning("snapshot at entry %d came broken", chunk.last_index)
+        logger.warning(
+            "received snapshot at entry %d has a wrong checksum", chunk.last_index
+        )
         return False, 0
     await _install(state, chunk, bytes(data))
     return True, chunk.last_index
--- a/wigeonscale/replication/storage.py
+++ b/wigeonscale/replication/storage.py
@@ -210,7 +210,7 @@
             # After a failed sync the content of the disk is unknown.
             self._failure = exc
             logger.error(
-                "data folder failed, this replica ends: %s",
+                "data folder failed, stopping this replica: %s",
                 exc,
                 extra=log_fields(outcome="storage-failed", file=exc.filename),
             )
@@ -218,7 +218,9 @@
 
     async def _save_vote(self, vote: VoteState) -> None:
         if vote.term < self.vote.term:
-            raise ValueError(f"term {vote.term} is below term {self.vote.term}")
+            raise ValueError(
+                f"term {vote.term} is lower than the current term {self.vote.term}"
+            )
         await self._folder.replace(VOTE_NAME, encode_vote(vote))
         self.vote = vote
 
--- a/wigeonscale/replication/transfer.py
+++ b/wigeonscale/replication/transfer.py
@@ -43,8 +43,10 @@
     except TimeoutError:
         transferred = False
     if state.leading and not transferred:
-        logger.warning("replica %s found no successor", state.node_id)
-    step_down(state, "it stops")
+        logger.warning(
+            "replica %s could not transfer leadership to another replica", state.node_id
+        )
+    step_down(state, "it is stopping")
     return transferred
 
 
@@ -84,7 +86,9 @@
             return False
         if await _ask_to_campaign(state, peer):
             logger.info(
-                "replica %s handed over to %s", state.node_id, peer.member.node_id
+                "replica %s transferred leadership to %s",
+                state.node_id,
+                peer.member.node_id,
             )
             return True
     return False
@@ -124,6 +128,6 @@
     try:
         reply = await with_timeout(state.clock, state.append_timeout_s, call)
     except (TimeoutError, ConnectionError) as exc:
-        logger.info("%s does not campaign: %s", peer.member.node_id, exc)
+        logger.info("request to %s to campaign failed: %s", peer.member.node_id, exc)
         return False
     return reply.won
--- a/wigeonscale/replication/transport.py
+++ b/wigeonscale/replication/transport.py
@@ -116,7 +116,7 @@
         await stream.write(req)
         reply = await stream.read()
         if reply is grpc.aio.EOF:
-            raise ConnectionError(f"replica {self._address} ended the stream")
+            raise ConnectionError(f"replica {self._address} closed the stream")
         return reply
 
     async def _translate_errors(self, call: Awaitable[Reply]) -> Reply:
@@ -155,6 +155,6 @@
         try:
             return await coro
         except WigeonscaleError as exc:
-            logger.warning("message of a peer refused: %s", exc.message)
+            logger.warning("rejected a request of a peer: %s", exc.message)
             code = grpc.StatusCode.FAILED_PRECONDITION
             await context.abort(code, exc.message)
--- a/wigeonscale/replication/waiting.py
+++ b/wigeonscale/replication/waiting.py
@@ -28,11 +28,11 @@
     try:
         await asyncio.wait({task, timer}, return_when=asyncio.FIRST_COMPLETED)
         if task.cancelled():
-            # The client was reset or the server is stopping; the caller lives on.
-            raise ConnectionError("the call was cancelled by the other side")
+            # Not by the caller: the client was reset or the server is stopping.
+            raise ConnectionError("the call was cancelled by the transport or the peer")
         if task.done():
             return task.result()
-        raise TimeoutError(f"no answer within {seconds:g} s")
+        raise TimeoutError(f"no reply within {seconds:g} s")
     finally:
         task.cancel()
         timer.cancel()
