--- a/wigeonscale/replication/tests/memory_folder.py
+++ b/wigeonscale/replication/tests/memory_folder.py
@@ -1,4 +1,4 @@
-"""A data folder in memory, whose disk can be slow, full or lost."""
+"""A data folder in memory with simulated slow, full and lost disks."""
 
 import asyncio
 import errno
@@ -7,7 +7,7 @@
 
 
 class MemoryFolder:
-    """A folder whose unsynced data is lost in :meth:`crash`."""
+    """Data folder in memory; unsynced data is lost in :meth:`crash`."""
 
     def __init__(self, *, files=None):
         self.durable = dict(files or {})
@@ -22,7 +22,7 @@
     async def append(self, name, data):
         try:
             await self._sync(name)
-        finally:  # like a thread, which goes on when its waiter is cancelled
+        finally:  # a write in a thread also completes after its awaiter is cancelled
             if self._writes_left != 0 and name != self._failing:
                 self.durable[name] = self.durable.get(name, b"") + data
 
@@ -38,11 +38,11 @@
         pass
 
     def fail_after(self, writes):
-        """Let this many writes succeed and all others fail; None: no limit."""
+        """Make all writes fail after this number of them; None: no limit."""
         self._writes_left = writes
 
     def fail_on(self, name):
-        """Let all writes to one file fail."""
+        """Make all writes to one file fail."""
         self._failing = name
 
     def flip_byte(self, name, offset):
@@ -51,19 +51,19 @@
         self.durable[name] = bytes(data)
 
     def crash(self):
-        """Return the folder as the next process finds it."""
+        """Return the folder as the next process would find it."""
         return MemoryFolder(files=self.durable)
 
     async def _sync(self, name):
         if self._writes_left == 0 or name == self._failing:
-            raise OSError(errno.ENOSPC, "planted", name)
+            raise OSError(errno.ENOSPC, "injected fault", name)
         if self._writes_left is not None:
             self._writes_left -= 1
         await self.writable.wait()
 
 
 def last_record_offset(folder, name="log"):
-    """Return where the last record of a file begins."""
+    """Return the offset of the last record of a file, in bytes."""
     data = folder.read(name)
     offset = 0
     while True:
--- a/wigeonscale/replication/tests/memory_network.py
+++ b/wigeonscale/replication/tests/memory_network.py
@@ -1,4 +1,4 @@
-"""Links between replicas of one process that can be cut."""
+"""Transport between replicas of one process, with simulated network faults."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 
 
 class MemoryNetwork:
-    """Links between replicas by address; direction by direction cuttable."""
+    """Network between replicas in which each direction of a link can be cut."""
 
     def __init__(self):
         self.replicas = {}
-        self.cut = set()  # (sender, receiver)
+        self.cut = set()  # (sender, receiver) pairs whose messages are lost
         self.duplicate = False
         self.appends = []  # (sender, receiver, request)
         self.before_append = None  # coroutine function(sender, receiver, request)
@@ -40,7 +40,7 @@
             await getattr(replica, method)(req)
         try:
             reply = await getattr(replica, method)(req)
-        except WigeonscaleError as exc:  # as a call over gRPC ends then
+        except WigeonscaleError as exc:  # as in the gRPC transport
             raise ConnectionError(exc.message) from exc
         if (receiver, sender) in self.cut or self.replicas.get(receiver) is not replica:
             await asyncio.get_running_loop().create_future()
--- a/wigeonscale/replication/tests/support.py
+++ b/wigeonscale/replication/tests/support.py
@@ -1,4 +1,4 @@
-"""Replicas of one process on one manual clock."""
+"""Cluster of replicas in one process, for tests with a manual clock."""
 
 import asyncio
 import random
@@ -14,14 +14,14 @@
 
 
 class ListMachine:
-    """A state machine that keeps the list of all commands."""
+    """State machine that records all commands in a list."""
 
     def __init__(self):
         self.commands = []
 
     def apply(self, index, term, data):
         if data == b"raise":
-            raise ValueError("planted")
+            raise ValueError("injected fault")
         self.commands.append(data)
         return index
 
@@ -37,7 +37,7 @@
 
 
 class Cluster:
-    """Replicas in one process, on one manual clock."""
+    """Replicas in one process, with a common manual clock."""
 
     def __init__(self, *, names="abc", options=None, seed=1):
         self.clock = ManualClock()
@@ -70,7 +70,7 @@
             self.tasks[name] = asyncio.create_task(replica.run())
 
     async def stop(self, *names):
-        """Stop replicas as a crash does: nothing is written any more."""
+        """Stop replicas like a crash: nothing more is written."""
         for name in names or list(self.tasks):
             self.network.replicas.pop(name, None)
             folder = self.folders[name]
@@ -83,7 +83,7 @@
             await asyncio.gather(task, return_exceptions=True)
 
     async def wait_until(self, condition, limit_s=LIMIT_S):
-        """Advance the clock until a condition holds."""
+        """Advance the clock until a condition holds and return its result."""
         for _ in range(int(limit_s / STEP_S)):
             result = condition()
             if result:
@@ -100,7 +100,7 @@
         return [n for n, r in self.replicas.items() if r.role is Role.LEADER]
 
     async def leader(self, among=None):
-        """Advance until one leader has committed an entry of its term."""
+        """Advance until a leader has committed in its own term; return its name."""
 
         def ready():
             for name in self.leaders():
@@ -114,7 +114,7 @@
         return await self.wait_until(ready)
 
     async def propose(self, *commands, via=None):
-        """Commit commands one after another and return the last result."""
+        """Commit commands in sequence and return the last result."""
         result = None
         for data in commands:
             name = via or await self.leader()
@@ -123,19 +123,19 @@
         return result
 
     def spawn(self, coro):
-        """Run a coroutine as a task that ends with the cluster."""
+        """Run a coroutine as a task whose exception may remain unretrieved."""
         task = asyncio.create_task(coro)
         task.add_done_callback(lambda task: task.cancelled() or task.exception())
         return task
 
     async def propose_at(self, name, data):
-        """Begin a proposal and let it be appended and sent."""
+        """Start a proposal, let it be appended and sent, and return its task."""
         task = self.spawn(self.replicas[name].propose(data))
         await self.clock.advance(0)
         return task
 
     async def wait_for_commands(self, commands, names=None):
-        """Advance until replicas hold exactly these commands."""
+        """Advance until the replicas have applied exactly these commands."""
         wanted = list(commands)
         await self.wait_until(
             lambda: all(
@@ -160,6 +160,6 @@
         self.followers = [name for name in "abc" if name != self.leader]
 
     async def outcome(self, task):
-        """Return the error of a proposal, or None when it was done."""
+        """Wait for a proposal and return its error, or None if it succeeded."""
         await self.cluster.wait_until(task.done)
         return task.exception()
--- a/wigeonscale/replication/tests/test_admission.py
+++ b/wigeonscale/replication/tests/test_admission.py
@@ -11,12 +11,12 @@
 from wigeonscale.testing import AsyncTestCase
 
 
-class FirstStartTest(AsyncTestCase):
+class BootstrapTest(AsyncTestCase):
     async def prepare(self):
         self.cluster = Cluster()
         self.addCleanup(self.cluster.stop)
 
-    async def test_one_after_another(self):
+    async def test_bootstrap_with_replicas_started_one_by_one(self):
         for name in "abc":
             self.assertEqual([], self.cluster.leaders())
             self.cluster.start(name)
@@ -25,7 +25,7 @@
         await self.cluster.wait_for_commands([b"1"])
         self.assertTrue(all(r.may_vote for r in self.cluster.replicas.values()))
 
-    async def test_killed_before_the_first_commit(self):
+    async def test_bootstrap_after_crashes_before_the_first_commit(self):
         for name in "abc" * 3:
             self.cluster.start(name)
             await self.cluster.clock.advance(0.1)
@@ -34,7 +34,7 @@
         await self.cluster.propose(b"1")
         await self.cluster.wait_for_commands([b"1"])
 
-    async def test_two_lost_disks_do_not_begin_an_empty_log(self):
+    async def test_two_lost_disks_do_not_bootstrap_an_empty_log(self):
         self.cluster.start()
         await self.cluster.propose(b"1")
         await self.cluster.wait_for_commands([b"1"])
@@ -60,7 +60,7 @@
         await self.cluster.wait_until(lambda: self.cluster.replicas[name].may_vote)
 
     async def test_no_vote_until_admitted_by_the_others(self):
-        lost, sound = self.followers
+        lost, healthy = self.followers
         await self.cluster.propose(*numbered_commands(1, 120))
         await self.cluster.wait_for_commands(numbered_commands(1, 120))
         await self.cluster.stop(lost, self.leader)
@@ -72,14 +72,14 @@
         self.cluster.start(self.leader)
         await self.wait_until_admitted(lost)
         await self.cluster.wait_for_commands(numbered_commands(1, 120))
-        await self.cluster.stop(sound)
+        await self.cluster.stop(healthy)
         await self.cluster.propose(b"121")
         await self.cluster.wait_for_commands(numbered_commands(1, 121))
 
-    async def test_acknowledgement_of_a_lost_disk_commits_nothing(self):
-        lost, sound = self.followers
+    async def test_acknowledgement_after_a_lost_disk_does_not_count(self):
+        lost, healthy = self.followers
         await self.cluster.propose(b"1")
-        await self.cluster.stop(lost, sound)
+        await self.cluster.stop(lost, healthy)
         self.wipe(lost)
         self.cluster.start(lost)
         task = await self.cluster.propose_at(self.leader, b"2")
@@ -107,8 +107,8 @@
         self.cluster.network.before_append = None
         await self.wait_until_admitted(lost)
 
-    async def test_second_loss_is_not_admitted_by_the_first_admission(self):
-        lost, sound = self.followers
+    async def test_second_disk_loss_is_not_covered_by_the_first_admission(self):
+        lost, healthy = self.followers
         await self.cluster.propose(b"1")
         for _ in range(2):
             await self.cluster.stop(lost)
@@ -116,17 +116,17 @@
             self.cluster.start(lost)
             await self.wait_until_admitted(lost)
         await self.cluster.wait_for_commands([b"1"])
-        await self.cluster.stop(lost, sound)
+        await self.cluster.stop(lost, healthy)
         self.wipe(lost)
         self.cluster.start(lost)
-        # The log with both old admissions reaches it, but no new commit can.
+        # It receives the log with both earlier admissions; no new commit is possible.
         await self.cluster.wait_for_commands([b"1"], names=[lost])
         await self.cluster.clock.advance(10)
         self.assertFalse(self.cluster.replicas[lost].may_vote)
-        self.cluster.start(sound)
+        self.cluster.start(healthy)
         await self.wait_until_admitted(lost)
 
-    async def test_lost_disks_of_all_one_after_another(self):
+    async def test_all_disks_lost_one_after_another(self):
         await self.cluster.propose(*numbered_commands(1, 60))
         for name in "abc":
             await self.cluster.stop(name)
@@ -137,8 +137,8 @@
         await self.cluster.wait_for_commands(numbered_commands(1, 60))
 
 
-class DamageTest(WithScenarios, ClusterCase):
-    """A broken file is healed from the others, without a person."""
+class DamagedFileTest(WithScenarios, ClusterCase):
+    """A damaged file is restored from the other replicas without intervention."""
 
     options = ReplicaOptions(snapshot_entries=50)
     scenarios = [
@@ -148,7 +148,7 @@
         if (name, how) != ("snapshot", "missing")
     ] + [("snapshot missing", {"name": "snapshot", "how": "missing"})]
 
-    async def test_healed_from_the_others(self):
+    async def test_recovers_from_the_other_replicas(self):
         node = self.followers[0]
         await self.cluster.propose(*numbered_commands(1, 70))
         await self.cluster.wait_for_commands(numbered_commands(1, 70))
@@ -169,7 +169,7 @@
         self.assertTrue(self.cluster.replicas[node].may_vote)
 
 
-class ChangeVotersTest(ClusterCase):
+class ChangeMembersTest(ClusterCase):
     async def change(self, **kwargs):
         leader = self.cluster.replicas[await self.cluster.leader()]
         change = leader.change_members(**kwargs)
@@ -180,7 +180,7 @@
         leader = self.cluster.replicas[self.cluster.leaders()[0]]
         return {member.node_id for member in leader.members() if member.voting}
 
-    async def test_add_then_remove_every_first_member(self):
+    async def test_replace_every_initial_member(self):
         await self.cluster.propose(*numbered_commands(1, 10))
         for name in "def":
             member = Member(name, name)
@@ -210,7 +210,7 @@
         await self.cluster.clock.advance(10)
         self.assertNotIn(self.leader, self.cluster.leaders())
 
-    async def test_removed_replica_does_not_disturb(self):
+    async def test_removed_replica_does_not_depose_the_leader(self):
         node = self.followers[0]
         await self.change(remove=node)
         term = self.cluster.replicas[self.leader].term
@@ -229,7 +229,7 @@
         self.cluster.network.heal()
         await self.cluster.wait_until(first.done)
 
-    async def test_change_that_was_never_committed_is_forgotten(self):
+    async def test_uncommitted_change_is_reverted(self):
         old = self.cluster.replicas[self.leader]
         self.cluster.network.isolate(self.leader)
         self.cluster.spawn(old.change_members(add=Member("d", "d")))
@@ -241,8 +241,8 @@
         await self.cluster.wait_for_commands([b"1"])
         self.assertEqual(self.cluster.members, old.members())
 
-    async def test_single_voter_is_not_grown(self):
-        # Once the second had a vote, its admission would wait for its own vote.
+    async def test_single_voter_cannot_add_a_member(self):
+        # The commit that admits the second voter would need that voter itself.
         self.cluster.folders["d"] = MemoryFolder()
         self.cluster.start("d", members=(*self.cluster.members, Member("d", "d")))
         for name in self.followers:
@@ -257,7 +257,7 @@
         await self.cluster.propose(b"1")
         self.assertEqual([self.leader], [m.node_id for m in leader.members()])
 
-    async def test_single_voter_is_not_left_beside_a_member_to_be_admitted(self):
+    async def test_removal_must_not_leave_one_voter_and_a_non_voting_member(self):
         await self.change(add=Member("d", "d"))  # never started
         await self.change(remove=self.followers[0])
         with self.assertRaises(WigeonscaleError) as caught:
@@ -267,7 +267,7 @@
         await self.change(remove=self.followers[1])
         await self.cluster.propose(b"1")
 
-    async def test_impossible_changes_are_refused(self):
+    async def test_invalid_changes_are_rejected(self):
         leader = self.cluster.replicas[self.leader]
         for kwargs in ({}, {"remove": "x"}, {"add": Member("a", "a")}):
             with self.assertRaises(WigeonscaleError) as caught:
@@ -275,8 +275,8 @@
             self.assertEqual(ErrorKind.BAD_REQUEST, caught.exception.kind)
 
 
-class ReplacedTest(ClusterCase):
-    """A replica at another address stands in for one that is gone for good."""
+class ReplacementTest(ClusterCase):
+    """A new member at another address replaces one that is lost permanently."""
 
     async def add_fourth(self):
         self.cluster.folders["d"] = MemoryFolder()
@@ -285,9 +285,9 @@
         await self.cluster.run_until_done(self.cluster.spawn(change))
         self.cluster.start("d")
 
-    async def test_fourth_beside_one_that_is_gone(self):
-        # Four voters with one gone need three. Did the new one not count for its own
-        # vote, that would never be committed, nor anything after it.
+    async def test_fourth_member_is_admitted_while_one_of_three_is_lost(self):
+        # Four voters of which one is lost need three. If the new member did not count
+        # towards its own admission, neither that nor any later entry would commit.
         gone = self.followers[0]
         await self.cluster.stop(gone)
         await self.add_fourth()
@@ -303,7 +303,7 @@
         await self.cluster.propose(b"2")
         await self.cluster.wait_for_commands([b"1", b"2"], names=[self.leader, "d"])
 
-    async def test_lost_disk_of_one_added_before_counts_for_nothing(self):
+    async def test_lost_disk_of_an_added_member_does_not_count(self):
         await self.add_fourth()
         await self.cluster.wait_until(lambda: self.cluster.replicas["d"].may_vote)
         await self.cluster.propose(b"1")
@@ -311,12 +311,12 @@
         await self.cluster.stop("d", *self.followers)
         self.cluster.folders["d"] = MemoryFolder()
         self.cluster.start("d", self.followers[0])
-        # Of four voters two count: the log that added it does not make it count.
+        # Only two of four voters count: replaying the log does not admit it again.
         await self.cluster.clock.advance(10)
         self.assertEqual([], self.cluster.leaders())
         self.assertFalse(self.cluster.replicas["d"].may_vote)
 
-    async def test_fourth_beside_three_sound_ones_votes(self):
+    async def test_fourth_member_is_admitted_with_three_healthy_ones(self):
         await self.add_fourth()
         await self.cluster.wait_until(lambda: self.cluster.replicas["d"].may_vote)
         await self.cluster.propose(b"1")
--- a/wigeonscale/replication/tests/test_election.py
+++ b/wigeonscale/replication/tests/test_election.py
@@ -5,7 +5,7 @@
 
 
 class StubPeer:
-    """A peer of which only the term is known."""
+    """A peer that replies to vote requests with a fixed term only."""
 
     def __init__(self, *, term):
         self._term = term
@@ -38,13 +38,13 @@
         await self.cluster.stop(self.leader, self.followers[1])
         await self.cluster.clock.advance(3)
 
-    async def test_no_vote_while_the_leader_is_in_reach(self):
+    async def test_no_vote_while_the_leader_is_heard(self):
         term = self.voter.term
         for pre_vote in (True, False):
             self.assertFalse(await self.ask(term + 5, pre_vote=pre_vote))
         self.assertEqual(term, self.voter.term)
 
-    async def test_one_vote_a_term_also_after_a_restart(self):
+    async def test_one_vote_per_term_also_after_a_restart(self):
         await self.lose_leader()
         self.assertTrue(await self.ask(7, node="x"))
         self.assertTrue(await self.ask(7, node="x"))
@@ -55,7 +55,7 @@
         self.assertFalse(await self.ask(7, node="y"))
         self.assertFalse(await self.ask(6, node="x"))
 
-    async def test_vote_goes_on_when_the_call_is_cancelled(self):
+    async def test_vote_completes_when_the_call_is_cancelled(self):
         await self.lose_leader()
         folder = self.cluster.folders[self.followers[0]]
         folder.writable.clear()
@@ -79,15 +79,15 @@
         self.assertTrue(await self.ask(8, pre_vote=True, **equal))
         self.assertTrue(await self.ask(8, **equal))
 
-    async def test_higher_term_during_the_pre_vote_is_not_lost(self):
+    async def test_higher_term_seen_during_the_pre_vote_is_kept(self):
         await self.cluster.stop(self.leader)
         heard = []
 
         async def raise_term(sender, receiver, req):
             if req.pre_vote and not heard:
                 heard.append(sender)
-                ahead = wire.AppendRequest(leader_id="x", term=50)
-                await self.cluster.replicas[sender].handle_append(ahead)
+                newer = wire.AppendRequest(leader_id="x", term=50)
+                await self.cluster.replicas[sender].handle_append(newer)
 
         self.cluster.network.before_vote = raise_term
         await self.cluster.wait_until(lambda: heard)
@@ -95,20 +95,20 @@
         self.assertTrue(self.cluster.replicas[heard[0]].term >= 50)
 
 
-class SlowDiskTest(ClusterCase):
-    async def test_higher_term_being_saved_when_the_pre_vote_is_won(self):
-        ahead = self.leader
-        await self.cluster.stop(ahead)
-        self.cluster.network.replicas[ahead] = StubPeer(term=50)
+class SlowVoteFileTest(ClusterCase):
+    async def test_pre_vote_won_while_a_higher_term_is_being_saved(self):
+        higher_term_peer = self.leader
+        await self.cluster.stop(higher_term_peer)
+        self.cluster.network.replicas[higher_term_peer] = StubPeer(term=50)
         candidates = []
 
-        async def hang(sender, receiver, req):
+        async def delay_vote(sender, receiver, req):
             candidates.append(sender)
             self.cluster.folders[candidates[0]].writable.clear()
-            if receiver != ahead:
+            if receiver != higher_term_peer:
                 await self.cluster.clock.sleep(0.01)
 
-        self.cluster.network.before_vote = hang
+        self.cluster.network.before_vote = delay_vote
         await self.cluster.wait_until(lambda: candidates)
         name = candidates[0]
         await self.cluster.clock.advance(0.02)
@@ -119,8 +119,8 @@
         self.assertTrue(self.cluster.replicas[name].term >= 50)
 
 
-class OwnTermTest(ClusterCase):
-    """A new leader whose own first entry has not reached anybody."""
+class NewLeaderTest(ClusterCase):
+    """A new leader whose first entry has not been replicated to any follower."""
 
     async def prepare(self):
         await super().prepare()
@@ -131,12 +131,12 @@
         self.cluster.network.heal()
         self.old_term = self.cluster.replicas[self.followers[0]].term
 
-        async def strip(sender, receiver, req):
+        async def strip_entries_of_new_term(sender, receiver, req):
             kept = [entry for entry in req.entries if entry.term <= self.old_term]
             del req.entries[:]
             req.entries.extend(kept)
 
-        self.cluster.network.before_append = strip
+        self.cluster.network.before_append = strip_entries_of_new_term
         await self.cluster.wait_until(self.cluster.leaders)
         self.new = self.cluster.replicas[self.cluster.leaders()[0]]
         self.fresh_before = self.new.fresh_at()
@@ -146,12 +146,12 @@
             [r for r in self.cluster.replicas.values() if r.role == "leader"],
         )
 
-    async def test_commits_no_entry_of_an_earlier_term_by_count(self):
+    async def test_entry_of_an_earlier_term_is_not_committed_by_counting(self):
         self.assertEqual([], self.cluster.machines[self.new_name()].commands)
         self.cluster.network.before_append = None
         await self.cluster.wait_for_commands([b"old"])
 
-    async def test_is_not_fresh(self):
+    async def test_not_fresh_before_the_first_commit_of_its_term(self):
         self.assertEqual(self.fresh_before, self.new.fresh_at())
         self.cluster.network.before_append = None
         await self.cluster.wait_for_commands([b"old"])
@@ -161,8 +161,8 @@
         return self.cluster.leaders()[0]
 
 
-class FormerVoteTest(AsyncTestCase):
-    async def test_term_of_a_vote_forgotten_at_first_start_is_passed_over(self):
+class ForgottenVoteTest(AsyncTestCase):
+    async def test_no_second_vote_in_a_term_voted_in_before_the_disk_was_lost(self):
         cluster = Cluster()
         self.addCleanup(cluster.stop)
         cluster.network.replicas.update(b=StubPeer(term=3), c=StubPeer(term=3))
@@ -173,7 +173,7 @@
         )
         self.assertFalse(reply.granted)
 
-    async def test_term_on_disk_never_falls(self):
+    async def test_term_on_disk_never_decreases(self):
         cluster = Cluster(names="a")
         self.addCleanup(cluster.stop)
         cluster.start()
--- a/wigeonscale/replication/tests/test_folder.py
+++ b/wigeonscale/replication/tests/test_folder.py
@@ -9,7 +9,7 @@
 
 
 class FailedDiskTest(WithScenarios, AsyncTestCase):
-    """The error of a disk names the file, whatever call it came from."""
+    """A disk error contains the file name, whichever call raised it."""
 
     scenarios = [
         ("read", {"call": "read", "args": (), "failing": "pathlib.Path.read_bytes"}),
@@ -44,7 +44,7 @@
 
 
 class FullDiskTest(AsyncTestCase):
-    """Writes are refused for a while, the first after half of its bytes."""
+    """Writes fail because the disk is full, the first one after half of its bytes."""
 
     async def prepare(self):
         self.path = self.useFixture(fixtures.TempDir()).path
@@ -65,12 +65,12 @@
             return self.write(fd, data[: len(data) // 2])
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
-    async def test_append_waits_and_leaves_no_torn_bytes(self):
+    async def test_append_retries_without_leaving_a_partial_write(self):
         await self.folder.append("log", b"more")
         self.assertEqual(0, self.refusals)
         self.assertEqual(b"heldmore", self.folder.read("log"))
 
-    async def test_replace_waits(self):
+    async def test_replace_retries(self):
         await self.folder.replace("log", b"other")
         self.assertEqual(0, self.refusals)
         self.assertEqual(b"other", self.folder.read("log"))
--- a/wigeonscale/replication/tests/test_follower.py
+++ b/wigeonscale/replication/tests/test_follower.py
@@ -54,7 +54,7 @@
 
 
 class FollowerTest(ClusterCase):
-    """Messages handed to one follower by hand."""
+    """Append requests that the test itself sends to one follower."""
 
     async def prepare(self):
         await super().prepare()
@@ -76,14 +76,14 @@
     def entry(self, index, **fields):
         return wire.LogEntry(index=index, term=self.term, **fields)
 
-    async def refused(self, req):
+    async def rejection_kind(self, req):
         before = self.replica.last_position()
         with self.assertRaises(WigeonscaleError) as caught:
             await self.replica.handle_append(req)
         self.assertEqual(before, self.replica.last_position())
         return caught.exception.kind
 
-    async def test_part_of_a_commit_is_not_fresh(self):
+    async def test_not_fresh_before_all_committed_entries_are_applied(self):
         before = self.replica.fresh_at()
         self.last.age_us = 0
         self.last.commit_index += 5
@@ -93,23 +93,23 @@
         await self.replica.handle_append(self.last)
         self.assertTrue(self.replica.fresh_at() > before)
 
-    async def test_members_that_cannot_be_read_are_refused(self):
+    async def test_invalid_members_are_rejected(self):
         for data in (b"\xff\xff", b""):
             entries = [self.entry(self.index + 1, kind=EntryKind.MEMBERS, data=data)]
             req = self.request(
                 previous_index=self.index, previous_term=self.term, entries=entries
             )
-            self.assertEqual(ErrorKind.BAD_REQUEST, await self.refused(req))
+            self.assertEqual(ErrorKind.BAD_REQUEST, await self.rejection_kind(req))
 
-    async def test_contradiction_of_a_commit_is_refused(self):
+    async def test_conflict_with_a_committed_entry_is_rejected(self):
         entry = wire.LogEntry(index=self.index, term=self.term + 1, data=b"x")
         req = self.request(
             previous_index=self.index - 1, previous_term=self.term, entries=[entry]
         )
         req.term += 1
-        self.assertEqual(ErrorKind.CORRUPT_LOG, await self.refused(req))
+        self.assertEqual(ErrorKind.CORRUPT_LOG, await self.rejection_kind(req))
 
-    async def test_broken_snapshot_is_not_taken(self):
+    async def test_snapshot_with_a_wrong_checksum_is_rejected(self):
         state = self.cluster.machines[self.name].snapshot()
         chunk = wire.SnapshotChunk(
             last_index=50,
@@ -128,7 +128,7 @@
         self.assertTrue(reply.success)
         self.assertEqual(50, self.replica.applied_index)
 
-    async def test_second_leader_of_a_term_is_refused(self):
+    async def test_second_leader_in_a_term_is_rejected(self):
         self.cluster.start(self.followers[1])
         name = await self.cluster.leader()
         leader = self.cluster.replicas[name]
@@ -139,11 +139,11 @@
 
 
 class FuzzTest(AsyncTestCase):
-    """No message of a peer ends a replica, and none uncommits a commit."""
+    """No message of a peer stops a replica or removes a committed entry."""
 
     @FUZZ
     @given(st.lists(st.one_of(APPENDS, VOTES), max_size=6))
-    def test_any_messages(self, messages):
+    def test_arbitrary_messages(self, messages):
         asyncio.run(self.feed(messages))
 
     async def feed(self, messages):
--- a/wigeonscale/replication/tests/test_freshness.py
+++ b/wigeonscale/replication/tests/test_freshness.py
@@ -3,11 +3,11 @@
 
 from wigeonscale.replication.tests.support import LIMIT_S, ClusterCase
 
-ROUNDS_S = 0.7  # a few heartbeats
+MAX_AGE_S = 0.7  # a few heartbeat intervals
 
 
 class PreparationTest(ClusterCase):
-    """A leader whose next committed entry is still prepared in a thread."""
+    """A leader whose next committed entry is still being prepared in a thread."""
 
     async def prepare(self):
         await super().prepare()
@@ -30,7 +30,7 @@
         async with asyncio.timeout(LIMIT_S):
             await applied.wait()
 
-    async def test_leader_is_not_fresh_before_it_is_applied(self):
+    async def test_leader_is_not_fresh_before_the_entry_is_applied(self):
         committed_at = self.cluster.clock.now()
         await self.cluster.clock.advance(5)
         self.assertEqual([], self.cluster.machines[self.leader].commands)
@@ -39,7 +39,7 @@
         await self.cluster.clock.advance(1)
         self.assertTrue(self.old.fresh_at() > committed_at)
 
-    async def test_planned_stop_waits_for_it(self):
+    async def test_leadership_transfer_waits_for_the_entry(self):
         transfer = self.cluster.spawn(self.old.transfer_leadership())
         await self.cluster.clock.advance(0.1)
         self.assertFalse(transfer.done())
@@ -63,20 +63,20 @@
 
     async def test_all_are_fresh_while_a_majority_answers(self):
         for name in "abc":
-            self.assertTrue(0 <= self.age(name) < ROUNDS_S)
+            self.assertTrue(0 <= self.age(name) < MAX_AGE_S)
         await self.cluster.stop(self.followers[0])
         await self.cluster.clock.advance(2)
         for name in (self.leader, self.followers[1]):
-            self.assertTrue(0 <= self.age(name) < ROUNDS_S)
+            self.assertTrue(0 <= self.age(name) < MAX_AGE_S)
 
-    async def test_isolated_replica_is_no_fresher_than_the_cut(self):
+    async def test_isolated_replica_is_not_fresh_after_the_cut(self):
         for name in "abc":
             cut_at = self.cluster.clock.now()
             self.cluster.network.isolate(name)
             await self.cluster.clock.advance(5)
             self.assertTrue(self.cluster.replicas[name].fresh_at() <= cut_at)
             self.cluster.network.heal()
-            await self.cluster.wait_until(lambda name=name: self.age(name) < ROUNDS_S)
+            await self.cluster.wait_until(lambda name=name: self.age(name) < MAX_AGE_S)
 
     async def test_follower_that_cannot_apply_is_not_fresh(self):
         node = self.followers[0]
@@ -86,15 +86,15 @@
         await self.cluster.clock.advance(5)
         self.assertTrue(self.cluster.replicas[node].fresh_at() <= cut_at)
         self.cluster.folders[node].writable.set()
-        await self.cluster.wait_until(lambda: self.age(node) < ROUNDS_S)
+        await self.cluster.wait_until(lambda: self.age(node) < MAX_AGE_S)
 
-    async def test_nothing_is_known_after_a_restart_alone(self):
+    async def test_freshness_is_unknown_after_a_restart_without_peers(self):
         await self.cluster.stop()
         self.cluster.start(self.leader)
         await self.cluster.clock.advance(5)
         self.assertIsNone(self.cluster.replicas[self.leader].fresh_at())
 
-    async def test_echo_of_an_earlier_process_is_not_taken(self):
+    async def test_echo_of_an_earlier_process_is_ignored(self):
         node = self.followers[0]
         sent = [req for _, to, req in self.cluster.network.appends if to == node]
         old = next(req for req in reversed(sent) if req.echo_us)
--- a/wigeonscale/replication/tests/test_member_log.py
+++ b/wigeonscale/replication/tests/test_member_log.py
@@ -30,7 +30,7 @@
         self.assertEqual((6, THIRD, SECOND), (log.index, log.latest, log.at(5)))
         await storage.close()
 
-    def test_a_truncated_change_is_taken_back_and_the_first_members_stay(self):
+    def test_truncated_changes_are_reverted_down_to_the_initial_members(self):
         log = MemberLog(voters=FIRST)
         log.add([change(3, SECOND), change(4, THIRD)])
         log.drop_from(4)
--- a/wigeonscale/replication/tests/test_records.py
+++ b/wigeonscale/replication/tests/test_records.py
@@ -25,7 +25,7 @@
             self.assertEqual((PAYLOADS[:2], "torn"), (scan.payloads, scan.fault))
             self.assertEqual(last, scan.valid_bytes)
 
-    def test_flip_of_every_byte_is_corruption_and_never_torn(self):
+    def test_flipped_byte_is_corrupt_and_not_torn(self):
         for offset in range(len(self.data)):
             broken = bytearray(self.data)
             broken[offset] ^= 0x40
@@ -40,7 +40,7 @@
 
     @FUZZ
     @given(st.lists(st.binary(max_size=40)), st.binary(max_size=60))
-    def test_whole_records_survive_any_tail(self, payloads, tail):
+    def test_complete_records_are_read_whatever_follows(self, payloads, tail):
         data = b"".join(encode_record(payload) for payload in payloads)
         scan = scan_records(data + tail)
         self.assertEqual(tuple(payloads), scan.payloads[: len(payloads)])
@@ -48,7 +48,7 @@
 
     @FUZZ
     @given(st.binary(max_size=200))
-    def test_garbage_is_never_half_accepted(self, data):
+    def test_arbitrary_bytes_decode_only_to_their_own_encoding(self, data):
         scan = scan_records(data)
         again = b"".join(encode_record(payload) for payload in scan.payloads)
         self.assertEqual(data[: scan.valid_bytes], again)
--- a/wigeonscale/replication/tests/test_replica.py
+++ b/wigeonscale/replication/tests/test_replica.py
@@ -14,7 +14,7 @@
 
 
 class ReplicaTest(ClusterCase):
-    async def test_commit_reaches_all(self):
+    async def test_commit_reaches_all_replicas(self):
         index = await self.cluster.propose(b"1", b"2")
         await self.cluster.wait_for_commands([b"1", b"2"])
         replica = self.cluster.replicas[self.leader]
@@ -29,14 +29,14 @@
         self.assertEqual(self.leader, caught.exception.leader)
         self.assertEqual(RunState.NOT_RUN, caught.exception.run_state)
 
-    async def test_command_that_cannot_be_applied_stops_nobody(self):
+    async def test_command_that_fails_to_apply_stops_no_replica(self):
         task = await self.cluster.propose_at(self.leader, b"raise")
         exc = await self.outcome(task)
         self.assertEqual(ErrorKind.INTERNAL, exc.kind)
         await self.cluster.propose(b"1")
         await self.cluster.wait_for_commands([b"1"])
 
-    async def test_entry_in_preparation_holds_up_those_after_it_only(self):
+    async def test_entry_in_preparation_blocks_only_later_entries(self):
         follower = self.cluster.replicas[self.followers[0]]
         machine, release = follower._state.machine, threading.Event()
         begun = []
@@ -96,7 +96,7 @@
         self.cluster.folders[self.leader].writable.set()
         await self.cluster.run_until_done(task)
 
-    async def test_dead_leader_is_replaced_within_two_seconds(self):
+    async def test_killed_leader_is_replaced_within_two_seconds(self):
         for _ in range(20):
             await self.cluster.propose(b"x")
             leader = await self.cluster.leader()
@@ -109,7 +109,7 @@
 
 
 class FailedDiskTest(WithScenarios, ClusterCase):
-    """A full or failed disk ends its replica; the others go on."""
+    """A disk failure stops its replica; the other replicas continue."""
 
     options = ReplicaOptions(snapshot_entries=20)
     scenarios = [
@@ -118,7 +118,7 @@
         for name in ("log", "snapshot", "vote")
     ]
 
-    async def test_replica_ends_and_the_others_go_on(self):
+    async def test_replica_stops_and_the_others_continue(self):
         node = self.leader if self.who == "leader" else self.followers[0]
         self.cluster.folders[node].fail_on(self.name)
         if self.name == "vote":
@@ -149,7 +149,7 @@
 
 
 class IsolationTest(ClusterCase):
-    async def test_isolated_leader_accepts_nothing_and_steps_down(self):
+    async def test_isolated_leader_commits_nothing_and_steps_down(self):
         old = self.cluster.replicas[self.leader]
         await self.cluster.propose(b"1")
         cut_at = self.cluster.clock.now()
@@ -176,7 +176,7 @@
         self.cluster.network.heal()
         await self.cluster.wait_for_commands([b"1", b"2"])
 
-    async def test_returning_replica_does_not_unseat_the_leader(self):
+    async def test_returning_replica_does_not_depose_the_leader(self):
         self.cluster.network.isolate(self.followers[0])
         await self.cluster.clock.advance(30)
         term = self.cluster.replicas[self.leader].term
@@ -185,7 +185,7 @@
         self.assertEqual([self.leader], self.cluster.leaders())
         self.assertEqual(term, self.cluster.replicas[self.leader].term)
 
-    async def test_two_followers_cut_off_leave_no_leader(self):
+    async def test_no_leader_while_two_followers_are_isolated(self):
         for name in self.followers:
             self.cluster.network.isolate(name)
         await self.cluster.wait_until(lambda: not self.cluster.leaders())
@@ -193,18 +193,18 @@
         self.assertEqual([], self.cluster.leaders())
 
 
-class OneWayCutTest(WithScenarios, ClusterCase):
+class OneWayPartitionTest(WithScenarios, ClusterCase):
     scenarios = [
         (f"{who} {way}", {"who": who, "way": way})
         for who in ("leader", "follower")
-        for way in ("deaf", "mute")
+        for way in ("receives nothing", "sends nothing")
     ]
 
-    async def test_commits_go_on(self):
+    async def test_the_other_replicas_keep_committing(self):
         node = self.leader if self.who == "leader" else self.followers[0]
         others = [name for name in "abc" if name != node]
         for other in others:
-            pair = (other, node) if self.way == "deaf" else (node, other)
+            pair = (other, node) if self.way == "receives nothing" else (node, other)
             self.cluster.network.cut.add(pair)
         await self.cluster.clock.advance(3)
         leader = await self.cluster.leader(among=others)
@@ -226,7 +226,7 @@
 
 
 class LeaderLossTest(WithScenarios, ClusterCase):
-    """The leader is lost at each step of a commit, both for good and for a while."""
+    """The leader is killed or isolated at each step of a commit."""
 
     scenarios = [
         (f"{step} {loss}", {"step": step, "loss": loss})
@@ -234,7 +234,7 @@
         for loss in ("killed", "isolated")
     ]
 
-    async def test_no_commit_is_lost_and_none_doubled(self):
+    async def test_no_commit_is_lost_or_duplicated(self):
         await self.cluster.propose(b"before")
         self.begin_step()
         task = await self.cluster.propose_at(self.leader, b"middle")
--- a/wigeonscale/replication/tests/test_schedules.py
+++ b/wigeonscale/replication/tests/test_schedules.py
@@ -13,7 +13,7 @@
 
 
 class ScheduleTest(WithScenarios, AsyncTestCase):
-    """Faults in a seeded random order, with the invariants held after each."""
+    """Random faults from a seeded generator; invariants are checked after each."""
 
     scenarios = [(f"seed {seed}", {"seed": seed}) for seed in range(SEEDS)]
 
@@ -23,7 +23,7 @@
         self.cluster = Cluster(options=options, seed=self.seed)
         self.addCleanup(self.cluster.stop)
         self.cluster.start()
-        self.accepted = []  # (time of the answer, command)
+        self.accepted = []  # (time of the result, command)
         self.leader_of_term = {}
         self.proposals = 0
         self.cluster.network.duplicate = self.seed % 2 == 1
@@ -77,7 +77,7 @@
             await self.cluster.stop(self.rng.choice(sorted(self.cluster.replicas)))
 
     async def plan_stop(self):
-        """Stop some replicas as planned, without waiting for each other."""
+        """Stop some replicas as planned, concurrently."""
         names = sorted(self.cluster.replicas)
         names = self.rng.sample(names, min(len(names), self.rng.choice([1, 2])))
         for name in names:
@@ -92,8 +92,8 @@
 
     async def wipe(self):
         replicas = self.cluster.replicas
-        sound = len(replicas) == 3 and all(r.may_vote for r in replicas.values())
-        if sound and len({r.last_position() for r in replicas.values()}) == 1:
+        healthy = len(replicas) == 3 and all(r.may_vote for r in replicas.values())
+        if healthy and len({r.last_position() for r in replicas.values()}) == 1:
             name = self.rng.choice("abc")
             await self.cluster.stop(name)
             self.cluster.folders[name] = MemoryFolder()
--- a/wigeonscale/replication/tests/test_snapshots.py
+++ b/wigeonscale/replication/tests/test_snapshots.py
@@ -5,7 +5,7 @@
 class SnapshotTest(ClusterCase):
     options = ReplicaOptions(snapshot_entries=100)
 
-    async def test_500_entries_restart_and_snapshot(self):
+    async def test_snapshots_and_restarts_with_500_entries(self):
         await self.cluster.propose(*numbered_commands(1, 500))
         for name in "abc":
             await self.cluster.wait_until(
@@ -20,7 +20,7 @@
                 await self.cluster.clock.advance(0.3)
             await self.cluster.wait_for_commands(numbered_commands(1, 500))
 
-    async def test_lagging_follower_gets_the_snapshot(self):
+    async def test_lagging_follower_receives_the_snapshot(self):
         lagging = self.followers[0]
         await self.cluster.stop(lagging)
         await self.cluster.propose(*numbered_commands(1, 400))
@@ -35,7 +35,7 @@
         self.cluster.start()
         await self.cluster.wait_for_commands(numbered_commands(1, 401))
 
-    async def test_snapshot_transfer_survives_a_new_leader(self):
+    async def test_snapshot_transfer_restarts_with_a_new_leader(self):
         big = [b"%d" % n + b"x" * 10_000 for n in range(150)]
         lagging = self.followers[0]
         await self.cluster.stop(lagging)
@@ -53,7 +53,7 @@
         await self.cluster.wait_for_commands(big, names=[lagging, self.followers[1]])
         self.assertEqual(0, chunks[3])
 
-    async def test_snapshot_that_came_broken_is_sent_again(self):
+    async def test_corrupt_snapshot_transfer_is_repeated(self):
         big = [b"%d" % n + b"x" * 10_000 for n in range(150)]
         lagging = self.followers[0]
         await self.cluster.stop(lagging)
--- a/wigeonscale/replication/tests/test_storage.py
+++ b/wigeonscale/replication/tests/test_storage.py
@@ -37,7 +37,7 @@
         storage, damage = await self.reload()
         self.assertEqual((9, "", self.vote), (storage.last_index, damage, storage.vote))
 
-    async def test_waiters_share_one_sync(self):
+    async def test_concurrent_syncs_are_grouped(self):
         self.folder.writable.clear()
         before = self.storage.syncs
         syncs = []
@@ -50,7 +50,7 @@
         self.assertTrue(self.storage.syncs - before <= 2)
         self.assertEqual(29, self.storage.synced_index)
 
-    async def test_torn_tail_is_cut_at_every_byte(self):
+    async def test_torn_tail_is_dropped(self):
         offset = last_record_offset(self.folder)
         whole = self.folder.durable["log"]
         for size in range(offset, len(whole)):
@@ -64,7 +64,7 @@
             storage, _ = await self.reload(folder.crash())
             self.assertEqual((2, 10), (storage.last_term, storage.last_index))
 
-    async def test_flipped_byte_takes_the_vote_and_names_the_place(self):
+    async def test_flipped_byte_removes_the_vote_and_is_located(self):
         for offset in range(len(self.folder.durable["log"])):
             folder = self.folder.crash()
             folder.flip_byte("log", offset)
@@ -79,7 +79,7 @@
             again, damage = await self.reload(folder.crash())
             self.assertEqual(("", storage.vote), (damage, again.vote))
 
-    async def test_crash_while_setting_damage_aside_leaves_no_vote(self):
+    async def test_crash_while_backing_up_damaged_files_leaves_no_vote(self):
         self.folder.flip_byte("log", 60)
         folder = self.folder.crash()
         for stop_after in range(4):
@@ -111,7 +111,9 @@
         self.assertEqual((3, 6), (storage.last_term, storage.last_index))
         self.assertEqual(1, storage.term_at(4))
 
-    async def test_snapshot_truncates_and_survives_a_crash_between_its_writes(self):
+    async def test_snapshot_compacts_the_log_and_survives_a_crash_between_the_writes(
+        self,
+    ):
         old_log = self.folder.durable["log"]
         await self.storage.save_snapshot(Snapshot(6, 1, (), b"state"), keep_from=5)
         self.assertEqual((4, 9), (self.storage.base_index, self.storage.last_index))
@@ -130,14 +132,14 @@
         self.assertEqual(b"state", storage.snapshot.data)
         self.assertEqual((20, 2, ""), (storage.last_index, storage.last_term, damage))
 
-    async def test_broken_snapshot_drops_a_log_that_needs_it(self):
+    async def test_corrupt_snapshot_drops_the_log_that_depends_on_it(self):
         await self.storage.save_snapshot(Snapshot(6, 1, (), b"state"), keep_from=7)
         self.folder.flip_byte("snapshot", 20)
         storage, damage = await self.reload()
         self.assertIn("snapshot: checksum does not match", damage)
         self.assertEqual((0, None), (storage.last_index, storage.snapshot))
 
-    async def test_cancelled_caller_does_not_part_memory_from_disk(self):
+    async def test_cancelled_caller_leaves_memory_and_disk_consistent(self):
         self.folder.writable.clear()
         self.storage.append(entries(10, 10))
         task = asyncio.create_task(self.storage.sync())
--- a/wigeonscale/replication/tests/test_transfer.py
+++ b/wigeonscale/replication/tests/test_transfer.py
@@ -24,7 +24,7 @@
 
 
 class TransferTest(TransferCase):
-    async def test_new_leader_at_once_and_no_proposal_lost_or_doubled(self):
+    async def test_immediate_transfer_without_lost_or_duplicated_proposals(self):
         old = self.cluster.replicas[self.leader]
         gate = asyncio.Event()
 
@@ -55,7 +55,7 @@
             await self.cluster.clock.advance(0)
         self.assertTrue(transfer.result())
         self.assertEqual([None] * 9, [task.exception() for task in tasks])
-        # One message to the successor and one to each voter, at the same instant.
+        # One request to the successor and one to each voter, without any delay.
         self.assertEqual(began, self.cluster.clock.now())
         self.assertEqual(1, len(self.asked))
         voters = set("abc") - set(self.asked)
@@ -65,7 +65,7 @@
         await self.cluster.propose(b"after", via=self.asked[0])
         await self.cluster.wait_for_commands([*numbered_commands(1, 9), b"after"])
 
-    async def test_most_caught_up_voter_succeeds(self):
+    async def test_most_caught_up_voter_takes_over(self):
         behind, level = self.followers
         self.cluster.network.cut.add((self.leader, behind))
         await self.cluster.propose(b"1")
@@ -74,7 +74,7 @@
         self.assertEqual([level], self.asked)
         self.assertEqual([level], self.cluster.leaders())
 
-    async def test_replica_that_leaves_does_not_campaign_again(self):
+    async def test_stopping_replica_does_not_campaign_again(self):
         await self.cluster.run_until_done(await self.transfer_leadership(self.leader))
         await self.cluster.stop(*self.cluster.leaders())
         candidates = set()
@@ -86,15 +86,15 @@
         await self.cluster.clock.advance(20)
         self.assertEqual(set(self.cluster.replicas) - {self.leader}, candidates)
 
-    async def test_all_stop_together(self):
+    async def test_all_replicas_stop_together(self):
         tasks = [await self.transfer_leadership(name) for name in "abc"]
         await self.cluster.clock.advance(0)
         self.assertEqual([False] * 3, [task.result() for task in tasks])
         self.assertEqual([], self.cluster.leaders())
 
 
-class NoCommitTest(WithScenarios, TransferCase):
-    """What cannot be committed delays the stop by an election timeout at most."""
+class BlockedCommitTest(WithScenarios, TransferCase):
+    """Entries that cannot be committed delay a stop by one election timeout at most."""
 
     scenarios = [
         (cause, {"cause": cause, "wait_s": wait_s})
@@ -105,7 +105,7 @@
         )
     ]
 
-    async def test_it_steps_down_in_time(self):
+    async def test_leader_steps_down_in_time(self):
         if self.cause == "slow disk":
             self.cluster.folders[self.leader].writable.clear()
             await self.cluster.stop(self.followers[0])
@@ -124,8 +124,8 @@
         self.assertEqual(("follower", []), (old.role, self.asked))
 
 
-class LostTargetTest(WithScenarios, TransferCase):
-    """The first voter that is asked is lost; the other one succeeds in time."""
+class LostTransferTargetTest(WithScenarios, TransferCase):
+    """The first voter asked to campaign fails; the other one takes over in time."""
 
     scenarios = [
         (fault, {"fault": fault})
@@ -160,7 +160,7 @@
         if self.fault == "asked with a longer log":
             req.last_index += 1
 
-    async def test_other_voter_succeeds(self):
+    async def test_other_voter_takes_over(self):
         await self.cluster.propose(b"1")
         transfer = await self.transfer_leadership(self.leader)
         began = self.cluster.clock.now()
@@ -172,14 +172,14 @@
         self.assertEqual([b"1", b"2"], self.cluster.machines[second].commands)
 
 
-class TwoStopTest(WithScenarios, TransferCase):
-    """The successor stops too, before, while or after it takes over."""
+class StoppingSuccessorTest(WithScenarios, TransferCase):
+    """The successor also stops, before, while or after it takes over."""
 
     scenarios = [
         (at, {"at": at}) for at in ("together", "asked", "candidate", "leader")
     ]
 
-    async def test_third_one_leads_at_once(self):
+    async def test_third_replica_takes_over_immediately(self):
         await self.cluster.propose(b"1")
         began = self.cluster.clock.now()
         self.stops = []
@@ -215,12 +215,12 @@
             self.stops.append(await self.transfer_leadership(sender))
 
 
-class CandidateStopTest(WithScenarios, TransferCase):
-    """A replica that campaigns by itself stops before its votes are in."""
+class StoppingCandidateTest(WithScenarios, TransferCase):
+    """A candidate in a regular election stops before it has received its votes."""
 
     scenarios = [(f"pre-vote {pre}", {"pre_vote": pre}) for pre in (True, False)]
 
-    async def test_it_does_not_lead(self):
+    async def test_stopped_candidate_does_not_become_leader(self):
         stops = []
 
         async def stop_sender(sender, receiver, req):
@@ -230,7 +230,7 @@
                     stops.append((sender, await self.transfer_leadership(sender)))
                 await asyncio.sleep(0)
                 if not self.pre_vote:
-                    raise ConnectionError("planted")
+                    raise ConnectionError("injected fault")
 
         self.cluster.network.before_vote = stop_sender
         await self.cluster.stop(self.leader)
--- a/wigeonscale/replication/tests/test_transport.py
+++ b/wigeonscale/replication/tests/test_transport.py
@@ -22,7 +22,7 @@
 
 
 class TcpRelay:
-    """Passes TCP on, until the connections that stand are made silent."""
+    """TCP relay whose open connections can be made to stop forwarding data."""
 
     def __init__(self, target):
         self._target = target.rsplit(":", 1)
@@ -36,7 +36,7 @@
         self.address = f"127.0.0.1:{port}"
 
     def blackhole_open_connections(self):
-        """Pass nothing more on, and close nothing, on the connections that stand."""
+        """Stop forwarding on the open connections without closing them."""
         self._blackholed_up_to = self._connections
 
     async def stop(self):
@@ -140,7 +140,7 @@
             await applied.wait()
             applied.clear()
 
-    async def test_elect_commit_and_restart(self):
+    async def test_election_commit_and_restart(self):
         async with asyncio.timeout(LIMIT_S):
             await self.propose(b"1")
             await self.wait_for_commands([b"1"])
@@ -157,7 +157,7 @@
             reply = await client.campaign(wire.CampaignRequest(leader_id="x", term=99))
             self.assertEqual(("a", False), (reply.node_id, reply.won))
 
-    async def test_silent_connections_are_replaced(self):
+    async def test_unresponsive_connections_are_replaced(self):
         async with asyncio.timeout(LIMIT_S):
             await self.propose(b"1")
             await self.wait_for_commands([b"1"])
@@ -166,5 +166,5 @@
             await self.propose(b"2")
             await self.wait_for_commands([b"1", b"2"])
 
-    async def test_folder_is_held_by_one_process(self):
+    async def test_folder_is_locked_by_one_process(self):
         self.assertRaises(SettingsError, DiskFolder, path=f"{self.root}/a")
