--- a/wigeonscale/replication/admission.py
+++ b/wigeonscale/replication/admission.py
@@ -14,10 +14,10 @@
 __all__ = [
     "admit_if_caught_up",
     "append_members",
-    "changed_members",
     "can_change_members",
-    "update_admission",
+    "changed_members",
     "run_bootstrap",
+    "update_admission",
 ]
 
 import asyncio
--- a/wigeonscale/replication/commit.py
+++ b/wigeonscale/replication/commit.py
@@ -8,11 +8,11 @@
 
 __all__ = [
     "advance_commit",
-    "update_lease",
     "append_as_leader",
     "apply_up_to",
     "check_can_propose",
     "run_sync",
+    "update_lease",
 ]
 
 import logging
@@ -42,11 +42,11 @@
         leader = "" if state.leading else state.leader_address
         raise NotLeaderError(node_id=state.node_id, leader=leader)
     update_lease(state)
-    silence = state.clock.now() - state.majority_acked_at
-    if silence > state.options.election_timeout_s / 2:
+    elapsed_s = state.clock.now() - state.majority_acked_at
+    if elapsed_s > state.options.election_timeout_s / 2:
         raise WigeonscaleError(
             ErrorKind.NO_QUORUM,
-            f"no majority has replied to {state.node_id} for {silence:.3f} s",
+            f"no majority has replied to {state.node_id} for {elapsed_s:.3f} s",
             run_state=RunState.NOT_RUN,
             retry_after=state.options.election_timeout_s,
         )
--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -39,9 +39,9 @@
             await _check_lease(state)
             await state.clock.sleep(state.options.heartbeat_s)
             continue
-        left = state.election_timer_start + timeout - state.clock.now()
-        if left > 0 or not state.may_campaign:
-            await state.clock.sleep(max(left, state.options.heartbeat_s))
+        remaining_s = state.election_timer_start + timeout - state.clock.now()
+        if remaining_s > 0 or not state.may_campaign:
+            await state.clock.sleep(max(remaining_s, state.options.heartbeat_s))
             continue
         await _campaign(state)
         state.election_timer_start = state.clock.now()
@@ -138,8 +138,8 @@
 
 def _is_up_to_date(state: ReplicaState, req: wire.VoteRequest) -> bool:
     storage = state.storage
-    theirs = (req.last_term, req.last_index)
-    return theirs >= (storage.last_term, storage.last_index)
+    candidate_position = (req.last_term, req.last_index)
+    return candidate_position >= (storage.last_term, storage.last_index)
 
 
 def _had_log(state: ReplicaState) -> bool:
@@ -149,9 +149,9 @@
 
 async def _check_lease(state: ReplicaState) -> None:
     update_lease(state)
-    silence = state.clock.now() - state.majority_acked_at
-    if silence > state.options.election_timeout_s:
-        step_down(state, f"no reply from a majority for {silence:.3f} s")
+    elapsed_s = state.clock.now() - state.majority_acked_at
+    if elapsed_s > state.options.election_timeout_s:
+        step_down(state, f"no reply from a majority for {elapsed_s:.3f} s")
 
 
 async def _campaign(state: ReplicaState) -> None:
@@ -159,7 +159,7 @@
     term = state.term + 1
     state.leader_id = ""
     state.leader_address = ""
-    if not await _gather_votes(state, _vote_request(state, term, pre_vote=True)):
+    if not await _collect_votes(state, _vote_request(state, term, pre_vote=True)):
         return
     async with state.lock:
         # Give up if a leader was heard or a vote was granted during the pre-vote, or
@@ -197,7 +197,7 @@
     """
     requested_at = state.clock.now()
     req = _vote_request(state, term, transfer=transfer)
-    won = await _gather_votes(state, req)
+    won = await _collect_votes(state, req)
     async with state.lock:
         if state.role is not Role.CANDIDATE or state.term != term:
             return False
@@ -233,28 +233,28 @@
     )
 
 
-async def _gather_votes(state: ReplicaState, req: wire.VoteRequest) -> bool:
+async def _collect_votes(state: ReplicaState, req: wire.VoteRequest) -> bool:
     """Return whether a majority, including this replica, grants its vote."""
     members = state.members
     if all(m.node_id != state.node_id or not m.voting for m in members):
         return False
-    missing = quorum_size(members) - 1
+    votes_needed = quorum_size(members) - 1
     voters = [peer for peer in state.peers.values() if peer.member.voting]
     tasks = {
         asyncio.create_task(_send_vote_request(state, peer, req)) for peer in voters
     }
     pending = tasks
     try:
-        while 0 < missing <= len(pending):
+        while 0 < votes_needed <= len(pending):
             done, pending = await asyncio.wait(
                 pending, return_when=asyncio.FIRST_COMPLETED
             )
-            missing -= sum(task.result() for task in done)
+            votes_needed -= sum(task.result() for task in done)
     finally:
         for task in pending:
             task.cancel()
         await asyncio.gather(*pending, return_exceptions=True)
-    return missing <= 0
+    return votes_needed <= 0
 
 
 async def _send_vote_request(
--- a/wigeonscale/replication/replica.py
+++ b/wigeonscale/replication/replica.py
@@ -49,7 +49,7 @@
 # replicas start together there is no leader and callers wait for an election. When the
 # others already run, the shorter timeout does no harm: the replica hears the leader in
 # time, or the pre-vote fails because the others hear it.
-STARTUP_TIMEOUT_REDUCTION = 0.75
+STARTUP_REDUCTION_SHARE = 0.75
 
 Handler = Callable[[ReplicaState, Message], Awaitable[Message]]
 
@@ -336,7 +336,7 @@
         state.load_members()
         state.election_timer_start = (
             state.clock.now()
-            - STARTUP_TIMEOUT_REDUCTION * state.options.election_timeout_s
+            - STARTUP_REDUCTION_SHARE * state.options.election_timeout_s
         )
 
     async def _close(self) -> None:
--- a/wigeonscale/replication/replicate.py
+++ b/wigeonscale/replication/replicate.py
@@ -174,13 +174,13 @@
         return
     try:
         await with_timeout(
-            state.clock, state.options.heartbeat_s, _until_work(state, peer)
+            state.clock, state.options.heartbeat_s, _wait_until_has_work(state, peer)
         )
     except TimeoutError:
         return
 
 
-async def _until_work(state: ReplicaState, peer: PeerState) -> None:
+async def _wait_until_has_work(state: ReplicaState, peer: PeerState) -> None:
     while not _has_work(state, peer):
         await peer.wake.wait()
         peer.wake.clear()
--- a/wigeonscale/replication/snapshots.py
+++ b/wigeonscale/replication/snapshots.py
@@ -1,6 +1,6 @@
 """Snapshots: creation, transfer in chunks and installation at a follower."""
 
-__all__ = ["next_chunk", "run_snapshots", "receive_chunk"]
+__all__ = ["next_chunk", "receive_chunk", "run_snapshots"]
 
 import logging
 import zlib
@@ -11,7 +11,9 @@
 from wigeonscale.replication.voters import members_from_wire, members_to_wire
 from wigeonscale.wire import wire_pb2 as wire
 
-RETAINED_DIVISOR = 4  # a quarter of the entries is retained for lagging followers
+RETAINED_ENTRIES_DIVISOR = (
+    4  # a quarter of the entries is retained for lagging followers
+)
 CHUNK_BYTES = 256 * 1024
 
 logger = logging.getLogger(__name__)
@@ -25,7 +27,7 @@
         async with state.lock:  # not while a snapshot of the leader is installed
             snapshot = _take_snapshot(state)
         if snapshot is not None:
-            retained = state.options.snapshot_entries // RETAINED_DIVISOR
+            retained = state.options.snapshot_entries // RETAINED_ENTRIES_DIVISOR
             await state.storage.save_snapshot(snapshot, snapshot.index + 1 - retained)
 
 
--- a/wigeonscale/replication/transfer.py
+++ b/wigeonscale/replication/transfer.py
@@ -84,7 +84,7 @@
         )
         if not state.leading:
             return False
-        if await _ask_to_campaign(state, peer):
+        if await _send_campaign_request(state, peer):
             logger.info(
                 "replica %s transferred leadership to %s",
                 state.node_id,
@@ -117,7 +117,7 @@
     return sorted(state.peers.values(), key=progress, reverse=True)
 
 
-async def _ask_to_campaign(state: ReplicaState, peer: PeerState) -> bool:
+async def _send_campaign_request(state: ReplicaState, peer: PeerState) -> bool:
     req = wire.CampaignRequest(
         leader_id=state.node_id,
         term=state.term,
