--- a/wigeonscale/replication/admission.py
+++ b/wigeonscale/replication/admission.py
@@ -75,7 +75,7 @@
         for member in state.member_log.at(state.applied_index)
     )
     if names_disk or is_new:
-        logger.info("replica %s was admitted as a voting member", state.node_id)
+        logger.info("replica %s was admitted and may vote", state.node_id)
         await state.storage.save_vote(replace(vote, admission=Admission.ADMITTED))
 
 
@@ -97,7 +97,9 @@
     )
     if not _can_commit(state, members):
         return
-    logger.info("proposing replica %s as a voting member", member.node_id)
+    logger.info(
+        "appending the change that makes replica %s a voting member", member.node_id
+    )
     append_members(state, members)
 
 
--- a/wigeonscale/replication/commit.py
+++ b/wigeonscale/replication/commit.py
@@ -117,7 +117,10 @@
 
 
 def update_lease(state: ReplicaState) -> None:
-    """Update the newest time at which a majority still followed this leader."""
+    """Update the newest time at which a majority still followed this leader.
+
+    The leader's lease and the freshness of its state are measured from that time.
+    """
 
     def last_acked_at(node_id: str) -> float:
         if node_id == state.node_id:
--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -24,9 +24,10 @@
 from wigeonscale.replication.waiting import run_shielded, with_timeout
 from wigeonscale.wire import wire_pb2 as wire
 
-JITTER_SHARE = 0.5  # maximum random addition, as a share of the election timeout
+JITTER_SHARE = 0.5  # maximum random extension of a timeout, as a share of it
 MAX_TERM = 1 << 53
-RETRY_TIMEOUT_SHARE = 0.25  # timeout after an election without a winner, as a share
+# Timeout after an election without a winner, as a share of the election timeout.
+RETRY_TIMEOUT_SHARE = 0.25
 
 logger = logging.getLogger(__name__)
 
--- a/wigeonscale/replication/follower.py
+++ b/wigeonscale/replication/follower.py
@@ -28,7 +28,7 @@
 
     Raises:
         WigeonscaleError: ``BAD_REQUEST`` or ``CORRUPT_LOG`` for a request that a
-            correct leader never sends; nothing was changed.
+            correct leader never sends; the log is unchanged.
     """
     _validate_request(req)
     async with state.lock:
--- a/wigeonscale/replication/replicate.py
+++ b/wigeonscale/replication/replicate.py
@@ -162,6 +162,7 @@
 
 
 def _age_us(state: ReplicaState) -> int:
+    """Return the microseconds since a majority confirmed this leader, rounded up."""
     confirmed = state.applied_index >= state.term_start_index
     if not confirmed:
         return AGE_UNKNOWN_US
--- a/wigeonscale/replication/storage.py
+++ b/wigeonscale/replication/storage.py
@@ -59,9 +59,8 @@
         self._writes: set[asyncio.Task] = set()
         self._failure: OSError | None = None
         self._entries: list[wire.LogEntry] = []
-        self._offsets: list[
-            int
-        ] = []  # byte offsets of the durable entries in the log file
+        # Byte offsets of the durable entries in the log file.
+        self._offsets: list[int] = []
         self._size = 0
         self.vote = VoteState()
         self.snapshot: Snapshot | None = None
