--- a/wigeonscale/replication/transport.py
+++ b/wigeonscale/replication/transport.py
@@ -51,7 +51,7 @@
     """Factory of peer clients."""
 
     def connect(self, address: str) -> PeerClient:
-        """Return a link to the replica at ip:port; it connects on first use."""
+        """Return a client of the replica at ip:port; it connects on first use."""
 
 
 class GrpcTransport:
@@ -65,7 +65,7 @@
         self._open_channel = channel
 
     def connect(self, address: str) -> PeerClient:
-        """Return a link to the replica at ip:port; it connects on first use."""
+        """Return a client of the replica at ip:port; it connects on first use."""
         return GrpcPeerClient(address=address, channel=self._open_channel)
 
 
