--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -1,4 +1,4 @@
-"""Election: timeouts, pre-vote, votes and the leader's lease."""
+"""Leader election: timeouts, pre-vote, votes and the leader's lease."""
 
 __all__ = [
     "adopt_term",
@@ -24,26 +24,25 @@
 from wigeonscale.replication.waiting import run_shielded, with_timeout
 from wigeonscale.wire import wire_pb2 as wire
 
-JITTER_SHARE = 0.5  # share of the election timeout added at random
+JITTER_SHARE = 0.5  # maximum random extension of a timeout, as a share of it
 MAX_TERM = 1 << 53
-RETRY_TIMEOUT_SHARE = (
-    0.25  # of the election timeout, between two tries without a winner
-)
+# Timeout after an election without a winner, as a share of the election timeout.
+RETRY_TIMEOUT_SHARE = 0.25
 
 logger = logging.getLogger(__name__)
 
 
 async def run_elections(state: ReplicaState) -> None:
-    """Campaign when no leader is heard; step down when no majority is."""
+    """Start an election when no leader is heard; step down when the lease expires."""
     timeout = _add_jitter(state, state.options.election_timeout_s)
     while True:
         if state.leading:
             await _check_lease(state)
             await state.clock.sleep(state.options.heartbeat_s)
             continue
-        left = state.election_timer_start + timeout - state.clock.now()
-        if left > 0 or not state.may_campaign:
-            await state.clock.sleep(max(left, state.options.heartbeat_s))
+        remaining_s = state.election_timer_start + timeout - state.clock.now()
+        if remaining_s > 0 or not state.may_campaign:
+            await state.clock.sleep(max(remaining_s, state.options.heartbeat_s))
             continue
         await _campaign(state)
         state.election_timer_start = state.clock.now()
@@ -54,19 +53,19 @@
 
 
 async def adopt_term(state: ReplicaState, term: int) -> None:
-    """Follow a higher term; the caller holds the lock."""
+    """Adopt a higher term; the caller holds the lock."""
     if term <= state.term:
         return
-    step_down(state, f"term {term} began")
+    step_down(state, f"newer term {term} started")
     await state.storage.save_vote(replace(state.storage.vote, term=term, voted_for=""))
 
 
 async def adopt_term_of_reply(state: ReplicaState, term: int) -> None:
-    """Follow the term of a peer's reply when it is higher.
+    """Adopt the term of a peer's reply if it is higher.
 
     Notes:
-        Goes on when the caller is cancelled: the lock must be held until the term
-        is durable, or another task would begin from the term before.
+        Continues when the caller is cancelled. The lock must be held until the term
+        is durable; otherwise another task would start from the previous term.
     """
     if state.term < term <= MAX_TERM:
         await run_shielded(state.shielded_tasks, _lock_and_adopt_term(state, term))
@@ -78,19 +77,19 @@
 
 
 def check_term(term: int) -> None:
-    """Refuse a term that no replica reaches.
+    """Reject a term that is out of range.
 
     Raises:
         WigeonscaleError: ``BAD_REQUEST``.
     """
     if not 0 <= term <= MAX_TERM:
         raise WigeonscaleError(
-            ErrorKind.BAD_REQUEST, f"term {term} is not within 0..{MAX_TERM}"
+            ErrorKind.BAD_REQUEST, f"term {term} is out of range 0..{MAX_TERM}"
         )
 
 
 def step_down(state: ReplicaState, reason: str) -> None:
-    """Stop leading or campaigning, at once."""
+    """Become a follower immediately and fail the pending proposals."""
     if state.role is Role.FOLLOWER:
         return
     logger.info("replica %s steps down: %s", state.node_id, reason)
@@ -98,12 +97,12 @@
     state.leader_id = ""
     state.leader_address = ""
     state.election_timer_start = state.clock.now()
-    state.proposals.fail_all(f"replica {state.node_id} stopped leading: {reason}")
+    state.proposals.fail_all(f"replica {state.node_id} stepped down: {reason}")
     state.progress.set()
 
 
 async def handle_vote(state: ReplicaState, req: wire.VoteRequest) -> wire.VoteReply:
-    """Answer a candidate, or a replica that asks whether the log ever began."""
+    """Answer a candidate, or a new replica that asks whether a log exists."""
     check_term(req.term)
     async with state.lock:
         if req.node_id in state.peers:
@@ -120,8 +119,8 @@
 async def _decide_vote(state: ReplicaState, req: wire.VoteRequest) -> bool:
     if not state.may_vote:
         return False
-    # A leader in reach is not unseated, neither by a returning replica nor by one
-    # that was removed, unless it asked for that itself.
+    # A returning or removed replica must not depose a leader that is still heard. A
+    # leadership transfer, which the leader itself requested, is exempt.
     if state.heard_leader_recently and not req.transfer:
         return False
     if req.pre_vote:
@@ -140,8 +139,8 @@
 
 def _is_up_to_date(state: ReplicaState, req: wire.VoteRequest) -> bool:
     storage = state.storage
-    theirs = (req.last_term, req.last_index)
-    return theirs >= (storage.last_term, storage.last_index)
+    candidate_position = (req.last_term, req.last_index)
+    return candidate_position >= (storage.last_term, storage.last_index)
 
 
 def _had_log(state: ReplicaState) -> bool:
@@ -151,9 +150,9 @@
 
 async def _check_lease(state: ReplicaState) -> None:
     update_lease(state)
-    silence = state.clock.now() - state.majority_acked_at
-    if silence > state.options.election_timeout_s:
-        step_down(state, f"no majority answered for {silence:.3f} s")
+    elapsed_s = state.clock.now() - state.majority_acked_at
+    if elapsed_s > state.options.election_timeout_s:
+        step_down(state, f"no reply from a majority for {elapsed_s:.3f} s")
 
 
 async def _campaign(state: ReplicaState) -> None:
@@ -161,10 +160,11 @@
     term = state.term + 1
     state.leader_id = ""
     state.leader_address = ""
-    if not await _gather_votes(state, _vote_request(state, term, pre_vote=True)):
+    if not await _collect_votes(state, _vote_request(state, term, pre_vote=True)):
         return
     async with state.lock:
-        # A leader was heard, or a vote given, since this began; or it stops.
+        # Give up if a leader was heard or a vote was granted during the pre-vote, or
+        # if this replica is stopping.
         superseded = (
             state.election_timer_start != election_timer_start or state.term + 1 != term
         )
@@ -175,7 +175,7 @@
 
 
 async def begin_candidacy(state: ReplicaState) -> None:
-    """Begin the next term with the own vote; holds the lock."""
+    """Start the next term and vote for this replica; the caller holds the lock."""
     state.role = Role.CANDIDATE
     vote = state.storage.vote
     await state.storage.save_vote(
@@ -186,19 +186,19 @@
 async def run_candidacy(
     state: ReplicaState, term: int, *, transfer: bool = False
 ) -> bool:
-    """Ask for votes and lead if a majority grants its own.
+    """Request votes and become the leader if a majority grants them.
 
     Args:
         state: State of the candidate.
-        term: Term that its candidacy began.
-        transfer: Whether the leader of the term before asked for it.
+        term: Term of the candidacy.
+        transfer: Whether the leader of the previous term requested it.
 
     Returns:
-        Whether this replica leads the term.
+        Whether this replica became the leader of the term.
     """
     requested_at = state.clock.now()
     req = _vote_request(state, term, transfer=transfer)
-    won = await _gather_votes(state, req)
+    won = await _collect_votes(state, req)
     async with state.lock:
         if state.role is not Role.CANDIDATE or state.term != term:
             return False
@@ -210,7 +210,7 @@
 
 
 def _become_leader(state: ReplicaState, requested_at: float) -> None:
-    logger.info("replica %s leads term %d", state.node_id, state.term)
+    logger.info("replica %s became the leader of term %d", state.node_id, state.term)
     state.role = Role.LEADER
     state.leader_id = state.node_id
     state.leader_address = state.address
@@ -234,28 +234,28 @@
     )
 
 
-async def _gather_votes(state: ReplicaState, req: wire.VoteRequest) -> bool:
-    """Return whether a majority, this replica included, grants its vote."""
+async def _collect_votes(state: ReplicaState, req: wire.VoteRequest) -> bool:
+    """Return whether a majority, including this replica, grants its vote."""
     members = state.members
     if all(m.node_id != state.node_id or not m.voting for m in members):
         return False
-    missing = quorum_size(members) - 1
+    votes_needed = quorum_size(members) - 1
     voters = [peer for peer in state.peers.values() if peer.member.voting]
     tasks = {
         asyncio.create_task(_send_vote_request(state, peer, req)) for peer in voters
     }
     pending = tasks
     try:
-        while 0 < missing <= len(pending):
+        while 0 < votes_needed <= len(pending):
             done, pending = await asyncio.wait(
                 pending, return_when=asyncio.FIRST_COMPLETED
             )
-            missing -= sum(task.result() for task in done)
+            votes_needed -= sum(task.result() for task in done)
     finally:
         for task in pending:
             task.cancel()
         await asyncio.gather(*pending, return_exceptions=True)
-    return missing <= 0
+    return votes_needed <= 0
 
 
 async def _send_vote_request(
--- a/wigeonscale/replication/follower.py
+++ b/wigeonscale/replication/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication."""
+"""Handling of append requests by a follower."""
 
 __all__ = ["handle_append"]
 
@@ -22,11 +22,13 @@
 async def handle_append(
     state: ReplicaState, req: wire.AppendRequest
 ) -> wire.AppendReply:
-    """Take entries or a snapshot chunk of the leader; durable when it returns.
+    """Append entries or receive a snapshot chunk of the leader.
+
+    Entries and a complete snapshot are durable when this returns.
 
     Raises:
-        WigeonscaleError: ``BAD_REQUEST`` or ``CORRUPT_LOG`` for a request that no
-            leader sends; nothing was changed.
+        WigeonscaleError: ``BAD_REQUEST`` or ``CORRUPT_LOG`` for a request that a
+            correct leader never sends; the log is unchanged.
     """
     _validate_request(req)
     async with state.lock:
@@ -69,16 +71,16 @@
 
 def _validate_entry(entry: wire.LogEntry) -> None:
     if entry.kind not in REPLICATED_KINDS:
-        _reject(f"entry {entry.index} is of the unknown kind {entry.kind}")
+        _reject(f"entry {entry.index} has the unknown kind {entry.kind}")
     if entry.kind == EntryKind.MEMBERS and not _names_members(entry.data):
-        _reject(f"entry {entry.index} changes the members to none")
+        _reject(f"entry {entry.index} contains no valid list of members")
 
 
 def _validate_chunk(chunk: wire.SnapshotChunk, term: int) -> None:
     if chunk.last_index < 1 or not 0 <= chunk.last_term <= term:
-        _reject(f"snapshot at entry {chunk.last_index} of term {chunk.last_term}")
+        _reject(f"invalid snapshot index {chunk.last_index} or term {chunk.last_term}")
     if chunk.final and not chunk.voters:
-        _reject(f"snapshot at entry {chunk.last_index} names no members")
+        _reject(f"snapshot at entry {chunk.last_index} contains no members")
 
 
 def _names_members(data: bytes) -> bool:
@@ -96,11 +98,11 @@
     if state.leading:
         raise WigeonscaleError(
             ErrorKind.CORRUPT_LOG,
-            f"replica {req.leader_id} claims to lead term {req.term}, which"
-            f" {state.node_id} leads",
+            f"replica {req.leader_id} claims to be the leader of term {req.term}, but"
+            f" {state.node_id} is",
         )
     if state.role is Role.CANDIDATE:
-        step_down(state, f"{req.leader_id} leads term {req.term}")
+        step_down(state, f"{req.leader_id} is the leader of term {req.term}")
     state.leader_id = req.leader_id
     state.leader_address = req.leader_address
     state.leader_heard_at = state.clock.now()
@@ -133,7 +135,7 @@
         return _reply(state, req, success=False, match_index=mismatch)
     for position, entry in enumerate(req.entries):
         if entry.index <= storage.base_index:
-            continue  # covered by the snapshot
+            continue  # included in the snapshot
         term = storage.term_at(entry.index)
         if term == entry.term:
             continue
@@ -150,7 +152,7 @@
 
 
 def _find_mismatch(state: ReplicaState, req: wire.AppendRequest) -> int | None:
-    """Return where the leader should try next, or None when the logs meet."""
+    """Return the index that the leader should try next, or None if the logs match."""
     storage = state.storage
     previous = req.previous_index
     if previous < storage.base_index:
@@ -160,7 +162,7 @@
         return None
     if term is None:
         return storage.last_index
-    # Skip the whole conflicting term, but never what is committed.
+    # Skip all entries of the conflicting term, but no committed entry.
     while previous > max(state.commit_index, storage.base_index):
         if storage.term_at(previous) != term:
             break
@@ -172,7 +174,7 @@
     if index <= state.commit_index:
         raise WigeonscaleError(
             ErrorKind.CORRUPT_LOG,
-            f"entry {index} of the leader contradicts committed entry"
+            f"entry {index} of the leader conflicts with the log committed up to entry"
             f" {state.commit_index}",
         )
     await state.storage.truncate_from(index)
--- a/wigeonscale/replication/transfer.py
+++ b/wigeonscale/replication/transfer.py
@@ -1,9 +1,10 @@
-"""Transfer of leadership when the leader stops as planned.
+"""Leadership transfer before a planned stop of the leader.
 
-The leader takes no more proposals, waits until those in flight are committed and
-answered, and asks a voter that holds its whole log to campaign at once. The voter
-needs no pre-vote and the others vote although they still hear the leader, because
-the leader itself asked. After section 3.10 of the Raft dissertation (Ongaro, 2014).
+The leader rejects new proposals, waits until those in flight are committed and
+answered, and asks a voter that has its complete log to campaign immediately. The voter
+skips the pre-vote, and the others grant their votes although they still hear the
+leader, because the request carries the leader's consent. After section 3.10 of the
+Raft dissertation (Ongaro, 2014).
 """
 
 __all__ = ["handle_campaign", "transfer_leadership"]
@@ -25,13 +26,13 @@
 
 
 async def transfer_leadership(state: ReplicaState) -> bool:
-    """Give up leading for good, to another voter where one can take over.
+    """Transfer leadership to another voter, if one can take over, and step down.
 
-    Takes at most an election timeout; then this replica just steps down, and the
-    others elect a leader once they miss it.
+    Takes at most one election timeout. If the transfer fails, this replica steps down
+    anyway, and the others elect a leader after their election timeouts.
 
     Returns:
-        Whether another voter leads.
+        Whether another voter has become the leader.
     """
     state.stopping = True
     limit_s = state.options.election_timeout_s
@@ -42,15 +43,17 @@
     except TimeoutError:
         transferred = False
     if state.leading and not transferred:
-        logger.warning("replica %s found no successor", state.node_id)
-    step_down(state, "it stops")
+        logger.warning(
+            "replica %s could not transfer leadership to another replica", state.node_id
+        )
+    step_down(state, "it is stopping")
     return transferred
 
 
 async def handle_campaign(
     state: ReplicaState, req: wire.CampaignRequest
 ) -> wire.CampaignReply:
-    """Campaign at once, as the leader asks, and answer whether it was won."""
+    """Campaign immediately at the leader's request and report whether it was won."""
     won = False
     async with state.lock:
         accepted = _can_take_over(state, req)
@@ -81,9 +84,11 @@
         )
         if not state.leading:
             return False
-        if await _ask_to_campaign(state, peer):
+        if await _send_campaign_request(state, peer):
             logger.info(
-                "replica %s handed over to %s", state.node_id, peer.member.node_id
+                "replica %s transferred leadership to %s",
+                state.node_id,
+                peer.member.node_id,
             )
             return True
     return False
@@ -104,7 +109,7 @@
 
 
 def _peers_by_progress(state: ReplicaState) -> list[PeerState]:
-    """Return the peers, the most caught-up one first; one without a vote declines."""
+    """Return the peers, most caught-up first; those that may not vote will decline."""
 
     def progress(peer: PeerState) -> tuple[int, float]:
         return peer.match_index, peer.acked_at
@@ -112,7 +117,7 @@
     return sorted(state.peers.values(), key=progress, reverse=True)
 
 
-async def _ask_to_campaign(state: ReplicaState, peer: PeerState) -> bool:
+async def _send_campaign_request(state: ReplicaState, peer: PeerState) -> bool:
     req = wire.CampaignRequest(
         leader_id=state.node_id,
         term=state.term,
@@ -123,6 +128,6 @@
     try:
         reply = await with_timeout(state.clock, state.append_timeout_s, call)
     except (TimeoutError, ConnectionError) as exc:
-        logger.info("%s does not campaign: %s", peer.member.node_id, exc)
+        logger.info("request to %s to campaign failed: %s", peer.member.node_id, exc)
         return False
     return reply.won
