--- a/wigeonscale/adapters/engine_http.py
+++ b/wigeonscale/adapters/engine_http.py
@@ -17,7 +17,7 @@
 from aiohttp import web
 
 from wigeonscale.errors import (
-    ANSWERS,
+    ERROR_RESPONSES,
     ErrorKind,
     RunState,
     WigeonscaleError,
@@ -245,7 +245,7 @@
             return await handler(req)
         except WigeonscaleError as exc:
             error = {"kind": str(exc.kind), "message": exc.message}
-            status = ANSWERS[exc.kind].status
+            status = ERROR_RESPONSES[exc.kind].status
             return web.json_response({"error": error}, status=status)
 
     return answer
--- a/wigeonscale/adapters/service_http.py
+++ b/wigeonscale/adapters/service_http.py
@@ -9,7 +9,7 @@
 import yarl
 
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.ports import HttpAnswer
+from wigeonscale.ports import HttpResponse
 
 HOP_HEADERS = frozenset(
     {
@@ -85,7 +85,7 @@
         headers: Sequence[tuple[str, str]],
         body: bytes,
         timeout_s: float = 60.0,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Make one call and return its answer.
 
         Raises:
@@ -103,7 +103,7 @@
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
                 allow_redirects=False,
             ) as answer:
-                return HttpAnswer(
+                return HttpResponse(
                     status=answer.status,
                     headers=tuple(
                         (n, v)
--- a/wigeonscale/agent/outcomes.py
+++ b/wigeonscale/agent/outcomes.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from wigeonscale.errors import ANSWERS, WigeonscaleError
+from wigeonscale.errors import ERROR_RESPONSES, WigeonscaleError
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -63,7 +63,7 @@
                 break
             except WigeonscaleError as exc:
                 logger.warning("outcome of %s: %s", outcome.dispatch_id, exc.message)
-                if not ANSWERS[exc.kind].retryable:
+                if not ERROR_RESPONSES[exc.kind].retryable:
                     return
                 await self._clock.sleep(RETRY_S)
         self._on_reported(outcome.dispatch_id)
--- a/wigeonscale/agent/tests/test_agent.py
+++ b/wigeonscale/agent/tests/test_agent.py
@@ -8,7 +8,7 @@
     start_chain,
     start_service,
 )
-from wigeonscale.ports import HttpAnswer
+from wigeonscale.ports import HttpResponse
 from wigeonscale.testing import AsyncTestCase, ManualClock
 from wigeonscale.testing.fake_engine import expected_tokens
 from wigeonscale.wire import wire_pb2 as wire
@@ -26,7 +26,7 @@
     async def call(self, method, path, headers, body, timeout_s=60.0):
         self.calls.append((method, path, body))
         await self.gate.wait()
-        return HttpAnswer(status=200, headers=(("X-A", "b"),), body=body)
+        return HttpResponse(status=200, headers=(("X-A", "b"),), body=body)
 
 
 class GenerateTest(AsyncTestCase):
--- a/wigeonscale/agent/tests/test_fuzz.py
+++ b/wigeonscale/agent/tests/test_fuzz.py
@@ -7,7 +7,7 @@
 
 from wigeonscale.agent.stream import EntryStream
 from wigeonscale.agent.tests.support import FakeControl, Node, ReachableService
-from wigeonscale.ports import HttpAnswer
+from wigeonscale.ports import HttpResponse
 from wigeonscale.testing import AsyncTestCase, ManualClock, rpcs_ended
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -23,7 +23,7 @@
     async def call(self, method, path, headers, body, timeout_s=60.0):
         self.calls.append(path)
         await self.gate.wait()
-        return HttpAnswer(status=200)
+        return HttpResponse(status=200)
 
 
 def open_message(dispatch_id, incarnation, deadline_ms, once):
--- a/wigeonscale/agent/tests/test_once.py
+++ b/wigeonscale/agent/tests/test_once.py
@@ -7,7 +7,7 @@
     until,
 )
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.ports import HttpAnswer
+from wigeonscale.ports import HttpResponse
 from wigeonscale.testing import AsyncTestCase, ManualClock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -25,7 +25,7 @@
         await self.gate.wait()
         if self.error:
             raise self.error
-        return HttpAnswer(status=200, body=body)
+        return HttpResponse(status=200, body=body)
 
 
 class OnceTest(AsyncTestCase):
--- a/wigeonscale/cli/admin_client.py
+++ b/wigeonscale/cli/admin_client.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from wigeonscale.errors import (
-    ANSWERS,
+    ERROR_RESPONSES,
     ErrorKind,
     RunState,
     WigeonscaleError,
@@ -86,7 +86,7 @@
                 try:
                     return await self.ask(address, method, path, body)
                 except WigeonscaleError as exc:
-                    if not ANSWERS[exc.kind].retryable:
+                    if not ERROR_RESPONSES[exc.kind].retryable:
                         raise _verdict(exc, unknown) from exc
                     last = exc
                     if exc.run_state is not RunState.NOT_RUN:
--- a/wigeonscale/config/tests/test_docs.py
+++ b/wigeonscale/config/tests/test_docs.py
@@ -11,7 +11,7 @@
 )
 from wigeonscale.config.load import SHARED_KEYS
 from wigeonscale.config.settings import NodeSettings
-from wigeonscale.errors import ANSWERS
+from wigeonscale.errors import ERROR_RESPONSES
 from wigeonscale.testing import AsyncTestCase
 
 PAGE = pathlib.Path(__file__).parents[3] / "docs" / "OPERATING.md"
@@ -52,5 +52,5 @@
         self.assertEqual(wanted, listed - {("section", "key")})
 
     def test_every_error_kind_has_its_row_and_status(self):
-        for kind, answer in ANSWERS.items():
+        for kind, answer in ERROR_RESPONSES.items():
             self.assertIn(f"| {kind} | {answer.status} |", self.text)
--- a/wigeonscale/control/admin.py
+++ b/wigeonscale/control/admin.py
@@ -21,7 +21,7 @@
 from wigeonscale.control.hub import Hub
 from wigeonscale.control.rule_changes import apply_command, rollback_command
 from wigeonscale.errors import (
-    ANSWERS,
+    ERROR_RESPONSES,
     ErrorKind,
     RunState,
     WigeonscaleError,
@@ -273,7 +273,7 @@
 
 
 def _error_response(exc: WigeonscaleError) -> web.Response:
-    answer = ANSWERS[exc.kind]
+    answer = ERROR_RESPONSES[exc.kind]
     error = {"kind": exc.kind.value, "message": exc.message}
     if exc.kind in (ErrorKind.NO_QUORUM, ErrorKind.INTERNAL):
         error["run"] = exc.run_state.value
--- a/wigeonscale/control/backend_health.py
+++ b/wigeonscale/control/backend_health.py
@@ -11,7 +11,7 @@
 from wigeonscale.control.commands import Commands
 from wigeonscale.control.last_heartbeat import LastHeartbeat, log_backend_change
 from wigeonscale.errors import WigeonscaleError
-from wigeonscale.ports import Clock, EngineSign, ProbeAnswer
+from wigeonscale.ports import Clock, EngineProbeResult, ProbeResult
 from wigeonscale.replication import Replica, Role
 from wigeonscale.state import ControlState, Member
 from wigeonscale.wire import wire_pb2 as wire
@@ -61,7 +61,7 @@
         commands: Commands,
         clock: Clock,
         heartbeat_s: float,
-        probe: Callable[[str, int], Awaitable[EngineSign]],
+        probe: Callable[[str, int], Awaitable[EngineProbeResult]],
         last_heartbeats: dict[str, LastHeartbeat],
     ):
         self._node_id = node_id
@@ -193,13 +193,13 @@
     async def _check(self, member: Member) -> None:
         name, started_ms = member.backend.agent_id, member.backend.started_ms
         for _ in range(PROBE_ATTEMPTS):
-            sign = await self._probe(member.backend.address, started_ms)
-            answer = sign.answer
-            if answer is ProbeAnswer.ANSWERED:
+            probe_result = await self._probe(member.backend.address, started_ms)
+            answer = probe_result.result
+            if answer is ProbeResult.ANSWERED:
                 self._record_answer(name, started_ms, member.sequence)
-                await self._update_slowness(name, started_ms, sign.pace)
+                await self._update_slowness(name, started_ms, probe_result.pace)
                 return
-            if answer in (ProbeAnswer.REFUSED, ProbeAnswer.REPLACED):
+            if answer in (ProbeResult.REFUSED, ProbeResult.REPLACED):
                 # The port refuses, or a later incarnation answers. This one has ended,
                 # and streams through it stall until entries learn of it.
                 break
--- a/wigeonscale/control/layer_assigner.py
+++ b/wigeonscale/control/layer_assigner.py
@@ -204,7 +204,7 @@
             outcome = await self._send_order(backend, layers, waits=waits)
         # An order that was sent is in _issued_orders by now.
         self._queued_layers.pop(backend.agent_id, None)
-        if polls and outcome is OrderOutcome.BEGUN:
+        if polls and outcome is OrderOutcome.STARTED:
             await self._poll_until_loaded(backend, layers)
 
     async def _send_order(
@@ -228,8 +228,8 @@
             waits=waits,
         )
         now = self._clock.now()
-        if outcome in (OrderOutcome.BEGUN, OrderOutcome.HOLDS_ALREADY):
-            self._order_counts[name] = expected + (outcome is OrderOutcome.BEGUN)
+        if outcome in (OrderOutcome.STARTED, OrderOutcome.UNCHANGED):
+            self._order_counts[name] = expected + (outcome is OrderOutcome.STARTED)
             self._issued_orders[name] = _Order(
                 layers,
                 now + ORDER_TIMEOUT_S,
--- a/wigeonscale/control/liveness.py
+++ b/wigeonscale/control/liveness.py
@@ -12,7 +12,7 @@
 from wigeonscale.control.probe import ProbeCache
 from wigeonscale.control.watcher import Watcher
 from wigeonscale.errors import WigeonscaleError
-from wigeonscale.ports import Clock, Probe, ProbeAnswer
+from wigeonscale.ports import Clock, Probe, ProbeResult
 from wigeonscale.replication import Replica, Role
 from wigeonscale.state import ControlState, Member
 from wigeonscale.wire import wire_pb2 as wire
@@ -201,12 +201,12 @@
             return ""
         since = max(self._suspected_at.get(key, 0.0), self._absent_since.get(key, 0.0))
         match self._probes.answer(key, member.backend.address, since):
-            case ProbeAnswer.REFUSED:
+            case ProbeResult.REFUSED:
                 return "refused"
-            case ProbeAnswer.ANSWERED:
+            case ProbeResult.ANSWERED:
                 # Only its stream is broken or silent; the agent opens a new one.
                 self._suspected_at.pop(key, None)
-            case ProbeAnswer.NOTHING if is_suspected:
+            case ProbeResult.NO_ANSWER if is_suspected:
                 is_long = silent_s >= self._suspect_silence_s
                 return "suspected" if is_long else ""
         return ""
@@ -267,7 +267,7 @@
         member = self._state.members.get(suspicion.agent_id)
         if member is None:
             return
-        if await self._probe(member.backend.address) is ProbeAnswer.ANSWERED:
+        if await self._probe(member.backend.address) is ProbeResult.ANSWERED:
             return  # it attaches to another replica by itself
         # Neither the agent nor the replica it is attached to answers.
         member = self._state.members.get(suspicion.agent_id)
--- a/wigeonscale/control/probe.py
+++ b/wigeonscale/control/probe.py
@@ -9,7 +9,7 @@
 import grpc
 
 from wigeonscale.adapters.channels import TlsFiles, open_channel
-from wigeonscale.ports import Clock, Probe, ProbeAnswer
+from wigeonscale.ports import Clock, Probe, ProbeResult
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
@@ -23,7 +23,7 @@
     """Time of the last probe of an agent, and its newest answer."""
 
     asked_at: float
-    answer: ProbeAnswer | None
+    answer: ProbeResult | None
     is_pending: bool = True
 
 
@@ -43,7 +43,7 @@
         self._states: dict[Hashable, _ProbeState] = {}
         self._tasks: set[asyncio.Task] = set()
 
-    def answer(self, name: Hashable, address: str, since: float) -> ProbeAnswer | None:
+    def answer(self, name: Hashable, address: str, since: float) -> ProbeResult | None:
         """Return the newest answer of an agent; starts a new probe if it is old.
 
         Args:
@@ -94,7 +94,7 @@
 
 async def probe_agent(
     address: str, *, tls: TlsFiles | None = None, timeout_s: float = PROBE_TIMEOUT_S
-) -> ProbeAnswer:
+) -> ProbeResult:
     """Ping an agent over a new connection.
 
     Args:
@@ -110,9 +110,9 @@
             await _connect(address)
             return await _ping(address, tls)
     except ConnectionRefusedError:
-        return ProbeAnswer.REFUSED
+        return ProbeResult.REFUSED
     except (OSError, TimeoutError, grpc.aio.AioRpcError):
-        return ProbeAnswer.NOTHING
+        return ProbeResult.NO_ANSWER
 
 
 async def _connect(address):
@@ -131,5 +131,5 @@
         async for event in call:
             if event.pong_us:
                 call.cancel()
-                return ProbeAnswer.ANSWERED
-    return ProbeAnswer.NOTHING
+                return ProbeResult.ANSWERED
+    return ProbeResult.NO_ANSWER
--- a/wigeonscale/control/registry.py
+++ b/wigeonscale/control/registry.py
@@ -15,7 +15,7 @@
 from wigeonscale.control.commands import Commands
 from wigeonscale.control.last_heartbeat import LastHeartbeat, log_backend_change
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.ports import Clock, EngineSign
+from wigeonscale.ports import Clock, EngineProbeResult
 from wigeonscale.replication import Replica
 from wigeonscale.state import ControlState
 from wigeonscale.wire import wire_pb2 as wire
@@ -48,7 +48,7 @@
         commands: Commands,
         clock: Clock,
         heartbeat_s: float,
-        probe: Callable[[str, int], Awaitable[EngineSign]],
+        probe: Callable[[str, int], Awaitable[EngineProbeResult]],
         has_service: Callable[[str], bool],
     ):
         self._node_id = node_id
--- a/wigeonscale/control/tests/layer_assigner_case.py
+++ b/wigeonscale/control/tests/layer_assigner_case.py
@@ -42,10 +42,10 @@
         if outcome is not None:
             return outcome
         if expected_orders != self.counts[address]:
-            return OrderOutcome.MISFIT
+            return OrderOutcome.CONFLICT
         self.counts[address] += 1
         self.held[address] = (first, end)
-        return OrderOutcome.BEGUN
+        return OrderOutcome.STARTED
 
     async def status(self, address, **_):
         self.asked.append(address)
--- a/wigeonscale/control/tests/support.py
+++ b/wigeonscale/control/tests/support.py
@@ -12,7 +12,7 @@
     Watcher,
 )
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.ports import ProbeAnswer
+from wigeonscale.ports import ProbeResult
 from wigeonscale.replication import Member, NotLeaderError, Role
 from wigeonscale.state import ControlState
 from wigeonscale.state.tests.support import engine
@@ -104,7 +104,7 @@
         self.forwarded = []
         self.peer_answers = True
         self.probed = []
-        self.probe_answer = ProbeAnswer.NOTHING
+        self.probe_answer = ProbeResult.NO_ANSWER
         self.liveness = Liveness(
             node_id="c1",
             state=self.state,
--- a/wigeonscale/control/tests/test_liveness.py
+++ b/wigeonscale/control/tests/test_liveness.py
@@ -4,7 +4,7 @@
 
 from wigeonscale.control.tests.support import DOWN_AFTER_S, LEASE_S, ControlFixture
 from wigeonscale.errors import ErrorKind
-from wigeonscale.ports import ProbeAnswer
+from wigeonscale.ports import ProbeResult
 from wigeonscale.replication import Role
 from wigeonscale.state.tests.support import chain
 from wigeonscale.testing import AsyncTestCase
@@ -68,14 +68,14 @@
     async def test_agent_without_stream_that_refuses_a_probe_ends_at_once(self):
         watcher = await self.fixture.attach("a")
         await self.pass_time(1, watcher)
-        self.fixture.probe_answer = ProbeAnswer.REFUSED
+        self.fixture.probe_answer = ProbeResult.REFUSED
         self.fixture.hub.remove(watcher)
         self.fixture.liveness.wake()
         await self.fixture.clock.advance(0)
         self.assertFalse(self.is_alive())
 
     async def test_agent_that_answers_a_probe_has_time_to_reattach(self):
-        self.fixture.probe_answer = ProbeAnswer.ANSWERED
+        self.fixture.probe_answer = ProbeResult.ANSWERED
         lost, silent = await self.fixture.attach("a"), await self.fixture.attach("b")
         await self.pass_time(1, lost, silent)
         silent.last_message_at = self.fixture.clock.now()
@@ -90,11 +90,11 @@
 
     async def test_answer_before_the_suspicion_does_not_count(self):
         watcher = await self.fixture.attach("a")
-        self.fixture.probe_answer = ProbeAnswer.ANSWERED
+        self.fixture.probe_answer = ProbeResult.ANSWERED
         self.suspect()
         await self.pass_time(CHECK_S)
         watcher.last_message_at = self.fixture.clock.now()
-        self.fixture.probe_answer = ProbeAnswer.NOTHING
+        self.fixture.probe_answer = ProbeResult.NO_ANSWER
         await self.pass_time(CHECK_S)
         self.suspect()
         await self.pass_time(LEASE_S / 3 + CHECK_S)
@@ -178,7 +178,7 @@
     async def test_suspected_agent_that_moves_between_replicas_stays_alive(self):
         self.fixture.replica.silences = {"c2": 0.0}
         self.fixture.peer_answers = False
-        self.fixture.probe_answer = ProbeAnswer.ANSWERED
+        self.fixture.probe_answer = ProbeResult.ANSWERED
         await self.fixture.announce("a", replica="c2")
         self.suspect()
         await self.pass_time(CHECK_S)
--- a/wigeonscale/control/tests/test_probe.py
+++ b/wigeonscale/control/tests/test_probe.py
@@ -6,7 +6,7 @@
 from wigeonscale.agent.servicer import AgentServicer
 from wigeonscale.control import probe_agent
 from wigeonscale.control.probe import PROBE_INTERVAL_S, ProbeCache
-from wigeonscale.ports import ProbeAnswer, SystemClock
+from wigeonscale.ports import ProbeResult, SystemClock
 from wigeonscale.testing import AsyncTestCase, ManualClock, rpcs_ended
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
@@ -32,7 +32,7 @@
         await server.start()
         self.addCleanup(server.stop, None)
         answer = await probe_agent(address, timeout_s=LIMIT_S)
-        self.assertIs(ProbeAnswer.ANSWERED, answer)
+        self.assertIs(ProbeResult.ANSWERED, answer)
 
     async def test_nothing_listens(self):
         server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
@@ -40,7 +40,7 @@
         server.close()
         await server.wait_closed()
         answer = await probe_agent(f"{host}:{port}", timeout_s=LIMIT_S)
-        self.assertIs(ProbeAnswer.REFUSED, answer)
+        self.assertIs(ProbeResult.REFUSED, answer)
 
     async def test_process_that_only_accepts_connections_does_not_answer(self):
         taken = []
@@ -49,7 +49,7 @@
         )
         host, port = server.sockets[0].getsockname()
         answer = await probe_agent(f"{host}:{port}")
-        self.assertIs(ProbeAnswer.NOTHING, answer)
+        self.assertIs(ProbeResult.NO_ANSWER, answer)
         for writer in taken:
             writer.close()
         server.close()
@@ -82,16 +82,16 @@
     async def test_answers_are_refreshed_and_earlier_ones_ignored(self):
         self.assertEqual((None, 1), await self.answer(0.0))
         self.assertEqual((None, 1), await self.answer(0.0))
-        await self.reply(ProbeAnswer.ANSWERED)
-        self.assertEqual((ProbeAnswer.ANSWERED, 1), await self.answer(0.0))
+        await self.reply(ProbeResult.ANSWERED)
+        self.assertEqual((ProbeResult.ANSWERED, 1), await self.answer(0.0))
         await self.clock.advance(PROBE_INTERVAL_S)
-        self.assertEqual((ProbeAnswer.ANSWERED, 2), await self.answer(0.0))
+        self.assertEqual((ProbeResult.ANSWERED, 2), await self.answer(0.0))
         await self.clock.advance(PROBE_INTERVAL_S)
         suspected_at = self.clock.now()
         self.assertEqual((None, 2), await self.answer(suspected_at))
-        await self.reply(ProbeAnswer.ANSWERED)
+        await self.reply(ProbeResult.ANSWERED)
         self.assertEqual((None, 3), await self.answer(suspected_at))
-        await self.reply(ProbeAnswer.REFUSED)
-        self.assertEqual((ProbeAnswer.REFUSED, 3), await self.answer(suspected_at))
+        await self.reply(ProbeResult.REFUSED)
+        self.assertEqual((ProbeResult.REFUSED, 3), await self.answer(suspected_at))
         self.probes.retain(set())
         self.assertEqual((None, 4), await self.answer(suspected_at))
--- a/wigeonscale/control/tests/test_registry.py
+++ b/wigeonscale/control/tests/test_registry.py
@@ -3,7 +3,7 @@
 from wigeonscale.control import Commands, Registry
 from wigeonscale.control.tests.support import FakeReplica
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.ports import EngineSign, ProbeAnswer
+from wigeonscale.ports import EngineProbeResult, ProbeResult
 from wigeonscale.replication import Role
 from wigeonscale.state import ControlState
 from wigeonscale.testing import AsyncTestCase, ManualClock
@@ -51,12 +51,12 @@
     async def probe(self, address, started_ms):
         self.probed.append(address)
         if (address, started_ms) in self.replaced:
-            return EngineSign(ProbeAnswer.REPLACED)
+            return EngineProbeResult(ProbeResult.REPLACED)
         if address in self.refusing:
-            return EngineSign(ProbeAnswer.REFUSED)
+            return EngineProbeResult(ProbeResult.REFUSED)
         if address not in self.answering:
-            return EngineSign(ProbeAnswer.NOTHING)
-        return EngineSign(ProbeAnswer.ANSWERED, self.paces.get(address, 1.0))
+            return EngineProbeResult(ProbeResult.NO_ANSWER)
+        return EngineProbeResult(ProbeResult.ANSWERED, self.paces.get(address, 1.0))
 
     async def stop(self):
         self.task.cancel()
--- a/wigeonscale/daemons/direct_control.py
+++ b/wigeonscale/daemons/direct_control.py
@@ -29,8 +29,8 @@
     run_until_stopped,
     stop_bound_s,
 )
-from wigeonscale.platform.control_pages import MAX_DOCUMENT_BYTES, control_routes
-from wigeonscale.platform.documents import compress, decompress, read_table
+from wigeonscale.platform.control_http import MAX_DOCUMENT_BYTES, control_routes
+from wigeonscale.platform.documents import compress, decompress, read_route_table
 from wigeonscale.platform.engine_orders import HttpEngineOrders
 from wigeonscale.ports import Clock, SystemClock
 from wigeonscale.replication import (
@@ -179,7 +179,7 @@
         """Return the route table in force here, read once a document."""
         document = self.state.document
         if document.number != self._table.number:
-            self._table = read_table(decompress(document.content))
+            self._table = read_route_table(decompress(document.content))
         return self._table
 
     def _has_service(self, name: str) -> bool:
--- a/wigeonscale/daemons/direct_entry.py
+++ b/wigeonscale/daemons/direct_entry.py
@@ -39,10 +39,10 @@
 from wigeonscale.errors import SettingsError
 from wigeonscale.membership import Change, ControlClient
 from wigeonscale.platform.callers import CallerServer
-from wigeonscale.platform.documents import decompress, read_table
+from wigeonscale.platform.documents import decompress, read_route_table
 from wigeonscale.platform.engine_orders import HttpEngineOrders
 from wigeonscale.platform.exchange_http import HttpExchange, new_session
-from wigeonscale.platform.reaching import reach
+from wigeonscale.platform.reachability import check_reachable
 from wigeonscale.ports import Clock, SystemClock
 from wigeonscale.routes import RouteTable
 from wigeonscale.wire import wire_pb2 as wire
@@ -123,7 +123,7 @@
     def _take_table(self) -> None:
         document = self._control.numbered
         try:
-            self.table = read_table(decompress(document.content))
+            self.table = read_route_table(decompress(document.content))
         except SettingsError as exc:
             # Control checks each document before it is accepted.
             logger.error("document %d not read: %s", document.number, exc.message)
@@ -202,7 +202,7 @@
         fleet=lambda: known.fleet,
         suspect=suspect,
         hint=functools.partial(suspect, is_hint=True),
-        reach=reach,
+        reach=check_reachable,
         delay_s=lambda domain: known.table.delay_ms(cfg.domain, domain) / MILLISECONDS,
     )
     control.changes.subscribe(lambda change: stalls.check())
@@ -251,7 +251,7 @@
 
     async def finish() -> None:
         stopping.append(True)
-        await server.finish(BALANCER_SETTLE_S)
+        await server.drain(BALANCER_SETTLE_S)
 
     try:
         return await run_until_stopped(
--- a/wigeonscale/daemons/tests/test_early_listener.py
+++ b/wigeonscale/daemons/tests/test_early_listener.py
@@ -7,7 +7,7 @@
 from wigeonscale.daemons.early_listener import listen_early
 from wigeonscale.platform.callers import CallerServer
 from wigeonscale.ports import SystemClock
-from wigeonscale.ports.exchange import AnswerHead, WholeAnswer
+from wigeonscale.ports.exchange import FullResponse, ResponseHead
 from wigeonscale.testing import AsyncTestCase
 
 SETTINGS = """\
@@ -57,7 +57,9 @@
         await writer.drain()
 
         async def serve(req, sink):
-            await sink.send(WholeAnswer(AnswerHead(200, ()), req.request_id.encode()))
+            await sink.send(
+                FullResponse(ResponseHead(200, ()), req.request_id.encode())
+            )
 
         server = CallerServer(
             address=f"127.0.0.1:{self.port}",
--- a/wigeonscale/direct/choice.py
+++ b/wigeonscale/direct/choice.py
@@ -15,7 +15,7 @@
 from wigeonscale.direct.backend_tracker import BackendTracker
 from wigeonscale.direct.fleet import BackendServer
 from wigeonscale.layers import Part, find_path
-from wigeonscale.ports.exchange import Generation
+from wigeonscale.ports.exchange import GenerationSize
 from wigeonscale.routes import EngineProfile
 
 # Costs of a plain server, in units of its capacity. Servers of one service are similar
@@ -130,7 +130,7 @@
 
 def path_costs(
     engine: EngineProfile,
-    generation: Generation,
+    generation: GenerationSize,
     *,
     tracker: BackendTracker,
     entries: int,
@@ -149,8 +149,8 @@
         up. An engine processes all its requests in a batch; the larger the batch, the
         longer a step takes.
     """
-    prompt = generation.prompt or engine.usual_prompt
-    answer = generation.expected or engine.usual_answer
+    prompt = generation.prompt_tokens or engine.usual_prompt
+    answer = generation.expected_tokens or engine.usual_answer
     tokens = prompt + answer
     # Capacity is checked with the mean size for every request. With its own size, a
     # large request would be rejected far more often than a small one.
--- a/wigeonscale/direct/detour.py
+++ b/wigeonscale/direct/detour.py
@@ -18,7 +18,7 @@
 
 def kv_cache_demand(job: Job, path: Sequence[Part]) -> dict[str, float]:
     """Return the KV cache demand by engine, in tokens times layers."""
-    tokens = job.req.generation.prompt + job.req.generation.expected
+    tokens = job.req.generation.prompt_tokens + job.req.generation.expected_tokens
     return {part.backend_id: float(tokens * part.layers.count) for part in path}
 
 
@@ -50,7 +50,7 @@
         path=detour,
         addresses=[fleet.by_id[part.backend_id].address for part in detour],
     )
-    is_done = outcome in (OrderOutcome.BEGUN, OrderOutcome.HOLDS_ALREADY)
+    is_done = outcome in (OrderOutcome.STARTED, OrderOutcome.UNCHANGED)
     logger.info(
         "generation rerouted" if is_done else "generation not rerouted",
         extra=log_fields(
--- a/wigeonscale/direct/notices.py
+++ b/wigeonscale/direct/notices.py
@@ -56,7 +56,7 @@
         if notice is None:
             return
         self._limits.note(backend_id, notice.limit_per_s, sent_at=sent_at)
-        self._note_retry_after(backend_id, notice.rest_s)
+        self._note_retry_after(backend_id, notice.retry_after_s)
         if notice.is_leaving:
             # Permanent: a later response without this notice was begun before it.
             self._leaving.add(backend_id)
@@ -70,7 +70,7 @@
                 backend=backend_id,
                 limit_per_s=notice.limit_per_s,
                 leaving=notice.is_leaving,
-                rest_s=notice.rest_s,
+                rest_s=notice.retry_after_s,
             ),
         )
 
--- a/wigeonscale/direct/plain.py
+++ b/wigeonscale/direct/plain.py
@@ -19,7 +19,7 @@
 from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.runs import Run
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.ports.exchange import ExchangeError, Fate, WholeAnswer
+from wigeonscale.ports.exchange import CallOutcome, ExchangeError, FullResponse
 
 # Fraction of the remaining time that an attempt of an idempotent request gets, so that
 # a hanging server leaves time for another attempt.
@@ -31,7 +31,7 @@
 logger = logging.getLogger(__name__)
 
 
-async def call_plain(ctx: EntryContext, job: Job) -> WholeAnswer:
+async def call_plain(ctx: EntryContext, job: Job) -> FullResponse:
     """Return the response of a backend server.
 
     Args:
@@ -45,7 +45,7 @@
     tried: set[str] = set()
     attempts = 0
     may_have_run = False
-    failed: WholeAnswer | None = None
+    failed: FullResponse | None = None
     while True:
         if failed is None:
             raise_if_crashing(ctx, job, may_have_run=may_have_run)
@@ -60,10 +60,10 @@
             answer = await _send(ctx, job, server)
         except ExchangeError as exc:
             _note_failure(ctx, job, server, exc)
-            if exc.fate is Fate.NOT_SENT:
+            if exc.outcome is CallOutcome.NOT_SENT:
                 attempts -= 1
                 continue
-            may_have_run = may_have_run or exc.fate is Fate.UNKNOWN
+            may_have_run = may_have_run or exc.outcome is CallOutcome.UNKNOWN
             if may_have_run and not job.route.is_idempotent:
                 break
             continue
@@ -109,11 +109,11 @@
     return choose(tried | backends_with_other_suspects(ctx, job)) or choose(tried)
 
 
-async def _send(ctx: EntryContext, job: Job, server: BackendServer) -> WholeAnswer:
+async def _send(ctx: EntryContext, job: Job, server: BackendServer) -> FullResponse:
     now = ctx.clock.now()
     left_s = job.deadline_at - now
     if left_s <= 0:
-        raise ExchangeError(Fate.NOT_SENT, "deadline passed before the send")
+        raise ExchangeError(CallOutcome.NOT_SENT, "deadline passed before the send")
     limit_s = left_s * ATTEMPT_TIME_FRACTION if _may_retry(job) else left_s
     call = job.call(now=now, address=server.address, backend_id=server.name)
     run = Run((server.backend_id,), fingerprint=job.fingerprint)
@@ -134,12 +134,13 @@
         return answer
     except ExchangeError as exc:
         note_notice(exc.notice)
-        if exc.fate is Fate.UNKNOWN:
+        if exc.outcome is CallOutcome.UNKNOWN:
             note_broken_run(ctx, job, run)
         raise
     except TimeoutError:
         raise ExchangeError(
-            Fate.UNKNOWN, f"{server.address} did not respond within {limit_s:.3f} s"
+            CallOutcome.UNKNOWN,
+            f"{server.address} did not respond within {limit_s:.3f} s",
         ) from None
     finally:
         ctx.tracker.end(run)
@@ -153,9 +154,9 @@
     ctx: EntryContext, job: Job, server: BackendServer, exc: ExchangeError
 ) -> None:
     ctx.tracker.note_outcome(server.backend_id, failed=True)
-    if exc.fate is Fate.NOT_RUN and not exc.is_stranger:
+    if exc.outcome is CallOutcome.NOT_RUN and not exc.is_other_incarnation:
         ctx.tracker.note_refused(server.backend_id)
-    elif exc.fate is Fate.NOT_SENT or exc.is_stranger:
+    elif exc.outcome is CallOutcome.NOT_SENT or exc.is_other_incarnation:
         ctx.tracker.note_lost(server.backend_id)
         ctx.suspect(server.backend_id)
     logger.info(
@@ -165,7 +166,7 @@
             request_id=job.req.request_id,
             fingerprint=job.fingerprint.hex(),
             backend=server.backend_id,
-            outcome=exc.fate,
+            outcome=exc.outcome,
             status=exc.status,
         ),
     )
--- a/wigeonscale/direct/probing.py
+++ b/wigeonscale/direct/probing.py
@@ -15,7 +15,7 @@
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.fleet import BackendServer, Fleet
-from wigeonscale.ports import Clock, ProbeAnswer, Reach
+from wigeonscale.ports import Clock, ProbeResult, ReachabilityCheck
 
 # Start times of the probes of one engine. A connection opens within about 2 ms, but a
 # lost packet delays it by a second. A second and a third connection keep packet loss
@@ -55,7 +55,7 @@
     def __init__(
         self,
         *,
-        reach: Reach,
+        reach: ReachabilityCheck,
         clock: Clock,
         fleet: Callable[[], Fleet],
         delay_s: Callable[[str], float],
@@ -113,12 +113,12 @@
         lost = [
             server.backend_id
             for server, answer in results.items()
-            if answer is not ProbeAnswer.ANSWERED
+            if answer is not ProbeResult.ANSWERED
             and not self._has_progress(server.backend_id)
         ]
         # If no engine responds, this entry may be the one that is cut off.
         is_cut_off = not self._has_event_since(began_at) and all(
-            answer is ProbeAnswer.NOTHING for answer in answers
+            answer is ProbeResult.NO_ANSWER for answer in answers
         )
         logger.info(
             "engines of stalled paths probed",
@@ -137,7 +137,7 @@
         for name in lost:
             self._on_lost(name)
 
-    async def _probe_server(self, server: BackendServer) -> ProbeAnswer:
+    async def _probe_server(self, server: BackendServer) -> ProbeResult:
         """Return the first conclusive result of several probes."""
         probes = [
             asyncio.create_task(self._probe_once(server, delay_s))
@@ -146,15 +146,15 @@
         try:
             for probe in asyncio.as_completed(probes):
                 answer = await probe
-                if answer is not ProbeAnswer.NOTHING:
+                if answer is not ProbeResult.NO_ANSWER:
                     return answer
-            return ProbeAnswer.NOTHING
+            return ProbeResult.NO_ANSWER
         finally:
             for probe in probes:
                 probe.cancel()
             await asyncio.gather(*probes, return_exceptions=True)
 
-    async def _probe_once(self, server: BackendServer, delay_s: float) -> ProbeAnswer:
+    async def _probe_once(self, server: BackendServer, delay_s: float) -> ProbeResult:
         await self._clock.sleep(delay_s)
         round_trip_s = ONE_WAY_DELAYS_PER_PROBE * self._delay_s(server.domain)
         return await self._reach(
--- a/wigeonscale/direct/service.py
+++ b/wigeonscale/direct/service.py
@@ -13,7 +13,7 @@
 from wigeonscale.direct.progress import Progress
 from wigeonscale.direct.stream import relay_stream
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.ports.exchange import AnswerSink, CallerRequest
+from wigeonscale.ports.exchange import CallerRequest, ResponseSink
 from wigeonscale.routes import (
     Repeat,
     RouteTable,
@@ -60,7 +60,7 @@
         self._may_serve = may_serve
         self._rng = rng
 
-    async def serve(self, req: CallerRequest, sink: AnswerSink) -> None:
+    async def serve(self, req: CallerRequest, sink: ResponseSink) -> None:
         """Handle one request.
 
         Args:
@@ -108,7 +108,7 @@
             ),
         )
 
-    async def _run(self, job: Job, sink: AnswerSink) -> dict[str, object]:
+    async def _run(self, job: Job, sink: ResponseSink) -> dict[str, object]:
         """Handle a request; return log fields about its response."""
         if job.route.repeat is Repeat.STREAM:
             return _pause_fields(job, await relay_stream(self._around, job, sink))
--- a/wigeonscale/direct/stalls.py
+++ b/wigeonscale/direct/stalls.py
@@ -20,7 +20,7 @@
 from wigeonscale.direct.fleet import Fleet
 from wigeonscale.direct.probing import EngineProber
 from wigeonscale.direct.runs import Run
-from wigeonscale.ports import Clock, Reach
+from wigeonscale.ports import Clock, ReachabilityCheck
 from wigeonscale.ports.orders import EngineOrders
 
 CHECK_INTERVAL_S = 0.02
@@ -92,7 +92,7 @@
         fleet: Callable[[], Fleet],
         suspect: Callable[[str], None],
         hint: Callable[[str], None],
-        reach: Reach,
+        reach: ReachabilityCheck,
         delay_s: Callable[[str], float] = lambda domain: 0.0,
     ):
         self._tracker = tracker
@@ -253,7 +253,7 @@
             self._tracker.note_lost(head)
             return
         status = await self._orders.status(
-            server.address, limit_s=HEAD_STATUS_TIMEOUT_S
+            server.address, timeout_s=HEAD_STATUS_TIMEOUT_S
         )
         if status is None:
             culprits = [head]
--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -28,12 +28,12 @@
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.layers import Part
 from wigeonscale.ports.exchange import (
-    AnswerSink,
     BackendStream,
+    CallOutcome,
     ExchangeError,
-    Fate,
+    FullResponse,
+    ResponseSink,
     StreamEvent,
-    WholeAnswer,
 )
 
 # Most sends of one request. The attempts of a route do not limit them, because refused
@@ -48,7 +48,7 @@
 logger = logging.getLogger(__name__)
 
 
-async def relay_stream(ctx: EntryContext, job: Job, sink: AnswerSink) -> Progress:
+async def relay_stream(ctx: EntryContext, job: Job, sink: ResponseSink) -> Progress:
     """Relay a generation to its caller, completely or with an error.
 
     Args:
@@ -82,7 +82,7 @@
 async def _send_once(
     ctx: EntryContext,
     job: Job,
-    sink: AnswerSink,
+    sink: ResponseSink,
     progress: Progress,
     choice: PathChoice,
 ) -> bool:
@@ -92,7 +92,7 @@
     servers = [fleet.by_id[part.backend_id] for part in path]
     now = ctx.clock.now()
     if now >= job.deadline_at:
-        raise ExchangeError(Fate.NOT_SENT, "deadline passed before the send")
+        raise ExchangeError(CallOutcome.NOT_SENT, "deadline passed before the send")
     is_split = path[0].layers.count > 0
     call = job.call(
         now=now,
@@ -145,7 +145,7 @@
         return is_whole
     except ExchangeError as exc:
         note_notice(exc.notice)
-        if exc.fate is Fate.UNKNOWN:
+        if exc.outcome is CallOutcome.UNKNOWN:
             note_broken_run(ctx, job, run)
             if not run.has_events:
                 ctx.tracker.note_unanswered(first)
@@ -156,7 +156,8 @@
         note_aborted_run(ctx, job, run, (first,))
         pause_s = ctx.clock.now() - run.progress_at
         raise ExchangeError(
-            Fate.UNKNOWN, f"no event from {servers[0].address} for {pause_s:.2f} s"
+            CallOutcome.UNKNOWN,
+            f"no event from {servers[0].address} for {pause_s:.2f} s",
         ) from None
     finally:
         run.wait_timeout = None
@@ -177,7 +178,7 @@
 async def _relay_events(
     ctx: EntryContext,
     job: Job,
-    sink: AnswerSink,
+    sink: ResponseSink,
     progress: Progress,
     run: Run,
     stream: BackendStream,
@@ -202,14 +203,14 @@
 
 
 async def _relay_error_response(
-    sink: AnswerSink, progress: Progress, stream: BackendStream
+    sink: ResponseSink, progress: Progress, stream: BackendStream
 ) -> bool:
-    body = await stream.rest()
+    body = await stream.read_body()
     if progress.is_begun:
         raise ExchangeError(
-            Fate.UNKNOWN, f"status {stream.head.status} for a resumed stream"
+            CallOutcome.UNKNOWN, f"status {stream.head.status} for a resumed stream"
         )
-    await sink.send(WholeAnswer(stream.head, body))
+    await sink.send(FullResponse(stream.head, body))
     return True
 
 
@@ -223,7 +224,8 @@
         return True
     if event.event_id > progress.last_id + 1:
         raise ExchangeError(
-            Fate.UNKNOWN, f"event {event.event_id} follows event {progress.last_id}"
+            CallOutcome.UNKNOWN,
+            f"event {event.event_id} follows event {progress.last_id}",
         )
     return event.event_id == progress.last_id + 1
 
@@ -235,16 +237,16 @@
     path: list[Part],
     exc: ExchangeError,
 ) -> None:
-    if exc.fate is Fate.UNKNOWN:
+    if exc.outcome is CallOutcome.UNKNOWN:
         # It may have run there even if no response head was received.
         progress.ran_on.add(path[0].backend_id)
     blamed = _engine_at_fault(ctx, path, exc)
-    if blamed and exc.fate is Fate.NOT_RUN and not exc.is_stranger:
+    if blamed and exc.outcome is CallOutcome.NOT_RUN and not exc.is_other_incarnation:
         ctx.tracker.note_refused(blamed)
-        if exc.at_fault:
+        if exc.failed_address:
             # It may lack capacity or be lost; a probe by control finds out.
             ctx.suspect(blamed)
-    elif blamed and exc.fate is Fate.NOT_SENT and ctx.stalls.is_lagging:
+    elif blamed and exc.outcome is CallOutcome.NOT_SENT and ctx.stalls.is_lagging:
         # This process may have been too slow to see the connection open.
         ctx.tracker.note_refused(blamed)
     elif blamed:
@@ -257,7 +259,7 @@
         exc.message,
         extra=log_fields(
             request_id=job.req.request_id,
-            outcome=exc.fate,
+            outcome=exc.outcome,
             status=exc.status,
             last_event=progress.last_id,
             blamed=blamed,
@@ -267,10 +269,10 @@
 
 def _engine_at_fault(ctx: EntryContext, path: list[Part], exc: ExchangeError) -> str:
     """Return the engine that caused a failure; empty if it is unknown."""
-    named = ctx.fleet().by_address.get(exc.at_fault)
+    named = ctx.fleet().by_address.get(exc.failed_address)
     if named is not None:
         return named.backend_id
-    return "" if exc.fate is Fate.UNKNOWN else path[0].backend_id
+    return "" if exc.outcome is CallOutcome.UNKNOWN else path[0].backend_id
 
 
 async def _wait_for_retry(
--- a/wigeonscale/direct/tests/fakes.py
+++ b/wigeonscale/direct/tests/fakes.py
@@ -3,8 +3,8 @@
 import asyncio
 from contextlib import asynccontextmanager
 
-from wigeonscale.ports import ProbeAnswer
-from wigeonscale.ports.exchange import AnswerHead, WholeAnswer
+from wigeonscale.ports import ProbeResult
+from wigeonscale.ports.exchange import FullResponse, ResponseHead
 from wigeonscale.ports.orders import EngineStatus, OrderOutcome
 
 
@@ -28,7 +28,7 @@
 
     async def call(self, call):
         async with self.open(call) as stream:
-            return WholeAnswer(stream.head, await stream.rest())
+            return FullResponse(stream.head, await stream.read_body())
 
     @asynccontextmanager
     async def open(self, call):
@@ -51,10 +51,10 @@
 class FakeStream:
     def __init__(self, step):
         self._step = step
-        is_whole = isinstance(step, WholeAnswer)
-        self.head = step.head if is_whole else AnswerHead(200, (("Stamp", "first"),))
+        is_whole = isinstance(step, FullResponse)
+        self.head = step.head if is_whole else ResponseHead(200, (("Stamp", "first"),))
 
-    async def rest(self):
+    async def read_body(self):
         return self._step.body
 
     async def events(self):
@@ -90,7 +90,7 @@
     async def end(self):
         self.is_whole = True
 
-    def cut(self):
+    def abort(self):
         self.is_whole = False
 
 
@@ -105,14 +105,14 @@
         self.answer_s = {}
         self.probed = []
 
-    async def __call__(self, address, limit_s):
+    async def __call__(self, address, timeout_s):
         self.probed.append(address)
         takes_s = self.answer_s.get(address, 0.0)
-        if address in self.unreachable or takes_s > limit_s:
-            await self._clock.sleep(limit_s)
-            return ProbeAnswer.NOTHING
+        if address in self.unreachable or takes_s > timeout_s:
+            await self._clock.sleep(timeout_s)
+            return ProbeResult.NO_ANSWER
         await self._clock.sleep(takes_s)
-        return self.answers.get(address, ProbeAnswer.ANSWERED)
+        return self.answers.get(address, ProbeResult.ANSWERED)
 
 
 class FakeOrders:
@@ -129,8 +129,8 @@
         self.moved.append((address, request_id, [part.backend_id for part in path]))
         return self.move_outcome
 
-    async def status(self, address, *, limit_s):
-        self.limits.append(limit_s)
+    async def status(self, address, *, timeout_s):
+        self.limits.append(timeout_s)
         self.asked.append(address)
         held_up_by = self.held_up_by.get(address, ())
         if held_up_by is None:
--- a/wigeonscale/direct/tests/support.py
+++ b/wigeonscale/direct/tests/support.py
@@ -20,13 +20,13 @@
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.layers import LayerRange
 from wigeonscale.ports.exchange import (
-    AnswerHead,
     CallerRequest,
+    CallOutcome,
     ExchangeError,
-    Fate,
-    Generation,
+    FullResponse,
+    GenerationSize,
+    ResponseHead,
     StreamEvent,
-    WholeAnswer,
 )
 from wigeonscale.routes import (
     Accelerator,
@@ -82,19 +82,19 @@
 
 
 def not_run(**fields):
-    return ExchangeError(Fate.NOT_RUN, "refused", status=503, **fields)
+    return ExchangeError(CallOutcome.NOT_RUN, "refused", status=503, **fields)
 
 
 def not_sent():
-    return ExchangeError(Fate.NOT_SENT, "no connection")
+    return ExchangeError(CallOutcome.NOT_SENT, "no connection")
 
 
 def unknown():
-    return ExchangeError(Fate.UNKNOWN, "reset")
+    return ExchangeError(CallOutcome.UNKNOWN, "reset")
 
 
 def answer(status=200, body=b"whole"):
-    return WholeAnswer(AnswerHead(status, ()), body)
+    return FullResponse(ResponseHead(status, ()), body)
 
 
 def event(number):
@@ -169,7 +169,10 @@
         **fields,
     ):
         service = service or Service(name="plain")
-        fields.setdefault("generation", Generation(prompt=10, most=20, expected=20))
+        fields.setdefault(
+            "generation",
+            GenerationSize(prompt_tokens=10, max_tokens=20, expected_tokens=20),
+        )
         return Job(
             req=CallerRequest(
                 request_id="r1",
--- a/wigeonscale/direct/tests/test_backend_tracker.py
+++ b/wigeonscale/direct/tests/test_backend_tracker.py
@@ -6,7 +6,7 @@
 from wigeonscale.direct.choice import choose_path, path_costs
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.support import ENGINE, server
-from wigeonscale.ports.exchange import Generation
+from wigeonscale.ports.exchange import GenerationSize
 from wigeonscale.routes import Accelerator
 from wigeonscale.testing import AsyncTestCase, ManualClock
 
@@ -36,7 +36,7 @@
     PER_SECOND = 75
     DURATION_S = 2.3
     REPORT_INTERVAL_S = 0.5
-    SIZES = Generation(prompt=700, most=300, expected=150)
+    SIZES = GenerationSize(prompt_tokens=700, max_tokens=300, expected_tokens=150)
 
     def setUp(self):
         super().setUp()
--- a/wigeonscale/direct/tests/test_choice.py
+++ b/wigeonscale/direct/tests/test_choice.py
@@ -9,11 +9,11 @@
 )
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.support import ENGINE, server
-from wigeonscale.ports.exchange import Generation
+from wigeonscale.ports.exchange import GenerationSize
 from wigeonscale.routes import Accelerator
 from wigeonscale.testing import AsyncTestCase, ManualClock
 
-SIZES = Generation(prompt=100, most=40, expected=20)
+SIZES = GenerationSize(prompt_tokens=100, max_tokens=40, expected_tokens=20)
 
 
 class ServerTest(AsyncTestCase):
@@ -151,7 +151,7 @@
             replace(each, accelerator="fast" if each.domain == "b" else "k")
             for each in self.servers
         ]
-        sizes = Generation(prompt=100, most=400, expected=100)
+        sizes = GenerationSize(prompt_tokens=100, max_tokens=400, expected_tokens=100)
         costs = path_costs(engine, sizes, tracker=self.tracker, entries=1)
         path = choose_path(servers, engine, costs, domain="a")
         self.assertEqual(["a0", "a1"], [part.backend_id for part in path])
--- a/wigeonscale/direct/tests/test_cold_start.py
+++ b/wigeonscale/direct/tests/test_cold_start.py
@@ -6,7 +6,7 @@
 from wigeonscale.direct.choice import FULL_SHARE
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.support import ENGINE, MODEL, EntryHarness, engine
-from wigeonscale.ports.exchange import Generation
+from wigeonscale.ports.exchange import GenerationSize
 from wigeonscale.routes import Repeat
 from wigeonscale.testing import AsyncTestCase
 
@@ -15,7 +15,7 @@
 # capacity for all of them.
 RETURNING_REQUESTS = 150
 LAYERS = 5
-SIZES = Generation(prompt=100, most=40, expected=20)
+SIZES = GenerationSize(prompt_tokens=100, max_tokens=40, expected_tokens=20)
 
 
 class ColdStartTest(AsyncTestCase):
@@ -47,7 +47,7 @@
         choice = choose_path_for(harness.ctx, job, lost=(), ran_on=())
         if choice.full:
             return False
-        tokens = job.req.generation.prompt + job.req.generation.expected
+        tokens = job.req.generation.prompt_tokens + job.req.generation.expected_tokens
         layers = {p.backend_id: float(tokens * p.layers.count) for p in choice.path}
         harness.tracker.begin(Run(tuple(layers), layers))
         for name, token_layers in layers.items():
--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -14,7 +14,7 @@
     unknown,
 )
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.ports.exchange import ExchangeError, Fate
+from wigeonscale.ports.exchange import CallOutcome, ExchangeError
 from wigeonscale.testing import AsyncTestCase
 
 HANG = FakeExchange.HANG
@@ -242,7 +242,9 @@
     async def test_unsent_request_is_no_suspect(self):
         job = self.harness.job()
         for name in self.harness.fleet.by_id:
-            self.exchange.script(name, ExchangeError(Fate.NOT_SENT, "nobody there"))
+            self.exchange.script(
+                name, ExchangeError(CallOutcome.NOT_SENT, "nobody there")
+            )
         await self.failed(job)
         self.assertFalse(self.harness.ctx.crashes.is_suspect(job.fingerprint))
 
--- a/wigeonscale/direct/tests/test_full_engines.py
+++ b/wigeonscale/direct/tests/test_full_engines.py
@@ -12,7 +12,7 @@
     unknown,
 )
 from wigeonscale.errors import ErrorKind, RunState
-from wigeonscale.ports.exchange import Generation
+from wigeonscale.ports.exchange import GenerationSize
 
 
 class FullTest(StreamCase):
@@ -126,5 +126,9 @@
         for name in ("a1", "b1"):
             self.harness.tracker.begin(Run((name,), {name: room - usual}))
         self.exchange.script("a1", [event(1)])
-        await self.relay(generation=Generation(prompt=5000, most=900, expected=900))
+        await self.relay(
+            generation=GenerationSize(
+                prompt_tokens=5000, max_tokens=900, expected_tokens=900
+            )
+        )
         self.assertEqual([1], self.got())
--- a/wigeonscale/direct/tests/test_leaving.py
+++ b/wigeonscale/direct/tests/test_leaving.py
@@ -10,11 +10,11 @@
 from wigeonscale.direct.tests.fakes import FakeSink, FakeStream
 from wigeonscale.direct.tests.support import MODEL, EntryHarness, engine, event, server
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.ports.exchange import AnswerHead, ServerNotice, WholeAnswer
+from wigeonscale.ports.exchange import FullResponse, ResponseHead, ServerNotice
 from wigeonscale.routes import Repeat
 from wigeonscale.testing import AsyncTestCase
 
-LEAVING_HEAD = AnswerHead(200, (), ServerNotice(is_leaving=True))
+LEAVING_HEAD = ResponseHead(200, (), ServerNotice(is_leaving=True))
 
 
 class LeavingTest(AsyncTestCase):
@@ -55,8 +55,8 @@
 
     async def test_plain_server(self):
         harness = self.prepare_entry(server("p1"), server("p2"))
-        harness.exchange.script("p1", WholeAnswer(LEAVING_HEAD, b"whole"))
-        harness.exchange.script("p2", *[WholeAnswer(AnswerHead(200, ()), b"")] * 2)
+        harness.exchange.script("p1", FullResponse(LEAVING_HEAD, b"whole"))
+        harness.exchange.script("p2", *[FullResponse(ResponseHead(200, ()), b"")] * 2)
         for _ in range(3):
             await call_plain(harness.ctx, harness.job())
         self.assertEqual(["p1", "p2", "p2"], harness.exchange.sent_to)
@@ -79,6 +79,6 @@
         harness.ctx.notices.note(
             "p1", ServerNotice(), request_id="r0", sent_at=harness.clock.now() - 1.0
         )
-        harness.exchange.script("p2", WholeAnswer(AnswerHead(200, ()), b""))
+        harness.exchange.script("p2", FullResponse(ResponseHead(200, ()), b""))
         await call_plain(harness.ctx, harness.job())
         self.assertEqual(["p2"], harness.exchange.sent_to)
--- a/wigeonscale/direct/tests/test_notices.py
+++ b/wigeonscale/direct/tests/test_notices.py
@@ -9,7 +9,7 @@
     not_run,
     server,
 )
-from wigeonscale.ports.exchange import AnswerHead, ServerNotice, WholeAnswer
+from wigeonscale.ports.exchange import FullResponse, ResponseHead, ServerNotice
 from wigeonscale.routes import Repeat
 from wigeonscale.testing import AsyncTestCase
 
@@ -17,7 +17,7 @@
 
 
 def answer(notice):
-    return WholeAnswer(AnswerHead(200, (), notice), b"whole")
+    return FullResponse(ResponseHead(200, (), notice), b"whole")
 
 
 class NoticesTest(AsyncTestCase):
@@ -47,10 +47,10 @@
 
     async def test_plain(self):
         harness = EntryHarness(server("p1"), server("p2"))
-        harness.exchange.script("p1", not_run(notice=ServerNotice(rest_s=2.0)))
+        harness.exchange.script("p1", not_run(notice=ServerNotice(retry_after_s=2.0)))
         harness.exchange.script("p2", answer(LIMITED))
         await call_plain(harness.ctx, harness.job())
-        self.assertEqual(2.0, harness.ctx.notices.latest("p1").rest_s)
+        self.assertEqual(2.0, harness.ctx.notices.latest("p1").retry_after_s)
         self.assertEqual(LIMITED, harness.ctx.notices.latest("p2"))
 
     async def test_stream(self):
--- a/wigeonscale/direct/tests/test_probing.py
+++ b/wigeonscale/direct/tests/test_probing.py
@@ -4,7 +4,7 @@
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.tests.fakes import FakeExchange, FakeSink
 from wigeonscale.direct.tests.support import StreamCase, engine, event, fleet
-from wigeonscale.ports import ProbeAnswer
+from wigeonscale.ports import ProbeResult
 
 HANG = FakeExchange.HANG
 # A pause of more than 300 ms is late, and prefill on another path takes up to 100 ms.
@@ -131,7 +131,7 @@
 
     async def test_refused_connection_marks_engine_lost_at_once(self):
         stalled_at = await self.stall_streams("nobody")
-        self.harness.reach.answers["a2:80"] = ProbeAnswer.REFUSED
+        self.harness.reach.answers["a2:80"] = ProbeResult.REFUSED
         await self.until(lambda: all(task.done() for task in self.tasks))
         waited_s = self.harness.clock.now() - stalled_at
         await self.end()
--- a/wigeonscale/direct/tests/test_retry_after.py
+++ b/wigeonscale/direct/tests/test_retry_after.py
@@ -34,7 +34,7 @@
 
 
 def refused_with_rest():
-    return not_run(notice=ServerNotice(rest_s=REST_S))
+    return not_run(notice=ServerNotice(retry_after_s=REST_S))
 
 
 class RetryAfterTest(AsyncTestCase):
@@ -96,7 +96,7 @@
 
     async def test_only_engine_rests_briefly(self):
         harness, sent_at = self.prepare_entry(engine("a", 0, 10))
-        moment = not_run(notice=ServerNotice(rest_s=0.5))
+        moment = not_run(notice=ServerNotice(retry_after_s=0.5))
         harness.exchange.script("a", moment, [event(1)])
         sink = FakeSink()
         for _ in range(2):
@@ -112,7 +112,7 @@
         harness, _ = self.prepare_entry(engine("a", 0, 10))
         for rest_s in (REST_S, 0.1):
             harness.ctx.notices.note(
-                "a", ServerNotice(rest_s=rest_s), request_id="r", sent_at=0.0
+                "a", ServerNotice(retry_after_s=rest_s), request_id="r", sent_at=0.0
             )
         self.assertEqual(REST_S, harness.ctx.notices.send_delay_s("a"))
         await harness.clock.advance(REST_S)
--- a/wigeonscale/direct/tests/test_stalls.py
+++ b/wigeonscale/direct/tests/test_stalls.py
@@ -159,7 +159,7 @@
         self.assertTrue(self.sink.is_whole)
 
     async def test_rerouted_within_the_same_run(self):
-        self.harness.orders.move_outcome = OrderOutcome.BEGUN
+        self.harness.orders.move_outcome = OrderOutcome.STARTED
         await self.lose("a2")
         self.assertEqual([("a1:80", "r1", ["a1", "a3"])], self.harness.orders.moved)
         self.assertEqual(["a1"], self.exchange.sent_to)
@@ -168,14 +168,14 @@
             self.assertEqual((0, 0.0), self.harness.tracker.load_of(name, 1))
 
     async def test_retried_if_the_engine_refuses_the_reroute(self):
-        self.harness.orders.move_outcome = OrderOutcome.MISFIT
+        self.harness.orders.move_outcome = OrderOutcome.CONFLICT
         self.exchange.script("a1", [event(2)])
         await self.lose("a2")
         paths = [[p.backend_id for p in call.path] for call in self.exchange.calls]
         self.assertEqual([["a1", "a2"], ["a1", "a3"]], paths)
 
     async def test_retried_if_the_first_engine_is_lost(self):
-        self.harness.orders.move_outcome = OrderOutcome.BEGUN
+        self.harness.orders.move_outcome = OrderOutcome.STARTED
         await self.lose("a1")
         self.assertEqual([], self.harness.orders.moved)
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
--- a/wigeonscale/direct/tests/test_stream.py
+++ b/wigeonscale/direct/tests/test_stream.py
@@ -62,7 +62,7 @@
         self.assertEqual(1, len(self.exchange.calls))
 
     async def test_a_refused_send_tries_another_path(self):
-        self.exchange.script("a1", not_run(at_fault="a2:80"))
+        self.exchange.script("a1", not_run(failed_address="a2:80"))
         self.exchange.script("b1", [event(1)])
         await self.relay()
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
@@ -209,8 +209,8 @@
             engine("c1", 0, 5, domain="c"),
             engine("c2", 5, 10, domain="c"),
         )
-        self.exchange.script("a1", [event(1), not_run(at_fault="a2:80")])
-        self.exchange.script("b1", [event(2), not_run(at_fault="b2:80")])
+        self.exchange.script("a1", [event(1), not_run(failed_address="a2:80")])
+        self.exchange.script("b1", [event(2), not_run(failed_address="b2:80")])
         self.exchange.script("a1", [event(3)])
         await self.relay()
         self.assertEqual(["a1", "b1", "a1"], self.exchange.sent_to)
--- a/wigeonscale/entry/answers.py
+++ b/wigeonscale/entry/answers.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from wigeonscale.errors import ANSWERS, WigeonscaleError
+from wigeonscale.errors import ERROR_RESPONSES, WigeonscaleError
 
 REQUEST_HEADER = "Wigeonscale-Request"
 RUN_HEADER = "Wigeonscale-Run"
@@ -24,7 +24,7 @@
     Returns:
         Status, headers and JSON body as the table of kinds says.
     """
-    answer = ANSWERS[exc.kind]
+    answer = ERROR_RESPONSES[exc.kind]
     headers = {RUN_HEADER: exc.run_state.value}
     if answer.retryable:
         headers["Retry-After"] = str(math.ceil(_retry_after(exc)))
@@ -40,7 +40,7 @@
 
 def error_document(exc: WigeonscaleError) -> str:
     """Return an error as the JSON text that callers get."""
-    retryable = ANSWERS[exc.kind].retryable
+    retryable = ERROR_RESPONSES[exc.kind].retryable
     error = {
         "kind": exc.kind.value,
         "message": exc.message,
--- a/wigeonscale/entry/records.py
+++ b/wigeonscale/entry/records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from wigeonscale.adapters import METRICS, OK, log_fields
-from wigeonscale.errors import ANSWERS, ErrorKind
+from wigeonscale.errors import ERROR_RESPONSES, ErrorKind
 from wigeonscale.limits import Permit
 from wigeonscale.reports import DEFAULT_OBJECTIVES, BurnRecorder
 
@@ -84,7 +84,7 @@
         """Whether the request ended well, or badly by the caller's own doing."""
         if self.kind == OK:
             return True
-        own_doing = ANSWERS[self.kind].status < SERVER_FAULT
+        own_doing = ERROR_RESPONSES[self.kind].status < SERVER_FAULT
         return own_doing and self.kind is not ErrorKind.OUTCOME_UNKNOWN
 
 
--- a/wigeonscale/entry/tests/test_bad_input.py
+++ b/wigeonscale/entry/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 
 from wigeonscale.entry.requests import ChatBody, CompletionBody, parse_body
 from wigeonscale.entry.tests.support import KEY, EntryCase
-from wigeonscale.errors import ANSWERS, ErrorKind, RunState, WigeonscaleError
+from wigeonscale.errors import ERROR_RESPONSES, ErrorKind, RunState, WigeonscaleError
 from wigeonscale.testing import AsyncTestCase
 
 JSON = {"Content-Type": "application/json"}
@@ -76,9 +76,11 @@
         )
         document = await answer.json()
         self.assertEqual(self.kind, document["error"]["kind"], document)
-        self.assertEqual(ANSWERS[self.kind].status, answer.status)
+        self.assertEqual(ERROR_RESPONSES[self.kind].status, answer.status)
         self.assertEqual(document["error"]["run"], answer.headers["Wigeonscale-Run"])
-        self.assertEqual(ANSWERS[self.kind].retryable, "Retry-After" in answer.headers)
+        self.assertEqual(
+            ERROR_RESPONSES[self.kind].retryable, "Retry-After" in answer.headers
+        )
         self.assertEqual([], self.agent.opened + self.service.opened)
         if self.method == "POST":
             self.assertEqual(RunState.NOT_RUN, document["error"]["run"])
--- a/wigeonscale/errors.py
+++ b/wigeonscale/errors.py
@@ -1,12 +1,12 @@
 """The closed list of error kinds, the exception tree and the table to answers.
 
 Every failure that reaches a caller, an operator or a peer has one
-:class:`ErrorKind`. :data:`ANSWERS` maps each kind to the HTTP answer given for it.
+:class:`ErrorKind`. :data:`ERROR_RESPONSES` maps each kind to its HTTP response.
 """
 
 __all__ = [
-    "ANSWERS",
-    "Answer",
+    "ERROR_RESPONSES",
+    "ErrorResponse",
     "ErrorKind",
     "RunState",
     "SettingsError",
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ErrorResponse:
     """The HTTP answer for one error kind.
 
     Attributes:
@@ -79,41 +79,41 @@
     retryable: bool
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400, False),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, False),
-    ErrorKind.UNSUPPORTED_MEDIA_TYPE: Answer(415, False),
-    ErrorKind.UNKNOWN_KEY: Answer(401, False),
-    ErrorKind.FORBIDDEN: Answer(403, False),
-    ErrorKind.NO_MATCHING_RULE: Answer(404, False),
-    ErrorKind.REFUSED_BY_RULE: Answer(403, False),
-    ErrorKind.UNKNOWN_MODEL: Answer(404, False),
-    ErrorKind.NOT_FOUND: Answer(404, False),
-    ErrorKind.IDEMPOTENCY_KEY_REQUIRED: Answer(400, False),
-    ErrorKind.IDEMPOTENCY_KEY_REUSED: Answer(422, False),
-    ErrorKind.IN_PROGRESS: Answer(409, True),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(409, False),
-    ErrorKind.ANSWER_EXPIRED: Answer(410, False),
-    ErrorKind.LIMIT_EXCEEDED: Answer(429, True),
-    ErrorKind.OVERLOADED: Answer(503, True),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(504, True),
-    ErrorKind.CANCELLED: Answer(499, False),
-    ErrorKind.NO_BACKEND: Answer(503, True),
-    ErrorKind.BACKEND_FAILED: Answer(502, True),
-    ErrorKind.BACKEND_LEAVING: Answer(503, True),
-    ErrorKind.CRASHES_BACKENDS: Answer(503, True),
-    ErrorKind.STALE_INCARNATION: Answer(503, True),
-    ErrorKind.STALE_EPOCH: Answer(503, True),
-    ErrorKind.STALE_TERM: Answer(409, False),
-    ErrorKind.LEASE_EXPIRED: Answer(503, True),
-    ErrorKind.STOPPING: Answer(503, True),
-    ErrorKind.NOT_LEADER: Answer(421, True),
-    ErrorKind.NO_QUORUM: Answer(503, True),
-    ErrorKind.REVISION_CONFLICT: Answer(409, False),
-    ErrorKind.INVALID_DOCUMENT: Answer(422, False),
-    ErrorKind.INVALID_SETTINGS: Answer(422, False),
-    ErrorKind.CORRUPT_LOG: Answer(500, False),
-    ErrorKind.INTERNAL: Answer(500, False),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, False),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413, False),
+    ErrorKind.UNSUPPORTED_MEDIA_TYPE: ErrorResponse(415, False),
+    ErrorKind.UNKNOWN_KEY: ErrorResponse(401, False),
+    ErrorKind.FORBIDDEN: ErrorResponse(403, False),
+    ErrorKind.NO_MATCHING_RULE: ErrorResponse(404, False),
+    ErrorKind.REFUSED_BY_RULE: ErrorResponse(403, False),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponse(404, False),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, False),
+    ErrorKind.IDEMPOTENCY_KEY_REQUIRED: ErrorResponse(400, False),
+    ErrorKind.IDEMPOTENCY_KEY_REUSED: ErrorResponse(422, False),
+    ErrorKind.IN_PROGRESS: ErrorResponse(409, True),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(409, False),
+    ErrorKind.ANSWER_EXPIRED: ErrorResponse(410, False),
+    ErrorKind.LIMIT_EXCEEDED: ErrorResponse(429, True),
+    ErrorKind.OVERLOADED: ErrorResponse(503, True),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(504, True),
+    ErrorKind.CANCELLED: ErrorResponse(499, False),
+    ErrorKind.NO_BACKEND: ErrorResponse(503, True),
+    ErrorKind.BACKEND_FAILED: ErrorResponse(502, True),
+    ErrorKind.BACKEND_LEAVING: ErrorResponse(503, True),
+    ErrorKind.CRASHES_BACKENDS: ErrorResponse(503, True),
+    ErrorKind.STALE_INCARNATION: ErrorResponse(503, True),
+    ErrorKind.STALE_EPOCH: ErrorResponse(503, True),
+    ErrorKind.STALE_TERM: ErrorResponse(409, False),
+    ErrorKind.LEASE_EXPIRED: ErrorResponse(503, True),
+    ErrorKind.STOPPING: ErrorResponse(503, True),
+    ErrorKind.NOT_LEADER: ErrorResponse(421, True),
+    ErrorKind.NO_QUORUM: ErrorResponse(503, True),
+    ErrorKind.REVISION_CONFLICT: ErrorResponse(409, False),
+    ErrorKind.INVALID_DOCUMENT: ErrorResponse(422, False),
+    ErrorKind.INVALID_SETTINGS: ErrorResponse(422, False),
+    ErrorKind.CORRUPT_LOG: ErrorResponse(500, False),
+    ErrorKind.INTERNAL: ErrorResponse(500, False),
 }
 
 
--- a/wigeonscale/lab/callers.py
+++ b/wigeonscale/lab/callers.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass
 
-from wigeonscale.ports.exchange import Generation
+from wigeonscale.ports.exchange import GenerationSize
 from wigeonscale.routes import EngineProfile
 
 # Standard deviation of the logarithm of prompts and answers, whose tails end at three
@@ -26,7 +26,7 @@
         answer: Tokens that the answer will have.
     """
 
-    told: Generation
+    told: GenerationSize
     answer: int
 
 
@@ -55,7 +55,12 @@
     prompt = _draw_size(rng, model.usual_prompt)
     answer = _draw_size(rng, model.usual_answer)
     hint = max(1, int(answer * math.exp(rng.gauss(0.0, HINT_SPREAD))))
-    return Sizes(Generation(prompt=prompt, most=4 * answer, expected=hint), answer)
+    return Sizes(
+        GenerationSize(
+            prompt_tokens=prompt, max_tokens=4 * answer, expected_tokens=hint
+        ),
+        answer,
+    )
 
 
 def _draw_size(rng: random.Random, mean: float) -> int:
--- a/wigeonscale/lab/play.py
+++ b/wigeonscale/lab/play.py
@@ -191,7 +191,7 @@
         sizes = draw_sizes(self._rng, self._scenario.model)
         window = self._figures.windows[int(self._clock.at // WINDOW_S)]
         window.asked += 1
-        run = ModelRun(prompt=sizes.told.prompt, answer=sizes.answer)
+        run = ModelRun(prompt=sizes.told.prompt_tokens, answer=sizes.answer)
         self._send(_Request(entry, run, sizes.told, self._clock.at, window))
 
     def _choose(self, req: _Request) -> tuple[Sequence[Part] | None, bool]:
@@ -238,7 +238,7 @@
             req.refused_by.add(refuser)
 
     def _hold(self, req: _Request, path: Sequence[Part]) -> None:
-        tokens = req.told.prompt + req.told.expected
+        tokens = req.told.prompt_tokens + req.told.expected_tokens
         req.held = Run(
             tuple(part.backend_id for part in path),
             {part.backend_id: float(tokens * part.layers.count) for part in path},
--- a/wigeonscale/platform/callers.py
+++ b/wigeonscale/platform/callers.py
@@ -12,7 +12,7 @@
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.errors import (
-    ANSWERS,
+    ERROR_RESPONSES,
     ErrorKind,
     RunState,
     WigeonscaleError,
@@ -20,10 +20,10 @@
 from wigeonscale.platform.headers import answer_headers, read_request_headers
 from wigeonscale.ports import Clock
 from wigeonscale.ports.exchange import (
-    AnswerHead,
-    AnswerSink,
     CallerRequest,
-    WholeAnswer,
+    FullResponse,
+    ResponseHead,
+    ResponseSink,
 )
 
 # Callers keep connections for less; see the limits of the configuration.
@@ -39,7 +39,7 @@
 # From the last byte read to the handler: wake the connection's task, start another.
 TURNS_TO_BEGIN = 5
 
-Serve = Callable[[CallerRequest, AnswerSink], Awaitable[None]]
+Serve = Callable[[CallerRequest, ResponseSink], Awaitable[None]]
 
 logger = logging.getLogger(__name__)
 
@@ -115,7 +115,7 @@
         """How many connections are open."""
         return len(self._runner.server.connections)
 
-    async def finish(self, settle_s: float) -> None:
+    async def drain(self, settle_s: float) -> None:
         """Serve on until the balancer sends nothing more and all is answered.
 
         Args:
@@ -181,7 +181,7 @@
             await self._refuse(request_id, exc, sink)
         except ConnectionError:
             logger.info("caller left", extra=log_fields(request_id=request_id))
-            sink.cut()
+            sink.abort()
         except Exception:
             logger.exception("request failed", extra=log_fields(request_id=request_id))
             error = WigeonscaleError(
@@ -215,7 +215,7 @@
     async def _refuse(
         self, request_id: str, exc: WigeonscaleError, sink: "_HttpSink"
     ) -> None:
-        answer = ANSWERS[exc.kind]
+        answer = ERROR_RESPONSES[exc.kind]
         status = answer.status
         if status in NOT_RUN_STATUSES and exc.run_state is not RunState.NOT_RUN:
             status = BAD_GATEWAY
@@ -232,12 +232,12 @@
             ),
         )
         if sink.is_begun:
-            sink.cut()
+            sink.abort()
             return
         headers = answer_headers(request_id, exc.retry_after)
-        head = AnswerHead(status, tuple(headers.items()))
+        head = ResponseHead(status, tuple(headers.items()))
         try:
-            await sink.send(WholeAnswer(head, f"{exc.kind.value}\n".encode()))
+            await sink.send(FullResponse(head, f"{exc.kind.value}\n".encode()))
         except ConnectionError:
             logger.info("caller left", extra=log_fields(request_id=request_id))
 
@@ -275,7 +275,7 @@
         self._is_stopping = is_stopping
         self.is_begun = False
 
-    async def send(self, answer: WholeAnswer) -> None:
+    async def send(self, answer: FullResponse) -> None:
         """Send a whole answer."""
         response = web.Response(
             status=answer.head.status,
@@ -285,7 +285,7 @@
         await self._prepare(response)
         await response.write_eof()
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def begin(self, head: ResponseHead) -> None:
         """Begin a stream."""
         response = web.StreamResponse(status=head.status, headers=head.headers)
         response.enable_chunked_encoding()
@@ -299,7 +299,7 @@
         """End a stream as complete."""
         await self.response.write_eof()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection, so that the answer does not look complete."""
         if self._req.transport is not None:
             self._req.transport.close()
--- a/wigeonscale/platform/control_pages.py
+++ b/wigeonscale/platform/control_http.py
@@ -8,8 +8,8 @@
 from aiohttp import web
 
 from wigeonscale.control import Registry
-from wigeonscale.errors import ANSWERS, RunState, WigeonscaleError
-from wigeonscale.platform.documents import read_table
+from wigeonscale.errors import ERROR_RESPONSES, RunState, WigeonscaleError
+from wigeonscale.platform.documents import read_route_table
 from wigeonscale.platform.heartbeats import read_farewell, read_heartbeat
 
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
@@ -38,7 +38,7 @@
 
     async def put_config(req: web.Request) -> web.Response:
         content = await req.read()
-        table = read_table(content)
+        table = read_route_table(content)
         await put_document(table.number, content)
         return web.json_response({"version": table.number})
 
@@ -74,7 +74,7 @@
         try:
             return await handler(req)
         except WigeonscaleError as exc:
-            status = ANSWERS[exc.kind].status
+            status = ERROR_RESPONSES[exc.kind].status
             if exc.run_state is not RunState.NOT_RUN or status >= 500:
                 # Whether it took effect is not known, or it could not.
                 status = UNAVAILABLE
--- a/wigeonscale/platform/documents.py
+++ b/wigeonscale/platform/documents.py
@@ -1,6 +1,6 @@
 """The platform's configuration document, read into a route table."""
 
-__all__ = ["compress", "decompress", "read_table"]
+__all__ = ["compress", "decompress", "read_route_table"]
 
 import zlib
 from typing import Annotated
@@ -147,7 +147,7 @@
     limits: _Limits = _Limits()
 
 
-def read_table(content: bytes) -> routes.RouteTable:
+def read_route_table(content: bytes) -> routes.RouteTable:
     """Return the route table of a document as it was sent.
 
     Args:
--- a/wigeonscale/platform/engine_orders.py
+++ b/wigeonscale/platform/engine_orders.py
@@ -12,9 +12,9 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.layers import Part
 from wigeonscale.platform.headers import path_text
-from wigeonscale.ports import EngineSign, ProbeAnswer
+from wigeonscale.ports import EngineProbeResult, ProbeResult
 from wigeonscale.ports.orders import (
-    STATUS_LIMIT_S,
+    STATUS_TIMEOUT_S,
     EngineStatus,
     OrderOutcome,
 )
@@ -27,9 +27,9 @@
 CHANGE_TIMEOUT_S = 0.15
 
 OUTCOMES = {
-    200: OrderOutcome.HOLDS_ALREADY,
-    202: OrderOutcome.BEGUN,
-    409: OrderOutcome.MISFIT,
+    200: OrderOutcome.UNCHANGED,
+    202: OrderOutcome.STARTED,
+    409: OrderOutcome.CONFLICT,
     412: OrderOutcome.FENCED,
 }
 
@@ -86,17 +86,17 @@
             "path": path_text(path, addresses),
         }
         answer = await self._ask(
-            "POST", address, "/order", order, limit_s=CHANGE_TIMEOUT_S
+            "POST", address, "/order", order, timeout_s=CHANGE_TIMEOUT_S
         )
         if answer is None:
             return OrderOutcome.UNKNOWN
         return OUTCOMES.get(answer[0], OrderOutcome.REFUSED)
 
     async def status(
-        self, address: str, *, limit_s: float = STATUS_LIMIT_S
+        self, address: str, *, timeout_s: float = STATUS_TIMEOUT_S
     ) -> EngineStatus | None:
         """Return what an engine says of itself; None without an answer in time."""
-        answer = await self._ask("GET", address, "/report", limit_s=limit_s)
+        answer = await self._ask("GET", address, "/report", timeout_s=timeout_s)
         if answer is None or answer[0] != 200:
             return None
         try:
@@ -117,7 +117,7 @@
             logger.warning("report of %s cannot be read: %s", address, exc)
             return None
 
-    async def probe(self, address: str, started_ms: int) -> EngineSign:
+    async def probe(self, address: str, started_ms: int) -> EngineProbeResult:
         """Return whether an engine is there, and how slow.
 
         Args:
@@ -126,17 +126,17 @@
         """
         try:
             answer = await self._send(
-                "GET", address, "/report", limit_s=PROBE_TIMEOUT_S
+                "GET", address, "/report", timeout_s=PROBE_TIMEOUT_S
             )
         except aiohttp.ClientConnectorError as exc:
             logger.info("probe of %s: no connection: %r", address, exc.os_error)
             is_refused = isinstance(exc.os_error, ConnectionRefusedError)
-            return EngineSign(
-                ProbeAnswer.REFUSED if is_refused else ProbeAnswer.NOTHING
+            return EngineProbeResult(
+                ProbeResult.REFUSED if is_refused else ProbeResult.NO_ANSWER
             )
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             logger.info("probe of %s: no answer: %r", address, exc)
-            return EngineSign(ProbeAnswer.NOTHING)
+            return EngineProbeResult(ProbeResult.NO_ANSWER)
         return _read_sign(answer, started_ms)
 
     async def _ask(
@@ -145,10 +145,10 @@
         address: str,
         path: str,
         body: dict | None = None,
-        limit_s: float = TIMEOUT_S,
+        timeout_s: float = TIMEOUT_S,
     ) -> tuple[int, bytes] | None:
         try:
-            return await self._send(method, address, path, body, limit_s)
+            return await self._send(method, address, path, body, timeout_s)
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             logger.info("%s %s at %s: no answer: %r", method, path, address, exc)
             return None
@@ -159,13 +159,13 @@
         address: str,
         path: str,
         body: dict | None = None,
-        limit_s: float = TIMEOUT_S,
+        timeout_s: float = TIMEOUT_S,
     ) -> tuple[int, bytes]:
         async with self._session.request(
             method,
             f"http://{address}{path}",
             json=body,
-            timeout=aiohttp.ClientTimeout(total=limit_s),
+            timeout=aiohttp.ClientTimeout(total=timeout_s),
             trace_request_ctx=address,
         ) as res:
             return res.status, await res.read()
@@ -183,11 +183,11 @@
     return born
 
 
-def _read_sign(answer: tuple[int, bytes], started_ms: int) -> EngineSign:
+def _read_sign(answer: tuple[int, bytes], started_ms: int) -> EngineProbeResult:
     """Return what an engine's report says of it."""
     status, content = answer
     if status != 200:
-        return EngineSign(ProbeAnswer.ANSWERED)
+        return EngineProbeResult(ProbeResult.ANSWERED)
     try:
         report = json.loads(content)
         born = _started_ms(report)
@@ -195,11 +195,11 @@
     except (ValueError, TypeError, AttributeError) as exc:
         # It answered, which is what was asked.
         logger.warning("report cannot be read: %s", exc)
-        return EngineSign(ProbeAnswer.ANSWERED)
+        return EngineProbeResult(ProbeResult.ANSWERED)
     if started_ms and born > started_ms:
         logger.info(
             "another start answers a probe",
             extra=log_fields(old_born=started_ms, born=born),
         )
-        return EngineSign(ProbeAnswer.REPLACED)
-    return EngineSign(ProbeAnswer.ANSWERED, pace if math.isfinite(pace) else 1.0)
+        return EngineProbeResult(ProbeResult.REPLACED)
+    return EngineProbeResult(ProbeResult.ANSWERED, pace if math.isfinite(pace) else 1.0)
--- a/wigeonscale/platform/exchange_http.py
+++ b/wigeonscale/platform/exchange_http.py
@@ -9,26 +9,26 @@
 import aiohttp
 from yarl import URL
 
-from wigeonscale.platform.connecting import pace_connections
+from wigeonscale.platform.connection_limiter import pace_connections
 from wigeonscale.platform.headers import (
     at_fault_of,
     backend_headers,
     event_id_of,
     head_of,
+    is_other_incarnation,
     is_refused_unrun,
-    is_stranger,
     names_request,
     notice_of,
 )
 from wigeonscale.ports.exchange import (
-    AnswerHead,
     BackendCall,
     BackendStream,
+    CallOutcome,
     ExchangeError,
-    Fate,
+    FullResponse,
+    ResponseHead,
     ServerNotice,
     StreamEvent,
-    WholeAnswer,
 )
 
 # A new connection takes a few milliseconds; a machine that is gone never answers.
@@ -69,11 +69,11 @@
     def __init__(self, *, session: aiohttp.ClientSession):
         self._session = session
 
-    async def call(self, call: BackendCall) -> WholeAnswer:
+    async def call(self, call: BackendCall) -> FullResponse:
         """Return the whole answer."""
         async with self.open(call) as stream:
-            body = await stream.rest()
-            return WholeAnswer(stream.head, body)
+            body = await stream.read_body()
+            return FullResponse(stream.head, body)
 
     @asynccontextmanager
     async def open(self, call: BackendCall) -> AsyncIterator[BackendStream]:
@@ -99,11 +99,11 @@
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
             raise ExchangeError(
-                Fate.NOT_SENT, f"{call.address} cannot be reached: {exc!r}"
+                CallOutcome.NOT_SENT, f"{call.address} cannot be reached: {exc!r}"
             ) from exc
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             raise ExchangeError(
-                Fate.UNKNOWN, f"{call.address} gave no answer: {exc!r}"
+                CallOutcome.UNKNOWN, f"{call.address} gave no answer: {exc!r}"
             ) from exc
 
 
@@ -122,7 +122,7 @@
     def __init__(
         self, *, res: aiohttp.ClientResponse, address: str, notice: ServerNotice
     ):
-        self.head: AnswerHead = head_of(res.status, res.raw_headers, notice)
+        self.head: ResponseHead = head_of(res.status, res.raw_headers, notice)
         self._res = res
         self._address = address
         # Kept, since the response forgets it at its end.
@@ -141,7 +141,7 @@
         if pending:
             raise self._broken("it ended inside an event")
 
-    async def rest(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Return the whole body of an answer that is no stream."""
         return b"".join([chunk async for chunk in self._chunks()])
 
@@ -166,7 +166,7 @@
 
     def _broken(self, message: str) -> ExchangeError:
         return ExchangeError(
-            Fate.UNKNOWN, f"answer of {self._address} broke off: {message}"
+            CallOutcome.UNKNOWN, f"answer of {self._address} broke off: {message}"
         )
 
 
@@ -178,17 +178,17 @@
     """
     if not names_request(res.headers, call.req.request_id):
         raise ExchangeError(
-            Fate.UNKNOWN, f"{call.address} answered another request than asked"
+            CallOutcome.UNKNOWN, f"{call.address} answered another request than asked"
         )
-    is_other = is_stranger(res.status, res.headers)
+    is_other = is_other_incarnation(res.status, res.headers)
     notice = None if is_other else notice_of(res.status, res.headers)
     if is_refused_unrun(res.status, res.headers):
         raise ExchangeError(
-            Fate.NOT_RUN,
+            CallOutcome.NOT_RUN,
             f"{call.address} refused with {res.status}",
             status=res.status,
-            at_fault=at_fault_of(res.headers),
-            is_stranger=is_other,
+            failed_address=at_fault_of(res.headers),
+            is_other_incarnation=is_other,
             notice=notice,
         )
     return notice
--- a/wigeonscale/platform/headers.py
+++ b/wigeonscale/platform/headers.py
@@ -8,7 +8,7 @@
     "event_id_of",
     "head_of",
     "is_refused_unrun",
-    "is_stranger",
+    "is_other_incarnation",
     "names_request",
     "notice_of",
     "path_text",
@@ -23,9 +23,9 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.layers import Part
 from wigeonscale.ports.exchange import (
-    AnswerHead,
     BackendCall,
-    Generation,
+    GenerationSize,
+    ResponseHead,
     ServerNotice,
 )
 
@@ -88,7 +88,7 @@
     host: str
     key: str
     deadline_s: float | None
-    generation: Generation
+    generation: GenerationSize
     last_event_id: int | None
     others: tuple[tuple[str, str], ...]
 
@@ -150,7 +150,7 @@
     status: int,
     raw: Sequence[tuple[bytes, bytes]],
     notice: ServerNotice,
-) -> AnswerHead:
+) -> ResponseHead:
     """Return the head of an answer as the caller shall get it.
 
     Args:
@@ -160,7 +160,7 @@
     """
     pairs = [(name.decode("latin-1"), value.decode("latin-1")) for name, value in raw]
     kept = [pair for pair in pairs if pair[0].lower() not in _NOT_TO_CALLERS]
-    return AnswerHead(status, tuple(kept), notice)
+    return ResponseHead(status, tuple(kept), notice)
 
 
 def notice_of(status: int, headers: Mapping[str, str]) -> ServerNotice:
@@ -174,7 +174,7 @@
     return ServerNotice(
         limit_per_s=_amount(headers, "Server-Limit"),
         is_leaving=headers.get("Server-Leaving", "").strip() == "1",
-        rest_s=rest_s or 0.0,
+        retry_after_s=rest_s or 0.0,
     )
 
 
@@ -188,7 +188,7 @@
     return status == MISDIRECTED or "Not-Run" in headers
 
 
-def is_stranger(status: int, headers: Mapping[str, str]) -> bool:
+def is_other_incarnation(status: int, headers: Mapping[str, str]) -> bool:
     """Return whether another incarnation than the one expected answered."""
     return status == MISDIRECTED and "At-Server" not in headers
 
@@ -220,14 +220,14 @@
     return None
 
 
-def _generation(headers: Mapping[str, str]) -> Generation:
+def _generation(headers: Mapping[str, str]) -> GenerationSize:
     # "Token-Count" holds two numbers: tokens of the prompt and most of the answer.
     prompt, _, most = headers.get("Token-Count", "").partition(",")
     limit = int(_number(most) or 0)
-    return Generation(
-        prompt=int(_number(prompt) or 0),
-        most=limit,
-        expected=int(_number(headers.get("Length-Hint", "")) or limit),
+    return GenerationSize(
+        prompt_tokens=int(_number(prompt) or 0),
+        max_tokens=limit,
+        expected_tokens=int(_number(headers.get("Length-Hint", "")) or limit),
     )
 
 
--- a/wigeonscale/platform/reaching.py
+++ b/wigeonscale/platform/reachability.py
@@ -1,14 +1,14 @@
 """Finds out whether a VM answers at all, at the price of opening a connection."""
 
-__all__ = ["reach"]
+__all__ = ["check_reachable"]
 
 import asyncio
 import socket
 
-from wigeonscale.ports import ProbeAnswer
+from wigeonscale.ports import ProbeResult
 
 
-async def reach(address: str, limit_s: float) -> ProbeAnswer:
+async def check_reachable(address: str, timeout_s: float) -> ProbeResult:
     """Open a connection and close it.
 
     A request for a report says more, and takes an entry some ten times the processor
@@ -17,7 +17,7 @@
 
     Args:
         address: ``ip:port``.
-        limit_s: Longest wait, in seconds.
+        timeout_s: Longest wait, in seconds.
 
     Returns:
         ``ANSWERED``, ``REFUSED`` where nothing listens, or ``NOTHING``.
@@ -26,12 +26,12 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             await asyncio.get_running_loop().sock_connect(sock, (host, int(port)))
-        return ProbeAnswer.ANSWERED
+        return ProbeResult.ANSWERED
     except ConnectionRefusedError:
-        return ProbeAnswer.REFUSED
+        return ProbeResult.REFUSED
     except (OSError, TimeoutError):
-        return ProbeAnswer.NOTHING
+        return ProbeResult.NO_ANSWER
     finally:
         sock.close()
--- a/wigeonscale/platform/tests/test_callers.py
+++ b/wigeonscale/platform/tests/test_callers.py
@@ -5,7 +5,7 @@
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.platform.callers import CallerServer
 from wigeonscale.ports import SystemClock
-from wigeonscale.ports.exchange import AnswerHead, WholeAnswer
+from wigeonscale.ports.exchange import FullResponse, ResponseHead
 from wigeonscale.testing import AsyncTestCase
 
 WAIT_S = 30.0
@@ -38,7 +38,7 @@
             raise
 
     async def serve(self, req, sink):
-        await sink.send(WholeAnswer(AnswerHead(200, (("Stamp", "s"),)), b"whole"))
+        await sink.send(FullResponse(ResponseHead(200, (("Stamp", "s"),)), b"whole"))
 
     def url(self, path="/a/b"):
         return f"http://127.0.0.1:{self.port}{path}"
@@ -57,7 +57,7 @@
         begun = asyncio.Event()
 
         async def serve(req, sink):
-            await sink.begin(AnswerHead(200, ()))
+            await sink.begin(ResponseHead(200, ()))
             begun.set()
             await asyncio.get_running_loop().create_future()
 
@@ -121,7 +121,7 @@
         gate = asyncio.Event()
 
         async def serve(req, sink):
-            await sink.begin(AnswerHead(200, (("Stamp", "s"),)))
+            await sink.begin(ResponseHead(200, (("Stamp", "s"),)))
             await sink.write(b"id: 1\n\n")
             await gate.wait()
             await sink.write(b"id: 2\n\n")
@@ -136,7 +136,7 @@
 
     async def test_a_stream_given_up_does_not_look_complete(self):
         async def serve(req, sink):
-            await sink.begin(AnswerHead(200, ()))
+            await sink.begin(ResponseHead(200, ()))
             await sink.write(b"id: 1\n\n")
             raise WigeonscaleError(
                 ErrorKind.BACKEND_FAILED, "broke", run_state=RunState.UNKNOWN
@@ -152,7 +152,7 @@
 
     async def test_work_ends_when_the_caller_leaves(self):
         async def serve(req, sink):
-            await sink.begin(AnswerHead(200, ()))
+            await sink.begin(ResponseHead(200, ()))
             await sink.write(b"id: 1\n\n")
             await asyncio.get_running_loop().create_future()
 
@@ -171,7 +171,7 @@
         async with asyncio.timeout(WAIT_S):
             while self.server.connections < 2:  # noqa: ASYNC110
                 await asyncio.sleep(0)
-        await self.server.finish(0.0)
+        await self.server.drain(0.0)
         async with asyncio.timeout(WAIT_S):
             self.assertEqual(b"", await reader.read())
             self.assertEqual(b"", await fresh.read())
@@ -180,7 +180,7 @@
         reader, _, _ = await self.raw(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", b"whole")
         (conn,) = self.server._runner.server.connections
         conn.data_received(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-        await self.server.finish(0.0)
+        await self.server.drain(0.0)
         async with asyncio.timeout(WAIT_S):
             self.assertTrue((await reader.read()).endswith(b"whole"))
         self.assertEqual(2, len(self.requests))
@@ -189,7 +189,7 @@
         gate = asyncio.Event()
 
         async def serve(req, sink):
-            await sink.begin(AnswerHead(200, ()))
+            await sink.begin(ResponseHead(200, ()))
             await sink.write(b"id: 1\n\n")
             await gate.wait()
             await sink.end()
@@ -197,7 +197,7 @@
         self.serve = serve
         request = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
         reader, _, _ = await self.raw(request, b"id: 1")
-        finish = asyncio.create_task(self.server.finish(0.0))
+        finish = asyncio.create_task(self.server.drain(0.0))
         await asyncio.sleep(0)
         self.assertFalse(finish.done())
         gate.set()
@@ -207,7 +207,7 @@
         self.assertTrue(rest.endswith(b"0\r\n\r\n"), rest)
 
     async def test_answers_close_their_connections_while_it_stops(self):
-        finish = asyncio.create_task(self.server.finish(WAIT_S))
+        finish = asyncio.create_task(self.server.drain(WAIT_S))
         await asyncio.sleep(0)
         request = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
         reader, _, got = await self.raw(request, b"whole")
--- a/wigeonscale/platform/tests/test_connecting.py
+++ b/wigeonscale/platform/tests/test_connection_limiter.py
@@ -3,7 +3,7 @@
 import aiohttp
 from aiohttp import web
 
-from wigeonscale.platform.connecting import MOST_AT_ONCE
+from wigeonscale.platform.connection_limiter import MOST_AT_ONCE
 from wigeonscale.platform.exchange_http import new_session
 from wigeonscale.platform.tests.support import serve
 from wigeonscale.testing import AsyncTestCase
--- a/wigeonscale/platform/tests/test_documents.py
+++ b/wigeonscale/platform/tests/test_documents.py
@@ -2,7 +2,7 @@
 import json
 
 from wigeonscale.errors import ErrorKind, SettingsError
-from wigeonscale.platform.documents import compress, decompress, read_table
+from wigeonscale.platform.documents import compress, decompress, read_route_table
 from wigeonscale.platform.tests.support import DOCUMENT, document
 from wigeonscale.routes import Repeat, Share, find_route
 from wigeonscale.testing import AsyncTestCase
@@ -10,7 +10,7 @@
 
 class ReadTest(AsyncTestCase):
     def test_all_that_is_known_of_a_route(self):
-        route = find_route(read_table(document()), "some.example", "/gen/x")
+        route = find_route(read_route_table(document()), "some.example", "/gen/x")
         self.assertEqual("r-gen", route.name)
         self.assertEqual(Repeat.STREAM, route.repeat)
         self.assertEqual(
@@ -20,7 +20,7 @@
         self.assertTrue(route.resumable and route.generates and route.is_idempotent)
 
     def test_engine(self):
-        engine = read_table(document()).services["model"].engine
+        engine = read_route_table(document()).services["model"].engine
         self.assertEqual(
             (80, 1750.0, 0.85), (engine.layers, engine.layer_mb, engine.step_ms)
         )
@@ -35,12 +35,12 @@
                     {"from": "b", "to": "a", "delay_ms": 0.42},
                     {"from": "b", "to": "c", "delay_ms": 30.0},
                 ]
-        table = read_table(document(services=services))
+        table = read_route_table(document(services=services))
         delays = [table.delay_ms(*pair) for pair in ("ab", "ba", "cb", "ac", "aa")]
         self.assertEqual([0.42, 0.42, 30.0, 0.0, 0.0], delays)
 
     def test_keys_limits_and_number(self):
-        table = read_table(document())
+        table = read_route_table(document())
         self.assertEqual(7, table.number)
         self.assertEqual({"k1", "k2"}, set(table.organisations))
         self.assertEqual(3, table.organisations["k1"].priority)
@@ -49,7 +49,7 @@
     def test_without_organisations_no_key_is_needed(self):
         without = copy.deepcopy(DOCUMENT)
         del without["tenants"]
-        self.assertFalse(read_table(json.dumps(without).encode()).needs_keys)
+        self.assertFalse(read_route_table(json.dumps(without).encode()).needs_keys)
 
     def test_kept_as_it_was_sent(self):
         self.assertEqual(document(), decompress(compress(document())))
@@ -57,7 +57,7 @@
 
 class InvalidTest(AsyncTestCase):
     def assert_invalid(self, content):
-        exc = self.assertRaises(SettingsError, read_table, content)
+        exc = self.assertRaises(SettingsError, read_route_table, content)
         self.assertEqual(ErrorKind.INVALID_DOCUMENT, exc.kind)
 
     def changed_route(self, **changes):
--- a/wigeonscale/platform/tests/test_engine_orders.py
+++ b/wigeonscale/platform/tests/test_engine_orders.py
@@ -6,7 +6,7 @@
 from wigeonscale.platform.engine_orders import HttpEngineOrders
 from wigeonscale.platform.exchange_http import new_session
 from wigeonscale.platform.tests.support import serve
-from wigeonscale.ports import EngineSign, ProbeAnswer
+from wigeonscale.ports import EngineProbeResult, ProbeResult
 from wigeonscale.ports.orders import OrderOutcome
 from wigeonscale.testing import AsyncTestCase
 
@@ -26,13 +26,13 @@
         runner, address = await serve(handle)
         self.addCleanup(runner.cleanup)
         sign = await self.orders.probe(address, 0)
-        self.assertEqual(EngineSign(ProbeAnswer.ANSWERED, 1.0), sign)
+        self.assertEqual(EngineProbeResult(ProbeResult.ANSWERED, 1.0), sign)
 
     async def test_a_later_start_is_told_from_the_one_asked_for(self):
         for born, answer in (
-            (100, ProbeAnswer.ANSWERED),
-            (200, ProbeAnswer.REPLACED),
-            ("200", ProbeAnswer.ANSWERED),
+            (100, ProbeResult.ANSWERED),
+            (200, ProbeResult.REPLACED),
+            ("200", ProbeResult.ANSWERED),
         ):
             report = {"seq": 0, "busy": False, "born": born}
 
@@ -42,7 +42,7 @@
             runner, address = await serve(handle)
             self.addCleanup(runner.cleanup)
             sign = await self.orders.probe(address, 100)
-            self.assertIs(answer, sign.answer)
+            self.assertIs(answer, sign.result)
 
     async def test_how_slow_it_is(self):
         for pace, wanted in ((12.5, 12.5), ("x", 1.0), (None, 1.0)):
@@ -54,7 +54,7 @@
             runner, address = await serve(handle)
             self.addCleanup(runner.cleanup)
             sign = await self.orders.probe(address, 0)
-            self.assertEqual(EngineSign(ProbeAnswer.ANSWERED, wanted), sign)
+            self.assertEqual(EngineProbeResult(ProbeResult.ANSWERED, wanted), sign)
 
     async def test_a_report_tells_the_start(self):
         async def handle(req):
@@ -70,7 +70,7 @@
             unused.bind(("127.0.0.1", 0))
             port = unused.getsockname()[1]
             sign = await self.orders.probe(f"127.0.0.1:{port}", 0)
-        self.assertIs(ProbeAnswer.REFUSED, sign.answer)
+        self.assertIs(ProbeResult.REFUSED, sign.result)
 
     async def test_an_engine_that_cuts_the_connection(self):
         async def handle(req):
@@ -80,7 +80,7 @@
         runner, address = await serve(handle)
         self.addCleanup(runner.cleanup)
         sign = await self.orders.probe(address, 0)
-        self.assertIs(ProbeAnswer.NOTHING, sign.answer)
+        self.assertIs(ProbeResult.NO_ANSWER, sign.result)
 
 
 class OrderTest(OrdersCase):
@@ -105,7 +105,7 @@
         )
 
     async def test_a_new_path_in_the_form_of_the_first_one(self):
-        self.assertIs(OrderOutcome.BEGUN, await self.change_path())
+        self.assertIs(OrderOutcome.STARTED, await self.change_path())
         order = {
             "op": "repath",
             "id": "r1",
@@ -115,9 +115,9 @@
 
     async def test_what_comes_of_it(self):
         outcomes = {
-            200: OrderOutcome.HOLDS_ALREADY,
+            200: OrderOutcome.UNCHANGED,
             404: OrderOutcome.REFUSED,
-            409: OrderOutcome.MISFIT,
+            409: OrderOutcome.CONFLICT,
             412: OrderOutcome.FENCED,
         }
         for self.status, outcome in outcomes.items():
@@ -133,7 +133,7 @@
                 expected_orders=2,
                 waits=waits,
             )
-            self.assertIs(OrderOutcome.BEGUN, outcome)
+            self.assertIs(OrderOutcome.STARTED, outcome)
         (_, _, order), (_, _, waiting) = self.taken
         self.assertEqual("queue", waiting["strategy"])
         self.assertEqual(
--- a/wigeonscale/platform/tests/test_exchange_http.py
+++ b/wigeonscale/platform/tests/test_exchange_http.py
@@ -3,7 +3,12 @@
 import struct
 
 from wigeonscale.platform.exchange_http import HttpExchange, new_session
-from wigeonscale.ports.exchange import BackendCall, CallerRequest, ExchangeError, Fate
+from wigeonscale.ports.exchange import (
+    BackendCall,
+    CallerRequest,
+    CallOutcome,
+    ExchangeError,
+)
 from wigeonscale.testing import AsyncTestCase
 
 OK = b"HTTP/1.1 200 OK\r\nAttempt-Id: id1\r\n"
@@ -111,7 +116,7 @@
 
     async def test_another_answer_is_not_taken_for_its_own(self):
         self.reply(OK.replace(b"id1", b"id2") + b"Content-Length: 5\r\n\r\nwhole")
-        self.assertEqual(Fate.UNKNOWN, (await self.broken()).fate)
+        self.assertEqual(CallOutcome.UNKNOWN, (await self.broken()).outcome)
 
     async def test_bytes_after_an_answer_belong_to_no_request(self):
         answer = OK + b"Content-Length: 5\r\n\r\nwhole"
@@ -123,7 +128,7 @@
         self.reply(OK + b"Content-Length: 5\r\n\r\nwhole", keeps=True)
         self.reply(b"")
         self.assertEqual(b"whole", (await self.call()).body)
-        self.assertEqual(Fate.UNKNOWN, (await self.broken()).fate)
+        self.assertEqual(CallOutcome.UNKNOWN, (await self.broken()).outcome)
         self.assertEqual(2, len(self.requests))
 
     async def test_redirects_are_answers(self):
@@ -141,7 +146,7 @@
             CHUNKED + chunk(b"wh"),
         ):
             self.reply(reply)
-            self.assertEqual(Fate.UNKNOWN, (await self.broken()).fate, reply)
+            self.assertEqual(CallOutcome.UNKNOWN, (await self.broken()).outcome, reply)
 
     async def test_without_a_length_it_ends_with_its_connection(self):
         self.reply(OK + b"Connection: close\r\n\r\nwhole")
@@ -150,7 +155,7 @@
     async def test_without_a_length_a_reset_is_no_end(self):
         self.reset = True
         self.reply(OK + b"Connection: close\r\n\r\nwhole")
-        self.assertEqual(Fate.UNKNOWN, (await self.broken()).fate)
+        self.assertEqual(CallOutcome.UNKNOWN, (await self.broken()).outcome)
 
     async def test_refused_and_not_run(self):
         self.reply(
@@ -159,7 +164,8 @@
         )
         exc = await self.broken()
         self.assertEqual(
-            (Fate.NOT_RUN, 503, "x:1"), (exc.fate, exc.status, exc.at_fault)
+            (CallOutcome.NOT_RUN, 503, "x:1"),
+            (exc.outcome, exc.status, exc.failed_address),
         )
 
     async def test_what_a_server_says_of_itself(self):
@@ -168,14 +174,14 @@
         self.assertEqual(2.5, (await self.call()).head.notice.limit_per_s)
         refusal = b"HTTP/1.1 %d No\r\nNot-Run: 1\r\nRetry-After: 3\r\n" + close
         self.reply(refusal % 503)
-        self.assertEqual(3.0, (await self.broken()).notice.rest_s)
+        self.assertEqual(3.0, (await self.broken()).notice.retry_after_s)
         # Another server at that address speaks of itself, not of the one asked.
         self.reply(refusal % 421)
         self.assertIsNone((await self.broken()).notice)
 
     async def test_nobody_listens(self):
         await self._stop()
-        self.assertEqual(Fate.NOT_SENT, (await self.broken()).fate)
+        self.assertEqual(CallOutcome.NOT_SENT, (await self.broken()).outcome)
 
 
 class StreamTest(ExchangeCase):
@@ -190,7 +196,7 @@
     async def test_cut_inside_an_event(self):
         self.reply(CHUNKED + chunk(EVENTS[:-1]) + END)
         exc = await self.assert_breaks()
-        self.assertEqual(Fate.UNKNOWN, exc.fate)
+        self.assertEqual(CallOutcome.UNKNOWN, exc.outcome)
 
     async def test_cut_between_events(self):
         self.reply(CHUNKED + chunk(EVENTS))
--- a/wigeonscale/platform/tests/test_headers.py
+++ b/wigeonscale/platform/tests/test_headers.py
@@ -6,15 +6,15 @@
     backend_headers,
     event_id_of,
     head_of,
+    is_other_incarnation,
     is_refused_unrun,
-    is_stranger,
     notice_of,
     read_request_headers,
 )
 from wigeonscale.ports.exchange import (
     BackendCall,
     CallerRequest,
-    Generation,
+    GenerationSize,
     ServerNotice,
 )
 from wigeonscale.testing import AsyncTestCase
@@ -60,11 +60,14 @@
         self.assertEqual(("id1", "h", "k1"), (read.request_id, read.host, read.key))
         self.assertEqual(1.5, read.deadline_s)
         self.assertEqual(12, read.last_event_id)
-        self.assertEqual(Generation(prompt=1460, most=80, expected=80), read.generation)
+        self.assertEqual(
+            GenerationSize(prompt_tokens=1460, max_tokens=80, expected_tokens=80),
+            read.generation,
+        )
 
     def test_length_hint(self):
         read = headers(token_count="10,80", length_hint="33")
-        self.assertEqual(33, read.generation.expected)
+        self.assertEqual(33, read.generation.expected_tokens)
 
     def test_nonsense_is_no_number(self):
         read = headers(
@@ -72,7 +75,7 @@
         )
         self.assertIsNone(read.deadline_s)
         self.assertIsNone(read.last_event_id)
-        self.assertEqual(Generation(), read.generation)
+        self.assertEqual(GenerationSize(), read.generation)
 
 
 class BackendHeadersTest(AsyncTestCase):
@@ -142,8 +145,8 @@
         self.assertFalse(is_refused_unrun(500, CIMultiDict()))
 
     def test_another_engine_of_the_path_is_no_stranger(self):
-        self.assertTrue(is_stranger(421, CIMultiDict()))
-        self.assertFalse(is_stranger(421, CIMultiDict({"At-Server": "a:1"})))
+        self.assertTrue(is_other_incarnation(421, CIMultiDict()))
+        self.assertFalse(is_other_incarnation(421, CIMultiDict({"At-Server": "a:1"})))
 
     def test_retry_after(self):
         self.assertEqual(
@@ -160,7 +163,7 @@
         said = notice_of(200, CIMultiDict({"server-limit": "1.5", "Retry-After": "3"}))
         self.assertEqual(ServerNotice(limit_per_s=1.5), said)
         said = notice_of(503, CIMultiDict({"Retry-After": "0.25"}))
-        self.assertEqual(ServerNotice(rest_s=0.25), said)
+        self.assertEqual(ServerNotice(retry_after_s=0.25), said)
         said = notice_of(200, CIMultiDict({"Server-Leaving": "1"}))
         self.assertEqual(ServerNotice(is_leaving=True), said)
         self.assertEqual(ServerNotice(), notice_of(200, CIMultiDict()))
--- a/wigeonscale/platform/tests/test_reaching.py
+++ b/wigeonscale/platform/tests/test_reachability.py
@@ -1,8 +1,8 @@
 import asyncio
 import socket
 
-from wigeonscale.platform.reaching import reach
-from wigeonscale.ports import ProbeAnswer
+from wigeonscale.platform.reachability import check_reachable
+from wigeonscale.ports import ProbeResult
 from wigeonscale.testing import AsyncTestCase
 
 WAIT_S = 30.0
@@ -13,13 +13,19 @@
         server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()
-        self.assertEqual(ProbeAnswer.ANSWERED, await reach(f"{host}:{port}", WAIT_S))
+        self.assertEqual(
+            ProbeResult.ANSWERED, await check_reachable(f"{host}:{port}", WAIT_S)
+        )
 
     async def test_nothing_listens(self):
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{sock.getsockname()[1]}"
-            self.assertEqual(ProbeAnswer.REFUSED, await reach(address, WAIT_S))
+            self.assertEqual(
+                ProbeResult.REFUSED, await check_reachable(address, WAIT_S)
+            )
 
     async def test_no_time(self):
-        self.assertEqual(ProbeAnswer.NOTHING, await reach("127.0.0.1:9", 0.0))
+        self.assertEqual(
+            ProbeResult.NO_ANSWER, await check_reachable("127.0.0.1:9", 0.0)
+        )
--- a/wigeonscale/ports/__init__.py
+++ b/wigeonscale/ports/__init__.py
@@ -7,12 +7,12 @@
     "EngineInfo",
     "EngineLoad",
     "EngineResult",
-    "EngineSign",
+    "EngineProbeResult",
     "EngineStep",
-    "HttpAnswer",
+    "HttpResponse",
     "Probe",
-    "ProbeAnswer",
-    "Reach",
+    "ProbeResult",
+    "ReachabilityCheck",
     "Service",
     "SystemClock",
 ]
@@ -24,8 +24,13 @@
     EngineLoad,
     EngineResult,
     EngineStep,
-    HttpAnswer,
+    HttpResponse,
     Service,
 )
 from wigeonscale.ports.clock import Clock, SystemClock
-from wigeonscale.ports.probe import EngineSign, Probe, ProbeAnswer, Reach
+from wigeonscale.ports.probe import (
+    EngineProbeResult,
+    Probe,
+    ProbeResult,
+    ReachabilityCheck,
+)
--- a/wigeonscale/ports/backends.py
+++ b/wigeonscale/ports/backends.py
@@ -7,7 +7,7 @@
     "EngineLoad",
     "EngineResult",
     "EngineStep",
-    "HttpAnswer",
+    "HttpResponse",
     "Service",
 ]
 
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """An HTTP answer of a plain service."""
 
     status: int
@@ -186,7 +186,7 @@
         headers: Sequence[tuple[str, str]],
         body: bytes,
         timeout_s: float = 60.0,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Make one call and return its answer.
 
         Raises:
--- a/wigeonscale/ports/exchange.py
+++ b/wigeonscale/ports/exchange.py
@@ -1,18 +1,18 @@
 """The port to backend servers that are called directly, and what callers send."""
 
 __all__ = [
-    "AnswerHead",
-    "AnswerSink",
+    "ResponseHead",
+    "ResponseSink",
     "BackendCall",
     "BackendStream",
     "CallerRequest",
     "Exchange",
     "ExchangeError",
-    "Fate",
-    "Generation",
+    "CallOutcome",
+    "GenerationSize",
     "ServerNotice",
     "StreamEvent",
-    "WholeAnswer",
+    "FullResponse",
 ]
 
 from collections.abc import AsyncIterator
@@ -26,7 +26,7 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-class Fate(StrEnum):
+class CallOutcome(StrEnum):
     """What is known of a call that brought no answer of the work itself."""
 
     NOT_SENT = "not-sent"  # nothing of it left this process
@@ -47,7 +47,7 @@
 
     limit_per_s: float | None = None
     is_leaving: bool = False
-    rest_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 class ExchangeError(Exception):
@@ -57,33 +57,33 @@
         fate: What is known of the call.
         message: What happened.
         status: Status of the refusal; 0 without one.
-        at_fault: Address of the backend server that the answer names as the cause;
+        is_other_incarnation: Whether another incarnation responds at the address.
             empty for none.
-        is_stranger: Whether another incarnation answers at the address.
+        is_other_incarnation: Whether another incarnation answers at the address.
         notice: What its answer says of itself; None without an answer of its own.
     """
 
     def __init__(
         self,
-        fate: Fate,
+        outcome: CallOutcome,
         message: str,
         *,
         status: int = 0,
-        at_fault: str = "",
-        is_stranger: bool = False,
+        failed_address: str = "",
+        is_other_incarnation: bool = False,
         notice: ServerNotice | None = None,
     ):
         super().__init__(message)
-        self.fate = fate
+        self.outcome = outcome
         self.message = message
         self.status = status
-        self.at_fault = at_fault
-        self.is_stranger = is_stranger
+        self.failed_address = failed_address
+        self.is_other_incarnation = is_other_incarnation
         self.notice = notice
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Generation:
+class GenerationSize:
     """What a request for a generation says of its size.
 
     Attributes:
@@ -92,9 +92,9 @@
         expected: The caller's estimate of the answer's tokens; often far off.
     """
 
-    prompt: int = 0
-    most: int = 0
-    expected: int = 0
+    prompt_tokens: int = 0
+    max_tokens: int = 0
+    expected_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -124,7 +124,7 @@
     key: str
     arrived_at: float
     deadline_s: float | None = None
-    generation: Generation = Generation()
+    generation: GenerationSize = GenerationSize()
     last_event_id: int | None = None
 
 
@@ -156,7 +156,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers of an answer, as the caller shall get them.
 
     Attributes:
@@ -171,10 +171,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class FullResponse:
     """A complete answer of a backend server."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
@@ -194,7 +194,7 @@
 class BackendStream(Protocol):
     """An answer that comes in events."""
 
-    head: AnswerHead
+    head: ResponseHead
 
     def events(self) -> AsyncIterator[StreamEvent]:
         """Yield the events; ends after the last one.
@@ -203,14 +203,14 @@
             ExchangeError: The stream broke off.
         """
 
-    async def rest(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Return the whole body of an answer that is no stream."""
 
 
 class Exchange(Protocol):
     """Sends requests to backend servers."""
 
-    async def call(self, call: BackendCall) -> WholeAnswer:
+    async def call(self, call: BackendCall) -> FullResponse:
         """Return the whole answer.
 
         Raises:
@@ -225,13 +225,13 @@
         """
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Where the answer to one caller goes."""
 
-    async def send(self, answer: WholeAnswer) -> None:
+    async def send(self, answer: FullResponse) -> None:
         """Send a whole answer."""
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def begin(self, head: ResponseHead) -> None:
         """Begin a stream."""
 
     async def write(self, data: bytes) -> None:
@@ -240,5 +240,5 @@
     async def end(self) -> None:
         """End a stream as complete."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection, so that the answer does not look complete."""
--- a/wigeonscale/ports/orders.py
+++ b/wigeonscale/ports/orders.py
@@ -1,6 +1,6 @@
 """The port to model engines that take orders without an agent."""
 
-__all__ = ["STATUS_LIMIT_S", "EngineOrders", "EngineStatus", "OrderOutcome"]
+__all__ = ["STATUS_TIMEOUT_S", "EngineOrders", "EngineStatus", "OrderOutcome"]
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,15 +11,15 @@
 
 # Engines answer at once; the links take a few milliseconds, and one lost packet some
 # 200 ms.
-STATUS_LIMIT_S = 0.7
+STATUS_TIMEOUT_S = 0.7
 
 
 class OrderOutcome(StrEnum):
     """What an engine made of an order."""
 
-    BEGUN = "begun"
-    HOLDS_ALREADY = "holds-already"
-    MISFIT = "misfit"  # its state or its order count is another
+    STARTED = "begun"
+    UNCHANGED = "holds-already"
+    CONFLICT = "misfit"  # its state or its order count is another
     FENCED = "fenced"  # it has seen a higher fencing number
     REFUSED = "refused"
     UNKNOWN = "unknown"  # no answer: it may be carried out, even seconds later
@@ -86,6 +86,6 @@
         """Order the first engine of a running request to go on along another path."""
 
     async def status(
-        self, address: str, *, limit_s: float = STATUS_LIMIT_S
+        self, address: str, *, timeout_s: float = STATUS_TIMEOUT_S
     ) -> EngineStatus | None:
         """Return what an engine says of itself; None without an answer in time."""
--- a/wigeonscale/ports/probe.py
+++ b/wigeonscale/ports/probe.py
@@ -1,23 +1,23 @@
 """The port to a process that is asked whether it is there."""
 
-__all__ = ["EngineSign", "Probe", "ProbeAnswer", "Reach"]
+__all__ = ["EngineProbeResult", "Probe", "ProbeResult", "ReachabilityCheck"]
 
 import enum
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
 
-class ProbeAnswer(enum.Enum):
+class ProbeResult(enum.Enum):
     """What came of asking a process."""
 
     ANSWERED = "answered"
     REFUSED = "refused"  # its VM is up, and nothing listens at its address
     REPLACED = "replaced"  # a later start listens there
-    NOTHING = "nothing"
+    NO_ANSWER = "nothing"
 
 
 @dataclass(frozen=True, slots=True)
-class EngineSign:
+class EngineProbeResult:
     """What came of asking an engine.
 
     Attributes:
@@ -25,10 +25,10 @@
         pace: Factor on its usual times; over 1 it is slow.
     """
 
-    answer: ProbeAnswer
+    result: ProbeResult
     pace: float = 1.0
 
 
-Probe = Callable[[str], Awaitable[ProbeAnswer]]
+Probe = Callable[[str], Awaitable[ProbeResult]]
 # Whether anything answers at an address within a time in seconds.
-Reach = Callable[[str, float], Awaitable[ProbeAnswer]]
+ReachabilityCheck = Callable[[str, float], Awaitable[ProbeResult]]
