--- a/wigeonscale/ports/exchange.py
+++ b/wigeonscale/ports/exchange.py
@@ -54,12 +54,12 @@
     """A call brought no answer of the work itself.
 
     Args:
-        fate: What is known of the call.
+        outcome: What is known of the call.
         message: What happened.
-        status: Status of the refusal; 0 without one.
+        status: HTTP status of the rejection; 0 without one.
+        failed_address: Address of the backend server that the response names as the
+            cause; empty for none.
         is_other_incarnation: Whether another incarnation responds at the address.
-            empty for none.
-        is_other_incarnation: Whether another incarnation answers at the address.
         notice: What its answer says of itself; None without an answer of its own.
     """
 
