--- a/wigeonscale/adapters/service_http.py
+++ b/wigeonscale/adapters/service_http.py
@@ -11,7 +11,7 @@
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.ports import HttpResponse
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -92,7 +92,7 @@
             WigeonscaleError: ``BACKEND_FAILED``, with run state ``NOT_RUN`` only
                 when no connection was made.
         """
-        passed = [(n, v) for n, v in headers if n.lower() not in HOP_HEADERS]
+        passed = [(n, v) for n, v in headers if n.lower() not in HOP_BY_HOP_HEADERS]
         url = yarl.URL(self._url + path, encoded=True)
         try:
             async with self._session.request(
@@ -108,7 +108,7 @@
                     headers=tuple(
                         (n, v)
                         for n, v in answer.headers.items()
-                        if n.lower() not in HOP_HEADERS
+                        if n.lower() not in HOP_BY_HOP_HEADERS
                     ),
                     body=await answer.read(),
                 )
--- a/wigeonscale/config/load.py
+++ b/wigeonscale/config/load.py
@@ -42,7 +42,7 @@
 
 # In this many heartbeats a watcher replaces a silent connection to control, even
 # when the first replica that it tries instead is silent too.
-HEARTBEATS_PER_LEASE = 6
+MIN_HEARTBEATS_PER_LEASE = 6
 
 
 def load_settings(
@@ -161,7 +161,7 @@
 
 
 def _contradictions(cfg: NodeSettings, role: str) -> Iterator[str]:
-    if cfg.heartbeat_s * HEARTBEATS_PER_LEASE > cfg.lease_s:
+    if cfg.heartbeat_s * MIN_HEARTBEATS_PER_LEASE > cfg.lease_s:
         yield (
             f"[{role}] heartbeat_s = {cfg.heartbeat_s:g}; allowed: at most a sixth of"
             f" lease_s = {cfg.lease_s:g}"
--- a/wigeonscale/entry/calls.py
+++ b/wigeonscale/entry/calls.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from wigeonscale.adapters.service_http import HOP_HEADERS
+from wigeonscale.adapters.service_http import HOP_BY_HOP_HEADERS
 from wigeonscale.dispatch import Answer, Work
 from wigeonscale.entry.answers import REQUEST_HEADER
 from wigeonscale.entry.flow import Admission, admit, identify, request_facts
@@ -18,8 +18,8 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 # The key to this system is not the service's business.
-_NOT_FORWARDED = HOP_HEADERS | {"authorization", "expect", "accept-encoding"}
-_NOT_RETURNED = HOP_HEADERS | {"content-encoding", "date", "server"}
+_NOT_FORWARDED = HOP_BY_HOP_HEADERS | {"authorization", "expect", "accept-encoding"}
+_NOT_RETURNED = HOP_BY_HOP_HEADERS | {"content-encoding", "date", "server"}
 
 
 async def call_service(
--- a/wigeonscale/membership/watcher.py
+++ b/wigeonscale/membership/watcher.py
@@ -16,7 +16,7 @@
 
 # Heartbeats without an answer after which a connection counts as silent. With those
 # of a second one that is silent too, and the reviews between, they stay below the
-# heartbeats in a lease: see ``HEARTBEATS_PER_LEASE`` of the settings.
+# heartbeats in a lease: see ``MIN_HEARTBEATS_PER_LEASE`` of the settings.
 SILENT_HEARTBEATS = 2.5
 # A new connection is asked for less patience, since a lease is running out.
 NEW_SILENT_HEARTBEATS = 2
