--- a/wigeonscale/adapters/channels.py
+++ b/wigeonscale/adapters/channels.py
@@ -82,9 +82,9 @@
     if tls is None:
         return grpc.aio.insecure_channel(address, options=_CHANNEL_OPTIONS)
     creds = grpc.ssl_channel_credentials(
-        root_certificates=_read(tls.ca),
-        private_key=_read(tls.key),
-        certificate_chain=_read(tls.cert),
+        root_certificates=_read_file(tls.ca),
+        private_key=_read_file(tls.key),
+        certificate_chain=_read_file(tls.cert),
     )
     return grpc.aio.secure_channel(address, creds, options=_CHANNEL_OPTIONS)
 
@@ -164,11 +164,11 @@
 
 def _server_credentials(tls: TlsFiles) -> grpc.ServerCredentials:
     return grpc.ssl_server_credentials(
-        [(_read(tls.key), _read(tls.cert))],
-        root_certificates=_read(tls.ca),
+        [(_read_file(tls.key), _read_file(tls.cert))],
+        root_certificates=_read_file(tls.ca),
         require_client_auth=True,
     )
 
 
-def _read(path: str) -> bytes:
+def _read_file(path: str) -> bytes:
     return pathlib.Path(path).read_bytes()
--- a/wigeonscale/adapters/engine_http.py
+++ b/wigeonscale/adapters/engine_http.py
@@ -62,38 +62,40 @@
 
     async def info(self) -> EngineInfo:
         """Return what the engine says of itself."""
-        doc = await self._ask("GET", "/info", timeout_s=INFO_TIMEOUT_S)
-        return self._checked(_INFO_MODEL, doc, "/info")
+        doc = await self._request("GET", "/info", timeout_s=INFO_TIMEOUT_S)
+        return self._validate(_INFO_MODEL, doc, "/info")
 
     async def run(self, steps: Sequence[EngineStep]) -> list[EngineResult]:
         """Run one iteration and return one result per step, in order."""
         body = {"steps": [_step_to_json(step) for step in steps]}
-        doc = await self._ask("POST", "/run", body, timeout_s=self._run_timeout_s)
+        doc = await self._request("POST", "/run", body, timeout_s=self._run_timeout_s)
         results = [_result_from_json(item) for item in doc["results"]]
         if [r.sequence_id for r in results] != [s.sequence_id for s in steps]:
-            raise _failure(f"{self._url} answered for other sequences than asked")
+            raise _backend_failed(
+                f"{self._url} answered for other sequences than asked"
+            )
         return results
 
     async def cancel(self, sequence_ids: Sequence[str]) -> None:
         """Forget sequences and free their cache."""
         body = {"sequences": list(sequence_ids)}
-        await self._ask("POST", "/cancel", body, timeout_s=INFO_TIMEOUT_S)
+        await self._request("POST", "/cancel", body, timeout_s=INFO_TIMEOUT_S)
 
     async def export_cache(self, sequence_id: str) -> bytes:
         """Return the KV cache of a sequence."""
         path = f"/cache/{urllib.parse.quote(sequence_id, safe='')}"
-        doc = await self._ask("GET", path, timeout_s=self._run_timeout_s)
+        doc = await self._request("GET", path, timeout_s=self._run_timeout_s)
         return base64.b64decode(doc["cache"])
 
     async def import_cache(self, sequence_id: str, epoch: int, cache: bytes) -> None:
         """Install a KV cache exported by another engine with the same layers."""
         path = f"/cache/{urllib.parse.quote(sequence_id, safe='')}"
         body = {"epoch": epoch, "cache": base64.b64encode(cache).decode()}
-        await self._ask("PUT", path, body, timeout_s=self._run_timeout_s)
+        await self._request("PUT", path, body, timeout_s=self._run_timeout_s)
 
     async def load(self) -> EngineLoad:
         """Return the engine's load report; it lags."""
-        doc = await self._ask("GET", "/load", timeout_s=INFO_TIMEOUT_S)
+        doc = await self._request("GET", "/load", timeout_s=INFO_TIMEOUT_S)
         return EngineLoad(
             running=int(doc["running"]),
             queued=int(doc["queued"]),
@@ -103,36 +105,36 @@
     async def cache_events(self, after: int) -> list[CacheEvent]:
         """Return cache events with a number above ``after``."""
         path = f"/cache-events?after={after}"
-        doc = await self._ask("GET", path, timeout_s=INFO_TIMEOUT_S)
-        return self._checked(_EVENTS_MODEL, doc.get("events"), path)
+        doc = await self._request("GET", path, timeout_s=INFO_TIMEOUT_S)
+        return self._validate(_EVENTS_MODEL, doc.get("events"), path)
 
     async def order(
         self, *, term: int, sequence: int, action: str, args: dict[str, object]
     ) -> None:
         """Carry out an order with its fencing number."""
         body = {"term": term, "sequence": sequence, "action": action, "args": args}
-        await self._ask("POST", "/order", body, timeout_s=ORDER_TIMEOUT_S)
+        await self._request("POST", "/order", body, timeout_s=ORDER_TIMEOUT_S)
 
-    def _checked(self, model: pydantic.TypeAdapter, doc: object, path: str):
+    def _validate(self, model: pydantic.TypeAdapter, doc: object, path: str):
         try:
             return model.validate_python(doc)
         except pydantic.ValidationError as exc:
-            raise _failure(f"GET {self._url}{path}: {exc}") from exc
+            raise _backend_failed(f"GET {self._url}{path}: {exc}") from exc
 
-    async def _ask(
+    async def _request(
         self, method: str, path: str, body: dict | None = None, *, timeout_s: float
     ) -> dict:
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
             async with self._session.request(
                 method, self._url + path, json=body, timeout=timeout
-            ) as answer:
-                doc = await answer.json()
-                status = answer.status
+            ) as res:
+                doc = await res.json()
+                status = res.status
         except (aiohttp.ClientError, TimeoutError, ValueError) as exc:
-            raise _failure(f"{method} {self._url}{path}: {exc!r}") from exc
+            raise _backend_failed(f"{method} {self._url}{path}: {exc!r}") from exc
         if not isinstance(doc, dict):
-            raise _failure(f"{method} {self._url}{path}: no JSON object")
+            raise _backend_failed(f"{method} {self._url}{path}: no JSON object")
         if status == 200:
             return doc
         error = doc.get("error", {})
@@ -142,7 +144,7 @@
         )
 
 
-def _failure(message: str) -> WigeonscaleError:
+def _backend_failed(message: str) -> WigeonscaleError:
     return WigeonscaleError(
         ErrorKind.BACKEND_FAILED, message, run_state=RunState.UNKNOWN
     )
@@ -228,19 +230,19 @@
         return web.json_response({})
 
     return [
-        web.get("/info", _answering(info)),
-        web.post("/run", _answering(run)),
-        web.post("/cancel", _answering(cancel)),
-        web.get("/cache/{sequence}", _answering(export_cache)),
-        web.put("/cache/{sequence}", _answering(import_cache)),
-        web.get("/load", _answering(load)),
-        web.get("/cache-events", _answering(cache_events)),
-        web.post("/order", _answering(order)),
+        web.get("/info", _with_error_responses(info)),
+        web.post("/run", _with_error_responses(run)),
+        web.post("/cancel", _with_error_responses(cancel)),
+        web.get("/cache/{sequence}", _with_error_responses(export_cache)),
+        web.put("/cache/{sequence}", _with_error_responses(import_cache)),
+        web.get("/load", _with_error_responses(load)),
+        web.get("/cache-events", _with_error_responses(cache_events)),
+        web.post("/order", _with_error_responses(order)),
     ]
 
 
-def _answering(handler):
-    async def answer(req: web.Request) -> web.Response:
+def _with_error_responses(handler):
+    async def handle(req: web.Request) -> web.Response:
         try:
             return await handler(req)
         except WigeonscaleError as exc:
@@ -248,4 +250,4 @@
             status = ERROR_RESPONSES[exc.kind].status
             return web.json_response({"error": error}, status=status)
 
-    return answer
+    return handle
--- a/wigeonscale/adapters/logs.py
+++ b/wigeonscale/adapters/logs.py
@@ -13,7 +13,7 @@
 
 # A few seconds of a busy entry, some 3 MB; a reader that stands still for longer loses
 # lines, and no request waits for it.
-QUEUED_LINES = 5000
+MAX_QUEUED_LINES = 5000
 
 _RESERVED = frozenset({"time", "level", "logger", "node", "message", "traceback"})
 
@@ -43,7 +43,7 @@
         """
         fields = getattr(record, "fields", None) or {}
         line = {
-            "time": _utc(record.created),
+            "time": _utc_timestamp(record.created),
             "level": record.levelname,
             "logger": record.name,
             "node": self._node,
@@ -127,13 +127,13 @@
         """
         try:
             if self._dropped:
-                self.queue.put_nowait(self._gap())
+                self.queue.put_nowait(self._dropped_record())
                 self._dropped = 0
             self.queue.put_nowait(record)
         except queue.Full:
             self._dropped += 1
 
-    def _gap(self) -> logging.LogRecord:
+    def _dropped_record(self) -> logging.LogRecord:
         record = logging.LogRecord(
             __name__,
             logging.WARNING,
@@ -151,13 +151,13 @@
 
 
 def _background_handler() -> logging.Handler:
-    lines = queue.Queue(QUEUED_LINES)
+    lines = queue.Queue(MAX_QUEUED_LINES)
     listener = logging.handlers.QueueListener(lines, _stream_handler(sys.stdout))
     listener.start()
     atexit.register(listener.stop)
     return BoundedHandler(lines)
 
 
-def _utc(created: float) -> str:
+def _utc_timestamp(created: float) -> str:
     stamp = datetime.datetime.fromtimestamp(created, datetime.UTC)
     return stamp.isoformat(timespec="milliseconds").replace("+00:00", "Z")
--- a/wigeonscale/adapters/metrics.py
+++ b/wigeonscale/adapters/metrics.py
@@ -1,6 +1,6 @@
 """Every metric of every daemon, in one place, with a closed set of labels."""
 
-__all__ = ["METRICS", "Counter", "Gauge", "Histogram", "Metrics", "OK"]
+__all__ = ["METRICS", "OK", "Counter", "Gauge", "Histogram", "Metrics"]
 
 import aioprometheus
 from aioprometheus.metricdict import MetricDict
@@ -10,7 +10,7 @@
 # Values of a label "kind" besides the error kinds: no error, and a kind that only
 # a newer peer knows.
 OK = "ok"
-OTHER = "other"
+OTHER_KIND = "other"
 _KINDS = frozenset({OK, *ErrorKind})
 
 # Seconds. The burn report reads its objectives off these bounds.
@@ -72,14 +72,14 @@
                 f" {sorted(self._labels)} allowed"
             )
         if "kind" in labels:
-            labels["kind"] = _closed_kind(labels["kind"])
+            labels["kind"] = _kind_label(labels["kind"])
         return labels
 
 
-def _closed_kind(kind: str) -> str:
+def _kind_label(kind: str) -> str:
     if not kind:
         return OK
-    return str(kind) if kind in _KINDS else OTHER
+    return str(kind) if kind in _KINDS else OTHER_KIND
 
 
 class Counter(_Metric):
--- a/wigeonscale/adapters/service_http.py
+++ b/wigeonscale/adapters/service_http.py
@@ -73,7 +73,7 @@
                     url.host, url.port, ssl=url.scheme == "https" or None
                 )
         except (OSError, TimeoutError) as exc:
-            raise _failure(
+            raise _backend_failed(
                 f"no connection to {self._url}: {exc!r}", RunState.NOT_RUN
             ) from exc
         writer.close()
@@ -92,33 +92,33 @@
             WigeonscaleError: ``BACKEND_FAILED``, with run state ``NOT_RUN`` only
                 when no connection was made.
         """
-        passed = [(n, v) for n, v in headers if n.lower() not in HOP_BY_HOP_HEADERS]
+        forwarded = [(n, v) for n, v in headers if n.lower() not in HOP_BY_HOP_HEADERS]
         url = yarl.URL(self._url + path, encoded=True)
         try:
             async with self._session.request(
                 method,
                 url,
-                headers=passed,
+                headers=forwarded,
                 data=body or None,
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
                 allow_redirects=False,
-            ) as answer:
+            ) as res:
                 return HttpResponse(
-                    status=answer.status,
+                    status=res.status,
                     headers=tuple(
                         (n, v)
-                        for n, v in answer.headers.items()
+                        for n, v in res.headers.items()
                         if n.lower() not in HOP_BY_HOP_HEADERS
                     ),
-                    body=await answer.read(),
+                    body=await res.read(),
                 )
         except aiohttp.ClientConnectorError as exc:
-            raise _failure(
+            raise _backend_failed(
                 f"no connection to {self._url}: {exc}", RunState.NOT_RUN
             ) from exc
         except (aiohttp.ClientError, TimeoutError) as exc:
-            raise _failure(f"{method} {url}: {exc!r}", RunState.UNKNOWN) from exc
+            raise _backend_failed(f"{method} {url}: {exc!r}", RunState.UNKNOWN) from exc
 
 
-def _failure(message: str, run_state: RunState) -> WigeonscaleError:
+def _backend_failed(message: str, run_state: RunState) -> WigeonscaleError:
     return WigeonscaleError(ErrorKind.BACKEND_FAILED, message, run_state=run_state)
--- a/wigeonscale/adapters/tests/test_channels.py
+++ b/wigeonscale/adapters/tests/test_channels.py
@@ -21,7 +21,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-LIMIT_S = 30
+TIMEOUT_S = 30
 NEW_KEY = ("-newkey", "ec", "-pkeyopt", "ec_paramgen_curve:prime256v1", "-nodes")
 
 
@@ -68,7 +68,10 @@
         return servicer, address
 
     async def call(self, address, tls=None):
-        async with asyncio.timeout(LIMIT_S), open_channel(address, tls=tls) as channel:
+        async with (
+            asyncio.timeout(TIMEOUT_S),
+            open_channel(address, tls=tls) as channel,
+        ):
             stub = wire_pb2_grpc.ControlStub(channel)
             return await stub.Floor(wire.FloorRequest())
 
@@ -89,10 +92,10 @@
     async def test_wait_connected(self):
         server, address = new_server("127.0.0.1:0")
         await server.start()
-        async with asyncio.timeout(LIMIT_S), open_channel(address) as channel:
+        async with asyncio.timeout(TIMEOUT_S), open_channel(address) as channel:
             await wait_connected(channel)
         await server.stop(None)
-        async with asyncio.timeout(LIMIT_S), open_channel(address) as channel:
+        async with asyncio.timeout(TIMEOUT_S), open_channel(address) as channel:
             with self.assertRaises(ConnectionError):
                 await wait_connected(channel)
 
@@ -104,14 +107,14 @@
         self.tls = make_tls(folder, "own")
         self.other = make_tls(folder, "other")
         # Trusts the server, but shows a certificate of another authority.
-        self.stranger = TlsFiles(
+        self.foreign_client = TlsFiles(
             ca=self.tls.ca, cert=self.other.cert, key=self.other.key
         )
 
     async def test_grpc_takes_only_its_own_authority(self):
         servicer, address = await self.start(self.tls)
         self.assertEqual(4, (await self.call(address, self.tls)).term)
-        for tls in (None, self.other, self.stranger):
+        for tls in (None, self.other, self.foreign_client):
             with self.assertRaises(grpc.aio.AioRpcError):
                 await self.call(address, tls)
         self.assertEqual(1, len(servicer.peers))
@@ -126,7 +129,7 @@
             own = client_tls_context(self.tls)
             async with session.get(url, ssl=own) as answer:
                 self.assertEqual(200, answer.status)
-            for tls in (self.other, self.stranger):
+            for tls in (self.other, self.foreign_client):
                 with self.assertRaises(aiohttp.ClientError):
                     await session.get(url, ssl=client_tls_context(tls))
 
--- a/wigeonscale/adapters/tests/test_engine_http.py
+++ b/wigeonscale/adapters/tests/test_engine_http.py
@@ -21,7 +21,7 @@
         self.session = session = aiohttp.ClientSession()
         self.addCleanup(session.close)
         self.engine = HttpEngine(url=url, session=session)
-        self.gone = HttpEngine(url="http://127.0.0.1:1", session=session)
+        self.unreachable = HttpEngine(url="http://127.0.0.1:1", session=session)
 
     def step(self, position, text, sequence="s/1#1"):
         return EngineStep(sequence, 1, position, 1, position == 0, text.encode())
@@ -51,7 +51,7 @@
     async def test_failures_are_backend_failed(self):
         self.fake.failing = True
         calls = [
-            self.gone.info,
+            self.unreachable.info,
             self.engine.info,
             lambda: self.engine.run([self.step(0, "no JSON")]),
         ]
@@ -62,11 +62,11 @@
             self.assertEqual(RunState.UNKNOWN, caught.exception.run_state)
 
     async def test_answers_of_another_shape_are_backend_failed(self):
-        shown = []
+        docs = []
         app = web.Application()
 
         async def show(req):
-            return web.json_response(shown[-1])
+            return web.json_response(docs[-1])
 
         app.add_routes([web.get("/info", show)])
         runner = web.AppRunner(app)
@@ -76,11 +76,11 @@
         url = f"http://127.0.0.1:{runner.addresses[0][1]}"
         engine = HttpEngine(url=url, session=self.session)
         for doc in ([], "x", {}, {"model": 7}, {"model": "m", "adapters": None}):
-            shown.append(doc)
+            docs.append(doc)
             with self.assertRaises(WigeonscaleError, msg=repr(doc)) as caught:
                 await engine.info()
             self.assertEqual(ErrorKind.BACKEND_FAILED, caught.exception.kind)
-        shown.append({"model": "m", "slots": 4, "field_of_a_later_version": 1})
+        docs.append({"model": "m", "slots": 4, "field_of_a_later_version": 1})
         self.assertEqual(EngineInfo(model="m", slots=4), await engine.info())
 
     async def test_tokens_show_missed_doubled_and_swapped_positions(self):
--- a/wigeonscale/adapters/tests/test_logs.py
+++ b/wigeonscale/adapters/tests/test_logs.py
@@ -78,8 +78,8 @@
         kept = [json.loads(lines.get_nowait().msg)["message"] for _ in range(2)]
         self.assertEqual(["line 0", "line 1"], kept)
         handler.handle(_record("later"))
-        told = [json.loads(lines.get_nowait().msg)["message"] for _ in range(2)]
-        self.assertEqual(["3 log lines dropped", "later"], told)
+        written = [json.loads(lines.get_nowait().msg)["message"] for _ in range(2)]
+        self.assertEqual(["3 log lines dropped", "later"], written)
 
 
 def _record(message):
--- a/wigeonscale/config/keys.py
+++ b/wigeonscale/config/keys.py
@@ -29,7 +29,7 @@
 from pydantic import AfterValidator, BeforeValidator, Field
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
-LARGEST_PORT = 65535
+MAX_PORT = 65535
 ADDRESS_EXAMPLE = "ip:port, such as 127.0.0.1:8080"
 
 
@@ -63,26 +63,26 @@
 
 def seconds(low: float, high: float) -> object:
     """Return the type of a duration in seconds within a range."""
-    words = Allowed(f"seconds from {low:g} to {high:g}")
-    return Annotated[float, Field(ge=low, le=high, allow_inf_nan=False), words]
+    allowed = Allowed(f"seconds from {low:g} to {high:g}")
+    return Annotated[float, Field(ge=low, le=high, allow_inf_nan=False), allowed]
 
 
 def count(low: int, high: int) -> object:
     """Return the type of a whole number within a range."""
-    words = Allowed(f"a whole number from {low} to {high}")
-    return Annotated[int, Field(ge=low, le=high), words]
+    allowed = Allowed(f"a whole number from {low} to {high}")
+    return Annotated[int, Field(ge=low, le=high), allowed]
 
 
 def byte_count(low: int, high: int) -> object:
     """Return the type of a size in bytes within a range."""
-    words = Allowed(f"bytes, a whole number from {low} to {high}")
-    return Annotated[int, Field(ge=low, le=high), words]
+    allowed = Allowed(f"bytes, a whole number from {low} to {high}")
+    return Annotated[int, Field(ge=low, le=high), allowed]
 
 
 def fraction(low: float, high: float) -> object:
     """Return the type of a ratio within a range."""
-    words = Allowed(f"a ratio from {low:g} to {high:g}")
-    return Annotated[float, Field(ge=low, le=high, allow_inf_nan=False), words]
+    allowed = Allowed(f"a ratio from {low:g} to {high:g}")
+    return Annotated[float, Field(ge=low, le=high, allow_inf_nan=False), allowed]
 
 
 def _ip_address(value: str) -> str:
@@ -102,7 +102,7 @@
     ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
     if not (port.isascii() and port.isdigit()):
         raise ValueError("port is not a number")
-    if not lowest_port <= int(port) <= LARGEST_PORT:
+    if not lowest_port <= int(port) <= MAX_PORT:
         raise ValueError("port out of range")
     return value
 
@@ -113,7 +113,7 @@
     return tuple(item.strip() for item in value.split(","))
 
 
-def _without_duplicates(value: tuple) -> tuple:
+def _check_unique(value: tuple) -> tuple:
     if len(set(value)) != len(value):
         raise ValueError("an item stands twice")
     return value
@@ -160,13 +160,13 @@
 AddressList = Annotated[
     tuple[Annotated[str, AfterValidator(_peer_address)], ...],
     BeforeValidator(_split_list),
-    AfterValidator(_without_duplicates),
+    AfterValidator(_check_unique),
     Allowed(f"a comma list, each once, of {ADDRESS_EXAMPLE}"),
 ]
 PeerList = Annotated[
     tuple[Annotated[Peer, BeforeValidator(_parse_peer)], ...],
     BeforeValidator(_split_list),
-    AfterValidator(_without_duplicates),
+    AfterValidator(_check_unique),
     Allowed("a comma list, each once, of name@ip:port, such as c1@127.0.0.1:7001"),
 ]
 BackendUrl = Annotated[
--- a/wigeonscale/config/load.py
+++ b/wigeonscale/config/load.py
@@ -70,10 +70,10 @@
         raise SettingsError(f"role {role!r}: allowed: {', '.join(ROLES)}")
     values = _read_sections(path)
     cls = ROLES[role]
-    problems = list(_unknown_names(values, cls, role))
+    problems = list(_unknown_keys(values, cls, role))
     cfg = _build(values, cls, role, problems)
     if cfg is not None:
-        problems += _contradictions(cfg, role)
+        problems += _inconsistencies(cfg, role)
     if problems:
         raise SettingsError("\n".join(f"{path}: {problem}" for problem in problems))
     return cfg
@@ -95,22 +95,24 @@
 
 
 @functools.cache
-def _places(cls: type[NodeSettings], role: str) -> dict[tuple[str, str], str]:
+def _attributes_by_key(
+    cls: type[NodeSettings], role: str
+) -> dict[tuple[str, str], str]:
     """Return the settings attribute for each (section, key)."""
     names = [field.name for field in dataclasses.fields(cls)]
     return {SHARED_KEYS.get(name, (role, name)): name for name in names}
 
 
-def _unknown_names(
+def _unknown_keys(
     values: dict[str, dict[str, str]], cls: type[NodeSettings], role: str
 ) -> Iterator[str]:
-    places = _places(cls, role)
-    sections = sorted({section for section, _ in places})
+    attributes = _attributes_by_key(cls, role)
+    sections = sorted({section for section, _ in attributes})
     for section, keys in values.items():
         if section not in sections:
             yield f"[{section}]: unknown section; allowed: {', '.join(sections)}"
             continue
-        known = sorted(key for place, key in places if place == section)
+        known = sorted(key for location, key in attributes if location == section)
         for key in keys:
             if key not in known:
                 hint = _hint(key, known)
@@ -129,20 +131,20 @@
     role: str,
     problems: list[str],
 ) -> NodeSettings | None:
-    places = _places(cls, role)
+    attributes = _attributes_by_key(cls, role)
     given = {
         name: values[section][key]
-        for (section, key), name in places.items()
+        for (section, key), name in attributes.items()
         if key in values.get(section, {})
     }
     try:
         return _adapter(cls).validate_python(given)
     except ValidationError as exc:
-        place_of = {name: place for place, name in places.items()}
+        key_of_attribute = {name: location for location, name in attributes.items()}
         # A list has one error an item: name the key once.
         names = dict.fromkeys(error["loc"][0] for error in exc.errors())
         for name in names:
-            problems.append(_problem(cls, name, place_of[name], given))
+            problems.append(_problem(cls, name, key_of_attribute[name], given))
         return None
 
 
@@ -152,28 +154,28 @@
 
 
 def _problem(
-    cls: type[NodeSettings], name: str, place: tuple[str, str], given: dict[str, str]
+    cls: type[NodeSettings], name: str, location: tuple[str, str], given: dict[str, str]
 ) -> str:
-    section, key = place
+    section, key = location
     found = f"{key} = {given[name]!r}" if name in given else f"{key}: missing"
     field = next(field for field in dataclasses.fields(cls) if field.name == name)
     return f"[{section}] {found}; allowed: {allowed_text(field.type)}"
 
 
-def _contradictions(cfg: NodeSettings, role: str) -> Iterator[str]:
+def _inconsistencies(cfg: NodeSettings, role: str) -> Iterator[str]:
     if cfg.heartbeat_s * MIN_HEARTBEATS_PER_LEASE > cfg.lease_s:
         yield (
             f"[{role}] heartbeat_s = {cfg.heartbeat_s:g}; allowed: at most a sixth of"
             f" lease_s = {cfg.lease_s:g}"
         )
-    yield from _tls_contradictions(cfg)
+    yield from _tls_inconsistencies(cfg)
     if isinstance(cfg, AgentSettings):
-        yield from _agent_contradictions(cfg)
+        yield from _agent_inconsistencies(cfg)
     if isinstance(cfg, ControlSettings):
-        yield from _control_contradictions(cfg)
+        yield from _control_inconsistencies(cfg)
 
 
-def _tls_contradictions(cfg: NodeSettings) -> Iterator[str]:
+def _tls_inconsistencies(cfg: NodeSettings) -> Iterator[str]:
     paths = {"ca": cfg.tls_ca, "cert": cfg.tls_cert, "key": cfg.tls_key}
     for key, path in paths.items():
         if any(paths.values()) and not os.access(path, os.R_OK):
@@ -182,14 +184,14 @@
         yield "[control] https = 'yes'; allowed: no without a [tls] section"
 
 
-def _agent_contradictions(cfg: AgentSettings) -> Iterator[str]:
+def _agent_inconsistencies(cfg: AgentSettings) -> Iterator[str]:
     if cfg.kind == "service" and not cfg.service:
         yield "[agent] service: missing; allowed: a name when kind = service"
     if cfg.kind == "engine" and cfg.service:
         yield f"[agent] service = {cfg.service!r}; allowed: empty when kind = engine"
 
 
-def _control_contradictions(cfg: ControlSettings) -> Iterator[str]:
+def _control_inconsistencies(cfg: ControlSettings) -> Iterator[str]:
     names = [peer.name for peer in cfg.peers]
     if cfg.name not in names:
         yield (
--- a/wigeonscale/errors.py
+++ b/wigeonscale/errors.py
@@ -6,8 +6,8 @@
 
 __all__ = [
     "ERROR_RESPONSES",
-    "ErrorResponse",
     "ErrorKind",
+    "ErrorResponse",
     "RunState",
     "SettingsError",
     "WigeonscaleError",
--- a/wigeonscale/platform/callers.py
+++ b/wigeonscale/platform/callers.py
@@ -17,7 +17,7 @@
     RunState,
     WigeonscaleError,
 )
-from wigeonscale.platform.headers import answer_headers, read_request_headers
+from wigeonscale.platform.headers import read_request_headers, response_headers
 from wigeonscale.ports import Clock
 from wigeonscale.ports.exchange import (
     CallerRequest,
@@ -27,19 +27,19 @@
 )
 
 # Callers keep connections for less; see the limits of the configuration.
-KEEP_IDLE_S = 75.0
+IDLE_TIMEOUT_S = 75.0
 MAX_HEADER_BYTES = 32 * 1024
 # What is still being answered when the server closes is cut, and told so at once.
-CLOSE_LIMIT_S = 0.05
+SHUTDOWN_TIMEOUT_S = 0.05
 # Connections that wait to be taken in: those of some seconds.
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 # A status that promises that the work did not run, and the one that does not.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 BAD_GATEWAY = 502
 # From the last byte read to the handler: wake the connection's task, start another.
-TURNS_TO_BEGIN = 5
+LOOP_ITERATIONS_TO_HANDLER = 5
 
-Serve = Callable[[CallerRequest, ResponseSink], Awaitable[None]]
+Handler = Callable[[CallerRequest, ResponseSink], Awaitable[None]]
 
 logger = logging.getLogger(__name__)
 
@@ -59,7 +59,7 @@
         self,
         *,
         address: str,
-        serve: Serve,
+        serve: Handler,
         max_body: Callable[[], int],
         clock: Clock,
         sock: socket.socket | None = None,
@@ -72,9 +72,9 @@
         self._sock = sock
         self._site: web.BaseSite | None = None
         self._stopping = False
-        self._busy: set[web.RequestHandler] = set()
-        self._idle = asyncio.Event()
-        self._idle.set()
+        self._active_conns: set[web.RequestHandler] = set()
+        self._no_active_conns = asyncio.Event()
+        self._no_active_conns.set()
 
     async def start(self) -> None:
         """Listen.
@@ -85,7 +85,7 @@
         server = web.Server(
             self._handle,
             handler_cancellation=True,
-            keepalive_timeout=KEEP_IDLE_S,
+            keepalive_timeout=IDLE_TIMEOUT_S,
             access_log=None,
             auto_decompress=False,
             max_line_size=MAX_HEADER_BYTES,
@@ -93,7 +93,7 @@
             lingering_time=0.0,
         )
         self._runner = web.ServerRunner(
-            server, handle_signals=False, shutdown_timeout=CLOSE_LIMIT_S
+            server, handle_signals=False, shutdown_timeout=SHUTDOWN_TIMEOUT_S
         )
         await self._runner.setup()
         self._site = self._new_site()
@@ -101,9 +101,9 @@
 
     def _new_site(self) -> web.BaseSite:
         if self._sock is not None:
-            return web.SockSite(self._runner, self._sock, backlog=BACKLOG)
+            return web.SockSite(self._runner, self._sock, backlog=LISTEN_BACKLOG)
         host, _, port = self._address.rpartition(":")
-        return web.TCPSite(self._runner, host, int(port), backlog=BACKLOG)
+        return web.TCPSite(self._runner, host, int(port), backlog=LISTEN_BACKLOG)
 
     @property
     def port(self) -> int:
@@ -127,7 +127,7 @@
         if self._site is not None:
             await self._site.stop()
         await self._close_idle()
-        await self._idle.wait()
+        await self._no_active_conns.wait()
 
     async def _close_idle(self) -> None:
         # Not by the server's own pre_shutdown: it stops reading idle connections but
@@ -137,15 +137,15 @@
         idle = [
             conn
             for conn in self._runner.server.connections
-            if conn not in self._busy and _is_open(conn)
+            if conn not in self._active_conns and _is_open(conn)
         ]
         for conn in idle:
             conn.transport.pause_reading()
         # A request that was read just now is begun within a few turns of the loop.
-        for _ in range(TURNS_TO_BEGIN):
+        for _ in range(LOOP_ITERATIONS_TO_HANDLER):
             await asyncio.sleep(0)
         for conn in idle:
-            if conn not in self._busy:
+            if conn not in self._active_conns:
                 conn.force_close()
             elif _is_open(conn):
                 conn.transport.resume_reading()
@@ -157,28 +157,28 @@
 
     async def _handle(self, req: web.BaseRequest) -> web.StreamResponse:
         conn = req.protocol
-        self._busy.add(conn)
-        self._idle.clear()
+        self._active_conns.add(conn)
+        self._no_active_conns.clear()
         sink = _HttpSink(req=req, is_stopping=lambda: self._stopping)
         try:
-            await self._answer(req, sink)
+            await self._respond(req, sink)
         finally:
-            self._busy.discard(conn)
+            self._active_conns.discard(conn)
             if self._stopping:
                 # Also where the answer was begun before, and says nothing of it.
                 conn.close()
-            if not self._busy:
-                self._idle.set()
+            if not self._active_conns:
+                self._no_active_conns.set()
         return sink.response
 
-    async def _answer(self, req: web.BaseRequest, sink: "_HttpSink") -> None:
+    async def _respond(self, req: web.BaseRequest, sink: "_HttpSink") -> None:
         arrived_at = self._clock.now()
         request_id = req.headers.get("Attempt-Id", "")
         try:
-            caller_req = await self._read(req, arrived_at)
+            caller_req = await self._read_request(req, arrived_at)
             await self._serve(caller_req, sink)
         except WigeonscaleError as exc:
-            await self._refuse(request_id, exc, sink)
+            await self._send_error(request_id, exc, sink)
         except ConnectionError:
             logger.info("caller left", extra=log_fields(request_id=request_id))
             sink.abort()
@@ -187,9 +187,11 @@
             error = WigeonscaleError(
                 ErrorKind.INTERNAL, "internal error", run_state=RunState.UNKNOWN
             )
-            await self._refuse(request_id, error, sink)
+            await self._send_error(request_id, error, sink)
 
-    async def _read(self, req: web.BaseRequest, arrived_at: float) -> CallerRequest:
+    async def _read_request(
+        self, req: web.BaseRequest, arrived_at: float
+    ) -> CallerRequest:
         limit = self._max_body()
         body = b""
         if req.body_exists:
@@ -203,7 +205,7 @@
             host=headers.host,
             method=req.method,
             path=req.raw_path,
-            headers=headers.others,
+            headers=headers.forwarded,
             body=body,
             key=headers.key,
             arrived_at=arrived_at,
@@ -212,7 +214,7 @@
             last_event_id=headers.last_event_id,
         )
 
-    async def _refuse(
+    async def _send_error(
         self, request_id: str, exc: WigeonscaleError, sink: "_HttpSink"
     ) -> None:
         answer = ERROR_RESPONSES[exc.kind]
@@ -225,16 +227,16 @@
             extra=log_fields(
                 request_id=request_id,
                 kind=exc.kind,
-                outcome="cut" if sink.is_begun else "refused",
+                outcome="cut" if sink.has_started else "refused",
                 status=status,
                 run_state=exc.run_state,
                 retry_after_s=exc.retry_after,
             ),
         )
-        if sink.is_begun:
+        if sink.has_started:
             sink.abort()
             return
-        headers = answer_headers(request_id, exc.retry_after)
+        headers = response_headers(request_id, exc.retry_after)
         head = ResponseHead(status, tuple(headers.items()))
         try:
             await sink.send(FullResponse(head, f"{exc.kind.value}\n".encode()))
@@ -273,7 +275,7 @@
         self.response: web.StreamResponse = web.Response(status=BAD_GATEWAY)
         self._req = req
         self._is_stopping = is_stopping
-        self.is_begun = False
+        self.has_started = False
 
     async def send(self, answer: FullResponse) -> None:
         """Send a whole answer."""
@@ -308,5 +310,5 @@
         if self._is_stopping():
             response.force_close()
         self.response = response
-        self.is_begun = True
+        self.has_started = True
         await response.prepare(self._req)
--- a/wigeonscale/platform/connection_limiter.py
+++ b/wigeonscale/platform/connection_limiter.py
@@ -6,7 +6,7 @@
 second or more, and the engine looks lost to those who wait.
 """
 
-__all__ = ["pace_connections"]
+__all__ = ["limit_concurrent_connects"]
 
 import asyncio
 from collections import defaultdict
@@ -15,31 +15,31 @@
 import aiohttp
 
 # A connection opens in some 2 ms, so four at a time are 2,000 a second.
-MOST_AT_ONCE = 4
+MAX_CONCURRENT_CONNECTS = 4
 
 
-def pace_connections() -> aiohttp.TraceConfig:
+def limit_concurrent_connects() -> aiohttp.TraceConfig:
     """Return hooks for a client session that let new connections wait their turn.
 
     The context of each request (``trace_request_ctx``) names the address. A request
     over a connection that was kept never waits.
     """
-    turns = defaultdict(lambda: asyncio.Semaphore(MOST_AT_ONCE))
+    semaphores = defaultdict(lambda: asyncio.Semaphore(MAX_CONCURRENT_CONNECTS))
 
-    async def begin(_, ctx: SimpleNamespace, params) -> None:
-        turn = turns[ctx.trace_request_ctx]
-        await turn.acquire()
-        ctx.turn = turn
+    async def acquire_slot(_, ctx: SimpleNamespace, params) -> None:
+        semaphore = semaphores[ctx.trace_request_ctx]
+        await semaphore.acquire()
+        ctx.semaphore = semaphore
 
-    async def end(_, ctx: SimpleNamespace, params) -> None:
-        turn = getattr(ctx, "turn", None)
-        if turn is not None:
-            ctx.turn = None
-            turn.release()
+    async def release_slot(_, ctx: SimpleNamespace, params) -> None:
+        semaphore = getattr(ctx, "semaphore", None)
+        if semaphore is not None:
+            ctx.semaphore = None
+            semaphore.release()
 
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_start.append(begin)
-    trace.on_connection_create_end.append(end)
+    trace.on_connection_create_start.append(acquire_slot)
+    trace.on_connection_create_end.append(release_slot)
     # Also where it could not be opened, or its caller left.
-    trace.on_request_exception.append(end)
+    trace.on_request_exception.append(release_slot)
     return trace
--- a/wigeonscale/platform/control_http.py
+++ b/wigeonscale/platform/control_http.py
@@ -10,7 +10,7 @@
 from wigeonscale.control import Registry
 from wigeonscale.errors import ERROR_RESPONSES, RunState, WigeonscaleError
 from wigeonscale.platform.documents import read_route_table
-from wigeonscale.platform.heartbeats import read_farewell, read_heartbeat
+from wigeonscale.platform.heartbeats import read_deregistration, read_heartbeat
 
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
 # What calls may go wrong with the same call made again: never a plain refusal.
@@ -47,25 +47,25 @@
         return web.Response(body=content, content_type="application/json")
 
     async def put_instance(req: web.Request) -> web.Response:
-        beat = read_heartbeat(req.match_info["id"], await req.read())
-        await registry.announce(beat.backend, beat.sequence)
+        heartbeat = read_heartbeat(req.match_info["id"], await req.read())
+        await registry.announce(heartbeat.backend, heartbeat.sequence)
         return web.json_response({"heartbeat-addr": heartbeat_address})
 
     async def delete_instance(req: web.Request) -> web.Response:
         name = req.match_info["id"]
-        farewell = read_farewell(name, await req.read())
-        await registry.leave(name, farewell.incarnation)
+        deregistration = read_deregistration(name, await req.read())
+        await registry.leave(name, deregistration.incarnation)
         return web.json_response({})
 
     return [
-        web.put("/config", _answered(put_config)),
-        web.get("/config", _answered(get_config)),
-        web.put("/instances/{id}", _answered(put_instance)),
-        web.delete("/instances/{id}", _answered(delete_instance)),
+        web.put("/config", _with_error_responses(put_config)),
+        web.get("/config", _with_error_responses(get_config)),
+        web.put("/instances/{id}", _with_error_responses(put_instance)),
+        web.delete("/instances/{id}", _with_error_responses(delete_instance)),
     ]
 
 
-def _answered(
+def _with_error_responses(
     handler: Callable[[web.Request], Awaitable[web.Response]],
 ) -> Callable[[web.Request], Awaitable[web.Response]]:
     """Return a handler that turns the project's errors into answers."""
--- a/wigeonscale/platform/documents.py
+++ b/wigeonscale/platform/documents.py
@@ -10,9 +10,9 @@
 from wigeonscale import routes
 from wigeonscale.errors import ErrorKind, SettingsError
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
-KINDS = {
+REPEAT_BY_KIND = {
     "safe": routes.Repeat.SAFE,
     "unsafe": routes.Repeat.UNSAFE,
     "streaming": routes.Repeat.STREAM,
@@ -59,14 +59,14 @@
     read_x: float = 1.0
 
 
-class _Usual(_Model):
+class _TypicalRequest(_Model):
     prompt: float = 0.0
     answer: float = 0.0
 
 
 class _Delay(_Model):
-    here: Annotated[Text, Field(alias="from")]
-    there: Annotated[Text, Field(alias="to")]
+    source: Annotated[Text, Field(alias="from")]
+    destination: Annotated[Text, Field(alias="to")]
     # One way.
     delay_ms: Annotated[Milliseconds, Field(alias="delay_ms")]
 
@@ -79,7 +79,7 @@
     kv_capacity: float = 0.0
     activation_bytes: float = 0.0
     pipe_mbps: float = 0.0
-    usual: _Usual = _Usual()
+    usual: _TypicalRequest = _TypicalRequest()
     kinds: list[_Accelerator] = []
     # Between failure domains.
     delays: list[_Delay] = []
@@ -109,10 +109,11 @@
     idle_timeout_ms: Milliseconds = 15_000
 
 
-def _route(route: _Route) -> routes.Route:
-    if route.kind not in KINDS:
+def _to_route(route: _Route) -> routes.Route:
+    if route.kind not in REPEAT_BY_KIND:
         raise SettingsError(
-            f"route {route.name!r}: kind {route.kind!r}; allowed: {', '.join(KINDS)}",
+            f"route {route.name!r}: kind {route.kind!r};"
+            f" allowed: {', '.join(REPEAT_BY_KIND)}",
             kind=ErrorKind.INVALID_DOCUMENT,
         )
     if route.split is not None:
@@ -123,10 +124,10 @@
         name=route.name,
         host=route.host.lower(),
         prefix=route.path_prefix,
-        repeat=KINDS[route.kind],
-        timeout_s=route.timeout_ms / MILLISECONDS,
-        target_s=route.target_latency_ms / MILLISECONDS,
-        gap_target_s=route.gap_target_ms / MILLISECONDS,
+        repeat=REPEAT_BY_KIND[route.kind],
+        timeout_s=route.timeout_ms / MS_PER_S,
+        target_s=route.target_latency_ms / MS_PER_S,
+        gap_target_s=route.gap_target_ms / MS_PER_S,
         priority=route.priority,
         shares=tuple(shares),
         max_attempts=route.max_attempts,
@@ -141,7 +142,7 @@
     # Each is turned into a plain route as soon as it was checked: reading a document of
     # 1,160 routes takes 2.5 MB, and 5.4 MB with all of them as models first (anonymous
     # memory of a process that reads its first one).
-    routes: list[Annotated[_Route, AfterValidator(_route)]]
+    routes: list[Annotated[_Route, AfterValidator(_to_route)]]
     services: list[_Service]
     tenants: list[_Tenant] | None = None
     limits: _Limits = _Limits()
@@ -157,16 +158,16 @@
         SettingsError: ``INVALID_DOCUMENT``: it cannot be read in full, or it
             contradicts itself.
     """
-    document = _read(content)
+    document = _parse(content)
     return routes.build_table(
         number=document.version,
         routes=document.routes,
-        services=[_service(each) for each in document.services],
-        organisations=_organisations(document.tenants),
+        services=[_to_service(each) for each in document.services],
+        organisations=_to_organisations(document.tenants),
         limits=routes.CallerLimits(
             header_bytes=document.limits.max_header_bytes,
             body_bytes=document.limits.max_body_bytes,
-            idle_s=document.limits.idle_timeout_ms / MILLISECONDS,
+            idle_s=document.limits.idle_timeout_ms / MS_PER_S,
         ),
     )
 
@@ -181,28 +182,28 @@
     return zlib.decompress(content)
 
 
-def _read(content: bytes) -> _Document:
+def _parse(content: bytes) -> _Document:
     try:
         return _Document.model_validate_json(content, strict=False)
     except ValidationError as exc:
         first = exc.errors(include_url=False, include_input=False)[0]
-        place = ".".join(str(part) for part in first["loc"])
+        location = ".".join(str(part) for part in first["loc"])
         raise SettingsError(
-            f"{place or 'the document'}: {first['msg']}",
+            f"{location or 'the document'}: {first['msg']}",
             kind=ErrorKind.INVALID_DOCUMENT,
         ) from exc
 
 
-def _service(service: _Service) -> routes.Service:
+def _to_service(service: _Service) -> routes.Service:
     engine = service.engine
     return routes.Service(
         name=service.name,
         max_connections=service.max_conns,
-        engine=_engine(engine) if engine is not None else None,
+        engine=_to_engine_profile(engine) if engine is not None else None,
     )
 
 
-def _engine(engine: _Engine) -> routes.EngineProfile:
+def _to_engine_profile(engine: _Engine) -> routes.EngineProfile:
     return routes.EngineProfile(
         layers=engine.layers,
         layer_mb=engine.layer_mb,
@@ -228,13 +229,16 @@
             for kind in engine.kinds
         },
         delays_ms={
-            (min(each.here, each.there), max(each.here, each.there)): each.delay_ms
+            (
+                min(each.source, each.destination),
+                max(each.source, each.destination),
+            ): each.delay_ms
             for each in engine.delays
         },
     )
 
 
-def _organisations(
+def _to_organisations(
     tenants: list[_Tenant] | None,
 ) -> list[routes.Organisation] | None:
     if tenants is None:
--- a/wigeonscale/platform/engine_orders.py
+++ b/wigeonscale/platform/engine_orders.py
@@ -11,7 +11,7 @@
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.layers import Part
-from wigeonscale.platform.headers import path_text
+from wigeonscale.platform.headers import format_path
 from wigeonscale.ports import EngineProbeResult, ProbeResult
 from wigeonscale.ports.orders import (
     STATUS_TIMEOUT_S,
@@ -21,12 +21,12 @@
 
 # Engines answer at once; the links take a few milliseconds. One lost packet costs some
 # 200 ms, for which an order is waited and a probe is sent twice.
-TIMEOUT_S = 0.7
+ORDER_TIMEOUT_S = 0.7
 PROBE_TIMEOUT_S = 0.3
 # A stream that stands still waits for it; sent elsewhere it would need 100 ms.
-CHANGE_TIMEOUT_S = 0.15
+PATH_CHANGE_TIMEOUT_S = 0.15
 
-OUTCOMES = {
+OUTCOME_BY_STATUS = {
     200: OrderOutcome.UNCHANGED,
     202: OrderOutcome.STARTED,
     409: OrderOutcome.CONFLICT,
@@ -66,10 +66,10 @@
             # The order count, which the report calls "seq".
             "precondition": expected_orders,
         }
-        answer = await self._ask("POST", address, "/order", order)
+        answer = await self._try_send("POST", address, "/order", order)
         if answer is None:
             return OrderOutcome.UNKNOWN
-        return OUTCOMES.get(answer[0], OrderOutcome.REFUSED)
+        return OUTCOME_BY_STATUS.get(answer[0], OrderOutcome.REFUSED)
 
     async def change_path(
         self,
@@ -83,20 +83,20 @@
         order = {
             "op": "repath",
             "id": request_id,
-            "path": path_text(path, addresses),
+            "path": format_path(path, addresses),
         }
-        answer = await self._ask(
-            "POST", address, "/order", order, timeout_s=CHANGE_TIMEOUT_S
+        answer = await self._try_send(
+            "POST", address, "/order", order, timeout_s=PATH_CHANGE_TIMEOUT_S
         )
         if answer is None:
             return OrderOutcome.UNKNOWN
-        return OUTCOMES.get(answer[0], OrderOutcome.REFUSED)
+        return OUTCOME_BY_STATUS.get(answer[0], OrderOutcome.REFUSED)
 
     async def status(
         self, address: str, *, timeout_s: float = STATUS_TIMEOUT_S
     ) -> EngineStatus | None:
         """Return what an engine says of itself; None without an answer in time."""
-        answer = await self._ask("GET", address, "/report", timeout_s=timeout_s)
+        answer = await self._try_send("GET", address, "/report", timeout_s=timeout_s)
         if answer is None or answer[0] != 200:
             return None
         try:
@@ -137,15 +137,15 @@
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             logger.info("probe of %s: no answer: %r", address, exc)
             return EngineProbeResult(ProbeResult.NO_ANSWER)
-        return _read_sign(answer, started_ms)
+        return _parse_probe_result(answer, started_ms)
 
-    async def _ask(
+    async def _try_send(
         self,
         method: str,
         address: str,
         path: str,
         body: dict | None = None,
-        timeout_s: float = TIMEOUT_S,
+        timeout_s: float = ORDER_TIMEOUT_S,
     ) -> tuple[int, bytes] | None:
         try:
             return await self._send(method, address, path, body, timeout_s)
@@ -159,7 +159,7 @@
         address: str,
         path: str,
         body: dict | None = None,
-        timeout_s: float = TIMEOUT_S,
+        timeout_s: float = ORDER_TIMEOUT_S,
     ) -> tuple[int, bytes]:
         async with self._session.request(
             method,
@@ -183,7 +183,9 @@
     return born
 
 
-def _read_sign(answer: tuple[int, bytes], started_ms: int) -> EngineProbeResult:
+def _parse_probe_result(
+    answer: tuple[int, bytes], started_ms: int
+) -> EngineProbeResult:
     """Return what an engine's report says of it."""
     status, content = answer
     if status != 200:
--- a/wigeonscale/platform/exchange_http.py
+++ b/wigeonscale/platform/exchange_http.py
@@ -9,16 +9,16 @@
 import aiohttp
 from yarl import URL
 
-from wigeonscale.platform.connection_limiter import pace_connections
+from wigeonscale.platform.connection_limiter import limit_concurrent_connects
 from wigeonscale.platform.headers import (
-    at_fault_of,
     backend_headers,
-    event_id_of,
-    head_of,
+    is_not_run,
     is_other_incarnation,
-    is_refused_unrun,
-    names_request,
-    notice_of,
+    matches_request,
+    parse_event_id,
+    read_failed_address,
+    read_notice,
+    read_response_head,
 )
 from wigeonscale.ports.exchange import (
     BackendCall,
@@ -35,8 +35,8 @@
 CONNECT_TIMEOUT_S = 0.3
 # Backend servers close idle connections after some seconds, and a request that
 # crosses such a close may or may not have run.
-KEEP_IDLE_S = 1.5
-LARGEST_EVENT_BYTES = 1 << 20
+IDLE_TIMEOUT_S = 1.5
+MAX_EVENT_BYTES = 1 << 20
 EVENT_END = b"\n\n"
 
 logger = logging.getLogger(__name__)
@@ -46,12 +46,12 @@
     """Return a client session that sends each request once, as it is."""
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
-            limit=0, keepalive_timeout=KEEP_IDLE_S, enable_cleanup_closed=False
+            limit=0, keepalive_timeout=IDLE_TIMEOUT_S, enable_cleanup_closed=False
         ),
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
-        trace_configs=[pace_connections()],
+        trace_configs=[limit_concurrent_connects()],
         skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
     )
     # aiohttp would send a GET again by itself when a kept connection broke.
@@ -122,7 +122,9 @@
     def __init__(
         self, *, res: aiohttp.ClientResponse, address: str, notice: ServerNotice
     ):
-        self.head: ResponseHead = head_of(res.status, res.raw_headers, notice)
+        self.head: ResponseHead = read_response_head(
+            res.status, res.raw_headers, notice
+        )
         self._res = res
         self._address = address
         # Kept, since the response forgets it at its end.
@@ -135,11 +137,11 @@
             pending += chunk
             while EVENT_END in pending:
                 data, _, pending = pending.partition(EVENT_END)
-                yield StreamEvent(event_id_of(data), data + EVENT_END)
-            if len(pending) > LARGEST_EVENT_BYTES:
-                raise self._broken("an event is too large")
+                yield StreamEvent(parse_event_id(data), data + EVENT_END)
+            if len(pending) > MAX_EVENT_BYTES:
+                raise self._incomplete_error("an event is too large")
         if pending:
-            raise self._broken("it ended inside an event")
+            raise self._incomplete_error("it ended inside an event")
 
     async def read_body(self) -> bytes:
         """Return the whole body of an answer that is no stream."""
@@ -150,7 +152,7 @@
             async for chunk in self._res.content.iter_any():
                 yield chunk
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
-            raise self._broken(repr(exc)) from exc
+            raise self._incomplete_error(repr(exc)) from exc
         self._check_end()
 
     def _check_end(self) -> None:
@@ -162,9 +164,9 @@
             return
         exc = self._protocol.exception()
         if exc is not None and not isinstance(exc, aiohttp.ServerDisconnectedError):
-            raise self._broken(f"reset: {exc!r}")
+            raise self._incomplete_error(f"reset: {exc!r}")
 
-    def _broken(self, message: str) -> ExchangeError:
+    def _incomplete_error(self, message: str) -> ExchangeError:
         return ExchangeError(
             CallOutcome.UNKNOWN, f"answer of {self._address} broke off: {message}"
         )
@@ -176,18 +178,18 @@
     Raises:
         ExchangeError: The answer is to another request, or says the work never ran.
     """
-    if not names_request(res.headers, call.req.request_id):
+    if not matches_request(res.headers, call.req.request_id):
         raise ExchangeError(
             CallOutcome.UNKNOWN, f"{call.address} answered another request than asked"
         )
     is_other = is_other_incarnation(res.status, res.headers)
-    notice = None if is_other else notice_of(res.status, res.headers)
-    if is_refused_unrun(res.status, res.headers):
+    notice = None if is_other else read_notice(res.status, res.headers)
+    if is_not_run(res.status, res.headers):
         raise ExchangeError(
             CallOutcome.NOT_RUN,
             f"{call.address} refused with {res.status}",
             status=res.status,
-            failed_address=at_fault_of(res.headers),
+            failed_address=read_failed_address(res.headers),
             is_other_incarnation=is_other,
             notice=notice,
         )
--- a/wigeonscale/platform/headers.py
+++ b/wigeonscale/platform/headers.py
@@ -2,17 +2,17 @@
 
 __all__ = [
     "RequestHeaders",
-    "answer_headers",
-    "at_fault_of",
     "backend_headers",
-    "event_id_of",
-    "head_of",
-    "is_refused_unrun",
+    "format_path",
+    "is_not_run",
     "is_other_incarnation",
-    "names_request",
-    "notice_of",
-    "path_text",
+    "matches_request",
+    "parse_event_id",
+    "read_failed_address",
+    "read_notice",
     "read_request_headers",
+    "read_response_head",
+    "response_headers",
 ]
 
 import logging
@@ -29,15 +29,15 @@
     ServerNotice,
 )
 
-MILLISECONDS = 1000.0
-BEARER = "bearer "
-LEAST_PRIORITY = 9
+MS_PER_S = 1000.0
+BEARER_PREFIX = "bearer "
+LOWEST_PRIORITY = 9
 MISDIRECTED = 421
 OVERLOADED = 503
-TEXT_IN_LOG = 40  # characters
+MAX_LOGGED_CHARS = 40  # characters
 
 # They concern one connection only, RFC 9110, 7.6.1; the last two are written anew.
-_CONNECTION_ONLY = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -53,7 +53,7 @@
     }
 )
 # Set by this system alone, whatever a caller sends.
-_OWN = frozenset(
+_ROUTER_HEADERS = frozenset(
     {
         "authorization",
         "tenant",
@@ -65,7 +65,7 @@
         "last-event-id",
     }
 )
-_NOT_TO_CALLERS = frozenset({"date", "server"}) | _CONNECTION_ONLY
+_DROPPED_RESPONSE_HEADERS = frozenset({"date", "server"}) | _HOP_BY_HOP_HEADERS
 
 logger = logging.getLogger(__name__)
 
@@ -90,7 +90,7 @@
     deadline_s: float | None
     generation: GenerationSize
     last_event_id: int | None
-    others: tuple[tuple[str, str], ...]
+    forwarded: tuple[tuple[str, str], ...]
 
 
 def read_request_headers(headers: Mapping[str, str]) -> RequestHeaders:
@@ -99,17 +99,21 @@
     Args:
         headers: Headers by name, in any case; a multi-mapping.
     """
-    skipped = _CONNECTION_ONLY | _OWN | _listed(headers.get("Connection", ""))
-    deadline_ms = _number(headers.get("Request-Deadline", ""))
-    last_event_id = _number(headers.get("Last-Event-Id", ""))
+    skipped = (
+        _HOP_BY_HOP_HEADERS
+        | _ROUTER_HEADERS
+        | _connection_options(headers.get("Connection", ""))
+    )
+    deadline_ms = _parse_digits(headers.get("Request-Deadline", ""))
+    last_event_id = _parse_digits(headers.get("Last-Event-Id", ""))
     return RequestHeaders(
         request_id=headers.get("Attempt-Id", ""),
         host=headers.get("Host", ""),
-        key=_bearer(headers.get("Authorization", "")),
-        deadline_s=None if deadline_ms is None else deadline_ms / MILLISECONDS,
-        generation=_generation(headers),
+        key=_bearer_token(headers.get("Authorization", "")),
+        deadline_s=None if deadline_ms is None else deadline_ms / MS_PER_S,
+        generation=_read_generation_size(headers),
         last_event_id=None if last_event_id is None else int(last_event_id),
-        others=tuple(
+        forwarded=tuple(
             (name, value)
             for name, value in headers.items()
             if name.lower() not in skipped
@@ -121,21 +125,21 @@
     """Return the headers of one send to a backend server."""
     headers = list(call.req.headers)
     headers.append(("Expect-Instance", call.backend_id))
-    headers.append(("Request-Deadline", str(max(1, int(call.left_s * MILLISECONDS)))))
+    headers.append(("Request-Deadline", str(max(1, int(call.left_s * MS_PER_S)))))
     if call.organisation:
         headers.append(("Tenant", call.organisation))
     if call.priority is not None:
-        rank = min(max(call.priority, 0), LEAST_PRIORITY)
+        rank = min(max(call.priority, 0), LOWEST_PRIORITY)
         headers.append(("Request-Priority", str(rank)))
     if call.after_event is not None:
         headers.append(("Last-Event-Id", str(call.after_event)))
     if call.path:
         # Not a count: the engines of the path with the layers that each runs.
-        headers.append(("Hop-Count", path_text(call.path, call.addresses)))
+        headers.append(("Hop-Count", format_path(call.path, call.addresses)))
     return headers
 
 
-def path_text(path: Sequence[Part], addresses: Sequence[str]) -> str:
+def format_path(path: Sequence[Part], addresses: Sequence[str]) -> str:
     """Return a path as the engines read it.
 
     Args:
@@ -146,7 +150,7 @@
     return ",".join(f"{at}={part.layers.first}-{part.layers.end}" for at, part in parts)
 
 
-def head_of(
+def read_response_head(
     status: int,
     raw: Sequence[tuple[bytes, bytes]],
     notice: ServerNotice,
@@ -159,31 +163,33 @@
         notice: What the backend server says of itself in them.
     """
     pairs = [(name.decode("latin-1"), value.decode("latin-1")) for name, value in raw]
-    kept = [pair for pair in pairs if pair[0].lower() not in _NOT_TO_CALLERS]
+    kept = [pair for pair in pairs if pair[0].lower() not in _DROPPED_RESPONSE_HEADERS]
     return ResponseHead(status, tuple(kept), notice)
 
 
-def notice_of(status: int, headers: Mapping[str, str]) -> ServerNotice:
+def read_notice(status: int, headers: Mapping[str, str]) -> ServerNotice:
     """Return what a backend server says of itself in an answer.
 
     Args:
         status: HTTP status.
         headers: Headers by name, in any case; of its own answer, not of a stranger's.
     """
-    rest_s = _amount(headers, "Retry-After") if status == OVERLOADED else None
+    retry_after_s = (
+        _parse_amount(headers, "Retry-After") if status == OVERLOADED else None
+    )
     return ServerNotice(
-        limit_per_s=_amount(headers, "Server-Limit"),
+        limit_per_s=_parse_amount(headers, "Server-Limit"),
         is_leaving=headers.get("Server-Leaving", "").strip() == "1",
-        retry_after_s=rest_s or 0.0,
+        retry_after_s=retry_after_s or 0.0,
     )
 
 
-def names_request(headers: Mapping[str, str], request_id: str) -> bool:
+def matches_request(headers: Mapping[str, str], request_id: str) -> bool:
     """Return whether an answer belongs to a request; one without an id may."""
     return headers.get("Attempt-Id", request_id) == request_id
 
 
-def is_refused_unrun(status: int, headers: Mapping[str, str]) -> bool:
+def is_not_run(status: int, headers: Mapping[str, str]) -> bool:
     """Return whether an answer says that the work was not begun and never will be."""
     return status == MISDIRECTED or "Not-Run" in headers
 
@@ -193,12 +199,12 @@
     return status == MISDIRECTED and "At-Server" not in headers
 
 
-def at_fault_of(headers: Mapping[str, str]) -> str:
+def read_failed_address(headers: Mapping[str, str]) -> str:
     """Return the address of the engine that a refusal names; empty for none."""
     return headers.get("At-Server", "")
 
 
-def answer_headers(request_id: str, retry_after_s: float | None) -> dict[str, str]:
+def response_headers(request_id: str, retry_after_s: float | None) -> dict[str, str]:
     """Return the headers of an answer of this system's own.
 
     Args:
@@ -211,27 +217,27 @@
     return headers
 
 
-def event_id_of(data: bytes) -> int | None:
+def parse_event_id(data: bytes) -> int | None:
     """Return the id of an event of a stream; None where it has none."""
     for line in data.split(b"\n"):
         if line.startswith(b"id:"):
-            number = _number(line[3:].decode("latin-1"))
+            number = _parse_digits(line[3:].decode("latin-1"))
             return None if number is None else int(number)
     return None
 
 
-def _generation(headers: Mapping[str, str]) -> GenerationSize:
+def _read_generation_size(headers: Mapping[str, str]) -> GenerationSize:
     # "Token-Count" holds two numbers: tokens of the prompt and most of the answer.
     prompt, _, most = headers.get("Token-Count", "").partition(",")
-    limit = int(_number(most) or 0)
+    limit = int(_parse_digits(most) or 0)
     return GenerationSize(
-        prompt_tokens=int(_number(prompt) or 0),
+        prompt_tokens=int(_parse_digits(prompt) or 0),
         max_tokens=limit,
-        expected_tokens=int(_number(headers.get("Length-Hint", "")) or limit),
+        expected_tokens=int(_parse_digits(headers.get("Length-Hint", "")) or limit),
     )
 
 
-def _amount(headers: Mapping[str, str], name: str) -> float | None:
+def _parse_amount(headers: Mapping[str, str], name: str) -> float | None:
     """Return a decimal number of 0 or more; None where there is none."""
     text = headers.get(name)
     if text is None:
@@ -243,21 +249,21 @@
     if math.isfinite(amount) and amount >= 0.0:
         return amount
     logger.warning(
-        "header %s cannot be read", name, extra=log_fields(text=text[:TEXT_IN_LOG])
+        "header %s cannot be read", name, extra=log_fields(text=text[:MAX_LOGGED_CHARS])
     )
     return None
 
 
-def _listed(connection: str) -> frozenset[str]:
+def _connection_options(connection: str) -> frozenset[str]:
     return frozenset(name.strip().lower() for name in connection.split(","))
 
 
-def _bearer(authorization: str) -> str:
-    if not authorization.lower().startswith(BEARER):
+def _bearer_token(authorization: str) -> str:
+    if not authorization.lower().startswith(BEARER_PREFIX):
         return ""
-    return authorization[len(BEARER) :].strip()
+    return authorization[len(BEARER_PREFIX) :].strip()
 
 
-def _number(text: str) -> float | None:
+def _parse_digits(text: str) -> float | None:
     text = text.strip()
     return float(text) if text.isascii() and text.isdigit() else None
--- a/wigeonscale/platform/heartbeats.py
+++ b/wigeonscale/platform/heartbeats.py
@@ -1,6 +1,6 @@
 """Heartbeats of backend servers, read into the project's own announcement."""
 
-__all__ = ["Farewell", "Heartbeat", "read_farewell", "read_heartbeat"]
+__all__ = ["Deregistration", "Heartbeat", "read_deregistration", "read_heartbeat"]
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -20,11 +20,11 @@
 
 DRAINING = "draining"
 # ip:port, as backend servers listen.
-ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-LARGEST_INT64 = 2**63 - 1
+ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
+MAX_INT64 = 2**63 - 1
 
 # Unix millisecond of the start of the backend server, in all that it says of itself.
-Born = Annotated[StrictInt, Field(gt=0, le=LARGEST_INT64)]
+StartMs = Annotated[StrictInt, Field(gt=0, le=MAX_INT64)]
 Text = Annotated[StrictStr, Field(min_length=1)]
 Count = Annotated[StrictInt, Field(ge=0, lt=2**31)]
 
@@ -39,28 +39,28 @@
     end: Annotated[Count, Field(alias="to")] = 0
 
 
-class _Loaded(_Model):
+class _LoadedModel(_Model):
     name: StrictStr = ""
 
 
 class _Heartbeat(_Model):
     service: Text
-    address: Annotated[StrictStr, Field(pattern=ADDRESS)]
+    address: Annotated[StrictStr, Field(pattern=ADDRESS_PATTERN)]
     zone: Text
     slots: Count
     state: Literal["ready", "draining"]
     # Number of the heartbeat. In an engine's report the same name counts orders.
-    seq: Annotated[StrictInt, Field(ge=0, le=LARGEST_INT64)]
-    born: Born | None = None
+    seq: Annotated[StrictInt, Field(ge=0, le=MAX_INT64)]
+    born: StartMs | None = None
     # Present on model engines only.
-    models: list[_Loaded] | None = None
+    models: list[_LoadedModel] | None = None
     layers: _Layers | None = None
     # Name of the engine's accelerator, not the kind of a route.
     kind: StrictStr = ""
 
 
-class _Farewell(_Model):
-    born: Born | None = None
+class _Deregistration(_Model):
+    born: StartMs | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Farewell:
+class Deregistration:
     """What a backend server says when it goes.
 
     Attributes:
@@ -98,29 +98,29 @@
         WigeonscaleError: ``BAD_REQUEST``, naming what is wrong.
     """
     try:
-        beat = _Heartbeat.model_validate_json(content)
+        heartbeat = _Heartbeat.model_validate_json(content)
     except ValidationError as exc:
-        raise _refusal(f"heartbeat of {backend_id!r}", exc) from exc
-    is_engine = beat.models is not None
-    layers = beat.layers or _Layers()
+        raise _bad_request(f"heartbeat of {backend_id!r}", exc) from exc
+    is_engine = heartbeat.models is not None
+    layers = heartbeat.layers or _Layers()
     backend = wire.Backend(
         agent_id=backend_id,
-        incarnation=beat.born or UNNUMBERED,
-        started_ms=beat.born or 0,
-        address=beat.address,
-        domain=beat.zone,
+        incarnation=heartbeat.born or UNNUMBERED,
+        started_ms=heartbeat.born or 0,
+        address=heartbeat.address,
+        domain=heartbeat.zone,
         kind=wire.ENGINE if is_engine else wire.SERVICE,
-        service=beat.service,
-        accelerator=beat.kind,
+        service=heartbeat.service,
+        accelerator=heartbeat.kind,
         first_layer=layers.first,
         last_layer=layers.end - 1,
-        draining=beat.state == DRAINING,
-        slots=beat.slots,
+        draining=heartbeat.state == DRAINING,
+        slots=heartbeat.slots,
     )
-    return Heartbeat(backend, beat.seq)
+    return Heartbeat(backend, heartbeat.seq)
 
 
-def read_farewell(backend_id: str, content: bytes) -> Farewell:
+def read_deregistration(backend_id: str, content: bytes) -> Deregistration:
     """Return what a backend server says when it goes; most say nothing.
 
     Args:
@@ -131,14 +131,16 @@
         WigeonscaleError: ``BAD_REQUEST``, naming what is wrong.
     """
     if not content.strip():
-        return Farewell(None)
+        return Deregistration(None)
     try:
-        return Farewell(_Farewell.model_validate_json(content).born)
+        return Deregistration(_Deregistration.model_validate_json(content).born)
     except ValidationError as exc:
-        raise _refusal(f"farewell of {backend_id!r}", exc) from exc
+        raise _bad_request(f"farewell of {backend_id!r}", exc) from exc
 
 
-def _refusal(what: str, exc: ValidationError) -> WigeonscaleError:
+def _bad_request(subject: str, exc: ValidationError) -> WigeonscaleError:
     first = exc.errors(include_url=False, include_input=False)[0]
-    place = ".".join(str(step) for step in first["loc"]) or "body"
-    return WigeonscaleError(ErrorKind.BAD_REQUEST, f"{what}: {place}: {first['msg']}")
+    location = ".".join(str(step) for step in first["loc"]) or "body"
+    return WigeonscaleError(
+        ErrorKind.BAD_REQUEST, f"{subject}: {location}: {first['msg']}"
+    )
--- a/wigeonscale/platform/tests/test_connection_limiter.py
+++ b/wigeonscale/platform/tests/test_connection_limiter.py
@@ -3,12 +3,12 @@
 import aiohttp
 from aiohttp import web
 
-from wigeonscale.platform.connection_limiter import MOST_AT_ONCE
+from wigeonscale.platform.connection_limiter import MAX_CONCURRENT_CONNECTS
 from wigeonscale.platform.exchange_http import new_session
 from wigeonscale.platform.tests.support import serve
 from wigeonscale.testing import AsyncTestCase
 
-HERD = 50
+REQUESTS = 50
 
 
 class OpeningTest(AsyncTestCase):
@@ -23,7 +23,7 @@
         self.session = new_session()
         self.addCleanup(self.session.close)
         self.opening = 0
-        self.most = 0
+        self.max_opening = 0
         self.expected = 0
         self.reached = asyncio.Event()
         self.gate = asyncio.Event()
@@ -33,7 +33,7 @@
 
     async def create(self, *args, **fields):
         self.opening += 1
-        self.most = max(self.most, self.opening)
+        self.max_opening = max(self.max_opening, self.opening)
         if self.opening == self.expected:
             self.reached.set()
         try:
@@ -50,14 +50,14 @@
             return res.status
 
     async def test_few_connections_open_at_a_time(self):
-        statuses = await asyncio.gather(*[self.get() for _ in range(HERD)])
-        self.assertEqual([200] * HERD, statuses)
-        self.assertTrue(self.most <= MOST_AT_ONCE, self.most)
+        statuses = await asyncio.gather(*[self.get() for _ in range(REQUESTS)])
+        self.assertEqual([200] * REQUESTS, statuses)
+        self.assertTrue(self.max_opening <= MAX_CONCURRENT_CONNECTS, self.max_opening)
 
     async def test_other_servers_are_not_waited_for(self):
         self.gate.clear()
-        self.expected = MOST_AT_ONCE + 1
-        waiting = [asyncio.create_task(self.get()) for _ in range(HERD)]
+        self.expected = MAX_CONCURRENT_CONNECTS + 1
+        waiting = [asyncio.create_task(self.get()) for _ in range(REQUESTS)]
         other = asyncio.create_task(self.get("127.0.0.1:1"))
         await self.reached.wait()
         self.gate.set()
@@ -67,14 +67,14 @@
 
     async def test_callers_that_leave_and_failures_give_their_turn_back(self):
         self.gate.clear()
-        self.expected = MOST_AT_ONCE
-        leaving = [asyncio.create_task(self.get()) for _ in range(HERD)]
+        self.expected = MAX_CONCURRENT_CONNECTS
+        leaving = [asyncio.create_task(self.get()) for _ in range(REQUESTS)]
         await self.reached.wait()
         for task in leaving:
             task.cancel()
         await asyncio.gather(*leaving, return_exceptions=True)
         self.gate.set()
-        for _ in range(2 * MOST_AT_ONCE):
+        for _ in range(2 * MAX_CONCURRENT_CONNECTS):
             results = await asyncio.gather(
                 self.get("127.0.0.1:1"), return_exceptions=True
             )
--- a/wigeonscale/platform/tests/test_engine_orders.py
+++ b/wigeonscale/platform/tests/test_engine_orders.py
@@ -25,8 +25,8 @@
 
         runner, address = await serve(handle)
         self.addCleanup(runner.cleanup)
-        sign = await self.orders.probe(address, 0)
-        self.assertEqual(EngineProbeResult(ProbeResult.ANSWERED, 1.0), sign)
+        probe_result = await self.orders.probe(address, 0)
+        self.assertEqual(EngineProbeResult(ProbeResult.ANSWERED, 1.0), probe_result)
 
     async def test_a_later_start_is_told_from_the_one_asked_for(self):
         for born, answer in (
@@ -41,8 +41,8 @@
 
             runner, address = await serve(handle)
             self.addCleanup(runner.cleanup)
-            sign = await self.orders.probe(address, 100)
-            self.assertIs(answer, sign.result)
+            probe_result = await self.orders.probe(address, 100)
+            self.assertIs(answer, probe_result.result)
 
     async def test_how_slow_it_is(self):
         for pace, wanted in ((12.5, 12.5), ("x", 1.0), (None, 1.0)):
@@ -53,8 +53,10 @@
 
             runner, address = await serve(handle)
             self.addCleanup(runner.cleanup)
-            sign = await self.orders.probe(address, 0)
-            self.assertEqual(EngineProbeResult(ProbeResult.ANSWERED, wanted), sign)
+            probe_result = await self.orders.probe(address, 0)
+            self.assertEqual(
+                EngineProbeResult(ProbeResult.ANSWERED, wanted), probe_result
+            )
 
     async def test_a_report_tells_the_start(self):
         async def handle(req):
@@ -69,8 +71,8 @@
             # Bound, so that nobody else gets the port, but not listening.
             unused.bind(("127.0.0.1", 0))
             port = unused.getsockname()[1]
-            sign = await self.orders.probe(f"127.0.0.1:{port}", 0)
-        self.assertIs(ProbeResult.REFUSED, sign.result)
+            probe_result = await self.orders.probe(f"127.0.0.1:{port}", 0)
+        self.assertIs(ProbeResult.REFUSED, probe_result.result)
 
     async def test_an_engine_that_cuts_the_connection(self):
         async def handle(req):
@@ -79,18 +81,18 @@
 
         runner, address = await serve(handle)
         self.addCleanup(runner.cleanup)
-        sign = await self.orders.probe(address, 0)
-        self.assertIs(ProbeResult.NO_ANSWER, sign.result)
+        probe_result = await self.orders.probe(address, 0)
+        self.assertIs(ProbeResult.NO_ANSWER, probe_result.result)
 
 
 class OrderTest(OrdersCase):
     async def prepare(self):
         await super().prepare()
         self.status = 202
-        self.taken = []
+        self.received = []
 
         async def handle(req):
-            self.taken.append((req.method, req.path, await req.json()))
+            self.received.append((req.method, req.path, await req.json()))
             return web.Response(status=self.status)
 
         runner, self.address = await serve(handle)
@@ -111,7 +113,7 @@
             "id": "r1",
             "path": "10.1.0.1:80=0-20,10.2.0.1:80=20-80",
         }
-        self.assertEqual([("POST", "/order", order)], self.taken)
+        self.assertEqual([("POST", "/order", order)], self.received)
 
     async def test_what_comes_of_it(self):
         outcomes = {
@@ -134,7 +136,7 @@
                 waits=waits,
             )
             self.assertIs(OrderOutcome.STARTED, outcome)
-        (_, _, order), (_, _, waiting) = self.taken
+        (_, _, order), (_, _, waiting) = self.received
         self.assertEqual("queue", waiting["strategy"])
         self.assertEqual(
             (20, 31, "preempt"), (order["from"], order["to"], order["strategy"])
--- a/wigeonscale/platform/tests/test_exchange_http.py
+++ b/wigeonscale/platform/tests/test_exchange_http.py
@@ -50,10 +50,10 @@
             while self.replies:
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.requests.append(head)
-                reply, keeps = self.replies.pop(0)
+                reply, keep_open = self.replies.pop(0)
                 writer.write(reply)
                 await writer.drain()
-                if not keeps:
+                if not keep_open:
                     break
             else:
                 await reader.read()
@@ -66,8 +66,8 @@
             writer.close()
             self.closed.set()
 
-    def reply(self, *replies, keeps=False):
-        self.replies.extend((reply, keeps) for reply in replies)
+    def reply(self, *replies, keep_open=False):
+        self.replies.extend((reply, keep_open) for reply in replies)
 
     def backend_call(self, *, method="GET", path="/a%2Fb/../c?x=%41"):
         req = CallerRequest(
@@ -92,7 +92,7 @@
     async def call(self, **fields):
         return await self.exchange.call(self.backend_call(**fields))
 
-    async def broken(self):
+    async def call_error(self):
         try:
             got = await self.call()
         except ExchangeError as exc:
@@ -116,19 +116,19 @@
 
     async def test_another_answer_is_not_taken_for_its_own(self):
         self.reply(OK.replace(b"id1", b"id2") + b"Content-Length: 5\r\n\r\nwhole")
-        self.assertEqual(CallOutcome.UNKNOWN, (await self.broken()).outcome)
+        self.assertEqual(CallOutcome.UNKNOWN, (await self.call_error()).outcome)
 
     async def test_bytes_after_an_answer_belong_to_no_request(self):
         answer = OK + b"Content-Length: 5\r\n\r\nwhole"
-        self.reply(answer + answer.replace(b"whole", b"extra"), answer, keeps=True)
+        self.reply(answer + answer.replace(b"whole", b"extra"), answer, keep_open=True)
         self.assertEqual(b"whole", (await self.call()).body)
         self.assertEqual(b"whole", (await self.call()).body)
 
     async def test_a_get_on_a_kept_connection_that_breaks_is_sent_once(self):
-        self.reply(OK + b"Content-Length: 5\r\n\r\nwhole", keeps=True)
+        self.reply(OK + b"Content-Length: 5\r\n\r\nwhole", keep_open=True)
         self.reply(b"")
         self.assertEqual(b"whole", (await self.call()).body)
-        self.assertEqual(CallOutcome.UNKNOWN, (await self.broken()).outcome)
+        self.assertEqual(CallOutcome.UNKNOWN, (await self.call_error()).outcome)
         self.assertEqual(2, len(self.requests))
 
     async def test_redirects_are_answers(self):
@@ -146,7 +146,9 @@
             CHUNKED + chunk(b"wh"),
         ):
             self.reply(reply)
-            self.assertEqual(CallOutcome.UNKNOWN, (await self.broken()).outcome, reply)
+            self.assertEqual(
+                CallOutcome.UNKNOWN, (await self.call_error()).outcome, reply
+            )
 
     async def test_without_a_length_it_ends_with_its_connection(self):
         self.reply(OK + b"Connection: close\r\n\r\nwhole")
@@ -155,14 +157,14 @@
     async def test_without_a_length_a_reset_is_no_end(self):
         self.reset = True
         self.reply(OK + b"Connection: close\r\n\r\nwhole")
-        self.assertEqual(CallOutcome.UNKNOWN, (await self.broken()).outcome)
+        self.assertEqual(CallOutcome.UNKNOWN, (await self.call_error()).outcome)
 
     async def test_refused_and_not_run(self):
         self.reply(
             b"HTTP/1.1 503 No\r\nNot-Run: 1\r\nAt-Server: x:1\r\n"
             b"Content-Length: 0\r\n\r\n"
         )
-        exc = await self.broken()
+        exc = await self.call_error()
         self.assertEqual(
             (CallOutcome.NOT_RUN, 503, "x:1"),
             (exc.outcome, exc.status, exc.failed_address),
@@ -174,14 +176,14 @@
         self.assertEqual(2.5, (await self.call()).head.notice.limit_per_s)
         refusal = b"HTTP/1.1 %d No\r\nNot-Run: 1\r\nRetry-After: 3\r\n" + close
         self.reply(refusal % 503)
-        self.assertEqual(3.0, (await self.broken()).notice.retry_after_s)
+        self.assertEqual(3.0, (await self.call_error()).notice.retry_after_s)
         # Another server at that address speaks of itself, not of the one asked.
         self.reply(refusal % 421)
-        self.assertIsNone((await self.broken()).notice)
+        self.assertIsNone((await self.call_error()).notice)
 
     async def test_nobody_listens(self):
         await self._stop()
-        self.assertEqual(CallOutcome.NOT_SENT, (await self.broken()).outcome)
+        self.assertEqual(CallOutcome.NOT_SENT, (await self.call_error()).outcome)
 
 
 class StreamTest(ExchangeCase):
@@ -210,7 +212,7 @@
         self.fail(f"whole: {got}")
 
     async def test_leaving_early_closes_the_connection(self):
-        self.reply(CHUNKED + chunk(EVENTS), keeps=True)
+        self.reply(CHUNKED + chunk(EVENTS), keep_open=True)
         async with self.exchange.open(self.backend_call()) as stream:
             async for _ in stream.events():
                 break
--- a/wigeonscale/platform/tests/test_headers.py
+++ b/wigeonscale/platform/tests/test_headers.py
@@ -2,14 +2,14 @@
 
 from wigeonscale.layers import LayerRange, Part
 from wigeonscale.platform.headers import (
-    answer_headers,
     backend_headers,
-    event_id_of,
-    head_of,
+    is_not_run,
     is_other_incarnation,
-    is_refused_unrun,
-    notice_of,
+    parse_event_id,
+    read_notice,
     read_request_headers,
+    read_response_head,
+    response_headers,
 )
 from wigeonscale.ports.exchange import (
     BackendCall,
@@ -32,7 +32,7 @@
         host=read.host,
         method="POST",
         path="/",
-        headers=read.others,
+        headers=read.forwarded,
         body=b"",
         key=read.key,
         arrived_at=0.0,
@@ -131,7 +131,7 @@
 
 class AnswerTest(AsyncTestCase):
     def test_connection_headers_stay_behind(self):
-        head = head_of(
+        head = read_response_head(
             200,
             [(b"Connection", b"close"), (b"Response-Stamp", b"s"), (b"Date", b"d")],
             ServerNotice(),
@@ -139,10 +139,10 @@
         self.assertEqual((("Response-Stamp", "s"),), head.headers)
 
     def test_refusals(self):
-        self.assertTrue(is_refused_unrun(503, CIMultiDict({"not-run": "1"})))
-        self.assertTrue(is_refused_unrun(421, CIMultiDict()))
-        self.assertFalse(is_refused_unrun(503, CIMultiDict()))
-        self.assertFalse(is_refused_unrun(500, CIMultiDict()))
+        self.assertTrue(is_not_run(503, CIMultiDict({"not-run": "1"})))
+        self.assertTrue(is_not_run(421, CIMultiDict()))
+        self.assertFalse(is_not_run(503, CIMultiDict()))
+        self.assertFalse(is_not_run(500, CIMultiDict()))
 
     def test_another_engine_of_the_path_is_no_stranger(self):
         self.assertTrue(is_other_incarnation(421, CIMultiDict()))
@@ -150,27 +150,29 @@
 
     def test_retry_after(self):
         self.assertEqual(
-            {"Attempt-Id": "id1", "Retry-After": "0.30"}, answer_headers("id1", 0.3)
+            {"Attempt-Id": "id1", "Retry-After": "0.30"}, response_headers("id1", 0.3)
         )
-        self.assertEqual({}, answer_headers("", None))
+        self.assertEqual({}, response_headers("", None))
 
     def test_event_ids(self):
-        self.assertEqual(12, event_id_of(b"weight-versions: 2\nid: 12\ndata: x"))
-        self.assertIsNone(event_id_of(b"data: id: 3"))
-        self.assertIsNone(event_id_of(b"id: x"))
+        self.assertEqual(12, parse_event_id(b"weight-versions: 2\nid: 12\ndata: x"))
+        self.assertIsNone(parse_event_id(b"data: id: 3"))
+        self.assertIsNone(parse_event_id(b"id: x"))
 
     def test_what_a_server_says_of_itself(self):
-        said = notice_of(200, CIMultiDict({"server-limit": "1.5", "Retry-After": "3"}))
+        said = read_notice(
+            200, CIMultiDict({"server-limit": "1.5", "Retry-After": "3"})
+        )
         self.assertEqual(ServerNotice(limit_per_s=1.5), said)
-        said = notice_of(503, CIMultiDict({"Retry-After": "0.25"}))
+        said = read_notice(503, CIMultiDict({"Retry-After": "0.25"}))
         self.assertEqual(ServerNotice(retry_after_s=0.25), said)
-        said = notice_of(200, CIMultiDict({"Server-Leaving": "1"}))
+        said = read_notice(200, CIMultiDict({"Server-Leaving": "1"}))
         self.assertEqual(ServerNotice(is_leaving=True), said)
-        self.assertEqual(ServerNotice(), notice_of(200, CIMultiDict()))
-        said = notice_of(200, CIMultiDict({"Server-Limit": "0"}))
+        self.assertEqual(ServerNotice(), read_notice(200, CIMultiDict()))
+        said = read_notice(200, CIMultiDict({"Server-Limit": "0"}))
         self.assertEqual(ServerNotice(limit_per_s=0.0), said)
 
     def test_what_cannot_be_read_says_nothing(self):
         for text in ("", "many", "-1", "nan", "inf"):
             headers = CIMultiDict({"Server-Limit": text, "Retry-After": text})
-            self.assertEqual(ServerNotice(), notice_of(503, headers), text)
+            self.assertEqual(ServerNotice(), read_notice(503, headers), text)
--- a/wigeonscale/platform/tests/test_heartbeats.py
+++ b/wigeonscale/platform/tests/test_heartbeats.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.platform.heartbeats import read_farewell, read_heartbeat
+from wigeonscale.platform.heartbeats import read_deregistration, read_heartbeat
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -69,17 +69,17 @@
             self.assertIn("born", exc.message)
 
 
-class FarewellTest(AsyncTestCase):
+class DeregistrationTest(AsyncTestCase):
     def test_most_say_nothing(self):
-        self.assertIsNone(read_farewell("i", b"").incarnation)
-        self.assertIsNone(read_farewell("i", b"{}").incarnation)
+        self.assertIsNone(read_deregistration("i", b"").incarnation)
+        self.assertIsNone(read_deregistration("i", b"{}").incarnation)
 
     def test_the_start_that_goes(self):
-        self.assertEqual(7, read_farewell("i", b'{"born": 7}').incarnation)
+        self.assertEqual(7, read_deregistration("i", b'{"born": 7}').incarnation)
 
     def test_broken(self):
         for content in (b"{", b"[]", b'{"born": "7"}', b"\xff"):
-            self.assertRaises(WigeonscaleError, read_farewell, "i", content)
+            self.assertRaises(WigeonscaleError, read_deregistration, "i", content)
 
 
 OTHER = st.none() | st.booleans() | st.floats() | st.text() | st.just([]) | st.just({})
--- a/wigeonscale/ports/exchange.py
+++ b/wigeonscale/ports/exchange.py
@@ -1,18 +1,18 @@
 """The port to backend servers that are called directly, and what callers send."""
 
 __all__ = [
-    "ResponseHead",
-    "ResponseSink",
     "BackendCall",
     "BackendStream",
+    "CallOutcome",
     "CallerRequest",
     "Exchange",
     "ExchangeError",
-    "CallOutcome",
+    "FullResponse",
     "GenerationSize",
+    "ResponseHead",
+    "ResponseSink",
     "ServerNotice",
     "StreamEvent",
-    "FullResponse",
 ]
 
 from collections.abc import AsyncIterator
