--- a/wigeonscale/platform/__init__.py
+++ b/wigeonscale/platform/__init__.py
@@ -1,5 +1,6 @@
-"""The platform's names, formats and calls; decides nothing.
+"""Adapter to the platform: its HTTP headers, documents, paths and calls.
 
-What the platform sends is read once, here, into the project's own types. Nothing
-outside this folder knows a header, field or path of the platform.
+Input from the platform is parsed here into the types of :mod:`wigeonscale.ports` and
+:mod:`wigeonscale.routes`. No other package depends on a header, field or path of the
+platform, and this package makes no routing decisions.
 """
--- a/wigeonscale/platform/callers.py
+++ b/wigeonscale/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: requests in, answers out, one task a connection."""
+"""HTTP server for callers, with one task per connection."""
 
 __all__ = ["CallerServer"]
 
@@ -26,17 +26,19 @@
     ResponseSink,
 )
 
-# Callers keep connections for less; see the limits of the configuration.
+# Callers close idle connections sooner; see the limits of the configuration document.
 IDLE_TIMEOUT_S = 75.0
 MAX_HEADER_BYTES = 32 * 1024
-# What is still being answered when the server closes is cut, and told so at once.
+# Requests still in progress when the server closes are cancelled after this time.
 SHUTDOWN_TIMEOUT_S = 0.05
-# Connections that wait to be taken in: those of some seconds.
+# Room for the connections that arrive within a few seconds.
 LISTEN_BACKLOG = 512
-# A status that promises that the work did not run, and the one that does not.
+# Statuses that tell the caller that the work did not run. An error after which the work
+# may have run is sent as BAD_GATEWAY instead.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 BAD_GATEWAY = 502
-# From the last byte read to the handler: wake the connection's task, start another.
+# Event loop iterations from the last byte read to the start of the handler: the task of
+# the connection wakes up and starts another task.
 LOOP_ITERATIONS_TO_HANDLER = 5
 
 Handler = Callable[[CallerRequest, ResponseSink], Awaitable[None]]
@@ -45,14 +47,14 @@
 
 
 class CallerServer:
-    """Serves callers.
+    """HTTP server that passes requests of callers to a handler.
 
     Args:
         address: ``ip:port`` to listen on.
-        serve: Answers one request.
-        max_body: Returns the most bytes of a body.
+        serve: Handles one request and writes the response to the sink.
+        max_body: Returns the maximum size of a request body, in bytes.
         clock: Clock port.
-        sock: Socket that listens on the address already; None to open one.
+        sock: Socket already listening on the address; None to open one.
     """
 
     def __init__(
@@ -77,7 +79,7 @@
         self._no_active_conns.set()
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
             OSError: If the address cannot be bound.
@@ -107,20 +109,22 @@
 
     @property
     def port(self) -> int:
-        """Port that it listens on."""
+        """TCP port the server listens on."""
         return self._runner.addresses[0][1]
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._runner.server.connections)
 
     async def drain(self, settle_s: float) -> None:
-        """Serve on until the balancer sends nothing more and all is answered.
+        """Stop accepting connections and wait for the requests in progress.
+
+        From now on each response closes its connection.
 
         Args:
-            settle_s: Time in which the balancer notices that this entry is not
-                ready, in seconds. Each answer from now on closes its connection.
+            settle_s: Time to keep accepting connections until the load balancer
+                notices that this entry is not ready, in seconds.
         """
         self._stopping = True
         await self._clock.sleep(settle_s)
@@ -130,8 +134,8 @@
         await self._no_active_conns.wait()
 
     async def _close_idle(self) -> None:
-        # Not by the server's own pre_shutdown: it stops reading idle connections but
-        # leaves them open, and a request sent there would wait for nothing.
+        # aiohttp's pre_shutdown is not used: it stops reading from idle connections but
+        # leaves them open, so that a request sent there would never be answered.
         if self._runner is None:
             return
         idle = [
@@ -141,7 +145,7 @@
         ]
         for conn in idle:
             conn.transport.pause_reading()
-        # A request that was read just now is begun within a few turns of the loop.
+        # A request that was just read reaches its handler within a few iterations.
         for _ in range(LOOP_ITERATIONS_TO_HANDLER):
             await asyncio.sleep(0)
         for conn in idle:
@@ -151,7 +155,7 @@
                 conn.transport.resume_reading()
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections and cancel the requests in progress."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -165,7 +169,7 @@
         finally:
             self._active_conns.discard(conn)
             if self._stopping:
-                # Also where the answer was begun before, and says nothing of it.
+                # A response that started before the drain lacks Connection: close.
                 conn.close()
             if not self._active_conns:
                 self._no_active_conns.set()
@@ -261,14 +265,15 @@
 
 
 class _HttpSink:
-    """Writes the answer to one request.
+    """Writes the response to one request.
 
     Args:
         req: The request.
-        is_stopping: Returns whether connections close after their answer.
+        is_stopping: Returns whether connections close after their response.
 
     Attributes:
-        response: The answer, once it was begun.
+        response: The response in progress; a 502 response before it has started.
+        has_started: Whether the head of the response was sent.
     """
 
     def __init__(self, *, req: web.BaseRequest, is_stopping: Callable[[], bool]):
@@ -278,7 +283,7 @@
         self.has_started = False
 
     async def send(self, answer: FullResponse) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         response = web.Response(
             status=answer.head.status,
             body=answer.body,
@@ -288,21 +293,24 @@
         await response.write_eof()
 
     async def begin(self, head: ResponseHead) -> None:
-        """Begin a stream."""
+        """Send the head of a streamed response."""
         response = web.StreamResponse(status=head.status, headers=head.headers)
         response.enable_chunked_encoding()
         await self._prepare(response)
 
     async def write(self, data: bytes) -> None:
-        """Send part of a stream."""
+        """Send a part of the body of a streamed response."""
         await self.response.write(data)
 
     async def end(self) -> None:
-        """End a stream as complete."""
+        """Finish a streamed response normally."""
         await self.response.write_eof()
 
     def abort(self) -> None:
-        """Close the connection, so that the answer does not look complete."""
+        """Close the connection without the end of the body.
+
+        The caller can thus tell that the response is incomplete.
+        """
         if self._req.transport is not None:
             self._req.transport.close()
 
--- a/wigeonscale/platform/connection_limiter.py
+++ b/wigeonscale/platform/connection_limiter.py
@@ -1,9 +1,9 @@
-"""Opens few connections to one backend server at a time.
+"""Limits how many connections to one backend server are opened concurrently.
 
-Load pattern: entries start together, or an engine comes back, and dozens of requests go
-to the same first engine in one instant, each over a new connection. Its queue of new
-connections overflows, what does not fit is silently dropped and sent again only after a
-second or more, and the engine looks lost to those who wait.
+When entries start together, or an engine comes back, dozens of requests go to the same
+first engine at once, each over a new connection. Without a limit the engine's listen
+backlog overflows; excess connection attempts are silently dropped and retransmitted
+only after a second or more, and the waiting requests take the engine for failed.
 """
 
 __all__ = ["limit_concurrent_connects"]
@@ -14,15 +14,15 @@
 
 import aiohttp
 
-# A connection opens in some 2 ms, so four at a time are 2,000 a second.
+# A connection takes about 2 ms to open, so that 4 at a time allow 2,000 per second.
 MAX_CONCURRENT_CONNECTS = 4
 
 
 def limit_concurrent_connects() -> aiohttp.TraceConfig:
-    """Return hooks for a client session that let new connections wait their turn.
+    """Return client session hooks that limit concurrent connects per address.
 
-    The context of each request (``trace_request_ctx``) names the address. A request
-    over a connection that was kept never waits.
+    The context of each request (``trace_request_ctx``) is the address. A request that
+    reuses a pooled connection never waits.
     """
     semaphores = defaultdict(lambda: asyncio.Semaphore(MAX_CONCURRENT_CONNECTS))
 
@@ -40,6 +40,6 @@
     trace = aiohttp.TraceConfig()
     trace.on_connection_create_start.append(acquire_slot)
     trace.on_connection_create_end.append(release_slot)
-    # Also where it could not be opened, or its caller left.
+    # Also release the slot if the connection fails or the request is cancelled.
     trace.on_request_exception.append(release_slot)
     return trace
--- a/wigeonscale/platform/control_http.py
+++ b/wigeonscale/platform/control_http.py
@@ -1,4 +1,4 @@
-"""What operators and backend servers call on a control replica over HTTP."""
+"""HTTP routes of a control replica for operators and backend servers."""
 
 __all__ = ["control_routes"]
 
@@ -13,7 +13,8 @@
 from wigeonscale.platform.heartbeats import read_deregistration, read_heartbeat
 
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
-# What calls may go wrong with the same call made again: never a plain refusal.
+# Tells the client to repeat the call: it may or may not have taken effect, or it failed
+# for a reason other than its content.
 UNAVAILABLE = 503
 
 logger = logging.getLogger(__name__)
@@ -26,14 +27,17 @@
     registry: Registry,
     heartbeat_address: str,
 ) -> list[web.AbstractRouteDef]:
-    """Return the routes of the configuration and of heartbeats.
+    """Return the routes for the configuration document and for heartbeats.
 
     Args:
-        put_document: Puts a document in force under its number; returns once a
-            majority has it on disk.
-        get_document: Returns the document in force, confirmed by a majority.
-        registry: Takes heartbeats.
+        put_document: Applies a document under its version number; returns once a
+            majority of replicas has it on disk.
+        get_document: Returns the current document, confirmed by a majority.
+        registry: Registry of backend servers, which receives heartbeats.
         heartbeat_address: Address of this replica for later heartbeats.
+
+    Returns:
+        Routes for an aiohttp application.
     """
 
     async def put_config(req: web.Request) -> web.Response:
@@ -68,7 +72,7 @@
 def _with_error_responses(
     handler: Callable[[web.Request], Awaitable[web.Response]],
 ) -> Callable[[web.Request], Awaitable[web.Response]]:
-    """Return a handler that turns the project's errors into answers."""
+    """Wrap a handler to map :class:`WigeonscaleError` to a JSON error response."""
 
     async def handle(req: web.Request) -> web.Response:
         try:
@@ -76,7 +80,7 @@
         except WigeonscaleError as exc:
             status = ERROR_RESPONSES[exc.kind].status
             if exc.run_state is not RunState.NOT_RUN or status >= 500:
-                # Whether it took effect is not known, or it could not.
+                # The call may have taken effect, or could not be carried out.
                 status = UNAVAILABLE
             logger.info(
                 "%s %s refused: %s %s", req.method, req.path, status, exc.message
--- a/wigeonscale/platform/documents.py
+++ b/wigeonscale/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's configuration document, read into a route table."""
+"""Parser of the platform's configuration document into a route table."""
 
 __all__ = ["compress", "decompress", "read_route_table"]
 
@@ -23,7 +23,7 @@
 
 
 class _Model(BaseModel):
-    # Names that are not known here belong to later versions of the platform.
+    # Unknown fields are ignored: later versions of the platform may add some.
     model_config = ConfigDict(
         extra="ignore", alias_generator=lambda name: name.replace("_", "-")
     )
@@ -47,7 +47,7 @@
     split: list[_Share] | None = None
     max_attempts: Annotated[int, Field(ge=1)] = 1
     public: bool = False
-    # Set on routes whose requests are generations, which share parts of prompts.
+    # Set on routes whose requests are generations; their prompts share prefixes.
     sticky: bool = False
     resumable: bool = False
 
@@ -67,7 +67,7 @@
 class _Delay(_Model):
     source: Annotated[Text, Field(alias="from")]
     destination: Annotated[Text, Field(alias="to")]
-    # One way.
+    # One-way delay.
     delay_ms: Annotated[Milliseconds, Field(alias="delay_ms")]
 
 
@@ -81,13 +81,13 @@
     pipe_mbps: float = 0.0
     usual: _TypicalRequest = _TypicalRequest()
     kinds: list[_Accelerator] = []
-    # Between failure domains.
+    # Network delays between failure domains.
     delays: list[_Delay] = []
     step_ms: Annotated[float, Field(alias="step_ms")] = 0.0
     per_seq_ms: Annotated[float, Field(alias="per_seq_ms")] = 0.0
     context_per_k: Annotated[float, Field(alias="context_per_k")] = 0.0
     read_per_s: Annotated[float, Field(alias="read_per_s")] = 0.0
-    # Steps of a pass in which requests write; each pass makes one event.
+    # Decode steps per engine pass; each pass sends one event per request.
     stride: Annotated[float, Field(gt=0)] = 1.0
 
 
@@ -139,9 +139,9 @@
 
 class _Document(_Model):
     version: Annotated[int, Field(ge=1, lt=1 << 63)]
-    # Each is turned into a plain route as soon as it was checked: reading a document of
-    # 1,160 routes takes 2.5 MB, and 5.4 MB with all of them as models first (anonymous
-    # memory of a process that reads its first one).
+    # Each route is converted as soon as it is validated. Reading a document of 1,160
+    # routes then takes 2.5 MB, against 5.4 MB if all are kept as models first
+    # (anonymous memory of a process that reads its first document).
     routes: list[Annotated[_Route, AfterValidator(_to_route)]]
     services: list[_Service]
     tenants: list[_Tenant] | None = None
@@ -149,14 +149,17 @@
 
 
 def read_route_table(content: bytes) -> routes.RouteTable:
-    """Return the route table of a document as it was sent.
+    """Parse and validate a configuration document.
 
     Args:
-        content: JSON, at most a few megabytes.
+        content: JSON text as it was sent, at most a few megabytes.
+
+    Returns:
+        The route table.
 
     Raises:
-        SettingsError: ``INVALID_DOCUMENT``: it cannot be read in full, or it
-            contradicts itself.
+        SettingsError: ``INVALID_DOCUMENT`` if the document cannot be parsed completely
+            or is inconsistent.
     """
     document = _parse(content)
     return routes.build_table(
@@ -173,12 +176,12 @@
 
 
 def compress(content: bytes) -> bytes:
-    """Return a document as the replicated log keeps it."""
+    """Return a document in the form stored in the replicated log."""
     return zlib.compress(content)
 
 
 def decompress(content: bytes) -> bytes:
-    """Return a document as it was sent."""
+    """Return the original bytes of a stored document."""
     return zlib.decompress(content)
 
 
--- a/wigeonscale/platform/engine_orders.py
+++ b/wigeonscale/platform/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to model engines and their reports, over HTTP."""
+"""HTTP client for the orders and status reports of model engines."""
 
 __all__ = ["HttpEngineOrders"]
 
@@ -19,11 +19,12 @@
     OrderOutcome,
 )
 
-# Engines answer at once; the links take a few milliseconds. One lost packet costs some
-# 200 ms, for which an order is waited and a probe is sent twice.
+# Engines respond immediately, and a link takes a few milliseconds. One lost packet
+# costs about 200 ms: an order waits for the retransmission, while a probe has a shorter
+# timeout and is sent twice.
 ORDER_TIMEOUT_S = 0.7
 PROBE_TIMEOUT_S = 0.3
-# A stream that stands still waits for it; sent elsewhere it would need 100 ms.
+# A stalled stream waits for this response; sending it elsewhere would take 100 ms.
 PATH_CHANGE_TIMEOUT_S = 0.15
 
 OUTCOME_BY_STATUS = {
@@ -37,10 +38,10 @@
 
 
 class HttpEngineOrders:
-    """Gives orders over connections of its own.
+    """Implements the engine orders port over HTTP.
 
     Args:
-        session: Client session of the process.
+        session: Client session used for orders, reports and probes.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession):
@@ -56,14 +57,14 @@
         expected_orders: int,
         waits: bool,
     ) -> OrderOutcome:
-        """Order an engine to hold layers ``first`` up to, without, ``end``."""
+        """Order an engine to hold the layers from ``first`` to before ``end``."""
         order = {
             "op": "place",
             "from": first,
             "to": end,
             "strategy": "queue" if waits else "preempt",
             "fencing-token": fence,
-            # The order count, which the report calls "seq".
+            # The number of started orders, which the report calls "seq".
             "precondition": expected_orders,
         }
         answer = await self._try_send("POST", address, "/order", order)
@@ -79,7 +80,7 @@
         path: Sequence[Part],
         addresses: Sequence[str],
     ) -> OrderOutcome:
-        """Order the first engine of a running request to go on along another path."""
+        """Order the first engine of a running request to continue on another path."""
         order = {
             "op": "repath",
             "id": request_id,
@@ -95,7 +96,7 @@
     async def status(
         self, address: str, *, timeout_s: float = STATUS_TIMEOUT_S
     ) -> EngineStatus | None:
-        """Return what an engine says of itself; None without an answer in time."""
+        """Return the status of an engine; None if it does not respond in time."""
         answer = await self._try_send("GET", address, "/report", timeout_s=timeout_s)
         if answer is None or answer[0] != 200:
             return None
@@ -118,11 +119,15 @@
             return None
 
     async def probe(self, address: str, started_ms: int) -> EngineProbeResult:
-        """Return whether an engine is there, and how slow.
+        """Check whether an engine responds, and how slow it reports to be.
 
         Args:
-            address: Where it listens.
-            started_ms: Its start, Unix milliseconds; 0 where that is not known.
+            address: ``ip:port`` of the engine.
+            started_ms: Start time of the expected incarnation, in Unix milliseconds; 0
+                if it is not known.
+
+        Returns:
+            The result; ``REPLACED`` if a later incarnation responds.
         """
         try:
             answer = await self._send(
@@ -172,10 +177,10 @@
 
 
 def _started_ms(report: dict) -> int:
-    """Return when the engine of a report started; 0 where it does not say.
+    """Return the start time in a report, in Unix milliseconds; 0 if it has none.
 
     Raises:
-        TypeError: It says something else than a whole number.
+        TypeError: If the field is not an integer.
     """
     born = report.get("born", 0)
     if isinstance(born, bool) or not isinstance(born, int):
@@ -186,7 +191,7 @@
 def _parse_probe_result(
     answer: tuple[int, bytes], started_ms: int
 ) -> EngineProbeResult:
-    """Return what an engine's report says of it."""
+    """Return the result of a probe from its HTTP status and body."""
     status, content = answer
     if status != 200:
         return EngineProbeResult(ProbeResult.ANSWERED)
@@ -195,7 +200,7 @@
         born = _started_ms(report)
         pace = float(report.get("pace", 1.0))
     except (ValueError, TypeError, AttributeError) as exc:
-        # It answered, which is what was asked.
+        # The engine responded, which is all that the probe needs.
         logger.warning("report cannot be read: %s", exc)
         return EngineProbeResult(ProbeResult.ANSWERED)
     if started_ms and born > started_ms:
--- a/wigeonscale/platform/exchange_http.py
+++ b/wigeonscale/platform/exchange_http.py
@@ -1,4 +1,4 @@
-"""Sends requests to backend servers over HTTP, and reads their answers."""
+"""HTTP client that sends requests of callers to backend servers."""
 
 __all__ = ["HttpExchange", "new_session"]
 
@@ -31,10 +31,10 @@
     StreamEvent,
 )
 
-# A new connection takes a few milliseconds; a machine that is gone never answers.
+# A new connection takes a few milliseconds; a VM that is down never responds.
 CONNECT_TIMEOUT_S = 0.3
-# Backend servers close idle connections after some seconds, and a request that
-# crosses such a close may or may not have run.
+# Backend servers close idle connections after some seconds. A request sent while the
+# server closes the connection may or may not have run, so the client closes first.
 IDLE_TIMEOUT_S = 1.5
 MAX_EVENT_BYTES = 1 << 20
 EVENT_END = b"\n\n"
@@ -43,7 +43,7 @@
 
 
 def new_session() -> aiohttp.ClientSession:
-    """Return a client session that sends each request once, as it is."""
+    """Return a client session that sends each request once and unmodified."""
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
             limit=0, keepalive_timeout=IDLE_TIMEOUT_S, enable_cleanup_closed=False
@@ -54,36 +54,39 @@
         trace_configs=[limit_concurrent_connects()],
         skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
     )
-    # aiohttp would send a GET again by itself when a kept connection broke.
+    # By default aiohttp retries a GET when a pooled connection breaks.
     session._retry_connection = False
     return session
 
 
 class HttpExchange:
-    """Exchanges over one client session.
+    """Implements the exchange port with one client session.
 
     Args:
-        session: As :func:`new_session` makes it.
+        session: Client session from :func:`new_session`.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession):
         self._session = session
 
     async def call(self, call: BackendCall) -> FullResponse:
-        """Return the whole answer."""
+        """Send a request and return the complete response."""
         async with self.open(call) as stream:
             body = await stream.read_body()
             return FullResponse(stream.head, body)
 
     @asynccontextmanager
     async def open(self, call: BackendCall) -> AsyncIterator[BackendStream]:
-        """Open a stream; leaving the context early cancels the work."""
+        """Send a request and return its response as a stream.
+
+        Leaving the context before the end of the response cancels the work.
+        """
         res = await self._send(call)
         try:
             notice = _check_head(call, res)
             yield _HttpStream(res=res, address=call.address, notice=notice)
         finally:
-            # What was not read to its end must not be taken for the next answer.
+            # The rest of an unread response must not be read as the next response.
             res.close() if not res.content.at_eof() else res.release()
 
     async def _send(self, call: BackendCall) -> aiohttp.ClientResponse:
@@ -108,12 +111,12 @@
 
 
 class _HttpStream:
-    """An answer being read.
+    """A response whose body is being read.
 
     Args:
         res: The response.
-        address: Where it comes from.
-        notice: What the backend server says of itself in it.
+        address: ``ip:port`` of the backend server.
+        notice: Status of the backend server as its headers report it.
 
     Attributes:
         head: Status and headers for the caller.
@@ -127,11 +130,11 @@
         )
         self._res = res
         self._address = address
-        # Kept, since the response forgets it at its end.
+        # The response drops its reference to the connection at the end of the body.
         self._protocol = res.connection.protocol if res.connection else None
 
     async def events(self) -> AsyncIterator[StreamEvent]:
-        """Yield the events; ends after the last one."""
+        """Yield the events of the stream."""
         pending = b""
         async for chunk in self._chunks():
             pending += chunk
@@ -144,7 +147,7 @@
             raise self._incomplete_error("it ended inside an event")
 
     async def read_body(self) -> bytes:
-        """Return the whole body of an answer that is no stream."""
+        """Return the complete body of a response that is not an event stream."""
         return b"".join([chunk async for chunk in self._chunks()])
 
     async def _chunks(self) -> AsyncIterator[bytes]:
@@ -156,7 +159,10 @@
         self._check_end()
 
     def _check_end(self) -> None:
-        """Refuse an answer without a length whose connection was reset."""
+        """Raise an error if a response without a length ended with a reset.
+
+        Such a response ends when its connection closes; a reset may have cut it short.
+        """
         headers = self._res.headers
         if "Content-Length" in headers or "Transfer-Encoding" in headers:
             return
@@ -173,10 +179,11 @@
 
 
 def _check_head(call: BackendCall, res: aiohttp.ClientResponse) -> ServerNotice:
-    """Return what the backend server says of itself.
+    """Return the notice in the headers of a response.
 
     Raises:
-        ExchangeError: The answer is to another request, or says the work never ran.
+        ExchangeError: If the response belongs to another request, or states that the
+            work did not run.
     """
     if not matches_request(res.headers, call.req.request_id):
         raise ExchangeError(
--- a/wigeonscale/platform/headers.py
+++ b/wigeonscale/platform/headers.py
@@ -1,4 +1,8 @@
-"""Headers of the platform: read from callers and answers, written to backends."""
+"""HTTP headers of the platform.
+
+Reads the headers of callers' requests and of backend servers' responses, and builds the
+headers of requests to backend servers and of the router's own responses.
+"""
 
 __all__ = [
     "RequestHeaders",
@@ -34,9 +38,10 @@
 LOWEST_PRIORITY = 9
 MISDIRECTED = 421
 OVERLOADED = 503
-MAX_LOGGED_CHARS = 40  # characters
+MAX_LOGGED_CHARS = 40
 
-# They concern one connection only, RFC 9110, 7.6.1; the last two are written anew.
+# Headers for a single connection (RFC 9110, section 7.6.1); the last two are written
+# anew for each connection.
 _HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -52,7 +57,7 @@
         "content-length",
     }
 )
-# Set by this system alone, whatever a caller sends.
+# Only the router sets these; values sent by a caller are dropped.
 _ROUTER_HEADERS = frozenset(
     {
         "authorization",
@@ -72,16 +77,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestHeaders:
-    """What the headers of a caller's request say.
+    """Parsed headers of a caller's request.
 
     Attributes:
         request_id: The caller's id of this attempt; empty if missing.
-        host: Host that it names.
-        key: Key of its organisation; empty for none.
-        deadline_s: Time that the caller waits, in seconds; None if not told.
-        generation: Sizes, where it asks for a generation.
-        last_event_id: Event that the caller has already; None for none.
-        others: Headers that go on unchanged.
+        host: Value of the Host header.
+        key: API key of the organisation; empty for none.
+        deadline_s: Time that the caller waits, in seconds; None if not given.
+        generation: Token counts, if the request is a generation.
+        last_event_id: Last event that the caller received; None for none.
+        forwarded: Headers to forward unchanged.
     """
 
     request_id: str
@@ -94,10 +99,13 @@
 
 
 def read_request_headers(headers: Mapping[str, str]) -> RequestHeaders:
-    """Return what a caller's headers say.
+    """Parse the headers of a caller's request.
 
     Args:
-        headers: Headers by name, in any case; a multi-mapping.
+        headers: Case-insensitive multi-mapping.
+
+    Returns:
+        The parsed headers; a header that cannot be parsed counts as missing.
     """
     skipped = (
         _HOP_BY_HOP_HEADERS
@@ -122,7 +130,7 @@
 
 
 def backend_headers(call: BackendCall) -> list[tuple[str, str]]:
-    """Return the headers of one send to a backend server."""
+    """Return the headers of one request to a backend server."""
     headers = list(call.req.headers)
     headers.append(("Expect-Instance", call.backend_id))
     headers.append(("Request-Deadline", str(max(1, int(call.left_s * MS_PER_S)))))
@@ -134,13 +142,13 @@
     if call.after_event is not None:
         headers.append(("Last-Event-Id", str(call.after_event)))
     if call.path:
-        # Not a count: the engines of the path with the layers that each runs.
+        # Despite its name, the header lists the engines of the path and their layers.
         headers.append(("Hop-Count", format_path(call.path, call.addresses)))
     return headers
 
 
 def format_path(path: Sequence[Part], addresses: Sequence[str]) -> str:
-    """Return a path as the engines read it.
+    """Return a path in the format of the engines: ``ip:port=first-end,...``.
 
     Args:
         path: Parts in order of layers.
@@ -155,12 +163,12 @@
     raw: Sequence[tuple[bytes, bytes]],
     notice: ServerNotice,
 ) -> ResponseHead:
-    """Return the head of an answer as the caller shall get it.
+    """Return the head of a backend server's response to forward to the caller.
 
     Args:
         status: HTTP status.
-        raw: Headers as they came.
-        notice: What the backend server says of itself in them.
+        raw: Headers as received.
+        notice: Status of the backend server, read from the headers.
     """
     pairs = [(name.decode("latin-1"), value.decode("latin-1")) for name, value in raw]
     kept = [pair for pair in pairs if pair[0].lower() not in _DROPPED_RESPONSE_HEADERS]
@@ -168,11 +176,12 @@
 
 
 def read_notice(status: int, headers: Mapping[str, str]) -> ServerNotice:
-    """Return what a backend server says of itself in an answer.
+    """Return what a response reports about its backend server.
 
     Args:
         status: HTTP status.
-        headers: Headers by name, in any case; of its own answer, not of a stranger's.
+        headers: Case-insensitive mapping. The response must come from the expected
+            incarnation (see :func:`is_other_incarnation`).
     """
     retry_after_s = (
         _parse_amount(headers, "Retry-After") if status == OVERLOADED else None
@@ -185,31 +194,34 @@
 
 
 def matches_request(headers: Mapping[str, str], request_id: str) -> bool:
-    """Return whether an answer belongs to a request; one without an id may."""
+    """Return whether a response belongs to a request.
+
+    A response without an id is taken to belong to it.
+    """
     return headers.get("Attempt-Id", request_id) == request_id
 
 
 def is_not_run(status: int, headers: Mapping[str, str]) -> bool:
-    """Return whether an answer says that the work was not begun and never will be."""
+    """Return whether a response states that the work did not run and never will."""
     return status == MISDIRECTED or "Not-Run" in headers
 
 
 def is_other_incarnation(status: int, headers: Mapping[str, str]) -> bool:
-    """Return whether another incarnation than the one expected answered."""
+    """Return whether an incarnation other than the expected one responded."""
     return status == MISDIRECTED and "At-Server" not in headers
 
 
 def read_failed_address(headers: Mapping[str, str]) -> str:
-    """Return the address of the engine that a refusal names; empty for none."""
+    """Return the address of the engine that a rejection names; empty for none."""
     return headers.get("At-Server", "")
 
 
 def response_headers(request_id: str, retry_after_s: float | None) -> dict[str, str]:
-    """Return the headers of an answer of this system's own.
+    """Return the headers of a response that the router itself generates.
 
     Args:
         request_id: The caller's id of the attempt; empty for none.
-        retry_after_s: When to come back, in seconds; None for no word.
+        retry_after_s: Value of ``Retry-After``, in seconds; None to omit it.
     """
     headers = {"Attempt-Id": request_id} if request_id else {}
     if retry_after_s is not None:
@@ -218,7 +230,7 @@
 
 
 def parse_event_id(data: bytes) -> int | None:
-    """Return the id of an event of a stream; None where it has none."""
+    """Return the id of a server-sent event; None if it has none."""
     for line in data.split(b"\n"):
         if line.startswith(b"id:"):
             number = _parse_digits(line[3:].decode("latin-1"))
@@ -227,7 +239,7 @@
 
 
 def _read_generation_size(headers: Mapping[str, str]) -> GenerationSize:
-    # "Token-Count" holds two numbers: tokens of the prompt and most of the answer.
+    # "Token-Count" holds two numbers: prompt tokens and maximum response tokens.
     prompt, _, most = headers.get("Token-Count", "").partition(",")
     limit = int(_parse_digits(most) or 0)
     return GenerationSize(
@@ -238,7 +250,7 @@
 
 
 def _parse_amount(headers: Mapping[str, str], name: str) -> float | None:
-    """Return a decimal number of 0 or more; None where there is none."""
+    """Return a header as a non-negative number; None if it is missing or invalid."""
     text = headers.get(name)
     if text is None:
         return None
--- a/wigeonscale/platform/heartbeats.py
+++ b/wigeonscale/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of backend servers, read into the project's own announcement."""
+"""Parser of the heartbeats and deregistrations of backend servers."""
 
 __all__ = ["Deregistration", "Heartbeat", "read_deregistration", "read_heartbeat"]
 
@@ -19,11 +19,11 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 DRAINING = "draining"
-# ip:port, as backend servers listen.
+# IPv4 address and port.
 ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
 MAX_INT64 = 2**63 - 1
 
-# Unix millisecond of the start of the backend server, in all that it says of itself.
+# Start time of the backend server in Unix milliseconds; the same in all its messages.
 StartMs = Annotated[StrictInt, Field(gt=0, le=MAX_INT64)]
 Text = Annotated[StrictStr, Field(min_length=1)]
 Count = Annotated[StrictInt, Field(ge=0, lt=2**31)]
@@ -49,13 +49,14 @@
     zone: Text
     slots: Count
     state: Literal["ready", "draining"]
-    # Number of the heartbeat. In an engine's report the same name counts orders.
+    # Sequence number of the heartbeat. In the report of an engine, "seq" is the number
+    # of orders.
     seq: Annotated[StrictInt, Field(ge=0, le=MAX_INT64)]
     born: StartMs | None = None
-    # Present on model engines only.
+    # Only sent by model engines.
     models: list[_LoadedModel] | None = None
     layers: _Layers | None = None
-    # Name of the engine's accelerator, not the kind of a route.
+    # Type of the engine's accelerator; unrelated to the kind of a route.
     kind: StrictStr = ""
 
 
@@ -68,8 +69,8 @@
     """One heartbeat.
 
     Attributes:
-        backend: What the backend server says of itself.
-        sequence: Number of the heartbeat, growing.
+        backend: State of the backend server.
+        sequence: Sequence number of the heartbeat; it increases.
     """
 
     backend: wire.Backend
@@ -78,24 +79,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Deregistration:
-    """What a backend server says when it goes.
+    """Message of a backend server that shuts down.
 
     Attributes:
-        incarnation: The start that goes; None where it does not say.
+        incarnation: Incarnation that ends; None if the message does not name one.
     """
 
     incarnation: int | None
 
 
 def read_heartbeat(backend_id: str, content: bytes) -> Heartbeat:
-    """Return what a heartbeat says.
+    """Parse a heartbeat.
 
     Args:
-        backend_id: Name of the incarnation, from the path.
+        backend_id: Id of the incarnation, from the request path.
         content: JSON body.
 
     Raises:
-        WigeonscaleError: ``BAD_REQUEST``, naming what is wrong.
+        WigeonscaleError: ``BAD_REQUEST``, naming the invalid field.
     """
     try:
         heartbeat = _Heartbeat.model_validate_json(content)
@@ -121,14 +122,14 @@
 
 
 def read_deregistration(backend_id: str, content: bytes) -> Deregistration:
-    """Return what a backend server says when it goes; most say nothing.
+    """Parse a deregistration; most backend servers send no body.
 
     Args:
-        backend_id: Its name, from the path.
+        backend_id: Id of the backend server, from the request path.
         content: JSON body; empty for none.
 
     Raises:
-        WigeonscaleError: ``BAD_REQUEST``, naming what is wrong.
+        WigeonscaleError: ``BAD_REQUEST``, naming the invalid field.
     """
     if not content.strip():
         return Deregistration(None)
--- a/wigeonscale/platform/reachability.py
+++ b/wigeonscale/platform/reachability.py
@@ -1,4 +1,4 @@
-"""Finds out whether a VM answers at all, at the price of opening a connection."""
+"""Reachability check of a VM that only opens a TCP connection."""
 
 __all__ = ["check_reachable"]
 
@@ -9,18 +9,18 @@
 
 
 async def check_reachable(address: str, timeout_s: float) -> ProbeResult:
-    """Open a connection and close it.
+    """Open a TCP connection and close it.
 
-    A request for a report says more, and takes an entry some ten times the processor
-    time: asked of twenty engines at once by an entry on 0.39 of a core, reports alone
-    take longer than sound engines have time to answer.
+    A request for a status report would say more, but takes about ten times the CPU time
+    of the entry. With 0.39 of a core, an entry that requests the reports of twenty
+    engines at once needs more time for them than healthy engines have to respond.
 
     Args:
         address: ``ip:port``.
-        timeout_s: Longest wait, in seconds.
+        timeout_s: Maximum wait, in seconds.
 
     Returns:
-        ``ANSWERED``, ``REFUSED`` where nothing listens, or ``NOTHING``.
+        ``ANSWERED``, ``REFUSED`` if nothing listens there, or ``NO_ANSWER``.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/wigeonscale/ports/__init__.py
+++ b/wigeonscale/ports/__init__.py
@@ -1,4 +1,8 @@
-"""What the inside of the project asks of the outside, as protocols."""
+"""Ports: the interfaces through which the core uses clocks, engines and services.
+
+Each port is a protocol or a callable type; :mod:`wigeonscale.adapters` and
+:mod:`wigeonscale.platform` implement them.
+"""
 
 __all__ = [
     "CacheEvent",
--- a/wigeonscale/ports/backends.py
+++ b/wigeonscale/ports/backends.py
@@ -1,4 +1,4 @@
-"""The ports to a backend server: a model engine or a plain service."""
+"""Ports to a backend server behind an agent: a model engine or a plain service."""
 
 __all__ = [
     "CacheEvent",
@@ -18,21 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineInfo:
-    """What an engine says of itself.
+    """Properties and state that an engine reports.
 
     Attributes:
         model: Model whose layers it can hold.
-        accelerator: Kind of accelerator.
-        layer_rate: Layer-steps per second over all sequences.
-        layer_capacity: Layers that fit in its memory.
-        slots: Sequences it batches at once.
-        checks_fencing: Whether it refuses orders with an old fencing number.
+        accelerator: Type of accelerator.
+        layer_rate: Layer steps per second over all sequences.
+        layer_capacity: Number of layers that fit in its memory.
+        slots: Maximum number of sequences in a batch.
+        checks_fencing: Whether it rejects orders with an outdated fencing token.
         first_layer: First loaded layer, inclusive.
         last_layer: Last loaded layer, inclusive; less than the first for none.
         version: Loaded model version.
         adapters: Loaded adapters.
-        leaving: Whether it announced that it leaves.
-        link_rate: Steps per second that its link carries.
+        leaving: Whether it has announced that it shuts down.
+        link_rate: Steps per second that its network link carries.
     """
 
     model: str
@@ -58,12 +58,12 @@
         epoch: Epoch of the sequence's chain.
         position: First token position of the step.
         count: Number of token positions, more than 1 at prefill.
-        first: Begins (or begins again) the sequence on this engine.
+        first: Whether the step starts (or restarts) the sequence on this engine.
         hidden: Input: UTF-8 text on the first stage, hidden state otherwise.
-        priority: Larger goes first where the engine must choose.
-        first_layer: First layer meant to run.
-        last_layer: Last layer meant to run, or -1 for whatever is loaded. The
-            engine answers the step by an error when it holds another range.
+        priority: Steps with larger values run first if not all fit.
+        first_layer: First layer to run.
+        last_layer: Last layer to run, or -1 for all loaded layers. The engine returns
+            an error for the step if it holds a different range.
     """
 
     sequence_id: str
@@ -85,10 +85,10 @@
         sequence_id: Sequence of the step.
         position: Position of the step.
         hidden: Hidden state for the next stage; empty from the last stage.
-        token_id: Token from the last stage, else None.
+        token_id: Id of the token from the last stage, else None.
         token_text: Text of the token.
         end: Whether the token ends the sequence.
-        error: Empty, or why the step failed.
+        error: Reason why the step failed; empty if it succeeded.
     """
 
     sequence_id: str
@@ -102,7 +102,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """The engine's own, lagging, report of its load."""
+    """Load that the engine reports, with a delay.
+
+    Attributes:
+        running: Sequences in progress.
+        queued: Sequences that wait.
+        cached_prefixes: Prompt prefixes in the engine's cache.
+    """
 
     running: int
     queued: int
@@ -111,11 +117,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """An engine's report that it stored or evicted a prompt prefix.
+    """Report of an engine that it stored or evicted a prompt prefix.
 
     Attributes:
-        number: Grows by one per event since the engine started.
-        prefix: The engine's own name of the prefix.
+        number: Sequence number; increases by one per event since the engine started.
+        prefix: Id that the engine gives the prefix.
         held: True when stored, False when evicted.
         sequence_id: Sequence that stored it; empty for an eviction.
     """
@@ -128,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """An HTTP answer of a plain service."""
+    """HTTP response of a plain service."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -139,13 +145,13 @@
     """A model engine that holds a contiguous range of layers."""
 
     async def info(self) -> EngineInfo:
-        """Return what the engine says of itself."""
+        """Return the properties and state of the engine."""
 
     async def run(self, steps: Sequence[EngineStep]) -> list[EngineResult]:
         """Run one iteration and return one result per step, in order."""
 
     async def cancel(self, sequence_ids: Sequence[str]) -> None:
-        """Forget sequences and free their cache."""
+        """Drop sequences and free their KV cache."""
 
     async def export_cache(self, sequence_id: str) -> bytes:
         """Return the KV cache of a sequence."""
@@ -154,18 +160,25 @@
         """Install a KV cache exported by another engine with the same layers."""
 
     async def load(self) -> EngineLoad:
-        """Return the engine's load report; it lags."""
+        """Return the load that the engine reports, with a delay."""
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Return cache events with a number above ``after``; gaps happen."""
+        """Return cache events numbered above ``after``; some may be missing."""
 
     async def order(
         self, *, term: int, sequence: int, action: str, args: dict[str, object]
     ) -> None:
-        """Carry out an order: ``load`` (model, version, adapter, layers) or ``role``.
+        """Send an order: ``load`` (model, version, adapter, layers) or ``role``.
+
+        Args:
+            term: Term of the leader; first part of the fencing token.
+            sequence: Number of the order; second part of the fencing token.
+            action: Name of the order.
+            args: Arguments of the order.
 
         Raises:
-            WigeonscaleError: ``STALE_TERM`` from an engine that checks fencing.
+            WigeonscaleError: ``STALE_TERM`` if an engine that checks fencing tokens has
+                seen a higher one.
         """
 
 
@@ -173,10 +186,10 @@
     """A plain HTTP service."""
 
     async def probe(self) -> None:
-        """Return when the service takes connections.
+        """Check that the service accepts connections.
 
         Raises:
-            WigeonscaleError: ``BACKEND_FAILED`` when it does not.
+            WigeonscaleError: ``BACKEND_FAILED`` if it does not.
         """
 
     async def call(
@@ -187,9 +200,16 @@
         body: bytes,
         timeout_s: float = 60.0,
     ) -> HttpResponse:
-        """Make one call and return its answer.
+        """Send one request and return its response.
+
+        Args:
+            method: HTTP method.
+            path: Path with query, encoded.
+            headers: Names and values.
+            body: Request body.
+            timeout_s: Maximum duration of the whole call, in seconds.
 
         Raises:
-            WigeonscaleError: ``BACKEND_FAILED``, with run state ``NOT_RUN`` only
-                when no connection was made.
+            WigeonscaleError: ``BACKEND_FAILED``, with run state ``NOT_RUN`` only if no
+                connection was opened.
         """
--- a/wigeonscale/ports/clock.py
+++ b/wigeonscale/ports/clock.py
@@ -1,4 +1,4 @@
-"""The clock port, so that no verdict of a test depends on speed."""
+"""Clock port; tests replace it so that their results do not depend on timing."""
 
 __all__ = ["Clock", "SystemClock"]
 
@@ -8,7 +8,7 @@
 
 
 class Clock(Protocol):
-    """Reads and waits for time."""
+    """Source of the current time and of delays."""
 
     def now(self) -> float:
         """Return the monotonic time in seconds."""
@@ -21,7 +21,7 @@
 
 
 class SystemClock:
-    """The clock of this machine."""
+    """Clock of the operating system."""
 
     def now(self) -> float:
         """Return the monotonic time in seconds."""
--- a/wigeonscale/ports/exchange.py
+++ b/wigeonscale/ports/exchange.py
@@ -1,4 +1,4 @@
-"""The port to backend servers that are called directly, and what callers send."""
+"""Ports between callers and the backend servers that the entry calls directly."""
 
 __all__ = [
     "BackendCall",
@@ -27,22 +27,23 @@
 
 
 class CallOutcome(StrEnum):
-    """What is known of a call that brought no answer of the work itself."""
+    """What is known about the work of a call that failed."""
 
-    NOT_SENT = "not-sent"  # nothing of it left this process
-    NOT_RUN = "not-run"  # the backend server says so
-    UNKNOWN = "unknown"  # it may have run
+    NOT_SENT = "not-sent"  # no byte of the request was sent
+    NOT_RUN = "not-run"  # the backend server states that the work did not run
+    UNKNOWN = "unknown"  # the work may have run
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServerNotice:
-    """What an answer says of its backend server, beside the request.
+    """Status of a backend server, as the headers of any of its responses report it.
 
     Attributes:
-        limit_per_s: Requests a second that it takes from all entries together; None
-            where it names no limit.
-        is_leaving: Whether it is about to end.
-        rest_s: Time for which it wants nothing from this entry, in seconds; 0 for none.
+        limit_per_s: Requests per second that it accepts from all entries together; None
+            if it names no limit.
+        is_leaving: Whether it is about to shut down.
+        retry_after_s: Time during which this entry must not send to it, in seconds; 0
+            for none.
     """
 
     limit_per_s: float | None = None
@@ -51,16 +52,17 @@
 
 
 class ExchangeError(Exception):
-    """A call brought no answer of the work itself.
+    """A call failed without a usable response.
 
     Args:
-        outcome: What is known of the call.
-        message: What happened.
+        outcome: What is known about the work of the call.
+        message: Description of the failure.
         status: HTTP status of the rejection; 0 without one.
         failed_address: Address of the backend server that the response names as the
             cause; empty for none.
         is_other_incarnation: Whether another incarnation responds at the address.
-        notice: What its answer says of itself; None without an answer of its own.
+        notice: Status that the backend server reported; None if it did not respond or
+            another incarnation did.
     """
 
     def __init__(
@@ -84,12 +86,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GenerationSize:
-    """What a request for a generation says of its size.
+    """Size of a generation, as its request states it.
 
     Attributes:
-        prompt: Tokens of its prompt.
-        most: Most tokens of its answer.
-        expected: The caller's estimate of the answer's tokens; often far off.
+        prompt_tokens: Number of tokens in the prompt.
+        max_tokens: Maximum number of tokens in the response.
+        expected_tokens: The caller's estimate of the tokens in the response; often far
+            off.
     """
 
     prompt_tokens: int = 0
@@ -99,20 +102,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerRequest:
-    """A caller's whole request.
+    """A complete request of a caller.
 
     Attributes:
-        request_id: The caller's own id of this attempt.
-        host: Host that it named.
+        request_id: The caller's id of this attempt.
+        host: Value of the Host header.
         method: HTTP method.
         path: Path with query, as it was sent.
-        headers: Headers that go on to a backend server unchanged.
-        body: Its body.
-        key: Key of its organisation; empty for none.
-        arrived_at: Local instant at which its head was read, in seconds.
-        deadline_s: Time that the caller waits, in seconds; None if not told.
-        generation: Sizes, where it asks for a generation.
-        last_event_id: Event that the caller has already; None for none.
+        headers: Headers to forward to a backend server unchanged.
+        body: Request body.
+        key: API key of the organisation; empty for none.
+        arrived_at: Monotonic time at which the head was read, in seconds.
+        deadline_s: Time that the caller waits, in seconds; None if not given.
+        generation: Token counts, if the request is a generation.
+        last_event_id: Last event that the caller received; None for none.
     """
 
     request_id: str
@@ -130,18 +133,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BackendCall:
-    """One send of a request to a backend server.
+    """One attempt to send a request to a backend server.
 
     Attributes:
         req: The caller's request.
-        address: Where it goes, ``ip:port``.
-        backend_id: Incarnation that must be there.
+        address: ``ip:port`` of the backend server.
+        backend_id: Id of the incarnation expected at the address.
         organisation: Name of the caller's organisation; empty for none.
-        priority: Rank at the backend server, 0 first; None for its usual one.
+        priority: Priority at the backend server, 0 being the highest; None for the
+            default of the backend server.
         left_s: Time that the caller still waits, in seconds.
-        path: Engines that run the layers; empty where one holds all.
+        path: Engines that run the layers; empty if a single engine holds all.
         addresses: Address of each engine on the path.
-        after_event: Event after which the answer shall begin; None for the start.
+        after_event: Event after which the response resumes; None to start at the
+            beginning.
     """
 
     req: CallerRequest
@@ -157,12 +162,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and headers of an answer, as the caller shall get them.
+    """Status and headers of a response, as they are sent to the caller.
 
     Attributes:
         status: HTTP status.
         headers: Names and values.
-        notice: What the backend server says of itself in it.
+        notice: Status of the backend server, which the caller does not see.
     """
 
     status: int
@@ -172,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FullResponse:
-    """A complete answer of a backend server."""
+    """A complete response with its body."""
 
     head: ResponseHead
     body: bytes
@@ -180,11 +185,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One complete event of a stream.
+    """One complete server-sent event.
 
     Attributes:
-        event_id: Its number; None where it has none.
-        data: Its bytes, the empty line after it included.
+        event_id: Numeric id; None if the event has none.
+        data: Bytes of the event, including the empty line that ends it.
     """
 
     event_id: int | None
@@ -192,33 +197,36 @@
 
 
 class BackendStream(Protocol):
-    """An answer that comes in events."""
+    """A response that arrives as a stream of events."""
 
     head: ResponseHead
 
     def events(self) -> AsyncIterator[StreamEvent]:
-        """Yield the events; ends after the last one.
+        """Yield the events of the stream.
 
         Raises:
-            ExchangeError: The stream broke off.
+            ExchangeError: If the stream ends before it is complete.
         """
 
     async def read_body(self) -> bytes:
-        """Return the whole body of an answer that is no stream."""
+        """Return the complete body of a response that is not an event stream."""
 
 
 class Exchange(Protocol):
     """Sends requests to backend servers."""
 
     async def call(self, call: BackendCall) -> FullResponse:
-        """Return the whole answer.
+        """Send a request and return the complete response.
 
         Raises:
-            ExchangeError: There is none; its fate tells whether the work may have run.
+            ExchangeError: If the call fails; its outcome tells whether the work may
+                have run.
         """
 
     def open(self, call: BackendCall) -> AbstractAsyncContextManager[BackendStream]:
-        """Open a stream; leaving the context early cancels the work.
+        """Send a request and return its response as a stream.
+
+        Leaving the context before the end of the response cancels the work.
 
         Raises:
             ExchangeError: As :meth:`call`.
@@ -226,19 +234,22 @@
 
 
 class ResponseSink(Protocol):
-    """Where the answer to one caller goes."""
+    """Destination of the response to one caller."""
 
     async def send(self, answer: FullResponse) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
 
     async def begin(self, head: ResponseHead) -> None:
-        """Begin a stream."""
+        """Send the head of a streamed response."""
 
     async def write(self, data: bytes) -> None:
-        """Send part of a stream."""
+        """Send a part of the body of a streamed response."""
 
     async def end(self) -> None:
-        """End a stream as complete."""
+        """Finish a streamed response normally."""
 
     def abort(self) -> None:
-        """Close the connection, so that the answer does not look complete."""
+        """Close the connection without the end of the body.
+
+        The caller can thus tell that the response is incomplete.
+        """
--- a/wigeonscale/ports/orders.py
+++ b/wigeonscale/ports/orders.py
@@ -1,4 +1,4 @@
-"""The port to model engines that take orders without an agent."""
+"""Port to model engines that accept orders directly, without an agent."""
 
 __all__ = ["STATUS_TIMEOUT_S", "EngineOrders", "EngineStatus", "OrderOutcome"]
 
@@ -9,35 +9,35 @@
 
 from wigeonscale.layers import Part
 
-# Engines answer at once; the links take a few milliseconds, and one lost packet some
-# 200 ms.
+# Engines respond immediately; a link takes a few milliseconds, and one lost packet
+# costs about 200 ms.
 STATUS_TIMEOUT_S = 0.7
 
 
 class OrderOutcome(StrEnum):
-    """What an engine made of an order."""
+    """Response of an engine to an order."""
 
     STARTED = "begun"
     UNCHANGED = "holds-already"
-    CONFLICT = "misfit"  # its state or its order count is another
-    FENCED = "fenced"  # it has seen a higher fencing number
+    CONFLICT = "misfit"  # its state or its order count is not the expected one
+    FENCED = "fenced"  # it has seen a higher fencing token
     REFUSED = "refused"
-    UNKNOWN = "unknown"  # no answer: it may be carried out, even seconds later
+    UNKNOWN = "unknown"  # no response: the order may still run, even seconds later
 
 
 @dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """What an engine says of itself now.
+    """Status that an engine reports.
 
     Attributes:
-        orders: Orders that it has begun since its start.
-        busy: Whether one is in progress.
+        orders: Number of orders started since the engine started.
+        busy: Whether an order is in progress.
         first_layer: First layer held.
         end_layer: One more than the last layer held; equal to the first for none.
-        running: Requests that it runs.
-        pace: Factor on its usual times; over 1 it is slow.
-        held_up_by: Addresses of engines that requests it received wait for.
-        started_ms: Its start, Unix milliseconds; 0 where it does not say.
+        running: Number of requests in progress.
+        pace: Its current step times relative to the usual ones; above 1 it is slow.
+        held_up_by: Addresses of the engines that its stalled requests wait for.
+        started_ms: Start time of the engine, in Unix milliseconds; 0 if not reported.
     """
 
     orders: int
@@ -51,7 +51,7 @@
 
 
 class EngineOrders(Protocol):
-    """Gives orders to engines and asks how they are."""
+    """Sends orders to engines and queries their status."""
 
     async def place(
         self,
@@ -63,16 +63,16 @@
         expected_orders: int,
         waits: bool,
     ) -> OrderOutcome:
-        """Order an engine to hold layers ``first`` up to, without, ``end``.
+        """Order an engine to hold the layers from ``first`` to before ``end``.
 
         Args:
-            address: Where it listens.
-            first: First layer that it shall hold.
-            end: One more than the last one.
-            fence: Fencing number.
-            expected_orders: How many orders it must have begun so far.
-            waits: Whether requests that pass through layers it gives up shall end
-                first; else they are broken off, and it loads at once.
+            address: ``ip:port`` of the engine.
+            first: First layer to hold.
+            end: One more than the last layer to hold.
+            fence: Fencing token.
+            expected_orders: Number of orders that the engine must have started so far.
+            waits: Whether to let requests finish that use layers it unloads; otherwise
+                they are aborted and it loads immediately.
         """
 
     async def change_path(
@@ -83,9 +83,16 @@
         path: Sequence[Part],
         addresses: Sequence[str],
     ) -> OrderOutcome:
-        """Order the first engine of a running request to go on along another path."""
+        """Order the first engine of a running request to continue on another path.
+
+        Args:
+            address: ``ip:port`` of the first engine.
+            request_id: Id of the running request.
+            path: New path: parts in order of layers.
+            addresses: Address of each engine on the path.
+        """
 
     async def status(
         self, address: str, *, timeout_s: float = STATUS_TIMEOUT_S
     ) -> EngineStatus | None:
-        """Return what an engine says of itself; None without an answer in time."""
+        """Return the status of an engine; None if it does not respond in time."""
--- a/wigeonscale/ports/probe.py
+++ b/wigeonscale/ports/probe.py
@@ -1,4 +1,4 @@
-"""The port to a process that is asked whether it is there."""
+"""Port for checking whether another process is alive."""
 
 __all__ = ["EngineProbeResult", "Probe", "ProbeResult", "ReachabilityCheck"]
 
@@ -8,21 +8,21 @@
 
 
 class ProbeResult(enum.Enum):
-    """What came of asking a process."""
+    """Result of probing a process."""
 
     ANSWERED = "answered"
-    REFUSED = "refused"  # its VM is up, and nothing listens at its address
-    REPLACED = "replaced"  # a later start listens there
+    REFUSED = "refused"  # the VM is up, but nothing listens at the address
+    REPLACED = "replaced"  # a later incarnation listens there
     NO_ANSWER = "nothing"
 
 
 @dataclass(frozen=True, slots=True)
 class EngineProbeResult:
-    """What came of asking an engine.
+    """Result of probing an engine.
 
     Attributes:
-        answer: Whether it is there.
-        pace: Factor on its usual times; over 1 it is slow.
+        result: Whether it responds.
+        pace: Its current step times relative to the usual ones; above 1 it is slow.
     """
 
     result: ProbeResult
@@ -30,5 +30,5 @@
 
 
 Probe = Callable[[str], Awaitable[ProbeResult]]
-# Whether anything answers at an address within a time in seconds.
+# Checks whether anything responds at an address within a timeout in seconds.
 ReachabilityCheck = Callable[[str, float], Awaitable[ProbeResult]]
