--- a/wigeonscale/platform/callers.py
+++ b/wigeonscale/platform/callers.py
@@ -221,8 +221,8 @@
     async def _send_error(
         self, request_id: str, exc: WigeonscaleError, sink: "_HttpSink"
     ) -> None:
-        answer = ERROR_RESPONSES[exc.kind]
-        status = answer.status
+        error_response = ERROR_RESPONSES[exc.kind]
+        status = error_response.status
         if status in NOT_RUN_STATUSES and exc.run_state is not RunState.NOT_RUN:
             status = BAD_GATEWAY
         logger.info(
@@ -282,15 +282,15 @@
         self._is_stopping = is_stopping
         self.has_started = False
 
-    async def send(self, answer: FullResponse) -> None:
+    async def send(self, response: FullResponse) -> None:
         """Send a complete response."""
-        response = web.Response(
-            status=answer.head.status,
-            body=answer.body,
-            headers=answer.head.headers,
+        res = web.Response(
+            status=response.head.status,
+            body=response.body,
+            headers=response.head.headers,
         )
-        await self._prepare(response)
-        await response.write_eof()
+        await self._prepare(res)
+        await res.write_eof()
 
     async def begin(self, head: ResponseHead) -> None:
         """Send the head of a streamed response."""
--- a/wigeonscale/platform/documents.py
+++ b/wigeonscale/platform/documents.py
@@ -117,7 +117,7 @@
             kind=ErrorKind.INVALID_DOCUMENT,
         )
     if route.split is not None:
-        shares = [routes.Share(each.service, each.weight) for each in route.split]
+        shares = [routes.Share(share.service, share.weight) for share in route.split]
     else:
         shares = [routes.Share(route.service, 1.0)] if route.service else []
     return routes.Route(
@@ -165,7 +165,7 @@
     return routes.build_table(
         number=document.version,
         routes=document.routes,
-        services=[_to_service(each) for each in document.services],
+        services=[_to_service(service) for service in document.services],
         organisations=_to_organisations(document.tenants),
         limits=routes.CallerLimits(
             header_bytes=document.limits.max_header_bytes,
@@ -233,10 +233,10 @@
         },
         delays_ms={
             (
-                min(each.source, each.destination),
-                max(each.source, each.destination),
-            ): each.delay_ms
-            for each in engine.delays
+                min(delay.source, delay.destination),
+                max(delay.source, delay.destination),
+            ): delay.delay_ms
+            for delay in engine.delays
         },
     )
 
--- a/wigeonscale/platform/engine_orders.py
+++ b/wigeonscale/platform/engine_orders.py
@@ -67,10 +67,10 @@
             # The number of started orders, which the report calls "seq".
             "precondition": expected_orders,
         }
-        answer = await self._try_send("POST", address, "/order", order)
-        if answer is None:
+        response = await self._try_send("POST", address, "/order", order)
+        if response is None:
             return OrderOutcome.UNKNOWN
-        return OUTCOME_BY_STATUS.get(answer[0], OrderOutcome.REFUSED)
+        return OUTCOME_BY_STATUS.get(response[0], OrderOutcome.REFUSED)
 
     async def change_path(
         self,
@@ -86,22 +86,22 @@
             "id": request_id,
             "path": format_path(path, addresses),
         }
-        answer = await self._try_send(
+        response = await self._try_send(
             "POST", address, "/order", order, timeout_s=PATH_CHANGE_TIMEOUT_S
         )
-        if answer is None:
+        if response is None:
             return OrderOutcome.UNKNOWN
-        return OUTCOME_BY_STATUS.get(answer[0], OrderOutcome.REFUSED)
+        return OUTCOME_BY_STATUS.get(response[0], OrderOutcome.REFUSED)
 
     async def status(
         self, address: str, *, timeout_s: float = STATUS_TIMEOUT_S
     ) -> EngineStatus | None:
         """Return the status of an engine; None if it does not respond in time."""
-        answer = await self._try_send("GET", address, "/report", timeout_s=timeout_s)
-        if answer is None or answer[0] != 200:
+        response = await self._try_send("GET", address, "/report", timeout_s=timeout_s)
+        if response is None or response[0] != 200:
             return None
         try:
-            report = json.loads(answer[1])
+            report = json.loads(response[1])
             layers = report.get("layers") or {}
             stalled = report.get("stalled") or []
             return EngineStatus(
@@ -130,7 +130,7 @@
             The result; ``REPLACED`` if a later incarnation responds.
         """
         try:
-            answer = await self._send(
+            response = await self._send(
                 "GET", address, "/report", timeout_s=PROBE_TIMEOUT_S
             )
         except aiohttp.ClientConnectorError as exc:
@@ -142,7 +142,7 @@
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             logger.info("probe of %s: no answer: %r", address, exc)
             return EngineProbeResult(ProbeResult.NO_ANSWER)
-        return _parse_probe_result(answer, started_ms)
+        return _parse_probe_result(response, started_ms)
 
     async def _try_send(
         self,
@@ -189,10 +189,10 @@
 
 
 def _parse_probe_result(
-    answer: tuple[int, bytes], started_ms: int
+    response: tuple[int, bytes], started_ms: int
 ) -> EngineProbeResult:
     """Return the result of a probe from its HTTP status and body."""
-    status, content = answer
+    status, content = response
     if status != 200:
         return EngineProbeResult(ProbeResult.ANSWERED)
     try:
--- a/wigeonscale/ports/exchange.py
+++ b/wigeonscale/ports/exchange.py
@@ -236,7 +236,7 @@
 class ResponseSink(Protocol):
     """Destination of the response to one caller."""
 
-    async def send(self, answer: FullResponse) -> None:
+    async def send(self, response: FullResponse) -> None:
         """Send a complete response."""
 
     async def begin(self, head: ResponseHead) -> None:
