--- a/wigeonscale/adapters/engine_http.py
+++ b/wigeonscale/adapters/engine_http.py
@@ -71,9 +71,7 @@
         doc = await self._request("POST", "/run", body, timeout_s=self._run_timeout_s)
         results = [_result_from_json(item) for item in doc["results"]]
         if [r.sequence_id for r in results] != [s.sequence_id for s in steps]:
-            raise _backend_failed(
-                f"{self._url} answered for other sequences than asked"
-            )
+            raise _backend_failed(f"{self._url} returned results for other sequences")
         return results
 
     async def cancel(self, sequence_ids: Sequence[str]) -> None:
@@ -134,7 +132,9 @@
         except (aiohttp.ClientError, TimeoutError, ValueError) as exc:
             raise _backend_failed(f"{method} {self._url}{path}: {exc!r}") from exc
         if not isinstance(doc, dict):
-            raise _backend_failed(f"{method} {self._url}{path}: no JSON object")
+            raise _backend_failed(
+                f"{method} {self._url}{path}: response is not a JSON object"
+            )
         if status == 200:
             return doc
         error = doc.get("error", {})
--- a/wigeonscale/adapters/service_http.py
+++ b/wigeonscale/adapters/service_http.py
@@ -74,7 +74,7 @@
                 )
         except (OSError, TimeoutError) as exc:
             raise _backend_failed(
-                f"no connection to {self._url}: {exc!r}", RunState.NOT_RUN
+                f"cannot connect to {self._url}: {exc!r}", RunState.NOT_RUN
             ) from exc
         writer.close()
 
@@ -114,7 +114,7 @@
                 )
         except aiohttp.ClientConnectorError as exc:
             raise _backend_failed(
-                f"no connection to {self._url}: {exc}", RunState.NOT_RUN
+                f"cannot connect to {self._url}: {exc}", RunState.NOT_RUN
             ) from exc
         except (aiohttp.ClientError, TimeoutError) as exc:
             raise _backend_failed(f"{method} {url}: {exc!r}", RunState.UNKNOWN) from exc
--- a/wigeonscale/config/keys.py
+++ b/wigeonscale/config/keys.py
@@ -115,7 +115,7 @@
 
 def _check_unique(value: tuple) -> tuple:
     if len(set(value)) != len(value):
-        raise ValueError("an item stands twice")
+        raise ValueError("list contains a duplicate")
     return value
 
 
@@ -124,7 +124,7 @@
         return value
     name, _, address = value.partition("@")
     if not re.match(NAME_PATTERN, name):
-        raise ValueError("no name before @")
+        raise ValueError("name before @ is missing or invalid")
     return Peer(name=name, address=_peer_address(address))
 
 
@@ -137,7 +137,7 @@
 def _check_backend_url(value: str) -> str:
     url = urlsplit(value)
     if url.scheme != "http" or not url.hostname or url.path not in ("", "/"):
-        raise ValueError("not a plain http URL")
+        raise ValueError("must be an http URL with a host and no path")
     _peer_address(url.netloc)
     return value.rstrip("/")
 
--- a/wigeonscale/platform/callers.py
+++ b/wigeonscale/platform/callers.py
@@ -184,10 +184,15 @@
         except WigeonscaleError as exc:
             await self._send_error(request_id, exc, sink)
         except ConnectionError:
-            logger.info("caller left", extra=log_fields(request_id=request_id))
+            logger.info(
+                "caller closed the connection", extra=log_fields(request_id=request_id)
+            )
             sink.abort()
         except Exception:
-            logger.exception("request failed", extra=log_fields(request_id=request_id))
+            logger.exception(
+                "unhandled exception in a request",
+                extra=log_fields(request_id=request_id),
+            )
             error = WigeonscaleError(
                 ErrorKind.INTERNAL, "internal error", run_state=RunState.UNKNOWN
             )
@@ -226,7 +231,7 @@
         if status in NOT_RUN_STATUSES and exc.run_state is not RunState.NOT_RUN:
             status = BAD_GATEWAY
         logger.info(
-            "request refused: %s",
+            "request rejected: %s",
             exc.message,
             extra=log_fields(
                 request_id=request_id,
@@ -245,7 +250,9 @@
         try:
             await sink.send(FullResponse(head, f"{exc.kind.value}\n".encode()))
         except ConnectionError:
-            logger.info("caller left", extra=log_fields(request_id=request_id))
+            logger.info(
+                "caller closed the connection", extra=log_fields(request_id=request_id)
+            )
 
 
 def _is_open(conn: web.RequestHandler) -> bool:
@@ -258,7 +265,7 @@
         size += len(chunk)
         if size > limit:
             raise WigeonscaleError(
-                ErrorKind.BODY_TOO_LARGE, f"the body is larger than {limit} bytes"
+                ErrorKind.BODY_TOO_LARGE, f"request body is larger than {limit} bytes"
             )
         chunks.append(chunk)
     return b"".join(chunks)
--- a/wigeonscale/platform/control_http.py
+++ b/wigeonscale/platform/control_http.py
@@ -83,7 +83,11 @@
                 # The call may have taken effect, or could not be carried out.
                 status = UNAVAILABLE
             logger.info(
-                "%s %s refused: %s %s", req.method, req.path, status, exc.message
+                "%s %s rejected with status %s: %s",
+                req.method,
+                req.path,
+                status,
+                exc.message,
             )
             return web.json_response(
                 {"error": exc.kind.value, "message": exc.message}, status=status
--- a/wigeonscale/platform/engine_orders.py
+++ b/wigeonscale/platform/engine_orders.py
@@ -115,7 +115,7 @@
                 started_ms=_started_ms(report),
             )
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
-            logger.warning("report of %s cannot be read: %s", address, exc)
+            logger.warning("cannot parse the report of %s: %s", address, exc)
             return None
 
     async def probe(self, address: str, started_ms: int) -> EngineProbeResult:
@@ -134,13 +134,13 @@
                 "GET", address, "/report", timeout_s=PROBE_TIMEOUT_S
             )
         except aiohttp.ClientConnectorError as exc:
-            logger.info("probe of %s: no connection: %r", address, exc.os_error)
+            logger.info("probe of %s: cannot connect: %r", address, exc.os_error)
             is_refused = isinstance(exc.os_error, ConnectionRefusedError)
             return EngineProbeResult(
                 ProbeResult.REFUSED if is_refused else ProbeResult.NO_ANSWER
             )
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
-            logger.info("probe of %s: no answer: %r", address, exc)
+            logger.info("probe of %s: no response: %r", address, exc)
             return EngineProbeResult(ProbeResult.NO_ANSWER)
         return _parse_probe_result(response, started_ms)
 
@@ -155,7 +155,7 @@
         try:
             return await self._send(method, address, path, body, timeout_s)
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
-            logger.info("%s %s at %s: no answer: %r", method, path, address, exc)
+            logger.info("%s %s at %s: no response: %r", method, path, address, exc)
             return None
 
     async def _send(
@@ -184,7 +184,7 @@
     """
     born = report.get("born", 0)
     if isinstance(born, bool) or not isinstance(born, int):
-        raise TypeError(f"born is {born!r}")
+        raise TypeError(f"born is not an integer: {born!r}")
     return born
 
 
@@ -201,11 +201,11 @@
         pace = float(report.get("pace", 1.0))
     except (ValueError, TypeError, AttributeError) as exc:
         # The engine responded, which is all that the probe needs.
-        logger.warning("report cannot be read: %s", exc)
+        logger.warning("cannot parse the report of a probed engine: %s", exc)
         return EngineProbeResult(ProbeResult.ANSWERED)
     if started_ms and born > started_ms:
         logger.info(
-            "another start answers a probe",
+            "a later incarnation responds to a probe",
             extra=log_fields(old_born=started_ms, born=born),
         )
         return EngineProbeResult(ProbeResult.REPLACED)
--- a/wigeonscale/platform/exchange_http.py
+++ b/wigeonscale/platform/exchange_http.py
@@ -102,11 +102,11 @@
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
             raise ExchangeError(
-                CallOutcome.NOT_SENT, f"{call.address} cannot be reached: {exc!r}"
+                CallOutcome.NOT_SENT, f"cannot connect to {call.address}: {exc!r}"
             ) from exc
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             raise ExchangeError(
-                CallOutcome.UNKNOWN, f"{call.address} gave no answer: {exc!r}"
+                CallOutcome.UNKNOWN, f"no response from {call.address}: {exc!r}"
             ) from exc
 
 
@@ -142,9 +142,9 @@
                 data, _, pending = pending.partition(EVENT_END)
                 yield StreamEvent(parse_event_id(data), data + EVENT_END)
             if len(pending) > MAX_EVENT_BYTES:
-                raise self._incomplete_error("an event is too large")
+                raise self._incomplete_error("an event exceeds the size limit")
         if pending:
-            raise self._incomplete_error("it ended inside an event")
+            raise self._incomplete_error("the stream ended within an event")
 
     async def read_body(self) -> bytes:
         """Return the complete body of a response that is not an event stream."""
@@ -170,11 +170,11 @@
             return
         exc = self._protocol.exception()
         if exc is not None and not isinstance(exc, aiohttp.ServerDisconnectedError):
-            raise self._incomplete_error(f"reset: {exc!r}")
+            raise self._incomplete_error(f"connection reset: {exc!r}")
 
     def _incomplete_error(self, message: str) -> ExchangeError:
         return ExchangeError(
-            CallOutcome.UNKNOWN, f"answer of {self._address} broke off: {message}"
+            CallOutcome.UNKNOWN, f"incomplete response of {self._address}: {message}"
         )
 
 
@@ -187,14 +187,14 @@
     """
     if not matches_request(res.headers, call.req.request_id):
         raise ExchangeError(
-            CallOutcome.UNKNOWN, f"{call.address} answered another request than asked"
+            CallOutcome.UNKNOWN, f"{call.address} responded to a different request"
         )
     is_other = is_other_incarnation(res.status, res.headers)
     notice = None if is_other else read_notice(res.status, res.headers)
     if is_not_run(res.status, res.headers):
         raise ExchangeError(
             CallOutcome.NOT_RUN,
-            f"{call.address} refused with {res.status}",
+            f"{call.address} rejected the request with status {res.status}",
             status=res.status,
             failed_address=read_failed_address(res.headers),
             is_other_incarnation=is_other,
--- a/wigeonscale/platform/headers.py
+++ b/wigeonscale/platform/headers.py
@@ -261,7 +261,7 @@
     if math.isfinite(amount) and amount >= 0.0:
         return amount
     logger.warning(
-        "header %s cannot be read", name, extra=log_fields(text=text[:MAX_LOGGED_CHARS])
+        "cannot parse header %s", name, extra=log_fields(text=text[:MAX_LOGGED_CHARS])
     )
     return None
 
--- a/wigeonscale/platform/heartbeats.py
+++ b/wigeonscale/platform/heartbeats.py
@@ -136,7 +136,7 @@
     try:
         return Deregistration(_Deregistration.model_validate_json(content).born)
     except ValidationError as exc:
-        raise _bad_request(f"farewell of {backend_id!r}", exc) from exc
+        raise _bad_request(f"deregistration of {backend_id!r}", exc) from exc
 
 
 def _bad_request(subject: str, exc: ValidationError) -> WigeonscaleError:
