--- a/wigeonscale/__init__.py
+++ b/wigeonscale/__init__.py
@@ -4,8 +4,8 @@
 
 import os
 
-# Read when gRPC is first imported. Its notes on standard error are no JSON lines,
-# and what matters reaches us as the error of a call.
+# gRPC reads this when it is first imported. Its messages on standard error are not JSON
+# lines, and relevant failures are reported as errors of the calls.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 __version__ = "0.1.0"
--- a/wigeonscale/adapters/__init__.py
+++ b/wigeonscale/adapters/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters: gRPC, HTTP, logs and metrics behind the project's own names."""
+"""Adapters for gRPC, HTTP, logging and metrics."""
 
 __all__ = [
     "METRICS",
--- a/wigeonscale/adapters/channels.py
+++ b/wigeonscale/adapters/channels.py
@@ -1,6 +1,6 @@
-"""gRPC channels and servers between the project's processes, and their TLS.
+"""gRPC channels and servers between the daemons, and their TLS configuration.
 
-Keepalive, message limits and reconnection stand here and nowhere else.
+All settings for keepalive, message size and reconnection are defined here.
 """
 
 __all__ = [
@@ -33,9 +33,9 @@
 )
 _CHANNEL_OPTIONS = (
     *_COMMON_OPTIONS,
-    # Otherwise a new channel shares the old one's connection, which may be silent.
+    # Otherwise a new channel reuses the connection of an old one, which may be dead.
     ("grpc.use_local_subchannel_pool", 1),
-    # What may be sent again is decided by the caller, never by the transport.
+    # The application decides which calls to retry, never the transport.
     ("grpc.enable_retries", 0),
     ("grpc.enable_http_proxy", 0),
     ("grpc.initial_reconnect_backoff_ms", MIN_RECONNECT_MS),
@@ -45,7 +45,7 @@
 _SERVER_OPTIONS = (
     *_COMMON_OPTIONS,
     ("grpc.http2.min_ping_interval_without_data_ms", MIN_PING_INTERVAL_MS),
-    # Two processes on one port would answer for each other.
+    # With port sharing, two processes on one port would receive each other's calls.
     ("grpc.so_reuseport", 0),
 )
 _FAILED_STATES = (
@@ -59,8 +59,8 @@
     """Paths of the PEM files for mutual TLS.
 
     Attributes:
-        ca: Certificates of the authority that signs every process of the system.
-        cert: This process's certificate; names its IP address.
+        ca: Certificates of the authority that signs the certificates of all processes.
+        cert: Certificate of this process, which names its IP address.
         key: Private key of ``cert``.
     """
 
@@ -70,14 +70,14 @@
 
 
 def open_channel(address: str, *, tls: TlsFiles | None = None) -> grpc.aio.Channel:
-    """Return a channel with a connection of its own to a peer.
+    """Return a channel to a peer that does not share its connection.
 
     Args:
         address: ``ip:port`` of the peer's gRPC server.
         tls: Files for mutual TLS; None for plain TCP.
 
     Returns:
-        A channel, to be closed by the caller. It connects on first use.
+        A channel that connects on first use; the caller must close it.
     """
     if tls is None:
         return grpc.aio.insecure_channel(address, options=_CHANNEL_OPTIONS)
@@ -90,13 +90,13 @@
 
 
 async def wait_connected(channel: grpc.aio.Channel) -> None:
-    """Connect a channel, giving up at the first failure.
+    """Wait until a channel is connected, failing on the first error.
 
     Args:
-        channel: The channel; while it is not connected nothing was sent on it.
+        channel: The channel. Nothing is sent on it before it is connected.
 
     Raises:
-        ConnectionError: If the peer refused or the channel was closed.
+        ConnectionError: If the connection fails or the channel is closed.
     """
     state = channel.get_state(try_to_connect=True)
     while state is not grpc.ChannelConnectivity.READY:
@@ -112,9 +112,9 @@
     """Return a server that is bound but not started.
 
     Args:
-        address: ``ip:port`` to listen on; port 0 takes a free one.
+        address: ``ip:port`` to listen on; port 0 selects a free port.
         tls: Files for mutual TLS; clients without a certificate of the same
-            authority are refused. None for plain TCP.
+            authority are rejected. None for plain TCP.
 
     Returns:
         The server and the bound ``ip:port``.
@@ -134,13 +134,13 @@
 
 
 def server_tls_context(tls: TlsFiles) -> ssl.SSLContext:
-    """Return the context of an HTTP server that asks clients for a certificate.
+    """Return the TLS context of an HTTP server that requires client certificates.
 
     Args:
         tls: PEM files of the process.
 
     Returns:
-        A context for aiohttp's ``ssl_context``.
+        A context for the ``ssl_context`` argument of aiohttp's sites.
     """
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH, cafile=tls.ca)
     context.verify_mode = ssl.CERT_REQUIRED
@@ -149,7 +149,7 @@
 
 
 def client_tls_context(tls: TlsFiles) -> ssl.SSLContext:
-    """Return the context of an HTTP client that shows its certificate.
+    """Return the TLS context of an HTTP client that sends its certificate.
 
     Args:
         tls: PEM files of the process.
--- a/wigeonscale/adapters/engine_http.py
+++ b/wigeonscale/adapters/engine_http.py
@@ -1,8 +1,8 @@
-"""The engine port over HTTP: the client, and the routes that a fake serves.
+"""Engine port over HTTP: the client, and server routes for fake engines.
 
 Paths: ``GET /info``, ``POST /run``, ``POST /cancel``, ``GET`` and ``PUT
 /cache/{sequence}``, ``GET /load``, ``GET /cache-events?after=N``, ``POST /order``.
-Hidden states travel as base64 in JSON.
+Hidden states are encoded as base64 in JSON.
 """
 
 __all__ = ["HttpEngine", "engine_routes"]
@@ -45,8 +45,8 @@
 
     Args:
         url: Base URL of the engine.
-        session: Client session; the caller closes it.
-        run_timeout_s: Seconds after which an iteration counts as failed.
+        session: Client session; the caller must close it.
+        run_timeout_s: Timeout of an iteration or a cache transfer, in seconds.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._run_timeout_s = run_timeout_s
 
     async def info(self) -> EngineInfo:
-        """Return what the engine says of itself."""
+        """Return the properties and state of the engine."""
         doc = await self._request("GET", "/info", timeout_s=INFO_TIMEOUT_S)
         return self._validate(_INFO_MODEL, doc, "/info")
 
@@ -75,7 +75,7 @@
         return results
 
     async def cancel(self, sequence_ids: Sequence[str]) -> None:
-        """Forget sequences and free their cache."""
+        """Drop sequences and free their KV cache."""
         body = {"sequences": list(sequence_ids)}
         await self._request("POST", "/cancel", body, timeout_s=INFO_TIMEOUT_S)
 
@@ -92,7 +92,7 @@
         await self._request("PUT", path, body, timeout_s=self._run_timeout_s)
 
     async def load(self) -> EngineLoad:
-        """Return the engine's load report; it lags."""
+        """Return the load that the engine reports, with a delay."""
         doc = await self._request("GET", "/load", timeout_s=INFO_TIMEOUT_S)
         return EngineLoad(
             running=int(doc["running"]),
@@ -101,7 +101,7 @@
         )
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Return cache events with a number above ``after``."""
+        """Return cache events numbered above ``after``; some may be missing."""
         path = f"/cache-events?after={after}"
         doc = await self._request("GET", path, timeout_s=INFO_TIMEOUT_S)
         return self._validate(_EVENTS_MODEL, doc.get("events"), path)
@@ -109,7 +109,7 @@
     async def order(
         self, *, term: int, sequence: int, action: str, args: dict[str, object]
     ) -> None:
-        """Carry out an order with its fencing number."""
+        """Send an order with its fencing token (term and sequence)."""
         body = {"term": term, "sequence": sequence, "action": action, "args": args}
         await self._request("POST", "/order", body, timeout_s=ORDER_TIMEOUT_S)
 
@@ -185,10 +185,10 @@
 
 
 def engine_routes(engine: Engine) -> list[web.RouteDef]:
-    """Return the HTTP routes that serve an engine port.
+    """Return HTTP routes that serve an engine.
 
     Args:
-        engine: The engine behind the routes.
+        engine: Implementation of the engine port.
 
     Returns:
         Routes for an aiohttp application.
--- a/wigeonscale/adapters/health.py
+++ b/wigeonscale/adapters/health.py
@@ -1,4 +1,4 @@
-"""The HTTP page of each daemon: health, readiness, metrics and given routes."""
+"""HTTP server of each daemon for health, readiness, metrics and other routes."""
 
 __all__ = ["bound_address", "start_http"]
 
@@ -27,16 +27,17 @@
     """Serve ``/healthz``, ``/readyz``, ``/metrics`` and further routes.
 
     Args:
-        address: ``ip:port`` to listen on; port 0 takes a free one.
+        address: ``ip:port`` to listen on; port 0 selects a free port.
         routes: Further routes of the daemon.
-        ready: Whether the balancer may send work here.
-        metrics: What ``/metrics`` shows.
+        ready: Returns whether the load balancer may send requests to this process.
+        metrics: Metrics served at ``/metrics``.
         tls: Files for mutual TLS; None for plain HTTP.
-        max_body_bytes: Most bytes of a request's body.
-        shutdown_timeout_s: Seconds that ``cleanup`` waits for open answers.
+        max_body_bytes: Maximum size of a request body, in bytes.
+        shutdown_timeout_s: Time that ``cleanup`` waits for requests in progress, in
+            seconds.
 
     Returns:
-        A started runner; end it with ``await runner.cleanup()``.
+        A started runner; stop it with ``await runner.cleanup()``.
 
     Raises:
         OSError: If the address cannot be bound.
@@ -59,7 +60,7 @@
 
 
 def bound_address(runner: web.AppRunner) -> str:
-    """Return the ``ip:port`` that a runner listens on.
+    """Return the ``ip:port`` on which a runner listens.
 
     Args:
         runner: A started runner with one site.
--- a/wigeonscale/adapters/logs.py
+++ b/wigeonscale/adapters/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines on standard output."""
+"""Logging as JSON lines on standard output."""
 
 __all__ = ["JsonLinesFormatter", "log_fields", "setup_logging"]
 
@@ -11,8 +11,8 @@
 import sys
 from typing import TextIO
 
-# A few seconds of a busy entry, some 3 MB; a reader that stands still for longer loses
-# lines, and no request waits for it.
+# Covers a few seconds of log lines of a busy entry, about 3 MB. If the reader of
+# standard output blocks for longer, lines are dropped so that no request waits for it.
 MAX_QUEUED_LINES = 5000
 
 _RESERVED = frozenset({"time", "level", "logger", "node", "message", "traceback"})
@@ -21,11 +21,11 @@
 class JsonLinesFormatter(logging.Formatter):
     """Formats a record as one line of JSON.
 
-    Fields given by ``extra={"fields": {...}}`` stand beside the fixed ones; a
-    fixed one wins.
+    Fields passed as ``extra={"fields": {...}}`` are added to the fixed ones and cannot
+    override them.
 
     Args:
-        node: Name of the process, put on each line.
+        node: Name of the process, added to each line.
     """
 
     def __init__(self, *, node: str):
@@ -33,13 +33,10 @@
         self._node = node
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as one line without a newline.
+        """Return the record as a JSON object without a trailing newline.
 
         Args:
             record: The record to format.
-
-        Returns:
-            A JSON object.
         """
         fields = getattr(record, "fields", None) or {}
         line = {
@@ -69,8 +66,8 @@
         request_id: Id of the caller's request.
         organisation: Organisation of the caller.
         kind: Error kind.
-        outcome: What became of the request.
-        **others: Further fields, as JSON values.
+        outcome: Outcome of the request.
+        **others: Further fields; values that JSON cannot represent become text.
 
     Returns:
         A mapping for ``extra``; empty fields are left out.
@@ -90,29 +87,30 @@
 
 
 def setup_logging(level: str, node: str, *, stream: TextIO | None = None) -> None:
-    """Send all logs of the process to one stream as JSON lines.
+    """Write all logs of the process to one stream as JSON lines.
 
     Args:
         level: Name of the lowest level that is logged.
         node: Name of the process.
-        stream: Where to; None for standard output.
+        stream: Output stream, written synchronously; None for standard output, written
+            by a background thread.
     """
     handler = _stream_handler(stream) if stream else _background_handler()
     handler.setFormatter(JsonLinesFormatter(node=node))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
-    # One line a scrape says nothing that the metrics do not.
+    # A line per metrics scrape adds no information to the metrics.
     logging.getLogger("aiohttp.access").setLevel(logging.WARNING)
 
 
 class BoundedHandler(logging.handlers.QueueHandler):
-    """Hands lines to a thread that writes them; drops lines rather than wait.
+    """Passes records to a writer thread and drops them when the queue is full.
 
-    Once there is room again, a line says how many were dropped.
+    Once there is room again, a record reports how many were dropped.
 
     Args:
-        lines: Bounded queue that the thread reads.
+        lines: Bounded queue that the writer thread reads.
     """
 
     def __init__(self, lines: queue.Queue):
@@ -120,7 +118,7 @@
         self._dropped = 0
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue a line, or count it as dropped.
+        """Queue a record, or count it as dropped if the queue is full.
 
         Args:
             record: Formatted record.
--- a/wigeonscale/adapters/metrics.py
+++ b/wigeonscale/adapters/metrics.py
@@ -1,4 +1,4 @@
-"""Every metric of every daemon, in one place, with a closed set of labels."""
+"""Definitions of the metrics of all daemons, with a fixed set of labels each."""
 
 __all__ = ["METRICS", "OK", "Counter", "Gauge", "Histogram", "Metrics"]
 
@@ -7,13 +7,13 @@
 
 from wigeonscale.errors import ErrorKind
 
-# Values of a label "kind" besides the error kinds: no error, and a kind that only
-# a newer peer knows.
+# Values of the label "kind" besides the error kinds: no error, and an unknown kind,
+# which a peer of a newer version may send.
 OK = "ok"
 OTHER_KIND = "other"
 _KINDS = frozenset({OK, *ErrorKind})
 
-# Seconds. The burn report reads its objectives off these bounds.
+# Seconds. The burn report selects its objectives from these bounds.
 LATENCY_BUCKETS_S = (
     0.005,
     0.01,
@@ -31,10 +31,10 @@
 
 
 class _CompactValues(MetricDict):
-    """Values whose keys take no more room than they need.
+    """Values of a collector, with keys copied to their exact size.
 
-    A key as orjson makes it holds on to 4 KB: 120 MB a metric at 30,000
-    organisations.
+    A key as orjson returns it keeps a buffer of 4 KB allocated, which amounts to 120 MB
+    per metric for 30,000 organisations.
     """
 
     def __setitem__(self, key, value):
@@ -45,7 +45,7 @@
 
 
 class _Metric:
-    """A collector whose label names are fixed when it is made."""
+    """Collector with a fixed set of label names."""
 
     _collector_type: type[aioprometheus.collectors.Collector]
 
@@ -83,7 +83,7 @@
 
 
 class Counter(_Metric):
-    """A count that only grows."""
+    """Monotonically increasing count."""
 
     _collector_type = aioprometheus.Counter
 
@@ -91,7 +91,7 @@
         """Add to the count.
 
         Args:
-            amount: How much, not negative.
+            amount: Increment; must not be negative.
             **labels: A value for each label of the metric.
 
         Raises:
@@ -100,12 +100,12 @@
         self._collector.add(self._check(labels), amount)
 
     def value(self, **labels: str) -> float:
-        """Return the count for these labels; 0 if nothing was counted."""
+        """Return the count for the labels; 0 if nothing was counted."""
         return self._collector.values.get(self._check(labels), 0)
 
 
 class Gauge(_Metric):
-    """A value that goes up and down."""
+    """Value that can increase and decrease."""
 
     _collector_type = aioprometheus.Gauge
 
@@ -122,17 +122,17 @@
         self._collector.set(self._check(labels), value)
 
     def value(self, **labels: str) -> float:
-        """Return the value for these labels; 0 if none was set."""
+        """Return the value for the labels; 0 if none was set."""
         return self._collector.values.get(self._check(labels), 0)
 
 
 class Histogram(_Metric):
-    """Counts of observations by upper bound."""
+    """Distribution of observed values over fixed buckets."""
 
     _collector_type = aioprometheus.Histogram
 
     def observe(self, value: float, **labels: str) -> None:
-        """Count one observation.
+        """Record one observation.
 
         Args:
             value: Observed value.
@@ -144,7 +144,7 @@
         self._collector.observe(self._check(labels), value)
 
     def count(self, **labels: str) -> int:
-        """Return how many observations were made for these labels."""
+        """Return the number of observations for the labels."""
         found = self._collector.values.get(self._check(labels))
         return int(self._collector.get(labels)["count"]) if found is not None else 0
 
@@ -152,18 +152,18 @@
 class Metrics:
     """The metrics of one process.
 
-    Label values come from closed sets as well: organisations of the document in
-    force, names of commands, causes of an enum, and error kinds, where an empty
-    kind counts as ``ok`` and an unknown one as ``other``. No histogram is kept by
-    organisation: tens of thousands of them would take hundreds of megabytes. The burn
-    report has the service levels of each.
+    Label values are limited as well: organisations of the current document, command
+    names, enumerated causes, and error kinds, with an empty kind counted as ``ok`` and
+    an unknown one as ``other``. No histogram has the organisation as a label: tens of
+    thousands of organisations would take hundreds of megabytes. The burn report covers
+    the service levels of each organisation.
 
     Attributes:
-        registry: The registry that ``/metrics`` renders.
+        registry: Registry rendered at ``/metrics``.
 
     Notes:
-        One update costs a few microseconds; on the token path update once a
-        batch with the batch's size.
+        One update takes a few microseconds. Code that handles tokens should update a
+        counter once per batch, by the size of the batch.
     """
 
     def __init__(self):
--- a/wigeonscale/adapters/service_http.py
+++ b/wigeonscale/adapters/service_http.py
@@ -1,4 +1,4 @@
-"""The plain-service port over HTTP."""
+"""Service port over HTTP."""
 
 __all__ = ["HttpService", "single_attempt_session"]
 
@@ -29,17 +29,17 @@
 
 PROBE_TIMEOUT_S = 1.0
 
-# Headers that aiohttp would otherwise add to what the caller sent.
+# Headers that aiohttp would otherwise add to the headers of the caller.
 AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 
 def single_attempt_session() -> aiohttp.ClientSession:
-    """Return a session that sends every request at most once.
+    """Return a client session that sends every request at most once.
 
     Notes:
-        aiohttp sends PUT and DELETE again by itself when the connection breaks
-        before the answer. It has no public switch against it; its own test client
-        clears the same attribute.
+        By default aiohttp retries PUT and DELETE requests if the connection breaks
+        before the response. There is no public option to disable this; aiohttp's own
+        test client sets the same private attribute.
     """
     session = aiohttp.ClientSession(
         auto_decompress=False, skip_auto_headers=AUTO_HEADERS
@@ -49,11 +49,12 @@
 
 
 class HttpService:
-    """Implements the service port by HTTP calls, each made exactly once.
+    """Implements the service port by HTTP calls without retries.
 
     Args:
         url: Base URL of the service.
-        session: From :func:`single_attempt_session`; the caller closes it.
+        session: Client session from :func:`single_attempt_session`; the caller must
+            close it.
     """
 
     def __init__(self, *, url: str, session: aiohttp.ClientSession):
@@ -61,10 +62,10 @@
         self._session = session
 
     async def probe(self) -> None:
-        """Return when the service takes connections; nothing is sent on it.
+        """Check that the service accepts connections; no request is sent.
 
         Raises:
-            WigeonscaleError: ``BACKEND_FAILED`` when it does not.
+            WigeonscaleError: ``BACKEND_FAILED`` if it does not.
         """
         url = yarl.URL(self._url)
         try:
@@ -86,11 +87,18 @@
         body: bytes,
         timeout_s: float = 60.0,
     ) -> HttpResponse:
-        """Make one call and return its answer.
+        """Send one request and return its response.
+
+        Args:
+            method: HTTP method.
+            path: Path with query, encoded.
+            headers: Names and values; hop-by-hop headers are not forwarded.
+            body: Request body.
+            timeout_s: Maximum duration of the whole call, in seconds.
 
         Raises:
-            WigeonscaleError: ``BACKEND_FAILED``, with run state ``NOT_RUN`` only
-                when no connection was made.
+            WigeonscaleError: ``BACKEND_FAILED``, with run state ``NOT_RUN`` only if no
+                connection was opened.
         """
         forwarded = [(n, v) for n, v in headers if n.lower() not in HOP_BY_HOP_HEADERS]
         url = yarl.URL(self._url + path, encoded=True)
--- a/wigeonscale/errors.py
+++ b/wigeonscale/errors.py
@@ -1,6 +1,6 @@
-"""The closed list of error kinds, the exception tree and the table to answers.
+"""Error kinds, exception classes and the HTTP response for each error kind.
 
-Every failure that reaches a caller, an operator or a peer has one
+Every failure reported to a caller, an operator or a peer has one
 :class:`ErrorKind`. :data:`ERROR_RESPONSES` maps each kind to its HTTP response.
 """
 
@@ -58,7 +58,7 @@
 
 
 class RunState(StrEnum):
-    """Whether the work of a request was begun by a backend server."""
+    """Whether a backend server started the work of a request."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
@@ -67,12 +67,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """The HTTP answer for one error kind.
+    """HTTP response for an error kind.
 
     Attributes:
         status: HTTP status code.
-        retryable: Whether the same request may succeed later, so that a
-            ``Retry-After`` header is due.
+        retryable: Whether the same request may succeed later; the response then has a
+            ``Retry-After`` header.
     """
 
     status: int
@@ -118,13 +118,13 @@
 
 
 class WigeonscaleError(Exception):
-    """Base of every error that the project raises on purpose.
+    """Base class of all errors that this package raises deliberately.
 
     Args:
-        kind: One of the closed list of kinds.
-        message: What happened, naming the offending value.
-        run_state: Whether the work behind the request was begun.
-        retry_after: Seconds after which a retry is worth while, or None.
+        kind: Error kind.
+        message: Description of the failure, including the invalid value.
+        run_state: Whether the work of the request was started.
+        retry_after: Time after which to retry, in seconds; None for no advice.
     """
 
     def __init__(
@@ -143,10 +143,10 @@
 
 
 class SettingsError(WigeonscaleError):
-    """A settings file or rules document that cannot be accepted.
+    """A settings file or document is invalid.
 
     Args:
-        message: Names file, section, key, value and what is allowed.
+        message: Names the file, section, key, value and the allowed values.
         kind: ``INVALID_SETTINGS`` or ``INVALID_DOCUMENT``.
     """
 
@@ -165,12 +165,12 @@
 
     Args:
         kind: Wire form of an :class:`ErrorKind`; an unknown one gives ``INTERNAL``.
-        message: Text for people.
+        message: Human-readable description.
         run_state: Wire form of a :class:`RunState`; an unknown one gives ``UNKNOWN``.
-        retry_after: Seconds, or None.
+        retry_after: Time after which to retry, in seconds; None for no advice.
 
     Returns:
-        An error ready to raise.
+        The error; it is not raised.
     """
     known_kind = ErrorKind(kind) if kind in set(ErrorKind) else ErrorKind.INTERNAL
     known_state = RunState(run_state) if run_state in set(RunState) else None
