--- a/wigeonscale/config/__init__.py
+++ b/wigeonscale/config/__init__.py
@@ -1,4 +1,4 @@
-"""INI settings of the daemons, checked at the border."""
+"""Settings of the daemons, read from INI files and validated when loaded."""
 
 __all__ = [
     "ROLES",
--- a/wigeonscale/config/keys.py
+++ b/wigeonscale/config/keys.py
@@ -1,4 +1,4 @@
-"""Types of settings keys: what each kind of value allows, in code and in words."""
+"""Types of settings values, each with its validation and a description."""
 
 __all__ = [
     "AddressList",
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Allowed:
-    """States in words what a key allows; stands in the key's annotation."""
+    """Description of the allowed values of a key, as metadata of its annotation."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """A control replica as settings name it.
+    """A control replica, as named in the settings.
 
     Attributes:
         name: Node name of the replica.
@@ -54,7 +54,7 @@
 
 
 def allowed_text(annotation: object) -> str:
-    """Return in words what a key with this annotation allows."""
+    """Return the description of the allowed values of an annotated key."""
     for extra in typing.get_args(annotation)[1:]:
         if isinstance(extra, Allowed):
             return extra.text
@@ -68,7 +68,7 @@
 
 
 def count(low: int, high: int) -> object:
-    """Return the type of a whole number within a range."""
+    """Return the type of an integer within a range."""
     allowed = Allowed(f"a whole number from {low} to {high}")
     return Annotated[int, Field(ge=low, le=high), allowed]
 
--- a/wigeonscale/config/load.py
+++ b/wigeonscale/config/load.py
@@ -1,4 +1,4 @@
-"""Reads an INI settings file into the checked settings of one role."""
+"""Loads and validates the settings of one role from an INI file."""
 
 __all__ = ["ROLES", "load_settings"]
 
@@ -29,7 +29,7 @@
     "direct-entry": DirectEntrySettings,
     "direct-control": DirectControlSettings,
 }
-# Keys that stand in a section shared by all roles; the others stand in the role's.
+# Keys in sections shared by all roles; all other keys are in the section of the role.
 SHARED_KEYS = {
     "name": ("node", "name"),
     "domain": ("node", "domain"),
@@ -40,26 +40,26 @@
     "tls_key": ("tls", "key"),
 }
 
-# In this many heartbeats a watcher replaces a silent connection to control, even
-# when the first replica that it tries instead is silent too.
+# A watcher needs this many heartbeats to replace a silent connection to control, even
+# if the first replica that it tries instead is silent too.
 MIN_HEARTBEATS_PER_LEASE = 6
 
 
 def load_settings(
     path: str, role: str
 ) -> EntrySettings | AgentSettings | ControlSettings:
-    """Read and check the settings of one role.
+    """Load and validate the settings of one role.
 
     Args:
         path: Path of the INI file.
-        role: ``entry``, ``agent`` or ``control``.
+        role: One of :data:`ROLES`.
 
     Returns:
         Settings in which every key is present and within its range.
 
     Raises:
-        SettingsError: Names file, section, key, value and what is allowed, for
-            every problem found, one a line.
+        SettingsError: Lists every problem on its own line, with the file, section, key,
+            value and allowed values.
 
     Example:
         >>> cfg = load_settings("entry.ini", "entry")  # doctest: +SKIP
@@ -80,7 +80,7 @@
 
 
 def _read_sections(path: str) -> dict[str, dict[str, str]]:
-    # The default section is renamed away: [DEFAULT] is an unknown section here.
+    # With another name for the default section, [DEFAULT] is an unknown section.
     parser = configparser.ConfigParser(
         interpolation=None, delimiters=("=",), default_section="\0"
     )
@@ -98,7 +98,7 @@
 def _attributes_by_key(
     cls: type[NodeSettings], role: str
 ) -> dict[tuple[str, str], str]:
-    """Return the settings attribute for each (section, key)."""
+    """Return the settings attribute for each pair of section and key."""
     names = [field.name for field in dataclasses.fields(cls)]
     return {SHARED_KEYS.get(name, (role, name)): name for name in names}
 
@@ -141,7 +141,7 @@
         return _adapter(cls).validate_python(given)
     except ValidationError as exc:
         key_of_attribute = {name: location for location, name in attributes.items()}
-        # A list has one error an item: name the key once.
+        # A list has one error per item; report its key once.
         names = dict.fromkeys(error["loc"][0] for error in exc.errors())
         for name in names:
             problems.append(_problem(cls, name, key_of_attribute[name], given))
--- a/wigeonscale/config/settings.py
+++ b/wigeonscale/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings of each role: every key with type, unit, default and range."""
+"""Settings of each role: keys with type, unit, default and range."""
 
 __all__ = [
     "AgentSettings",
@@ -43,18 +43,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NodeSettings:
-    """What every role needs to know.
+    """Settings common to all roles.
 
     Attributes:
         name: Name of this node, unique in the deployment.
         domain: Failure domain of its VM.
         region: Region of its VM.
-        log_level: Least level of the log lines written.
-        http: Address of the health, metrics and admin pages.
-        stop_timeout_s: Longest graceful shutdown, in seconds.
-        tls_ca: Certificates of the authority that signs all processes; empty: the
-            processes talk over plain TCP.
-        tls_cert: This process's certificate, which names its IP address.
+        log_level: Lowest level of the log lines that are written.
+        http: Address of the HTTP server for health, metrics and administration.
+        stop_timeout_s: Maximum duration of a graceful shutdown, in seconds.
+        tls_ca: Certificates of the authority that signs the certificates of all
+            processes; empty for plain TCP between processes.
+        tls_cert: Certificate of this process, which names its IP address.
         tls_key: Private key of the certificate.
     """
 
@@ -83,14 +83,14 @@
     Attributes:
         listen: Address for callers.
         control: Addresses of the control replicas' gRPC servers.
-        body_limit_bytes: Largest request body.
-        subset: Backends per target among which this entry chooses.
-        lease_s: Longest time to serve without confirmation by a majority, in seconds.
+        body_limit_bytes: Maximum size of a request body.
+        subset: Number of backends per target that this entry balances load over.
+        lease_s: Maximum time to serve without confirmation by a majority, in seconds.
         heartbeat_s: Interval of heartbeats to control and agents, in seconds.
-        open_timeout_s: Longest wait for a dispatch to be accepted, in seconds.
-        default_deadline_s: Deadline of a request that names none, in seconds.
-        retry_ratio: Retries allowed as a share of recent requests.
-        max_streams: Requests in progress at once.
+        open_timeout_s: Maximum wait for a dispatch to be accepted, in seconds.
+        default_deadline_s: Deadline of a request that sets none, in seconds.
+        retry_ratio: Allowed retries as a fraction of recent requests.
+        max_streams: Maximum number of concurrent requests.
     """
 
     listen: ListenAddress
@@ -107,24 +107,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DirectEntrySettings(NodeSettings):
-    """Settings of ``wigeond direct-entry``, which speaks to backend servers itself.
+    """Settings of ``wigeond direct-entry``, which calls backend servers directly.
 
     Attributes:
         listen: Address for callers.
-        seeds: Addresses of some control replicas' HTTP pages; only their IP counts.
-        internal_port: Port of every control replica's gRPC server.
+        seeds: HTTP addresses of some control replicas; only the IP is used.
+        internal_port: Port of the gRPC server of every control replica.
         lease_s: Time without confirmation by a majority after which another control
-            replica is tried, in seconds. Callers are served on.
+            replica is tried, in seconds. The entry continues to serve callers.
         heartbeat_s: Interval of heartbeats to control, in seconds.
-        retry_ratio: Further sends allowed as a share of recent requests, over all
-            entries.
-        retry_slack: Further sends allowed beside that share in ``retry_window_s``,
-            over all entries.
-        retry_window_s: Time over which requests and sends are counted, in seconds.
-        serve_when_cut: Whether to go on serving with what was known once no majority
-            of control has confirmed it for ``lease_s``.
-        killed_after_s: Time after which a process that was told to stop is ended by
-            force, in seconds; 0 where that is not known, and ``stop_timeout_s`` holds.
+        retry_ratio: Allowed retries as a fraction of recent requests, over all entries.
+        retry_slack: Allowed retries in addition to that fraction within
+            ``retry_window_s``, over all entries.
+        retry_window_s: Time window over which requests and retries are counted, in
+            seconds.
+        serve_when_cut: Whether to continue serving with the last known state after no
+            majority of control has confirmed it for ``lease_s``.
+        killed_after_s: Time after which a process that was asked to stop is killed, in
+            seconds; 0 if it is not known, in which case ``stop_timeout_s`` applies.
     """
 
     listen: ListenAddress
@@ -149,12 +149,12 @@
         kind: Whether the backend server is a model engine or a plain service.
         backend: URL of the backend server.
         service: Name of the plain service; empty for an engine.
-        slots: Requests that run at once.
-        queue_limit: Requests that wait at most.
-        keep_answers_bytes: Most bytes of answers kept until they are taken.
-        keep_answers_s: Longest time to keep an answer, in seconds.
-        repair_timeout_s: Longest wait for a lost stage's spare, in seconds.
-        lease_s: Longest time to serve without confirmation by a majority, in seconds.
+        slots: Maximum number of concurrent requests.
+        queue_limit: Maximum number of queued requests.
+        keep_answers_bytes: Maximum size of all responses kept for collection, in bytes.
+        keep_answers_s: Maximum time to keep a response, in seconds.
+        repair_timeout_s: Maximum wait for the spare of a lost stage, in seconds.
+        lease_s: Maximum time to serve without confirmation by a majority, in seconds.
         heartbeat_s: Interval of heartbeats to control, in seconds.
     """
 
@@ -178,26 +178,30 @@
 
     Attributes:
         grpc: Address of the replica's gRPC server.
-        data: Data folder for log and snapshots.
-        peers: Every control replica, this one included.
-        election_timeout_s: Silence of the leader before an election, in seconds.
+        data: Folder for the log and snapshots.
+        peers: All control replicas, including this one.
+        election_timeout_s: Time without a message of the leader before an election, in
+            seconds.
         heartbeat_s: Interval of the leader's heartbeats, in seconds.
         lease_s: Time without a majority after which a leader steps down, in seconds.
-        down_after_s: Silence after which a backend's incarnation ends even if nothing
-            else speaks for its loss, in seconds.
-        snapshot_entries: Log entries between two snapshots.
+        down_after_s: Time without a heartbeat after which an incarnation of a backend
+            is declared dead even without further evidence, in seconds.
+        snapshot_entries: Number of log entries between two snapshots.
         claim_age_s: Age at which a claim expires, in seconds.
-        loads: Weight loads in progress at once.
-        spares: Engines of each model kept out of new chains, for repairs.
-        domain_share: New chains stay inside one failure domain each when they so pass
-            at least this share of what they pass across domains; 0: always.
-        settle_s: Time without a new engine before new chains are made, in seconds.
-        rebuild_after_s: Time in which no engine came or went before chains that serve
-            are rebuilt for missing replicas or far more rate, in seconds.
-        drain_s: Time that a chain wanted no longer gets to end its work, in seconds.
-        https: Whether the pages are served over TLS, to clients with a certificate of
-            the same authority only.
-        admin_token_digest: SHA-256 digest of the operators' token; empty: none asked.
+        loads: Maximum number of concurrent weight loads.
+        spares: Engines per model excluded from new chains and reserved for repairs.
+        domain_share: New chains stay within one failure domain each if their
+            throughput is then at least this fraction of that of chains across domains;
+            0 for always.
+        settle_s: Time without a new engine before new chains are created, in seconds.
+        rebuild_after_s: Time during which no engine joins or leaves before serving
+            chains are rebuilt for missing replicas or a much higher rate, in seconds.
+        drain_s: Time for a chain that is no longer needed to finish its requests, in
+            seconds.
+        https: Whether HTTP is served over TLS, only to clients with a certificate of
+            the same authority.
+        admin_token_digest: SHA-256 digest of the operators' token; empty if none is
+            required.
     """
 
     grpc: ListenAddress
@@ -224,21 +228,21 @@
     """Settings of ``wigeond direct-control``, for backend servers without agents.
 
     Attributes:
-        ip: Address of this VM; with ``internal_port`` it names the replica.
-        data: Data folder for log and snapshots.
-        seeds: Addresses of some control replicas' HTTP pages; only their IP counts.
-        internal_port: Port of every control replica's gRPC server.
+        ip: IP address of this VM; with ``internal_port`` it identifies the replica.
+        data: Folder for the log and snapshots.
+        seeds: HTTP addresses of some control replicas; only the IP is used.
+        internal_port: Port of the gRPC server of every control replica.
         first_start: Whether the whole deployment starts for the first time.
-        election_timeout_s: Silence of the leader before an election, in seconds.
+        election_timeout_s: Time without a message of the leader before an election, in
+            seconds.
         heartbeat_s: Interval of the leader's heartbeats, in seconds.
-        lease_s: Age at which what a replica knows is no longer fresh, in seconds.
-        snapshot_entries: Log entries between two snapshots.
-        backend_heartbeat_s: Interval at which backend servers announce themselves,
-            in seconds.
-        answer_s: Longest wait for a majority before an operator gets an answer, in
+        lease_s: Age at which the state of a replica is considered stale, in seconds.
+        snapshot_entries: Number of log entries between two snapshots.
+        backend_heartbeat_s: Interval of the heartbeats of backend servers, in seconds.
+        answer_s: Maximum wait for a majority before an operator gets a response, in
             seconds.
-        killed_after_s: Time after which a process that was told to stop is ended by
-            force, in seconds; 0 where that is not known, and ``stop_timeout_s`` holds.
+        killed_after_s: Time after which a process that was asked to stop is killed, in
+            seconds; 0 if it is not known, in which case ``stop_timeout_s`` applies.
     """
 
     ip: IpAddress
