--- a/wigeonscale/adapters/tests/test_channels.py
+++ b/wigeonscale/adapters/tests/test_channels.py
@@ -39,7 +39,7 @@
 
 
 def make_tls(folder, name):
-    """Make an authority and one certificate for 127.0.0.1 by the openssl command."""
+    """Create a certificate authority and a certificate for 127.0.0.1 with openssl."""
     folder = pathlib.Path(folder, name)
     folder.mkdir()
     ca, ca_key, key, req, cert, ext = (
@@ -77,7 +77,7 @@
 
 
 class ChannelTest(ChannelCase):
-    async def test_each_channel_has_a_connection_of_its_own(self):
+    async def test_channels_do_not_share_connections(self):
         servicer, address = await self.start()
         async with open_channel(address) as one, open_channel(address) as two:
             for channel in (one, two):
@@ -85,7 +85,7 @@
                 await stub.Floor(wire.FloorRequest())
         self.assertEqual(2, len(servicer.peers))
 
-    async def test_port_in_use_is_refused(self):
+    async def test_port_in_use_raises(self):
         _, address = await self.start()
         self.assertRaises(OSError, new_server, address)
 
@@ -106,12 +106,12 @@
         folder = self.useFixture(fixtures.TempDir()).path
         self.tls = make_tls(folder, "own")
         self.other = make_tls(folder, "other")
-        # Trusts the server, but shows a certificate of another authority.
+        # Trusts the server, but sends a certificate of another authority.
         self.foreign_client = TlsFiles(
             ca=self.tls.ca, cert=self.other.cert, key=self.other.key
         )
 
-    async def test_grpc_takes_only_its_own_authority(self):
+    async def test_grpc_accepts_only_its_own_authority(self):
         servicer, address = await self.start(self.tls)
         self.assertEqual(4, (await self.call(address, self.tls)).term)
         for tls in (None, self.other, self.foreign_client):
@@ -119,7 +119,7 @@
                 await self.call(address, tls)
         self.assertEqual(1, len(servicer.peers))
 
-    async def test_http_takes_only_its_own_authority(self):
+    async def test_http_accepts_only_its_own_authority(self):
         runner = await start_http(
             "127.0.0.1:0", [], lambda: True, metrics=Metrics(), tls=self.tls
         )
@@ -135,5 +135,5 @@
 
 
 class VerbosityTest(AsyncTestCase):
-    def test_grpc_writes_no_notes_of_its_own(self):
+    def test_grpc_verbosity_is_none(self):
         self.assertEqual("NONE", os.environ.get("GRPC_VERBOSITY"))
--- a/wigeonscale/adapters/tests/test_engine_http.py
+++ b/wigeonscale/adapters/tests/test_engine_http.py
@@ -40,7 +40,7 @@
         self.assertEqual({}, self.fake.caches)
         self.assertEqual([], await self.engine.cache_events(0))
 
-    async def test_old_fencing_number_is_refused(self):
+    async def test_old_fencing_token_is_rejected(self):
         args = {"first_layer": 0, "last_layer": 1}
         await self.engine.order(term=2, sequence=1, action="load", args=args)
         with self.assertRaises(WigeonscaleError) as caught:
@@ -61,7 +61,7 @@
             self.assertEqual(ErrorKind.BACKEND_FAILED, caught.exception.kind)
             self.assertEqual(RunState.UNKNOWN, caught.exception.run_state)
 
-    async def test_answers_of_another_shape_are_backend_failed(self):
+    async def test_malformed_responses_are_backend_failed(self):
         docs = []
         app = web.Application()
 
@@ -83,7 +83,7 @@
         docs.append({"model": "m", "slots": 4, "field_of_a_later_version": 1})
         self.assertEqual(EngineInfo(model="m", slots=4), await engine.info())
 
-    async def test_tokens_show_missed_doubled_and_swapped_positions(self):
+    async def test_tokens_reveal_missing_repeated_and_swapped_positions(self):
         good = ['["a"]', '["b"]', '["c"]']
         tokens = set()
         for inputs in (good, good[:2], [*good, good[2]], [good[1], good[0], good[2]]):
--- a/wigeonscale/adapters/tests/test_logs.py
+++ b/wigeonscale/adapters/tests/test_logs.py
@@ -21,7 +21,7 @@
     def lines(self):
         return [json.loads(line) for line in self.stream.getvalue().splitlines()]
 
-    def test_one_json_object_a_line(self):
+    def test_one_json_object_per_line(self):
         self.logger.info("first\nstill %s", "first")
         self.logger.debug("below the level")
         self.logger.warning("second")
@@ -33,7 +33,7 @@
         )
         self.assertRegex(second["time"], r"^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z$")
 
-    def test_fields_stand_beside_the_fixed_ones(self):
+    def test_fields_are_added_to_the_fixed_ones(self):
         extra = log_fields(
             request_id="r1", organisation="o", kind="overloaded", outcome="refused"
         )
@@ -52,12 +52,12 @@
         self.assertEqual(0, line["tokens"])
         self.assertNotIn("kind", line)
 
-    def test_fixed_fields_win(self):
+    def test_fields_cannot_override_fixed_ones(self):
         self.logger.info("m", extra={"fields": {"node": "forged", "level": "forged"}})
         (line,) = self.lines()
         self.assertEqual(("entry-1", "INFO"), (line["node"], line["level"]))
 
-    def test_exception_and_odd_values_stay_on_one_line(self):
+    def test_traceback_and_unserialisable_values_stay_on_one_line(self):
         try:
             raise ValueError("planted")
         except ValueError:
@@ -67,7 +67,7 @@
 
 
 class BoundedTest(AsyncTestCase):
-    """Nobody reads the lines: writing goes on, and what is lost is counted."""
+    """If nothing reads the log lines, logging never blocks and counts lost lines."""
 
     def test_lines_beyond_the_bound_are_dropped_and_counted(self):
         lines = queue.Queue(2)
--- a/wigeonscale/adapters/tests/test_metrics.py
+++ b/wigeonscale/adapters/tests/test_metrics.py
@@ -9,7 +9,7 @@
 from wigeonscale.testing import AsyncTestCase
 
 ORGANISATIONS = 10_000
-# A key of orjson's with its spare room takes four times this.
+# A key as orjson returns it, with its unused buffer, takes four times as much.
 BYTES_PER_ORGANISATION = 1_000
 
 
@@ -18,7 +18,7 @@
         super().setUp()
         self.metrics = Metrics()
 
-    def test_labels_are_closed(self):
+    def test_unknown_and_missing_labels_are_rejected(self):
         add = self.metrics.requests.add
         self.assertRaises(ValueError, add, organisation="o")
         self.assertRaises(ValueError, add, organisation="o", kind="ok", path="/x")
@@ -26,7 +26,7 @@
         observe = self.metrics.first_token_s.observe
         self.assertRaises(ValueError, observe, 1.0, organisation="o")
 
-    def test_kinds_are_closed(self):
+    def test_unknown_kinds_count_as_other(self):
         for kind in ("", ErrorKind.OVERLOADED, "overloaded", "made-up", "invented"):
             self.metrics.retries.add(kind=kind)
         counts = [
@@ -48,7 +48,7 @@
 
 
 class ManyOrganisationsTest(AsyncTestCase):
-    def test_no_histogram_grows_with_the_organisations(self):
+    def test_no_histogram_has_the_organisation_as_label(self):
         found = vars(Metrics()).values()
         histograms = [metric for metric in found if isinstance(metric, Histogram)]
         self.assertGreater(len(histograms), 3)
@@ -56,7 +56,7 @@
             with self.assertRaises(ValueError, msg=histogram.name):
                 histogram.observe(1.0, organisation="o")
 
-    def test_counter_keeps_little_for_an_organisation(self):
+    def test_counter_memory_per_organisation(self):
         metrics = Metrics()
         before = _resident_bytes()
         for number in range(ORGANISATIONS):
@@ -100,6 +100,6 @@
         bucket = 'wigeonscale_first_token_seconds_bucket{le="1.1"} 1'
         self.assertIn(bucket, text)
 
-    async def test_address_in_use_is_refused(self):
+    async def test_address_in_use_raises(self):
         with self.assertRaises(OSError):
             await start_http(bound_address(self.runner), [], lambda: True)
--- a/wigeonscale/adapters/tests/test_service_http.py
+++ b/wigeonscale/adapters/tests/test_service_http.py
@@ -16,7 +16,7 @@
         self.service = HttpService(url=url, session=session)
         self.session = session
 
-    async def test_call_passes_path_headers_and_body(self):
+    async def test_call_forwards_path_headers_and_body(self):
         headers = [("Idempotency-Key", "k"), ("Connection", "close"), ("Host", "x")]
         answer = await self.service.call("POST", "/a%2Fb?q=1", headers, b"note")
         self.assertEqual(200, answer.status)
@@ -27,20 +27,20 @@
         )
         self.assertNotIn("Content-Length", dict(answer.headers))
 
-    async def test_no_connection_is_not_run(self):
+    async def test_failed_connection_is_not_run(self):
         service = HttpService(url="http://127.0.0.1:1", session=self.session)
         with self.assertRaises(WigeonscaleError) as caught:
             await service.call("POST", "/", [], b"")
         self.assertEqual(RunState.NOT_RUN, caught.exception.run_state)
 
-    async def test_broken_call_is_unknown_and_never_sent_again(self):
+    async def test_broken_call_is_unknown_and_never_retried(self):
         requests = []
 
-        async def take_and_break(reader, writer):
+        async def read_and_close(reader, writer):
             requests.append(await reader.readuntil(b"\r\n\r\n"))
             writer.close()
 
-        server = await asyncio.start_server(take_and_break, "127.0.0.1", 0)
+        server = await asyncio.start_server(read_and_close, "127.0.0.1", 0)
         self.addCleanup(server.wait_closed)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
--- a/wigeonscale/config/tests/test_load.py
+++ b/wigeonscale/config/tests/test_load.py
@@ -23,7 +23,7 @@
 
 
 def load(case, text, role):
-    """Load settings from a text; the file is gone after the test."""
+    """Load settings from a text through a temporary file."""
     folder = pathlib.Path(case.useFixture(fixtures.TempDir()).path)
     path = folder / "node.ini"
     path.write_text(text)
@@ -61,7 +61,7 @@
         times = (cfg.settle_s, cfg.rebuild_after_s, cfg.drain_s)
         self.assertEqual((1.0, 60.0, 5.0), times)
 
-    def test_every_problem_is_named_with_its_file(self):
+    def test_every_problem_is_reported_with_its_file(self):
         text = ENTRY.replace("aarhus-a", "a b") + "subset = 0\nlese_s = 3\n"
         exc = self.assertRaises(SettingsError, load, self, text, "entry")
         lines = exc.message.splitlines()
@@ -78,7 +78,7 @@
 
 
 def wrong(base, old, new, *named):
-    """Return a scenario: a text made wrong, and what the error must name."""
+    """Return a scenario of an invalid settings text and words of its error message."""
     assert old in base
     role = base.split("]")[1].rpartition("[")[2]
     return (f"{role}: {new.strip()}"), {
@@ -132,7 +132,7 @@
         ),
     ]
 
-    def test_is_refused_and_named(self):
+    def test_invalid_value_is_reported(self):
         exc = self.assertRaises(SettingsError, load, self, self.text, self.role)
         self.assertEqual(ErrorKind.INVALID_SETTINGS, exc.kind)
         for words in self.named:
--- a/wigeonscale/platform/tests/support.py
+++ b/wigeonscale/platform/tests/support.py
@@ -1,4 +1,4 @@
-"""Backend servers and documents as the platform has them, for tests."""
+"""Sample configuration document and HTTP servers for tests of the platform."""
 
 import json
 
@@ -67,7 +67,11 @@
 
 
 async def serve(handler):
-    """Serve every path by a handler; return the runner and ``ip:port``."""
+    """Start a server that passes every request to a handler.
+
+    Returns:
+        The runner, which the caller must clean up, and the ``ip:port``.
+    """
     runner = web.ServerRunner(web.Server(handler))
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
--- a/wigeonscale/platform/tests/test_callers.py
+++ b/wigeonscale/platform/tests/test_callers.py
@@ -12,7 +12,7 @@
 
 
 class CallerCase(AsyncTestCase):
-    """A server on loopback whose requests a test answers by ``self.serve``."""
+    """A server on loopback that passes requests to ``self.serve`` of the test."""
 
     async def prepare(self):
         self.requests = []
@@ -44,7 +44,7 @@
         return f"http://127.0.0.1:{self.port}{path}"
 
     async def raw(self, data, until=b""):
-        """Send bytes on a new connection; return it once ``until`` came."""
+        """Send bytes on a new connection and read until ``until`` arrives."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         self.addCleanup(writer.close)
         writer.write(data)
@@ -53,7 +53,7 @@
 
 
 class CloseTest(CallerCase):
-    async def test_it_does_not_wait_for_answers_that_never_end(self):
+    async def test_close_does_not_wait_for_unfinished_responses(self):
         begun = asyncio.Event()
 
         async def serve(req, sink):
@@ -66,12 +66,12 @@
         await begun.wait()
         async with asyncio.timeout(WAIT_S):
             await self.server.close()
-            # It ends without its last chunk, and so does not look complete.
+            # The response lacks its last chunk, so that it is visibly incomplete.
             self.assertEqual(b"", await reader.read())
 
 
 class AnswerTest(CallerCase):
-    async def test_request_as_it_was_sent(self):
+    async def test_request_is_passed_on_as_it_was_sent(self):
         head = b"POST /a%2Fb/../c?x=%41&y HTTP/1.1\r\nHost: h.example\r\n"
         body = b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         _, _, got = await self.raw(head + b"Attempt-Id: id1\r\n" + body, b"whole")
@@ -87,12 +87,12 @@
                 self.assertEqual(b"whole", await res.read())
         self.assertEqual(3, len(self.requests))
 
-    async def test_body_too_large(self):
+    async def test_too_large_body_is_rejected(self):
         async with self.session.post(self.url(), data=b"x" * 1001) as res:
             self.assertEqual(413, res.status)
         self.assertEqual([], self.requests)
 
-    async def test_refusals_say_whether_it_ran(self):
+    async def test_error_status_tells_whether_the_work_ran(self):
         for run_state, status in ((RunState.NOT_RUN, 503), (RunState.UNKNOWN, 502)):
 
             async def serve(req, sink, run_state=run_state):
@@ -107,7 +107,7 @@
                 self.assertEqual("0.25", res.headers["Retry-After"])
                 self.assertEqual("id1", res.headers["Attempt-Id"])
 
-    async def test_a_defect_is_an_error_that_promises_nothing(self):
+    async def test_unhandled_exception_returns_500(self):
         async def serve(req, sink):
             raise ValueError("planted")
 
@@ -117,7 +117,7 @@
 
 
 class StreamTest(CallerCase):
-    async def test_events_arrive_as_they_come(self):
+    async def test_events_are_sent_immediately(self):
         gate = asyncio.Event()
 
         async def serve(req, sink):
@@ -134,7 +134,7 @@
             gate.set()
             self.assertEqual(b"id: 2\n\n", await res.content.read())
 
-    async def test_a_stream_given_up_does_not_look_complete(self):
+    async def test_aborted_stream_is_visibly_incomplete(self):
         async def serve(req, sink):
             await sink.begin(ResponseHead(200, ()))
             await sink.write(b"id: 1\n\n")
@@ -150,7 +150,7 @@
                 return
         self.fail("it looked complete")
 
-    async def test_work_ends_when_the_caller_leaves(self):
+    async def test_handler_is_cancelled_when_the_caller_disconnects(self):
         async def serve(req, sink):
             await sink.begin(ResponseHead(200, ()))
             await sink.write(b"id: 1\n\n")
@@ -164,10 +164,10 @@
 
 
 class StopTest(CallerCase):
-    async def test_idle_connections_are_closed_not_left_unread(self):
+    async def test_drain_closes_idle_connections(self):
         reader, _, _ = await self.raw(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", b"whole")
         fresh, _, _ = await self.raw(b"")
-        # Until the server has accepted the second one, there is nothing to close.
+        # Wait until the server has accepted the second connection.
         async with asyncio.timeout(WAIT_S):
             while self.server.connections < 2:  # noqa: ASYNC110
                 await asyncio.sleep(0)
@@ -176,7 +176,7 @@
             self.assertEqual(b"", await reader.read())
             self.assertEqual(b"", await fresh.read())
 
-    async def test_a_request_read_in_the_last_moment_is_answered(self):
+    async def test_drain_serves_a_request_that_was_just_read(self):
         reader, _, _ = await self.raw(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", b"whole")
         (conn,) = self.server._runner.server.connections
         conn.data_received(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -185,7 +185,7 @@
             self.assertTrue((await reader.read()).endswith(b"whole"))
         self.assertEqual(2, len(self.requests))
 
-    async def test_what_is_under_way_is_finished(self):
+    async def test_drain_waits_for_requests_in_progress(self):
         gate = asyncio.Event()
 
         async def serve(req, sink):
@@ -206,7 +206,7 @@
             rest = await reader.read()
         self.assertTrue(rest.endswith(b"0\r\n\r\n"), rest)
 
-    async def test_answers_close_their_connections_while_it_stops(self):
+    async def test_responses_close_their_connections_during_drain(self):
         finish = asyncio.create_task(self.server.drain(WAIT_S))
         await asyncio.sleep(0)
         request = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
--- a/wigeonscale/platform/tests/test_connection_limiter.py
+++ b/wigeonscale/platform/tests/test_connection_limiter.py
@@ -11,8 +11,12 @@
 REQUESTS = 50
 
 
-class OpeningTest(AsyncTestCase):
-    """All requests of a second go to one first engine in one instant."""
+class ConnectionLimitTest(AsyncTestCase):
+    """Many requests to one engine at once overflow its listen backlog.
+
+    This happens when entries start together or an engine comes back, and each request
+    opens a new connection.
+    """
 
     async def prepare(self):
         async def handle(req):
@@ -49,12 +53,12 @@
         ) as res:
             return res.status
 
-    async def test_few_connections_open_at_a_time(self):
+    async def test_concurrent_connects_are_limited(self):
         statuses = await asyncio.gather(*[self.get() for _ in range(REQUESTS)])
         self.assertEqual([200] * REQUESTS, statuses)
         self.assertTrue(self.max_opening <= MAX_CONCURRENT_CONNECTS, self.max_opening)
 
-    async def test_other_servers_are_not_waited_for(self):
+    async def test_limit_applies_per_address(self):
         self.gate.clear()
         self.expected = MAX_CONCURRENT_CONNECTS + 1
         waiting = [asyncio.create_task(self.get()) for _ in range(REQUESTS)]
@@ -65,7 +69,7 @@
         result = (await asyncio.gather(other, return_exceptions=True))[0]
         self.assertIsInstance(result, aiohttp.ClientConnectorError)
 
-    async def test_callers_that_leave_and_failures_give_their_turn_back(self):
+    async def test_cancelled_and_failed_connects_release_their_slots(self):
         self.gate.clear()
         self.expected = MAX_CONCURRENT_CONNECTS
         leaving = [asyncio.create_task(self.get()) for _ in range(REQUESTS)]
--- a/wigeonscale/platform/tests/test_documents.py
+++ b/wigeonscale/platform/tests/test_documents.py
@@ -9,7 +9,7 @@
 
 
 class ReadTest(AsyncTestCase):
-    def test_all_that_is_known_of_a_route(self):
+    def test_route(self):
         route = find_route(read_route_table(document()), "some.example", "/gen/x")
         self.assertEqual("r-gen", route.name)
         self.assertEqual(Repeat.STREAM, route.repeat)
@@ -27,7 +27,7 @@
         self.assertEqual(8.2, engine.accelerators["l4"].read_factor)
         self.assertEqual(772, engine.usual_prompt)
 
-    def test_delays_between_domains_hold_both_ways(self):
+    def test_delays_between_domains_are_symmetric(self):
         services = copy.deepcopy(DOCUMENT["services"])
         for service in services:
             if "engine" in service:
@@ -46,12 +46,12 @@
         self.assertEqual(3, table.organisations["k1"].priority)
         self.assertEqual(1000, table.limits.body_bytes)
 
-    def test_without_organisations_no_key_is_needed(self):
+    def test_keys_are_optional_without_organisations(self):
         without = copy.deepcopy(DOCUMENT)
         del without["tenants"]
         self.assertFalse(read_route_table(json.dumps(without).encode()).needs_keys)
 
-    def test_kept_as_it_was_sent(self):
+    def test_compressed_document_is_restored_exactly(self):
         self.assertEqual(document(), decompress(compress(document())))
 
 
@@ -65,7 +65,7 @@
         routes[0].update(changes)
         return document(routes=routes)
 
-    def test_cut_short_anywhere(self):
+    def test_truncated_document(self):
         content = document()
         for length in range(0, len(content), 7):
             self.assert_invalid(content[:length])
@@ -78,27 +78,27 @@
         split = [{"service": "nobody", "weight": 1}]
         self.assert_invalid(self.changed_route(split=split))
 
-    def test_same_place(self):
+    def test_duplicate_route_match(self):
         self.assert_invalid(
             self.changed_route(host="some.example", **{"path-prefix": "/plain/"})
         )
 
-    def test_no_weight(self):
+    def test_weights_sum_to_zero(self):
         split = [{"service": "model", "weight": 0}, {"service": "plain", "weight": 0}]
         self.assert_invalid(self.changed_route(split=split))
         self.assert_invalid(self.changed_route(split=[]))
 
-    def test_no_timeout(self):
+    def test_zero_timeout(self):
         self.assert_invalid(self.changed_route(**{"timeout-ms": 0}))
 
-    def test_shared_key(self):
+    def test_key_of_two_organisations(self):
         tenants = [
             {"name": "one", "api-keys": ["k"]},
             {"name": "two", "api-keys": ["k"]},
         ]
         self.assert_invalid(document(tenants=tenants))
 
-    def test_number(self):
+    def test_invalid_version(self):
         for version in (0, -1, "x", None, 1.5):
             self.assert_invalid(document(version=version))
 
--- a/wigeonscale/platform/tests/test_engine_orders.py
+++ b/wigeonscale/platform/tests/test_engine_orders.py
@@ -19,7 +19,7 @@
 
 
 class ProbeTest(OrdersCase):
-    async def test_an_engine_that_answers(self):
+    async def test_engine_responds(self):
         async def handle(req):
             return web.json_response({"seq": 0, "busy": False})
 
@@ -28,7 +28,7 @@
         probe_result = await self.orders.probe(address, 0)
         self.assertEqual(EngineProbeResult(ProbeResult.ANSWERED, 1.0), probe_result)
 
-    async def test_a_later_start_is_told_from_the_one_asked_for(self):
+    async def test_later_incarnation_is_detected(self):
         for born, answer in (
             (100, ProbeResult.ANSWERED),
             (200, ProbeResult.REPLACED),
@@ -44,7 +44,7 @@
             probe_result = await self.orders.probe(address, 100)
             self.assertIs(answer, probe_result.result)
 
-    async def test_how_slow_it_is(self):
+    async def test_pace_is_reported(self):
         for pace, wanted in ((12.5, 12.5), ("x", 1.0), (None, 1.0)):
             report = {"seq": 0, "busy": False, "pace": pace}
 
@@ -58,7 +58,7 @@
                 EngineProbeResult(ProbeResult.ANSWERED, wanted), probe_result
             )
 
-    async def test_a_report_tells_the_start(self):
+    async def test_status_includes_the_start_time(self):
         async def handle(req):
             return web.json_response({"seq": 3, "busy": False, "born": 200})
 
@@ -66,15 +66,15 @@
         self.addCleanup(runner.cleanup)
         self.assertEqual(200, (await self.orders.status(address)).started_ms)
 
-    async def test_an_engine_whose_port_refuses(self):
+    async def test_closed_port(self):
         with socket.socket() as unused:
-            # Bound, so that nobody else gets the port, but not listening.
+            # Bound but not listening, so that no other process takes the port.
             unused.bind(("127.0.0.1", 0))
             port = unused.getsockname()[1]
             probe_result = await self.orders.probe(f"127.0.0.1:{port}", 0)
         self.assertIs(ProbeResult.REFUSED, probe_result.result)
 
-    async def test_an_engine_that_cuts_the_connection(self):
+    async def test_engine_aborts_the_connection(self):
         async def handle(req):
             req.transport.abort()
             return web.Response()
@@ -106,7 +106,7 @@
             addresses=["10.1.0.1:80", "10.2.0.1:80"],
         )
 
-    async def test_a_new_path_in_the_form_of_the_first_one(self):
+    async def test_path_change_sends_the_new_path(self):
         self.assertIs(OrderOutcome.STARTED, await self.change_path())
         order = {
             "op": "repath",
@@ -115,7 +115,7 @@
         }
         self.assertEqual([("POST", "/order", order)], self.received)
 
-    async def test_what_comes_of_it(self):
+    async def test_outcome_follows_the_status(self):
         outcomes = {
             200: OrderOutcome.UNCHANGED,
             404: OrderOutcome.REFUSED,
@@ -125,7 +125,7 @@
         for self.status, outcome in outcomes.items():
             self.assertIs(outcome, await self.change_path())
 
-    async def test_whether_requests_shall_end_first(self):
+    async def test_waits_selects_the_strategy(self):
         for waits in (False, True):
             outcome = await self.orders.place(
                 self.address,
--- a/wigeonscale/platform/tests/test_exchange_http.py
+++ b/wigeonscale/platform/tests/test_exchange_http.py
@@ -26,7 +26,7 @@
 
 
 class ExchangeCase(AsyncTestCase):
-    """A backend server on loopback that writes what a test says, byte for byte."""
+    """A backend server on loopback that sends prepared bytes as its responses."""
 
     async def prepare(self):
         self.replies = []
@@ -58,7 +58,7 @@
             else:
                 await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
-            pass  # the caller closed the connection, which some tests wait for
+            pass  # the client closed the connection, which some tests wait for
         finally:
             if self.reset:
                 sock = writer.get_extra_info("socket")
@@ -105,7 +105,7 @@
 
 
 class CallTest(ExchangeCase):
-    async def test_path_goes_on_byte_for_byte(self):
+    async def test_path_and_headers_are_sent_unmodified(self):
         self.reply(OK + b"Content-Length: 5\r\n\r\nwhole")
         self.assertEqual(b"whole", (await self.call()).body)
         head = self.requests[0]
@@ -114,30 +114,30 @@
         self.assertNotIn(b"User-Agent", head)
         self.assertNotIn(b"Accept-Encoding", head)
 
-    async def test_another_answer_is_not_taken_for_its_own(self):
+    async def test_response_to_another_request_is_rejected(self):
         self.reply(OK.replace(b"id1", b"id2") + b"Content-Length: 5\r\n\r\nwhole")
         self.assertEqual(CallOutcome.UNKNOWN, (await self.call_error()).outcome)
 
-    async def test_bytes_after_an_answer_belong_to_no_request(self):
+    async def test_surplus_bytes_after_a_response_are_discarded(self):
         answer = OK + b"Content-Length: 5\r\n\r\nwhole"
         self.reply(answer + answer.replace(b"whole", b"extra"), answer, keep_open=True)
         self.assertEqual(b"whole", (await self.call()).body)
         self.assertEqual(b"whole", (await self.call()).body)
 
-    async def test_a_get_on_a_kept_connection_that_breaks_is_sent_once(self):
+    async def test_get_on_a_broken_pooled_connection_is_not_retried(self):
         self.reply(OK + b"Content-Length: 5\r\n\r\nwhole", keep_open=True)
         self.reply(b"")
         self.assertEqual(b"whole", (await self.call()).body)
         self.assertEqual(CallOutcome.UNKNOWN, (await self.call_error()).outcome)
         self.assertEqual(2, len(self.requests))
 
-    async def test_redirects_are_answers(self):
+    async def test_redirects_are_not_followed(self):
         self.reply(
             b"HTTP/1.1 302 Found\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n"
         )
         self.assertEqual(302, (await self.call()).head.status)
 
-    async def test_cut_short(self):
+    async def test_truncated_response(self):
         for reply in (
             b"",
             b"HTTP/1.1 200",
@@ -150,16 +150,16 @@
                 CallOutcome.UNKNOWN, (await self.call_error()).outcome, reply
             )
 
-    async def test_without_a_length_it_ends_with_its_connection(self):
+    async def test_response_without_length_ends_with_the_connection(self):
         self.reply(OK + b"Connection: close\r\n\r\nwhole")
         self.assertEqual(b"whole", (await self.call()).body)
 
-    async def test_without_a_length_a_reset_is_no_end(self):
+    async def test_reset_of_a_response_without_length_is_an_error(self):
         self.reset = True
         self.reply(OK + b"Connection: close\r\n\r\nwhole")
         self.assertEqual(CallOutcome.UNKNOWN, (await self.call_error()).outcome)
 
-    async def test_refused_and_not_run(self):
+    async def test_rejection_without_run(self):
         self.reply(
             b"HTTP/1.1 503 No\r\nNot-Run: 1\r\nAt-Server: x:1\r\n"
             b"Content-Length: 0\r\n\r\n"
@@ -170,24 +170,24 @@
             (exc.outcome, exc.status, exc.failed_address),
         )
 
-    async def test_what_a_server_says_of_itself(self):
+    async def test_server_notice(self):
         close = b"Connection: close\r\nContent-Length: 0\r\n\r\n"
         self.reply(OK + b"Server-Limit: 2.5\r\n" + close)
         self.assertEqual(2.5, (await self.call()).head.notice.limit_per_s)
         refusal = b"HTTP/1.1 %d No\r\nNot-Run: 1\r\nRetry-After: 3\r\n" + close
         self.reply(refusal % 503)
         self.assertEqual(3.0, (await self.call_error()).notice.retry_after_s)
-        # Another server at that address speaks of itself, not of the one asked.
+        # Status 421 means that another incarnation responded, whose notice is ignored.
         self.reply(refusal % 421)
         self.assertIsNone((await self.call_error()).notice)
 
-    async def test_nobody_listens(self):
+    async def test_connection_refused(self):
         await self._stop()
         self.assertEqual(CallOutcome.NOT_SENT, (await self.call_error()).outcome)
 
 
 class StreamTest(ExchangeCase):
-    async def test_events_however_they_are_cut(self):
+    async def test_events_in_chunks_of_any_size(self):
         for size in (1, 2, 5, 100):
             parts = [EVENTS[i : i + size] for i in range(0, len(EVENTS), size)]
             self.reply(CHUNKED + b"".join(map(chunk, parts)) + END)
@@ -195,12 +195,12 @@
             self.assertEqual([1, 2], [number for number, _ in got])
             self.assertEqual(EVENTS, b"".join(data for _, data in got))
 
-    async def test_cut_inside_an_event(self):
+    async def test_stream_ends_within_an_event(self):
         self.reply(CHUNKED + chunk(EVENTS[:-1]) + END)
         exc = await self.assert_breaks()
         self.assertEqual(CallOutcome.UNKNOWN, exc.outcome)
 
-    async def test_cut_between_events(self):
+    async def test_stream_ends_between_events_without_last_chunk(self):
         self.reply(CHUNKED + chunk(EVENTS))
         await self.assert_breaks()
 
@@ -211,7 +211,7 @@
             return exc
         self.fail(f"whole: {got}")
 
-    async def test_leaving_early_closes_the_connection(self):
+    async def test_leaving_the_context_early_closes_the_connection(self):
         self.reply(CHUNKED + chunk(EVENTS), keep_open=True)
         async with self.exchange.open(self.backend_call()) as stream:
             async for _ in stream.events():
--- a/wigeonscale/platform/tests/test_headers.py
+++ b/wigeonscale/platform/tests/test_headers.py
@@ -48,7 +48,7 @@
 
 
 class RequestTest(AsyncTestCase):
-    def test_what_is_read(self):
+    def test_request_headers(self):
         read = headers(
             attempt_id="id1",
             host="h",
@@ -65,11 +65,11 @@
             read.generation,
         )
 
-    def test_length_hint(self):
+    def test_length_hint_sets_expected_tokens(self):
         read = headers(token_count="10,80", length_hint="33")
         self.assertEqual(33, read.generation.expected_tokens)
 
-    def test_nonsense_is_no_number(self):
+    def test_invalid_numbers_are_ignored(self):
         read = headers(
             request_deadline="-1", token_count="x,", last_event_id="1e3", length_hint=""
         )
@@ -79,13 +79,13 @@
 
 
 class BackendHeadersTest(AsyncTestCase):
-    def test_the_callers_own_go_on(self):
+    def test_headers_of_the_caller_are_forwarded(self):
         got = sent(attempt_id="id1", model="m", prompt_prefix="a:1", x_other="v")
         self.assertEqual("id1", got["Attempt-Id"])
         self.assertEqual("v", got["X-Other"])
         self.assertEqual("a:1", got["Prompt-Prefix"])
 
-    def test_own_headers_are_set_whatever_the_caller_sent(self):
+    def test_router_headers_override_those_of_the_caller(self):
         got = sent(
             tenant="forged",
             authorization="Bearer k",
@@ -101,11 +101,11 @@
         self.assertNotIn("Authorization", got)
         self.assertNotIn("Hop-Count", got)
 
-    def test_no_organisation_named_without_one(self):
+    def test_no_tenant_header_without_an_organisation(self):
         got = sent({"organisation": ""}, tenant="forged")
         self.assertNotIn("Tenant", got)
 
-    def test_connection_headers_stay(self):
+    def test_hop_by_hop_request_headers_are_dropped(self):
         got = sent(
             connection="keep-alive, X-Hop",
             x_hop="1",
@@ -123,14 +123,14 @@
         self.assertEqual("a:1=0-20,b:2=20-80", got["Hop-Count"])
         self.assertEqual("4", got["Last-Event-Id"])
 
-    def test_priority_within_its_bounds(self):
+    def test_priority_is_clamped(self):
         self.assertEqual("9", sent({"priority": 40})["Request-Priority"])
         self.assertEqual("0", sent({"priority": -1})["Request-Priority"])
         self.assertNotIn("Request-Priority", sent({"priority": None}))
 
 
 class AnswerTest(AsyncTestCase):
-    def test_connection_headers_stay_behind(self):
+    def test_hop_by_hop_response_headers_are_dropped(self):
         head = read_response_head(
             200,
             [(b"Connection", b"close"), (b"Response-Stamp", b"s"), (b"Date", b"d")],
@@ -138,13 +138,13 @@
         )
         self.assertEqual((("Response-Stamp", "s"),), head.headers)
 
-    def test_refusals(self):
+    def test_is_not_run(self):
         self.assertTrue(is_not_run(503, CIMultiDict({"not-run": "1"})))
         self.assertTrue(is_not_run(421, CIMultiDict()))
         self.assertFalse(is_not_run(503, CIMultiDict()))
         self.assertFalse(is_not_run(500, CIMultiDict()))
 
-    def test_another_engine_of_the_path_is_no_stranger(self):
+    def test_rejection_by_a_later_engine_is_not_another_incarnation(self):
         self.assertTrue(is_other_incarnation(421, CIMultiDict()))
         self.assertFalse(is_other_incarnation(421, CIMultiDict({"At-Server": "a:1"})))
 
@@ -159,7 +159,7 @@
         self.assertIsNone(parse_event_id(b"data: id: 3"))
         self.assertIsNone(parse_event_id(b"id: x"))
 
-    def test_what_a_server_says_of_itself(self):
+    def test_server_notice(self):
         said = read_notice(
             200, CIMultiDict({"server-limit": "1.5", "Retry-After": "3"})
         )
@@ -172,7 +172,7 @@
         said = read_notice(200, CIMultiDict({"Server-Limit": "0"}))
         self.assertEqual(ServerNotice(limit_per_s=0.0), said)
 
-    def test_what_cannot_be_read_says_nothing(self):
+    def test_invalid_notice_headers_are_ignored(self):
         for text in ("", "many", "-1", "nan", "inf"):
             headers = CIMultiDict({"Server-Limit": text, "Retry-After": text})
             self.assertEqual(ServerNotice(), read_notice(503, headers), text)
--- a/wigeonscale/platform/tests/test_heartbeats.py
+++ b/wigeonscale/platform/tests/test_heartbeats.py
@@ -55,14 +55,14 @@
             exc = self.assertRaises(WigeonscaleError, read_heartbeat, "i", content)
             self.assertEqual(ErrorKind.BAD_REQUEST, exc.kind)
 
-    def test_the_start(self):
+    def test_start_time(self):
         backend = read(born=1_786_000_000_123).backend
         self.assertEqual(1_786_000_000_123, backend.started_ms)
         self.assertEqual(1_786_000_000_123, backend.incarnation)
         backend = read().backend
         self.assertEqual((0, 1), (backend.started_ms, backend.incarnation))
 
-    def test_a_start_that_is_no_whole_number(self):
+    def test_invalid_start_time(self):
         for born in ("1", 1.5, True, -1, 0, 2**63, [1], {}):
             exc = self.assertRaises(WigeonscaleError, read, born=born)
             self.assertEqual(ErrorKind.BAD_REQUEST, exc.kind)
@@ -70,11 +70,11 @@
 
 
 class DeregistrationTest(AsyncTestCase):
-    def test_most_say_nothing(self):
+    def test_without_start_time(self):
         self.assertIsNone(read_deregistration("i", b"").incarnation)
         self.assertIsNone(read_deregistration("i", b"{}").incarnation)
 
-    def test_the_start_that_goes(self):
+    def test_with_start_time(self):
         self.assertEqual(7, read_deregistration("i", b'{"born": 7}').incarnation)
 
     def test_broken(self):
@@ -92,7 +92,7 @@
 
 
 class OtherWriterTest(AsyncTestCase):
-    """Heartbeats that other writers sent are refused with a reason, and never half."""
+    """Invalid heartbeats are rejected with a reason and never applied in part."""
 
     def assert_refused(self, content):
         exc = self.assertRaises(WigeonscaleError, read_heartbeat, "i-1", content)
@@ -132,5 +132,5 @@
         except WigeonscaleError as exc:
             self.assertEqual(ErrorKind.BAD_REQUEST, exc.kind)
             return
-        # What was taken for a heartbeat says all that is acted on.
+        # An accepted heartbeat has all fields that the registry relies on.
         self.assertTrue(backend.service and backend.address and backend.domain)
