--- a/wigeonscale/adapters/tests/test_channels.py
+++ b/wigeonscale/adapters/tests/test_channels.py
@@ -127,8 +127,8 @@
         url = f"https://{bound_address(runner)}/readyz"
         async with aiohttp.ClientSession() as session:
             own = client_tls_context(self.tls)
-            async with session.get(url, ssl=own) as answer:
-                self.assertEqual(200, answer.status)
+            async with session.get(url, ssl=own) as res:
+                self.assertEqual(200, res.status)
             for tls in (self.other, self.foreign_client):
                 with self.assertRaises(aiohttp.ClientError):
                     await session.get(url, ssl=client_tls_context(tls))
--- a/wigeonscale/adapters/tests/test_metrics.py
+++ b/wigeonscale/adapters/tests/test_metrics.py
@@ -73,8 +73,8 @@
 class HttpTest(AsyncTestCase):
     async def get(self, path):
         url = f"http://{bound_address(self.runner)}{path}"
-        async with aiohttp.ClientSession() as session, session.get(url) as answer:
-            return answer.status, await answer.text()
+        async with aiohttp.ClientSession() as session, session.get(url) as res:
+            return res.status, await res.text()
 
     async def prepare(self):
         self.is_ready = True
--- a/wigeonscale/adapters/tests/test_service_http.py
+++ b/wigeonscale/adapters/tests/test_service_http.py
@@ -18,14 +18,14 @@
 
     async def test_call_forwards_path_headers_and_body(self):
         headers = [("Idempotency-Key", "k"), ("Connection", "close"), ("Host", "x")]
-        answer = await self.service.call("POST", "/a%2Fb?q=1", headers, b"note")
-        self.assertEqual(200, answer.status)
+        res = await self.service.call("POST", "/a%2Fb?q=1", headers, b"note")
+        self.assertEqual(200, res.status)
         effect = self.effects[0]
         self.assertEqual(
             ("POST", "/a%2Fb?q=1", "k"),
             (effect["method"], effect["path"], effect["key"]),
         )
-        self.assertNotIn("Content-Length", dict(answer.headers))
+        self.assertNotIn("Content-Length", dict(res.headers))
 
     async def test_failed_connection_is_not_run(self):
         service = HttpService(url="http://127.0.0.1:1", session=self.session)
--- a/wigeonscale/platform/tests/test_callers.py
+++ b/wigeonscale/platform/tests/test_callers.py
@@ -118,12 +118,12 @@
 
 class StreamTest(CallerCase):
     async def test_events_are_sent_immediately(self):
-        gate = asyncio.Event()
+        proceed = asyncio.Event()
 
         async def serve(req, sink):
             await sink.begin(ResponseHead(200, (("Stamp", "s"),)))
             await sink.write(b"id: 1\n\n")
-            await gate.wait()
+            await proceed.wait()
             await sink.write(b"id: 2\n\n")
             await sink.end()
 
@@ -131,7 +131,7 @@
         async with self.session.get(self.url()) as res:
             self.assertEqual("s", res.headers["Stamp"])
             self.assertEqual(b"id: 1\n\n", await res.content.readany())
-            gate.set()
+            proceed.set()
             self.assertEqual(b"id: 2\n\n", await res.content.read())
 
     async def test_aborted_stream_is_visibly_incomplete(self):
@@ -186,12 +186,12 @@
         self.assertEqual(2, len(self.requests))
 
     async def test_drain_waits_for_requests_in_progress(self):
-        gate = asyncio.Event()
+        proceed = asyncio.Event()
 
         async def serve(req, sink):
             await sink.begin(ResponseHead(200, ()))
             await sink.write(b"id: 1\n\n")
-            await gate.wait()
+            await proceed.wait()
             await sink.end()
 
         self.serve = serve
@@ -200,7 +200,7 @@
         finish = asyncio.create_task(self.server.drain(0.0))
         await asyncio.sleep(0)
         self.assertFalse(finish.done())
-        gate.set()
+        proceed.set()
         async with asyncio.timeout(WAIT_S):
             await finish
             rest = await reader.read()
--- a/wigeonscale/platform/tests/test_connection_limiter.py
+++ b/wigeonscale/platform/tests/test_connection_limiter.py
@@ -30,18 +30,18 @@
         self.max_opening = 0
         self.expected = 0
         self.reached = asyncio.Event()
-        self.gate = asyncio.Event()
-        self.gate.set()
+        self.proceed = asyncio.Event()
+        self.proceed.set()
         self._create = self.session.connector._create_connection
-        self.session.connector._create_connection = self.create
+        self.session.connector._create_connection = self.counted_create
 
-    async def create(self, *args, **fields):
+    async def counted_create(self, *args, **fields):
         self.opening += 1
         self.max_opening = max(self.max_opening, self.opening)
         if self.opening == self.expected:
             self.reached.set()
         try:
-            await self.gate.wait()
+            await self.proceed.wait()
             return await self._create(*args, **fields)
         finally:
             self.opening -= 1
@@ -59,25 +59,25 @@
         self.assertTrue(self.max_opening <= MAX_CONCURRENT_CONNECTS, self.max_opening)
 
     async def test_limit_applies_per_address(self):
-        self.gate.clear()
+        self.proceed.clear()
         self.expected = MAX_CONCURRENT_CONNECTS + 1
         waiting = [asyncio.create_task(self.get()) for _ in range(REQUESTS)]
         other = asyncio.create_task(self.get("127.0.0.1:1"))
         await self.reached.wait()
-        self.gate.set()
+        self.proceed.set()
         await asyncio.gather(*waiting)
         result = (await asyncio.gather(other, return_exceptions=True))[0]
         self.assertIsInstance(result, aiohttp.ClientConnectorError)
 
     async def test_cancelled_and_failed_connects_release_their_slots(self):
-        self.gate.clear()
+        self.proceed.clear()
         self.expected = MAX_CONCURRENT_CONNECTS
         leaving = [asyncio.create_task(self.get()) for _ in range(REQUESTS)]
         await self.reached.wait()
         for task in leaving:
             task.cancel()
         await asyncio.gather(*leaving, return_exceptions=True)
-        self.gate.set()
+        self.proceed.set()
         for _ in range(2 * MAX_CONCURRENT_CONNECTS):
             results = await asyncio.gather(
                 self.get("127.0.0.1:1"), return_exceptions=True
--- a/wigeonscale/platform/tests/test_engine_orders.py
+++ b/wigeonscale/platform/tests/test_engine_orders.py
@@ -29,7 +29,7 @@
         self.assertEqual(EngineProbeResult(ProbeResult.ANSWERED, 1.0), probe_result)
 
     async def test_later_incarnation_is_detected(self):
-        for born, answer in (
+        for born, expected in (
             (100, ProbeResult.ANSWERED),
             (200, ProbeResult.REPLACED),
             ("200", ProbeResult.ANSWERED),
@@ -42,10 +42,10 @@
             runner, address = await serve(handle)
             self.addCleanup(runner.cleanup)
             probe_result = await self.orders.probe(address, 100)
-            self.assertIs(answer, probe_result.result)
+            self.assertIs(expected, probe_result.result)
 
     async def test_pace_is_reported(self):
-        for pace, wanted in ((12.5, 12.5), ("x", 1.0), (None, 1.0)):
+        for pace, expected_pace in ((12.5, 12.5), ("x", 1.0), (None, 1.0)):
             report = {"seq": 0, "busy": False, "pace": pace}
 
             async def handle(req, report=report):
@@ -55,7 +55,7 @@
             self.addCleanup(runner.cleanup)
             probe_result = await self.orders.probe(address, 0)
             self.assertEqual(
-                EngineProbeResult(ProbeResult.ANSWERED, wanted), probe_result
+                EngineProbeResult(ProbeResult.ANSWERED, expected_pace), probe_result
             )
 
     async def test_status_includes_the_start_time(self):
--- a/wigeonscale/platform/tests/test_exchange_http.py
+++ b/wigeonscale/platform/tests/test_exchange_http.py
@@ -33,7 +33,7 @@
         self.requests = []
         self.reset = False
         self.closed = asyncio.Event()
-        self.listener = await asyncio.start_server(self._answer, "127.0.0.1", 0)
+        self.listener = await asyncio.start_server(self._send_replies, "127.0.0.1", 0)
         self.addCleanup(self._stop)
         port = self.listener.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
@@ -45,7 +45,7 @@
         self.listener.close()
         await self.listener.wait_closed()
 
-    async def _answer(self, reader, writer):
+    async def _send_replies(self, reader, writer):
         try:
             while self.replies:
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -119,8 +119,10 @@
         self.assertEqual(CallOutcome.UNKNOWN, (await self.call_error()).outcome)
 
     async def test_surplus_bytes_after_a_response_are_discarded(self):
-        answer = OK + b"Content-Length: 5\r\n\r\nwhole"
-        self.reply(answer + answer.replace(b"whole", b"extra"), answer, keep_open=True)
+        response = OK + b"Content-Length: 5\r\n\r\nwhole"
+        self.reply(
+            response + response.replace(b"whole", b"extra"), response, keep_open=True
+        )
         self.assertEqual(b"whole", (await self.call()).body)
         self.assertEqual(b"whole", (await self.call()).body)
 
--- a/wigeonscale/platform/tests/test_headers.py
+++ b/wigeonscale/platform/tests/test_headers.py
@@ -25,7 +25,7 @@
     return read_request_headers(CIMultiDict(named))
 
 
-def sent(call_fields=None, **values):
+def sent_headers(call_fields=None, **values):
     read = headers(**values)
     req = CallerRequest(
         request_id=read.request_id,
@@ -80,13 +80,15 @@
 
 class BackendHeadersTest(AsyncTestCase):
     def test_headers_of_the_caller_are_forwarded(self):
-        got = sent(attempt_id="id1", model="m", prompt_prefix="a:1", x_other="v")
+        got = sent_headers(
+            attempt_id="id1", model="m", prompt_prefix="a:1", x_other="v"
+        )
         self.assertEqual("id1", got["Attempt-Id"])
         self.assertEqual("v", got["X-Other"])
         self.assertEqual("a:1", got["Prompt-Prefix"])
 
     def test_router_headers_override_those_of_the_caller(self):
-        got = sent(
+        got = sent_headers(
             tenant="forged",
             authorization="Bearer k",
             expect_instance="forged",
@@ -102,11 +104,11 @@
         self.assertNotIn("Hop-Count", got)
 
     def test_no_tenant_header_without_an_organisation(self):
-        got = sent({"organisation": ""}, tenant="forged")
+        got = sent_headers({"organisation": ""}, tenant="forged")
         self.assertNotIn("Tenant", got)
 
     def test_hop_by_hop_request_headers_are_dropped(self):
-        got = sent(
+        got = sent_headers(
             connection="keep-alive, X-Hop",
             x_hop="1",
             te="trailers",
@@ -119,14 +121,16 @@
 
     def test_path(self):
         path = (Part("i-1", LayerRange(0, 20)), Part("i-2", LayerRange(20, 80)))
-        got = sent({"path": path, "addresses": ("a:1", "b:2"), "after_event": 4})
+        got = sent_headers(
+            {"path": path, "addresses": ("a:1", "b:2"), "after_event": 4}
+        )
         self.assertEqual("a:1=0-20,b:2=20-80", got["Hop-Count"])
         self.assertEqual("4", got["Last-Event-Id"])
 
     def test_priority_is_clamped(self):
-        self.assertEqual("9", sent({"priority": 40})["Request-Priority"])
-        self.assertEqual("0", sent({"priority": -1})["Request-Priority"])
-        self.assertNotIn("Request-Priority", sent({"priority": None}))
+        self.assertEqual("9", sent_headers({"priority": 40})["Request-Priority"])
+        self.assertEqual("0", sent_headers({"priority": -1})["Request-Priority"])
+        self.assertNotIn("Request-Priority", sent_headers({"priority": None}))
 
 
 class AnswerTest(AsyncTestCase):
@@ -160,17 +164,17 @@
         self.assertIsNone(parse_event_id(b"id: x"))
 
     def test_server_notice(self):
-        said = read_notice(
+        notice = read_notice(
             200, CIMultiDict({"server-limit": "1.5", "Retry-After": "3"})
         )
-        self.assertEqual(ServerNotice(limit_per_s=1.5), said)
-        said = read_notice(503, CIMultiDict({"Retry-After": "0.25"}))
-        self.assertEqual(ServerNotice(retry_after_s=0.25), said)
-        said = read_notice(200, CIMultiDict({"Server-Leaving": "1"}))
-        self.assertEqual(ServerNotice(is_leaving=True), said)
+        self.assertEqual(ServerNotice(limit_per_s=1.5), notice)
+        notice = read_notice(503, CIMultiDict({"Retry-After": "0.25"}))
+        self.assertEqual(ServerNotice(retry_after_s=0.25), notice)
+        notice = read_notice(200, CIMultiDict({"Server-Leaving": "1"}))
+        self.assertEqual(ServerNotice(is_leaving=True), notice)
         self.assertEqual(ServerNotice(), read_notice(200, CIMultiDict()))
-        said = read_notice(200, CIMultiDict({"Server-Limit": "0"}))
-        self.assertEqual(ServerNotice(limit_per_s=0.0), said)
+        notice = read_notice(200, CIMultiDict({"Server-Limit": "0"}))
+        self.assertEqual(ServerNotice(limit_per_s=0.0), notice)
 
     def test_invalid_notice_headers_are_ignored(self):
         for text in ("", "many", "-1", "nan", "inf"):
--- a/wigeonscale/platform/tests/test_heartbeats.py
+++ b/wigeonscale/platform/tests/test_heartbeats.py
@@ -50,7 +50,7 @@
     def test_draining(self):
         self.assertTrue(read(state="draining").backend.draining)
 
-    def test_broken(self):
+    def test_malformed_body(self):
         for content in (b"", b"{", b"[]", b"{}", b'{"service": "s"}'):
             exc = self.assertRaises(WigeonscaleError, read_heartbeat, "i", content)
             self.assertEqual(ErrorKind.BAD_REQUEST, exc.kind)
@@ -77,7 +77,7 @@
     def test_with_start_time(self):
         self.assertEqual(7, read_deregistration("i", b'{"born": 7}').incarnation)
 
-    def test_broken(self):
+    def test_malformed_body(self):
         for content in (b"{", b"[]", b'{"born": "7"}', b"\xff"):
             self.assertRaises(WigeonscaleError, read_deregistration, "i", content)
 
