--- a/wigeonscale/lab/play.py
+++ b/wigeonscale/lab/play.py
@@ -29,7 +29,7 @@
 from wigeonscale.lab.scenario import Scenario
 from wigeonscale.lab.words import Words
 from wigeonscale.layers import Part
-from wigeonscale.ports.exchange import Generation
+from wigeonscale.ports.exchange import GenerationSize
 
 STEP_S = 0.02
 # Time after which an answer's first token is late, as on the users' sheets.
@@ -94,7 +94,7 @@
 
     entry: _Entry
     run: ModelRun
-    told: Generation
+    told: GenerationSize
     asked_at: float
     window: Window
     sends: int = 0
