--- a/wigeonscale/config/load.py
+++ b/wigeonscale/config/load.py
@@ -112,7 +112,7 @@
         if section not in sections:
             yield f"[{section}]: unknown section; allowed: {', '.join(sections)}"
             continue
-        known = sorted(key for location, key in attributes if location == section)
+        known = sorted(key for owner, key in attributes if owner == section)
         for key in keys:
             if key not in known:
                 hint = _hint(key, known)
@@ -121,8 +121,8 @@
 
 def _hint(key: str, known: list[str]) -> str:
     close = difflib.get_close_matches(key, known, n=1)
-    meant = f"perhaps {close[0]}; " if close else ""
-    return f"{meant}allowed: {', '.join(known)}"
+    suggestion = f"perhaps {close[0]}; " if close else ""
+    return f"{suggestion}allowed: {', '.join(known)}"
 
 
 def _build(
@@ -140,11 +140,11 @@
     try:
         return _adapter(cls).validate_python(given)
     except ValidationError as exc:
-        key_of_attribute = {name: location for location, name in attributes.items()}
+        locations = {name: location for location, name in attributes.items()}
         # A list has one error per item; report its key once.
         names = dict.fromkeys(error["loc"][0] for error in exc.errors())
         for name in names:
-            problems.append(_problem(cls, name, key_of_attribute[name], given))
+            problems.append(_problem(cls, name, locations[name], given))
         return None
 
 
--- a/wigeonscale/platform/heartbeats.py
+++ b/wigeonscale/platform/heartbeats.py
@@ -23,7 +23,7 @@
 ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
 MAX_INT64 = 2**63 - 1
 
-# Start time of the backend server in Unix milliseconds; the same in all its messages.
+# Start time of the backend server in Unix milliseconds, sent in all its messages.
 StartMs = Annotated[StrictInt, Field(gt=0, le=MAX_INT64)]
 Text = Annotated[StrictStr, Field(min_length=1)]
 Count = Annotated[StrictInt, Field(ge=0, lt=2**31)]
