--- a/wigeonscale/adapters/tests/test_channels.py
+++ b/wigeonscale/adapters/tests/test_channels.py
@@ -21,7 +21,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-LIMIT_S = 30
+TIMEOUT_S = 30
 NEW_KEY = ("-newkey", "ec", "-pkeyopt", "ec_paramgen_curve:prime256v1", "-nodes")
 
 
@@ -39,7 +39,7 @@
 
 
 def make_tls(folder, name):
-    """Make an authority and one certificate for 127.0.0.1 by the openssl command."""
+    """Create a certificate authority and a certificate for 127.0.0.1 with openssl."""
     folder = pathlib.Path(folder, name)
     folder.mkdir()
     ca, ca_key, key, req, cert, ext = (
@@ -68,13 +68,16 @@
         return servicer, address
 
     async def call(self, address, tls=None):
-        async with asyncio.timeout(LIMIT_S), open_channel(address, tls=tls) as channel:
+        async with (
+            asyncio.timeout(TIMEOUT_S),
+            open_channel(address, tls=tls) as channel,
+        ):
             stub = wire_pb2_grpc.ControlStub(channel)
             return await stub.Floor(wire.FloorRequest())
 
 
 class ChannelTest(ChannelCase):
-    async def test_each_channel_has_a_connection_of_its_own(self):
+    async def test_channels_do_not_share_connections(self):
         servicer, address = await self.start()
         async with open_channel(address) as one, open_channel(address) as two:
             for channel in (one, two):
@@ -82,17 +85,17 @@
                 await stub.Floor(wire.FloorRequest())
         self.assertEqual(2, len(servicer.peers))
 
-    async def test_port_in_use_is_refused(self):
+    async def test_port_in_use_raises(self):
         _, address = await self.start()
         self.assertRaises(OSError, new_server, address)
 
     async def test_wait_connected(self):
         server, address = new_server("127.0.0.1:0")
         await server.start()
-        async with asyncio.timeout(LIMIT_S), open_channel(address) as channel:
+        async with asyncio.timeout(TIMEOUT_S), open_channel(address) as channel:
             await wait_connected(channel)
         await server.stop(None)
-        async with asyncio.timeout(LIMIT_S), open_channel(address) as channel:
+        async with asyncio.timeout(TIMEOUT_S), open_channel(address) as channel:
             with self.assertRaises(ConnectionError):
                 await wait_connected(channel)
 
@@ -103,20 +106,20 @@
         folder = self.useFixture(fixtures.TempDir()).path
         self.tls = make_tls(folder, "own")
         self.other = make_tls(folder, "other")
-        # Trusts the server, but shows a certificate of another authority.
-        self.stranger = TlsFiles(
+        # Trusts the server, but sends a certificate of another authority.
+        self.foreign_client = TlsFiles(
             ca=self.tls.ca, cert=self.other.cert, key=self.other.key
         )
 
-    async def test_grpc_takes_only_its_own_authority(self):
+    async def test_grpc_accepts_only_its_own_authority(self):
         servicer, address = await self.start(self.tls)
         self.assertEqual(4, (await self.call(address, self.tls)).term)
-        for tls in (None, self.other, self.stranger):
+        for tls in (None, self.other, self.foreign_client):
             with self.assertRaises(grpc.aio.AioRpcError):
                 await self.call(address, tls)
         self.assertEqual(1, len(servicer.peers))
 
-    async def test_http_takes_only_its_own_authority(self):
+    async def test_http_accepts_only_its_own_authority(self):
         runner = await start_http(
             "127.0.0.1:0", [], lambda: True, metrics=Metrics(), tls=self.tls
         )
@@ -124,13 +127,13 @@
         url = f"https://{bound_address(runner)}/readyz"
         async with aiohttp.ClientSession() as session:
             own = client_tls_context(self.tls)
-            async with session.get(url, ssl=own) as answer:
-                self.assertEqual(200, answer.status)
-            for tls in (self.other, self.stranger):
+            async with session.get(url, ssl=own) as res:
+                self.assertEqual(200, res.status)
+            for tls in (self.other, self.foreign_client):
                 with self.assertRaises(aiohttp.ClientError):
                     await session.get(url, ssl=client_tls_context(tls))
 
 
 class VerbosityTest(AsyncTestCase):
-    def test_grpc_writes_no_notes_of_its_own(self):
+    def test_grpc_verbosity_is_none(self):
         self.assertEqual("NONE", os.environ.get("GRPC_VERBOSITY"))
--- a/wigeonscale/config/load.py
+++ b/wigeonscale/config/load.py
@@ -1,4 +1,4 @@
-"""Reads an INI settings file into the checked settings of one role."""
+"""Loads and validates the settings of one role from an INI file."""
 
 __all__ = ["ROLES", "load_settings"]
 
@@ -29,7 +29,7 @@
     "direct-entry": DirectEntrySettings,
     "direct-control": DirectControlSettings,
 }
-# Keys that stand in a section shared by all roles; the others stand in the role's.
+# Keys in sections shared by all roles; all other keys are in the section of the role.
 SHARED_KEYS = {
     "name": ("node", "name"),
     "domain": ("node", "domain"),
@@ -40,26 +40,26 @@
     "tls_key": ("tls", "key"),
 }
 
-# In this many heartbeats a watcher replaces a silent connection to control, even
-# when the first replica that it tries instead is silent too.
-HEARTBEATS_PER_LEASE = 6
+# A watcher needs this many heartbeats to replace a silent connection to control, even
+# if the first replica that it tries instead is silent too.
+MIN_HEARTBEATS_PER_LEASE = 6
 
 
 def load_settings(
     path: str, role: str
 ) -> EntrySettings | AgentSettings | ControlSettings:
-    """Read and check the settings of one role.
+    """Load and validate the settings of one role.
 
     Args:
         path: Path of the INI file.
-        role: ``entry``, ``agent`` or ``control``.
+        role: One of :data:`ROLES`.
 
     Returns:
         Settings in which every key is present and within its range.
 
     Raises:
-        SettingsError: Names file, section, key, value and what is allowed, for
-            every problem found, one a line.
+        SettingsError: Lists every problem on its own line, with the file, section, key,
+            value and allowed values.
 
     Example:
         >>> cfg = load_settings("entry.ini", "entry")  # doctest: +SKIP
@@ -70,17 +70,17 @@
         raise SettingsError(f"role {role!r}: allowed: {', '.join(ROLES)}")
     values = _read_sections(path)
     cls = ROLES[role]
-    problems = list(_unknown_names(values, cls, role))
+    problems = list(_unknown_keys(values, cls, role))
     cfg = _build(values, cls, role, problems)
     if cfg is not None:
-        problems += _contradictions(cfg, role)
+        problems += _inconsistencies(cfg, role)
     if problems:
         raise SettingsError("\n".join(f"{path}: {problem}" for problem in problems))
     return cfg
 
 
 def _read_sections(path: str) -> dict[str, dict[str, str]]:
-    # The default section is renamed away: [DEFAULT] is an unknown section here.
+    # With another name for the default section, [DEFAULT] is an unknown section.
     parser = configparser.ConfigParser(
         interpolation=None, delimiters=("=",), default_section="\0"
     )
@@ -95,22 +95,24 @@
 
 
 @functools.cache
-def _places(cls: type[NodeSettings], role: str) -> dict[tuple[str, str], str]:
-    """Return the settings attribute for each (section, key)."""
+def _attributes_by_key(
+    cls: type[NodeSettings], role: str
+) -> dict[tuple[str, str], str]:
+    """Return the settings attribute for each pair of section and key."""
     names = [field.name for field in dataclasses.fields(cls)]
     return {SHARED_KEYS.get(name, (role, name)): name for name in names}
 
 
-def _unknown_names(
+def _unknown_keys(
     values: dict[str, dict[str, str]], cls: type[NodeSettings], role: str
 ) -> Iterator[str]:
-    places = _places(cls, role)
-    sections = sorted({section for section, _ in places})
+    attributes = _attributes_by_key(cls, role)
+    sections = sorted({section for section, _ in attributes})
     for section, keys in values.items():
         if section not in sections:
             yield f"[{section}]: unknown section; allowed: {', '.join(sections)}"
             continue
-        known = sorted(key for place, key in places if place == section)
+        known = sorted(key for owner, key in attributes if owner == section)
         for key in keys:
             if key not in known:
                 hint = _hint(key, known)
@@ -119,8 +121,8 @@
 
 def _hint(key: str, known: list[str]) -> str:
     close = difflib.get_close_matches(key, known, n=1)
-    meant = f"perhaps {close[0]}; " if close else ""
-    return f"{meant}allowed: {', '.join(known)}"
+    suggestion = f"perhaps {close[0]}; " if close else ""
+    return f"{suggestion}allowed: {', '.join(known)}"
 
 
 def _build(
@@ -129,20 +131,20 @@
     role: str,
     problems: list[str],
 ) -> NodeSettings | None:
-    places = _places(cls, role)
+    attributes = _attributes_by_key(cls, role)
     given = {
         name: values[section][key]
-        for (section, key), name in places.items()
+        for (section, key), name in attributes.items()
         if key in values.get(section, {})
     }
     try:
         return _adapter(cls).validate_python(given)
     except ValidationError as exc:
-        place_of = {name: place for place, name in places.items()}
-        # A list has one error an item: name the key once.
+        locations = {name: location for location, name in attributes.items()}
+        # A list has one error per item; report its key once.
         names = dict.fromkeys(error["loc"][0] for error in exc.errors())
         for name in names:
-            problems.append(_problem(cls, name, place_of[name], given))
+            problems.append(_problem(cls, name, locations[name], given))
         return None
 
 
@@ -152,28 +154,28 @@
 
 
 def _problem(
-    cls: type[NodeSettings], name: str, place: tuple[str, str], given: dict[str, str]
+    cls: type[NodeSettings], name: str, location: tuple[str, str], given: dict[str, str]
 ) -> str:
-    section, key = place
+    section, key = location
     found = f"{key} = {given[name]!r}" if name in given else f"{key}: missing"
     field = next(field for field in dataclasses.fields(cls) if field.name == name)
     return f"[{section}] {found}; allowed: {allowed_text(field.type)}"
 
 
-def _contradictions(cfg: NodeSettings, role: str) -> Iterator[str]:
-    if cfg.heartbeat_s * HEARTBEATS_PER_LEASE > cfg.lease_s:
+def _inconsistencies(cfg: NodeSettings, role: str) -> Iterator[str]:
+    if cfg.heartbeat_s * MIN_HEARTBEATS_PER_LEASE > cfg.lease_s:
         yield (
             f"[{role}] heartbeat_s = {cfg.heartbeat_s:g}; allowed: at most a sixth of"
             f" lease_s = {cfg.lease_s:g}"
         )
-    yield from _tls_contradictions(cfg)
+    yield from _tls_inconsistencies(cfg)
     if isinstance(cfg, AgentSettings):
-        yield from _agent_contradictions(cfg)
+        yield from _agent_inconsistencies(cfg)
     if isinstance(cfg, ControlSettings):
-        yield from _control_contradictions(cfg)
+        yield from _control_inconsistencies(cfg)
 
 
-def _tls_contradictions(cfg: NodeSettings) -> Iterator[str]:
+def _tls_inconsistencies(cfg: NodeSettings) -> Iterator[str]:
     paths = {"ca": cfg.tls_ca, "cert": cfg.tls_cert, "key": cfg.tls_key}
     for key, path in paths.items():
         if any(paths.values()) and not os.access(path, os.R_OK):
@@ -182,14 +184,14 @@
         yield "[control] https = 'yes'; allowed: no without a [tls] section"
 
 
-def _agent_contradictions(cfg: AgentSettings) -> Iterator[str]:
+def _agent_inconsistencies(cfg: AgentSettings) -> Iterator[str]:
     if cfg.kind == "service" and not cfg.service:
         yield "[agent] service: missing; allowed: a name when kind = service"
     if cfg.kind == "engine" and cfg.service:
         yield f"[agent] service = {cfg.service!r}; allowed: empty when kind = engine"
 
 
-def _control_contradictions(cfg: ControlSettings) -> Iterator[str]:
+def _control_inconsistencies(cfg: ControlSettings) -> Iterator[str]:
     names = [peer.name for peer in cfg.peers]
     if cfg.name not in names:
         yield (
--- a/wigeonscale/errors.py
+++ b/wigeonscale/errors.py
@@ -1,13 +1,13 @@
-"""The closed list of error kinds, the exception tree and the table to answers.
+"""Error kinds, exception classes and the HTTP response for each error kind.
 
-Every failure that reaches a caller, an operator or a peer has one
-:class:`ErrorKind`. :data:`ANSWERS` maps each kind to the HTTP answer given for it.
+Every failure reported to a caller, an operator or a peer has one
+:class:`ErrorKind`. :data:`ERROR_RESPONSES` maps each kind to its HTTP response.
 """
 
 __all__ = [
-    "ANSWERS",
-    "Answer",
+    "ERROR_RESPONSES",
     "ErrorKind",
+    "ErrorResponse",
     "RunState",
     "SettingsError",
     "WigeonscaleError",
@@ -58,7 +58,7 @@
 
 
 class RunState(StrEnum):
-    """Whether the work of a request was begun by a backend server."""
+    """Whether a backend server started the work of a request."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
@@ -66,65 +66,65 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """The HTTP answer for one error kind.
+class ErrorResponse:
+    """HTTP response for an error kind.
 
     Attributes:
         status: HTTP status code.
-        retryable: Whether the same request may succeed later, so that a
-            ``Retry-After`` header is due.
+        retryable: Whether the same request may succeed later; the response then has a
+            ``Retry-After`` header.
     """
 
     status: int
     retryable: bool
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400, False),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, False),
-    ErrorKind.UNSUPPORTED_MEDIA_TYPE: Answer(415, False),
-    ErrorKind.UNKNOWN_KEY: Answer(401, False),
-    ErrorKind.FORBIDDEN: Answer(403, False),
-    ErrorKind.NO_MATCHING_RULE: Answer(404, False),
-    ErrorKind.REFUSED_BY_RULE: Answer(403, False),
-    ErrorKind.UNKNOWN_MODEL: Answer(404, False),
-    ErrorKind.NOT_FOUND: Answer(404, False),
-    ErrorKind.IDEMPOTENCY_KEY_REQUIRED: Answer(400, False),
-    ErrorKind.IDEMPOTENCY_KEY_REUSED: Answer(422, False),
-    ErrorKind.IN_PROGRESS: Answer(409, True),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(409, False),
-    ErrorKind.ANSWER_EXPIRED: Answer(410, False),
-    ErrorKind.LIMIT_EXCEEDED: Answer(429, True),
-    ErrorKind.OVERLOADED: Answer(503, True),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(504, True),
-    ErrorKind.CANCELLED: Answer(499, False),
-    ErrorKind.NO_BACKEND: Answer(503, True),
-    ErrorKind.BACKEND_FAILED: Answer(502, True),
-    ErrorKind.BACKEND_LEAVING: Answer(503, True),
-    ErrorKind.CRASHES_BACKENDS: Answer(503, True),
-    ErrorKind.STALE_INCARNATION: Answer(503, True),
-    ErrorKind.STALE_EPOCH: Answer(503, True),
-    ErrorKind.STALE_TERM: Answer(409, False),
-    ErrorKind.LEASE_EXPIRED: Answer(503, True),
-    ErrorKind.STOPPING: Answer(503, True),
-    ErrorKind.NOT_LEADER: Answer(421, True),
-    ErrorKind.NO_QUORUM: Answer(503, True),
-    ErrorKind.REVISION_CONFLICT: Answer(409, False),
-    ErrorKind.INVALID_DOCUMENT: Answer(422, False),
-    ErrorKind.INVALID_SETTINGS: Answer(422, False),
-    ErrorKind.CORRUPT_LOG: Answer(500, False),
-    ErrorKind.INTERNAL: Answer(500, False),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, False),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413, False),
+    ErrorKind.UNSUPPORTED_MEDIA_TYPE: ErrorResponse(415, False),
+    ErrorKind.UNKNOWN_KEY: ErrorResponse(401, False),
+    ErrorKind.FORBIDDEN: ErrorResponse(403, False),
+    ErrorKind.NO_MATCHING_RULE: ErrorResponse(404, False),
+    ErrorKind.REFUSED_BY_RULE: ErrorResponse(403, False),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponse(404, False),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, False),
+    ErrorKind.IDEMPOTENCY_KEY_REQUIRED: ErrorResponse(400, False),
+    ErrorKind.IDEMPOTENCY_KEY_REUSED: ErrorResponse(422, False),
+    ErrorKind.IN_PROGRESS: ErrorResponse(409, True),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(409, False),
+    ErrorKind.ANSWER_EXPIRED: ErrorResponse(410, False),
+    ErrorKind.LIMIT_EXCEEDED: ErrorResponse(429, True),
+    ErrorKind.OVERLOADED: ErrorResponse(503, True),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(504, True),
+    ErrorKind.CANCELLED: ErrorResponse(499, False),
+    ErrorKind.NO_BACKEND: ErrorResponse(503, True),
+    ErrorKind.BACKEND_FAILED: ErrorResponse(502, True),
+    ErrorKind.BACKEND_LEAVING: ErrorResponse(503, True),
+    ErrorKind.CRASHES_BACKENDS: ErrorResponse(503, True),
+    ErrorKind.STALE_INCARNATION: ErrorResponse(503, True),
+    ErrorKind.STALE_EPOCH: ErrorResponse(503, True),
+    ErrorKind.STALE_TERM: ErrorResponse(409, False),
+    ErrorKind.LEASE_EXPIRED: ErrorResponse(503, True),
+    ErrorKind.STOPPING: ErrorResponse(503, True),
+    ErrorKind.NOT_LEADER: ErrorResponse(421, True),
+    ErrorKind.NO_QUORUM: ErrorResponse(503, True),
+    ErrorKind.REVISION_CONFLICT: ErrorResponse(409, False),
+    ErrorKind.INVALID_DOCUMENT: ErrorResponse(422, False),
+    ErrorKind.INVALID_SETTINGS: ErrorResponse(422, False),
+    ErrorKind.CORRUPT_LOG: ErrorResponse(500, False),
+    ErrorKind.INTERNAL: ErrorResponse(500, False),
 }
 
 
 class WigeonscaleError(Exception):
-    """Base of every error that the project raises on purpose.
+    """Base class of all errors that this package raises deliberately.
 
     Args:
-        kind: One of the closed list of kinds.
-        message: What happened, naming the offending value.
-        run_state: Whether the work behind the request was begun.
-        retry_after: Seconds after which a retry is worth while, or None.
+        kind: Error kind.
+        message: Description of the failure, including the invalid value.
+        run_state: Whether the work of the request was started.
+        retry_after: Time after which to retry, in seconds; None for no advice.
     """
 
     def __init__(
@@ -143,10 +143,10 @@
 
 
 class SettingsError(WigeonscaleError):
-    """A settings file or rules document that cannot be accepted.
+    """A settings file or document is invalid.
 
     Args:
-        message: Names file, section, key, value and what is allowed.
+        message: Names the file, section, key, value and the allowed values.
         kind: ``INVALID_SETTINGS`` or ``INVALID_DOCUMENT``.
     """
 
@@ -165,12 +165,12 @@
 
     Args:
         kind: Wire form of an :class:`ErrorKind`; an unknown one gives ``INTERNAL``.
-        message: Text for people.
+        message: Human-readable description.
         run_state: Wire form of a :class:`RunState`; an unknown one gives ``UNKNOWN``.
-        retry_after: Seconds, or None.
+        retry_after: Time after which to retry, in seconds; None for no advice.
 
     Returns:
-        An error ready to raise.
+        The error; it is not raised.
     """
     known_kind = ErrorKind(kind) if kind in set(ErrorKind) else ErrorKind.INTERNAL
     known_state = RunState(run_state) if run_state in set(RunState) else None
--- a/wigeonscale/platform/callers.py
+++ b/wigeonscale/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: requests in, answers out, one task a connection."""
+"""HTTP server for callers, with one task per connection."""
 
 __all__ = ["CallerServer"]
 
@@ -12,54 +12,56 @@
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.errors import (
-    ANSWERS,
+    ERROR_RESPONSES,
     ErrorKind,
     RunState,
     WigeonscaleError,
 )
-from wigeonscale.platform.headers import answer_headers, read_request_headers
+from wigeonscale.platform.headers import read_request_headers, response_headers
 from wigeonscale.ports import Clock
 from wigeonscale.ports.exchange import (
-    AnswerHead,
-    AnswerSink,
     CallerRequest,
-    WholeAnswer,
+    FullResponse,
+    ResponseHead,
+    ResponseSink,
 )
 
-# Callers keep connections for less; see the limits of the configuration.
-KEEP_IDLE_S = 75.0
+# Callers close idle connections sooner; see the limits of the configuration document.
+IDLE_TIMEOUT_S = 75.0
 MAX_HEADER_BYTES = 32 * 1024
-# What is still being answered when the server closes is cut, and told so at once.
-CLOSE_LIMIT_S = 0.05
-# Connections that wait to be taken in: those of some seconds.
-BACKLOG = 512
-# A status that promises that the work did not run, and the one that does not.
+# Requests still in progress when the server closes are cancelled after this time.
+SHUTDOWN_TIMEOUT_S = 0.05
+# Room for the connections that arrive within a few seconds.
+LISTEN_BACKLOG = 512
+# Statuses that tell the caller that the work did not run. An error after which the work
+# may have run is sent as BAD_GATEWAY instead.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 BAD_GATEWAY = 502
-# From the last byte read to the handler: wake the connection's task, start another.
-TURNS_TO_BEGIN = 5
+# Event loop iterations from the last byte read to the start of the handler: the task of
+# the connection wakes up and starts another task.
+LOOP_ITERATIONS_TO_HANDLER = 5
 
-Serve = Callable[[CallerRequest, AnswerSink], Awaitable[None]]
+Handler = Callable[[CallerRequest, ResponseSink], Awaitable[None]]
 
 logger = logging.getLogger(__name__)
 
 
 class CallerServer:
-    """Serves callers.
+    """HTTP server that passes requests of callers to a handler.
 
     Args:
         address: ``ip:port`` to listen on.
-        serve: Answers one request.
-        max_body: Returns the most bytes of a body.
+        serve: Handles one request and writes the response to the sink.
+        max_body: Returns the maximum size of a request body, in bytes.
         clock: Clock port.
-        sock: Socket that listens on the address already; None to open one.
+        sock: Socket already listening on the address; None to open one.
     """
 
     def __init__(
         self,
         *,
         address: str,
-        serve: Serve,
+        serve: Handler,
         max_body: Callable[[], int],
         clock: Clock,
         sock: socket.socket | None = None,
@@ -72,12 +74,12 @@
         self._sock = sock
         self._site: web.BaseSite | None = None
         self._stopping = False
-        self._busy: set[web.RequestHandler] = set()
-        self._idle = asyncio.Event()
-        self._idle.set()
+        self._active_conns: set[web.RequestHandler] = set()
+        self._no_active_conns = asyncio.Event()
+        self._no_active_conns.set()
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
             OSError: If the address cannot be bound.
@@ -85,7 +87,7 @@
         server = web.Server(
             self._handle,
             handler_cancellation=True,
-            keepalive_timeout=KEEP_IDLE_S,
+            keepalive_timeout=IDLE_TIMEOUT_S,
             access_log=None,
             auto_decompress=False,
             max_line_size=MAX_HEADER_BYTES,
@@ -93,7 +95,7 @@
             lingering_time=0.0,
         )
         self._runner = web.ServerRunner(
-            server, handle_signals=False, shutdown_timeout=CLOSE_LIMIT_S
+            server, handle_signals=False, shutdown_timeout=SHUTDOWN_TIMEOUT_S
         )
         await self._runner.setup()
         self._site = self._new_site()
@@ -101,95 +103,104 @@
 
     def _new_site(self) -> web.BaseSite:
         if self._sock is not None:
-            return web.SockSite(self._runner, self._sock, backlog=BACKLOG)
+            return web.SockSite(self._runner, self._sock, backlog=LISTEN_BACKLOG)
         host, _, port = self._address.rpartition(":")
-        return web.TCPSite(self._runner, host, int(port), backlog=BACKLOG)
+        return web.TCPSite(self._runner, host, int(port), backlog=LISTEN_BACKLOG)
 
     @property
     def port(self) -> int:
-        """Port that it listens on."""
+        """TCP port the server listens on."""
         return self._runner.addresses[0][1]
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._runner.server.connections)
 
-    async def finish(self, settle_s: float) -> None:
-        """Serve on until the balancer sends nothing more and all is answered.
+    async def drain(self, settle_s: float) -> None:
+        """Stop accepting connections and wait for the requests in progress.
+
+        From now on each response closes its connection.
 
         Args:
-            settle_s: Time in which the balancer notices that this entry is not
-                ready, in seconds. Each answer from now on closes its connection.
+            settle_s: Time to keep accepting connections until the load balancer
+                notices that this entry is not ready, in seconds.
         """
         self._stopping = True
         await self._clock.sleep(settle_s)
         if self._site is not None:
             await self._site.stop()
         await self._close_idle()
-        await self._idle.wait()
+        await self._no_active_conns.wait()
 
     async def _close_idle(self) -> None:
-        # Not by the server's own pre_shutdown: it stops reading idle connections but
-        # leaves them open, and a request sent there would wait for nothing.
+        # aiohttp's pre_shutdown is not used: it stops reading from idle connections but
+        # leaves them open, so that a request sent there would never be answered.
         if self._runner is None:
             return
         idle = [
             conn
             for conn in self._runner.server.connections
-            if conn not in self._busy and _is_open(conn)
+            if conn not in self._active_conns and _is_open(conn)
         ]
         for conn in idle:
             conn.transport.pause_reading()
-        # A request that was read just now is begun within a few turns of the loop.
-        for _ in range(TURNS_TO_BEGIN):
+        # A request that was just read reaches its handler within a few iterations.
+        for _ in range(LOOP_ITERATIONS_TO_HANDLER):
             await asyncio.sleep(0)
         for conn in idle:
-            if conn not in self._busy:
+            if conn not in self._active_conns:
                 conn.force_close()
             elif _is_open(conn):
                 conn.transport.resume_reading()
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections and cancel the requests in progress."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def _handle(self, req: web.BaseRequest) -> web.StreamResponse:
         conn = req.protocol
-        self._busy.add(conn)
-        self._idle.clear()
+        self._active_conns.add(conn)
+        self._no_active_conns.clear()
         sink = _HttpSink(req=req, is_stopping=lambda: self._stopping)
         try:
-            await self._answer(req, sink)
+            await self._respond(req, sink)
         finally:
-            self._busy.discard(conn)
+            self._active_conns.discard(conn)
             if self._stopping:
-                # Also where the answer was begun before, and says nothing of it.
+                # A response that started before the drain lacks Connection: close.
                 conn.close()
-            if not self._busy:
-                self._idle.set()
+            if not self._active_conns:
+                self._no_active_conns.set()
         return sink.response
 
-    async def _answer(self, req: web.BaseRequest, sink: "_HttpSink") -> None:
+    async def _respond(self, req: web.BaseRequest, sink: "_HttpSink") -> None:
         arrived_at = self._clock.now()
         request_id = req.headers.get("Attempt-Id", "")
         try:
-            caller_req = await self._read(req, arrived_at)
+            caller_req = await self._read_request(req, arrived_at)
             await self._serve(caller_req, sink)
         except WigeonscaleError as exc:
-            await self._refuse(request_id, exc, sink)
+            await self._send_error(request_id, exc, sink)
         except ConnectionError:
-            logger.info("caller left", extra=log_fields(request_id=request_id))
-            sink.cut()
+            logger.info(
+                "caller closed the connection", extra=log_fields(request_id=request_id)
+            )
+            sink.abort()
         except Exception:
-            logger.exception("request failed", extra=log_fields(request_id=request_id))
+            logger.exception(
+                "unhandled exception in a request",
+                extra=log_fields(request_id=request_id),
+            )
             error = WigeonscaleError(
                 ErrorKind.INTERNAL, "internal error", run_state=RunState.UNKNOWN
             )
-            await self._refuse(request_id, error, sink)
+            await self._send_error(request_id, error, sink)
 
-    async def _read(self, req: web.BaseRequest, arrived_at: float) -> CallerRequest:
+    async def _read_request(
+        self, req: web.BaseRequest, arrived_at: float
+    ) -> CallerRequest:
         limit = self._max_body()
         body = b""
         if req.body_exists:
@@ -203,7 +214,7 @@
             host=headers.host,
             method=req.method,
             path=req.raw_path,
-            headers=headers.others,
+            headers=headers.forwarded,
             body=body,
             key=headers.key,
             arrived_at=arrived_at,
@@ -212,34 +223,36 @@
             last_event_id=headers.last_event_id,
         )
 
-    async def _refuse(
+    async def _send_error(
         self, request_id: str, exc: WigeonscaleError, sink: "_HttpSink"
     ) -> None:
-        answer = ANSWERS[exc.kind]
-        status = answer.status
+        error_response = ERROR_RESPONSES[exc.kind]
+        status = error_response.status
         if status in NOT_RUN_STATUSES and exc.run_state is not RunState.NOT_RUN:
             status = BAD_GATEWAY
         logger.info(
-            "request refused: %s",
+            "request rejected: %s",
             exc.message,
             extra=log_fields(
                 request_id=request_id,
                 kind=exc.kind,
-                outcome="cut" if sink.is_begun else "refused",
+                outcome="cut" if sink.has_started else "refused",
                 status=status,
                 run_state=exc.run_state,
                 retry_after_s=exc.retry_after,
             ),
         )
-        if sink.is_begun:
-            sink.cut()
+        if sink.has_started:
+            sink.abort()
             return
-        headers = answer_headers(request_id, exc.retry_after)
-        head = AnswerHead(status, tuple(headers.items()))
+        headers = response_headers(request_id, exc.retry_after)
+        head = ResponseHead(status, tuple(headers.items()))
         try:
-            await sink.send(WholeAnswer(head, f"{exc.kind.value}\n".encode()))
+            await sink.send(FullResponse(head, f"{exc.kind.value}\n".encode()))
         except ConnectionError:
-            logger.info("caller left", extra=log_fields(request_id=request_id))
+            logger.info(
+                "caller closed the connection", extra=log_fields(request_id=request_id)
+            )
 
 
 def _is_open(conn: web.RequestHandler) -> bool:
@@ -252,55 +265,59 @@
         size += len(chunk)
         if size > limit:
             raise WigeonscaleError(
-                ErrorKind.BODY_TOO_LARGE, f"the body is larger than {limit} bytes"
+                ErrorKind.BODY_TOO_LARGE, f"request body is larger than {limit} bytes"
             )
         chunks.append(chunk)
     return b"".join(chunks)
 
 
 class _HttpSink:
-    """Writes the answer to one request.
+    """Writes the response to one request.
 
     Args:
         req: The request.
-        is_stopping: Returns whether connections close after their answer.
+        is_stopping: Returns whether connections close after their response.
 
     Attributes:
-        response: The answer, once it was begun.
+        response: The response in progress; a 502 response before it has started.
+        has_started: Whether the head of the response was sent.
     """
 
     def __init__(self, *, req: web.BaseRequest, is_stopping: Callable[[], bool]):
         self.response: web.StreamResponse = web.Response(status=BAD_GATEWAY)
         self._req = req
         self._is_stopping = is_stopping
-        self.is_begun = False
-
-    async def send(self, answer: WholeAnswer) -> None:
-        """Send a whole answer."""
-        response = web.Response(
-            status=answer.head.status,
-            body=answer.body,
-            headers=answer.head.headers,
+        self.has_started = False
+
+    async def send(self, response: FullResponse) -> None:
+        """Send a complete response."""
+        res = web.Response(
+            status=response.head.status,
+            body=response.body,
+            headers=response.head.headers,
         )
-        await self._prepare(response)
-        await response.write_eof()
+        await self._prepare(res)
+        await res.write_eof()
 
-    async def begin(self, head: AnswerHead) -> None:
-        """Begin a stream."""
+    async def begin(self, head: ResponseHead) -> None:
+        """Send the head of a streamed response."""
         response = web.StreamResponse(status=head.status, headers=head.headers)
         response.enable_chunked_encoding()
         await self._prepare(response)
 
     async def write(self, data: bytes) -> None:
-        """Send part of a stream."""
+        """Send a part of the body of a streamed response."""
         await self.response.write(data)
 
     async def end(self) -> None:
-        """End a stream as complete."""
+        """Finish a streamed response normally."""
         await self.response.write_eof()
 
-    def cut(self) -> None:
-        """Close the connection, so that the answer does not look complete."""
+    def abort(self) -> None:
+        """Close the connection without the end of the body.
+
+        The caller can thus tell that the response is incomplete.
+        """
         if self._req.transport is not None:
             self._req.transport.close()
 
@@ -308,5 +325,5 @@
         if self._is_stopping():
             response.force_close()
         self.response = response
-        self.is_begun = True
+        self.has_started = True
         await response.prepare(self._req)
--- a/wigeonscale/platform/documents.py
+++ b/wigeonscale/platform/documents.py
@@ -1,6 +1,6 @@
-"""The platform's configuration document, read into a route table."""
+"""Parser of the platform's configuration document into a route table."""
 
-__all__ = ["compress", "decompress", "read_table"]
+__all__ = ["compress", "decompress", "read_route_table"]
 
 import zlib
 from typing import Annotated
@@ -10,9 +10,9 @@
 from wigeonscale import routes
 from wigeonscale.errors import ErrorKind, SettingsError
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
-KINDS = {
+REPEAT_BY_KIND = {
     "safe": routes.Repeat.SAFE,
     "unsafe": routes.Repeat.UNSAFE,
     "streaming": routes.Repeat.STREAM,
@@ -23,7 +23,7 @@
 
 
 class _Model(BaseModel):
-    # Names that are not known here belong to later versions of the platform.
+    # Unknown fields are ignored: later versions of the platform may add some.
     model_config = ConfigDict(
         extra="ignore", alias_generator=lambda name: name.replace("_", "-")
     )
@@ -47,7 +47,7 @@
     split: list[_Share] | None = None
     max_attempts: Annotated[int, Field(ge=1)] = 1
     public: bool = False
-    # Set on routes whose requests are generations, which share parts of prompts.
+    # Set on routes whose requests are generations; their prompts share prefixes.
     sticky: bool = False
     resumable: bool = False
 
@@ -59,15 +59,15 @@
     read_x: float = 1.0
 
 
-class _Usual(_Model):
+class _TypicalRequest(_Model):
     prompt: float = 0.0
     answer: float = 0.0
 
 
 class _Delay(_Model):
-    here: Annotated[Text, Field(alias="from")]
-    there: Annotated[Text, Field(alias="to")]
-    # One way.
+    source: Annotated[Text, Field(alias="from")]
+    destination: Annotated[Text, Field(alias="to")]
+    # One-way delay.
     delay_ms: Annotated[Milliseconds, Field(alias="delay_ms")]
 
 
@@ -79,15 +79,15 @@
     kv_capacity: float = 0.0
     activation_bytes: float = 0.0
     pipe_mbps: float = 0.0
-    usual: _Usual = _Usual()
+    usual: _TypicalRequest = _TypicalRequest()
     kinds: list[_Accelerator] = []
-    # Between failure domains.
+    # Network delays between failure domains.
     delays: list[_Delay] = []
     step_ms: Annotated[float, Field(alias="step_ms")] = 0.0
     per_seq_ms: Annotated[float, Field(alias="per_seq_ms")] = 0.0
     context_per_k: Annotated[float, Field(alias="context_per_k")] = 0.0
     read_per_s: Annotated[float, Field(alias="read_per_s")] = 0.0
-    # Steps of a pass in which requests write; each pass makes one event.
+    # Decode steps per engine pass; each pass sends one event per request.
     stride: Annotated[float, Field(gt=0)] = 1.0
 
 
@@ -109,24 +109,25 @@
     idle_timeout_ms: Milliseconds = 15_000
 
 
-def _route(route: _Route) -> routes.Route:
-    if route.kind not in KINDS:
+def _to_route(route: _Route) -> routes.Route:
+    if route.kind not in REPEAT_BY_KIND:
         raise SettingsError(
-            f"route {route.name!r}: kind {route.kind!r}; allowed: {', '.join(KINDS)}",
+            f"route {route.name!r}: kind {route.kind!r};"
+            f" allowed: {', '.join(REPEAT_BY_KIND)}",
             kind=ErrorKind.INVALID_DOCUMENT,
         )
     if route.split is not None:
-        shares = [routes.Share(each.service, each.weight) for each in route.split]
+        shares = [routes.Share(share.service, share.weight) for share in route.split]
     else:
         shares = [routes.Share(route.service, 1.0)] if route.service else []
     return routes.Route(
         name=route.name,
         host=route.host.lower(),
         prefix=route.path_prefix,
-        repeat=KINDS[route.kind],
-        timeout_s=route.timeout_ms / MILLISECONDS,
-        target_s=route.target_latency_ms / MILLISECONDS,
-        gap_target_s=route.gap_target_ms / MILLISECONDS,
+        repeat=REPEAT_BY_KIND[route.kind],
+        timeout_s=route.timeout_ms / MS_PER_S,
+        target_s=route.target_latency_ms / MS_PER_S,
+        gap_target_s=route.gap_target_ms / MS_PER_S,
         priority=route.priority,
         shares=tuple(shares),
         max_attempts=route.max_attempts,
@@ -138,71 +139,74 @@
 
 class _Document(_Model):
     version: Annotated[int, Field(ge=1, lt=1 << 63)]
-    # Each is turned into a plain route as soon as it was checked: reading a document of
-    # 1,160 routes takes 2.5 MB, and 5.4 MB with all of them as models first (anonymous
-    # memory of a process that reads its first one).
-    routes: list[Annotated[_Route, AfterValidator(_route)]]
+    # Each route is converted as soon as it is validated. Reading a document of 1,160
+    # routes then takes 2.5 MB, against 5.4 MB if all are kept as models first
+    # (anonymous memory of a process that reads its first document).
+    routes: list[Annotated[_Route, AfterValidator(_to_route)]]
     services: list[_Service]
     tenants: list[_Tenant] | None = None
     limits: _Limits = _Limits()
 
 
-def read_table(content: bytes) -> routes.RouteTable:
-    """Return the route table of a document as it was sent.
+def read_route_table(content: bytes) -> routes.RouteTable:
+    """Parse and validate a configuration document.
 
     Args:
-        content: JSON, at most a few megabytes.
+        content: JSON text as it was sent, at most a few megabytes.
+
+    Returns:
+        The route table.
 
     Raises:
-        SettingsError: ``INVALID_DOCUMENT``: it cannot be read in full, or it
-            contradicts itself.
+        SettingsError: ``INVALID_DOCUMENT`` if the document cannot be parsed completely
+            or is inconsistent.
     """
-    document = _read(content)
+    document = _parse(content)
     return routes.build_table(
         number=document.version,
         routes=document.routes,
-        services=[_service(each) for each in document.services],
-        organisations=_organisations(document.tenants),
+        services=[_to_service(service) for service in document.services],
+        organisations=_to_organisations(document.tenants),
         limits=routes.CallerLimits(
             header_bytes=document.limits.max_header_bytes,
             body_bytes=document.limits.max_body_bytes,
-            idle_s=document.limits.idle_timeout_ms / MILLISECONDS,
+            idle_s=document.limits.idle_timeout_ms / MS_PER_S,
         ),
     )
 
 
 def compress(content: bytes) -> bytes:
-    """Return a document as the replicated log keeps it."""
+    """Return a document in the form stored in the replicated log."""
     return zlib.compress(content)
 
 
 def decompress(content: bytes) -> bytes:
-    """Return a document as it was sent."""
+    """Return the original bytes of a stored document."""
     return zlib.decompress(content)
 
 
-def _read(content: bytes) -> _Document:
+def _parse(content: bytes) -> _Document:
     try:
         return _Document.model_validate_json(content, strict=False)
     except ValidationError as exc:
         first = exc.errors(include_url=False, include_input=False)[0]
-        place = ".".join(str(part) for part in first["loc"])
+        location = ".".join(str(part) for part in first["loc"])
         raise SettingsError(
-            f"{place or 'the document'}: {first['msg']}",
+            f"{location or 'the document'}: {first['msg']}",
             kind=ErrorKind.INVALID_DOCUMENT,
         ) from exc
 
 
-def _service(service: _Service) -> routes.Service:
+def _to_service(service: _Service) -> routes.Service:
     engine = service.engine
     return routes.Service(
         name=service.name,
         max_connections=service.max_conns,
-        engine=_engine(engine) if engine is not None else None,
+        engine=_to_engine_profile(engine) if engine is not None else None,
     )
 
 
-def _engine(engine: _Engine) -> routes.EngineProfile:
+def _to_engine_profile(engine: _Engine) -> routes.EngineProfile:
     return routes.EngineProfile(
         layers=engine.layers,
         layer_mb=engine.layer_mb,
@@ -228,13 +232,16 @@
             for kind in engine.kinds
         },
         delays_ms={
-            (min(each.here, each.there), max(each.here, each.there)): each.delay_ms
-            for each in engine.delays
+            (
+                min(delay.source, delay.destination),
+                max(delay.source, delay.destination),
+            ): delay.delay_ms
+            for delay in engine.delays
         },
     )
 
 
-def _organisations(
+def _to_organisations(
     tenants: list[_Tenant] | None,
 ) -> list[routes.Organisation] | None:
     if tenants is None:
--- a/wigeonscale/platform/engine_orders.py
+++ b/wigeonscale/platform/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to model engines and their reports, over HTTP."""
+"""HTTP client for the orders and status reports of model engines."""
 
 __all__ = ["HttpEngineOrders"]
 
@@ -11,25 +11,26 @@
 
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.layers import Part
-from wigeonscale.platform.headers import path_text
-from wigeonscale.ports import EngineSign, ProbeAnswer
+from wigeonscale.platform.headers import format_path
+from wigeonscale.ports import EngineProbeResult, ProbeResult
 from wigeonscale.ports.orders import (
-    STATUS_LIMIT_S,
+    STATUS_TIMEOUT_S,
     EngineStatus,
     OrderOutcome,
 )
 
-# Engines answer at once; the links take a few milliseconds. One lost packet costs some
-# 200 ms, for which an order is waited and a probe is sent twice.
-TIMEOUT_S = 0.7
+# Engines respond immediately, and a link takes a few milliseconds. One lost packet
+# costs about 200 ms: an order waits for the retransmission, while a probe has a shorter
+# timeout and is sent twice.
+ORDER_TIMEOUT_S = 0.7
 PROBE_TIMEOUT_S = 0.3
-# A stream that stands still waits for it; sent elsewhere it would need 100 ms.
-CHANGE_TIMEOUT_S = 0.15
+# A stalled stream waits for this response; sending it elsewhere would take 100 ms.
+PATH_CHANGE_TIMEOUT_S = 0.15
 
-OUTCOMES = {
-    200: OrderOutcome.HOLDS_ALREADY,
-    202: OrderOutcome.BEGUN,
-    409: OrderOutcome.MISFIT,
+OUTCOME_BY_STATUS = {
+    200: OrderOutcome.UNCHANGED,
+    202: OrderOutcome.STARTED,
+    409: OrderOutcome.CONFLICT,
     412: OrderOutcome.FENCED,
 }
 
@@ -37,10 +38,10 @@
 
 
 class HttpEngineOrders:
-    """Gives orders over connections of its own.
+    """Implements the engine orders port over HTTP.
 
     Args:
-        session: Client session of the process.
+        session: Client session used for orders, reports and probes.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession):
@@ -56,20 +57,20 @@
         expected_orders: int,
         waits: bool,
     ) -> OrderOutcome:
-        """Order an engine to hold layers ``first`` up to, without, ``end``."""
+        """Order an engine to hold the layers from ``first`` to before ``end``."""
         order = {
             "op": "place",
             "from": first,
             "to": end,
             "strategy": "queue" if waits else "preempt",
             "fencing-token": fence,
-            # The order count, which the report calls "seq".
+            # The number of started orders, which the report calls "seq".
             "precondition": expected_orders,
         }
-        answer = await self._ask("POST", address, "/order", order)
-        if answer is None:
+        response = await self._try_send("POST", address, "/order", order)
+        if response is None:
             return OrderOutcome.UNKNOWN
-        return OUTCOMES.get(answer[0], OrderOutcome.REFUSED)
+        return OUTCOME_BY_STATUS.get(response[0], OrderOutcome.REFUSED)
 
     async def change_path(
         self,
@@ -79,28 +80,28 @@
         path: Sequence[Part],
         addresses: Sequence[str],
     ) -> OrderOutcome:
-        """Order the first engine of a running request to go on along another path."""
+        """Order the first engine of a running request to continue on another path."""
         order = {
             "op": "repath",
             "id": request_id,
-            "path": path_text(path, addresses),
+            "path": format_path(path, addresses),
         }
-        answer = await self._ask(
-            "POST", address, "/order", order, limit_s=CHANGE_TIMEOUT_S
+        response = await self._try_send(
+            "POST", address, "/order", order, timeout_s=PATH_CHANGE_TIMEOUT_S
         )
-        if answer is None:
+        if response is None:
             return OrderOutcome.UNKNOWN
-        return OUTCOMES.get(answer[0], OrderOutcome.REFUSED)
+        return OUTCOME_BY_STATUS.get(response[0], OrderOutcome.REFUSED)
 
     async def status(
-        self, address: str, *, limit_s: float = STATUS_LIMIT_S
+        self, address: str, *, timeout_s: float = STATUS_TIMEOUT_S
     ) -> EngineStatus | None:
-        """Return what an engine says of itself; None without an answer in time."""
-        answer = await self._ask("GET", address, "/report", limit_s=limit_s)
-        if answer is None or answer[0] != 200:
+        """Return the status of an engine; None if it does not respond in time."""
+        response = await self._try_send("GET", address, "/report", timeout_s=timeout_s)
+        if response is None or response[0] != 200:
             return None
         try:
-            report = json.loads(answer[1])
+            report = json.loads(response[1])
             layers = report.get("layers") or {}
             stalled = report.get("stalled") or []
             return EngineStatus(
@@ -114,43 +115,47 @@
                 started_ms=_started_ms(report),
             )
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
-            logger.warning("report of %s cannot be read: %s", address, exc)
+            logger.warning("cannot parse the report of %s: %s", address, exc)
             return None
 
-    async def probe(self, address: str, started_ms: int) -> EngineSign:
-        """Return whether an engine is there, and how slow.
+    async def probe(self, address: str, started_ms: int) -> EngineProbeResult:
+        """Check whether an engine responds, and how slow it reports to be.
 
         Args:
-            address: Where it listens.
-            started_ms: Its start, Unix milliseconds; 0 where that is not known.
+            address: ``ip:port`` of the engine.
+            started_ms: Start time of the expected incarnation, in Unix milliseconds; 0
+                if it is not known.
+
+        Returns:
+            The result; ``REPLACED`` if a later incarnation responds.
         """
         try:
-            answer = await self._send(
-                "GET", address, "/report", limit_s=PROBE_TIMEOUT_S
+            response = await self._send(
+                "GET", address, "/report", timeout_s=PROBE_TIMEOUT_S
             )
         except aiohttp.ClientConnectorError as exc:
-            logger.info("probe of %s: no connection: %r", address, exc.os_error)
+            logger.info("probe of %s: cannot connect: %r", address, exc.os_error)
             is_refused = isinstance(exc.os_error, ConnectionRefusedError)
-            return EngineSign(
-                ProbeAnswer.REFUSED if is_refused else ProbeAnswer.NOTHING
+            return EngineProbeResult(
+                ProbeResult.REFUSED if is_refused else ProbeResult.NO_ANSWER
             )
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
-            logger.info("probe of %s: no answer: %r", address, exc)
-            return EngineSign(ProbeAnswer.NOTHING)
-        return _read_sign(answer, started_ms)
+            logger.info("probe of %s: no response: %r", address, exc)
+            return EngineProbeResult(ProbeResult.NO_ANSWER)
+        return _parse_probe_result(response, started_ms)
 
-    async def _ask(
+    async def _try_send(
         self,
         method: str,
         address: str,
         path: str,
         body: dict | None = None,
-        limit_s: float = TIMEOUT_S,
+        timeout_s: float = ORDER_TIMEOUT_S,
     ) -> tuple[int, bytes] | None:
         try:
-            return await self._send(method, address, path, body, limit_s)
+            return await self._send(method, address, path, body, timeout_s)
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
-            logger.info("%s %s at %s: no answer: %r", method, path, address, exc)
+            logger.info("%s %s at %s: no response: %r", method, path, address, exc)
             return None
 
     async def _send(
@@ -159,47 +164,49 @@
         address: str,
         path: str,
         body: dict | None = None,
-        limit_s: float = TIMEOUT_S,
+        timeout_s: float = ORDER_TIMEOUT_S,
     ) -> tuple[int, bytes]:
         async with self._session.request(
             method,
             f"http://{address}{path}",
             json=body,
-            timeout=aiohttp.ClientTimeout(total=limit_s),
+            timeout=aiohttp.ClientTimeout(total=timeout_s),
             trace_request_ctx=address,
         ) as res:
             return res.status, await res.read()
 
 
 def _started_ms(report: dict) -> int:
-    """Return when the engine of a report started; 0 where it does not say.
+    """Return the start time in a report, in Unix milliseconds; 0 if it has none.
 
     Raises:
-        TypeError: It says something else than a whole number.
+        TypeError: If the field is not an integer.
     """
     born = report.get("born", 0)
     if isinstance(born, bool) or not isinstance(born, int):
-        raise TypeError(f"born is {born!r}")
+        raise TypeError(f"born is not an integer: {born!r}")
     return born
 
 
-def _read_sign(answer: tuple[int, bytes], started_ms: int) -> EngineSign:
-    """Return what an engine's report says of it."""
-    status, content = answer
+def _parse_probe_result(
+    response: tuple[int, bytes], started_ms: int
+) -> EngineProbeResult:
+    """Return the result of a probe from its HTTP status and body."""
+    status, content = response
     if status != 200:
-        return EngineSign(ProbeAnswer.ANSWERED)
+        return EngineProbeResult(ProbeResult.ANSWERED)
     try:
         report = json.loads(content)
         born = _started_ms(report)
         pace = float(report.get("pace", 1.0))
     except (ValueError, TypeError, AttributeError) as exc:
-        # It answered, which is what was asked.
-        logger.warning("report cannot be read: %s", exc)
-        return EngineSign(ProbeAnswer.ANSWERED)
+        # The engine responded, which is all that the probe needs.
+        logger.warning("cannot parse the report of a probed engine: %s", exc)
+        return EngineProbeResult(ProbeResult.ANSWERED)
     if started_ms and born > started_ms:
         logger.info(
-            "another start answers a probe",
+            "a later incarnation responds to a probe",
             extra=log_fields(old_born=started_ms, born=born),
         )
-        return EngineSign(ProbeAnswer.REPLACED)
-    return EngineSign(ProbeAnswer.ANSWERED, pace if math.isfinite(pace) else 1.0)
+        return EngineProbeResult(ProbeResult.REPLACED)
+    return EngineProbeResult(ProbeResult.ANSWERED, pace if math.isfinite(pace) else 1.0)
--- a/wigeonscale/platform/exchange_http.py
+++ b/wigeonscale/platform/exchange_http.py
@@ -1,4 +1,4 @@
-"""Sends requests to backend servers over HTTP, and reads their answers."""
+"""HTTP client that sends requests of callers to backend servers."""
 
 __all__ = ["HttpExchange", "new_session"]
 
@@ -9,81 +9,84 @@
 import aiohttp
 from yarl import URL
 
-from wigeonscale.platform.connecting import pace_connections
+from wigeonscale.platform.connection_limiter import limit_concurrent_connects
 from wigeonscale.platform.headers import (
-    at_fault_of,
     backend_headers,
-    event_id_of,
-    head_of,
-    is_refused_unrun,
-    is_stranger,
-    names_request,
-    notice_of,
+    is_not_run,
+    is_other_incarnation,
+    matches_request,
+    parse_event_id,
+    read_failed_address,
+    read_notice,
+    read_response_head,
 )
 from wigeonscale.ports.exchange import (
-    AnswerHead,
     BackendCall,
     BackendStream,
+    CallOutcome,
     ExchangeError,
-    Fate,
+    FullResponse,
+    ResponseHead,
     ServerNotice,
     StreamEvent,
-    WholeAnswer,
 )
 
-# A new connection takes a few milliseconds; a machine that is gone never answers.
+# A new connection takes a few milliseconds; a VM that is down never responds.
 CONNECT_TIMEOUT_S = 0.3
-# Backend servers close idle connections after some seconds, and a request that
-# crosses such a close may or may not have run.
-KEEP_IDLE_S = 1.5
-LARGEST_EVENT_BYTES = 1 << 20
+# Backend servers close idle connections after some seconds. A request sent while the
+# server closes the connection may or may not have run, so the client closes first.
+IDLE_TIMEOUT_S = 1.5
+MAX_EVENT_BYTES = 1 << 20
 EVENT_END = b"\n\n"
 
 logger = logging.getLogger(__name__)
 
 
 def new_session() -> aiohttp.ClientSession:
-    """Return a client session that sends each request once, as it is."""
+    """Return a client session that sends each request once and unmodified."""
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
-            limit=0, keepalive_timeout=KEEP_IDLE_S, enable_cleanup_closed=False
+            limit=0, keepalive_timeout=IDLE_TIMEOUT_S, enable_cleanup_closed=False
         ),
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
-        trace_configs=[pace_connections()],
+        trace_configs=[limit_concurrent_connects()],
         skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
     )
-    # aiohttp would send a GET again by itself when a kept connection broke.
+    # By default aiohttp retries a GET when a pooled connection breaks.
     session._retry_connection = False
     return session
 
 
 class HttpExchange:
-    """Exchanges over one client session.
+    """Implements the exchange port with one client session.
 
     Args:
-        session: As :func:`new_session` makes it.
+        session: Client session from :func:`new_session`.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession):
         self._session = session
 
-    async def call(self, call: BackendCall) -> WholeAnswer:
-        """Return the whole answer."""
+    async def call(self, call: BackendCall) -> FullResponse:
+        """Send a request and return the complete response."""
         async with self.open(call) as stream:
-            body = await stream.rest()
-            return WholeAnswer(stream.head, body)
+            body = await stream.read_body()
+            return FullResponse(stream.head, body)
 
     @asynccontextmanager
     async def open(self, call: BackendCall) -> AsyncIterator[BackendStream]:
-        """Open a stream; leaving the context early cancels the work."""
+        """Send a request and return its response as a stream.
+
+        Leaving the context before the end of the response cancels the work.
+        """
         res = await self._send(call)
         try:
             notice = _check_head(call, res)
             yield _HttpStream(res=res, address=call.address, notice=notice)
         finally:
-            # What was not read to its end must not be taken for the next answer.
+            # The rest of an unread response must not be read as the next response.
             res.close() if not res.content.at_eof() else res.release()
 
     async def _send(self, call: BackendCall) -> aiohttp.ClientResponse:
@@ -99,21 +102,21 @@
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
             raise ExchangeError(
-                Fate.NOT_SENT, f"{call.address} cannot be reached: {exc!r}"
+                CallOutcome.NOT_SENT, f"cannot connect to {call.address}: {exc!r}"
             ) from exc
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
             raise ExchangeError(
-                Fate.UNKNOWN, f"{call.address} gave no answer: {exc!r}"
+                CallOutcome.UNKNOWN, f"no response from {call.address}: {exc!r}"
             ) from exc
 
 
 class _HttpStream:
-    """An answer being read.
+    """A response whose body is being read.
 
     Args:
         res: The response.
-        address: Where it comes from.
-        notice: What the backend server says of itself in it.
+        address: ``ip:port`` of the backend server.
+        notice: Status of the backend server as its headers report it.
 
     Attributes:
         head: Status and headers for the caller.
@@ -122,27 +125,29 @@
     def __init__(
         self, *, res: aiohttp.ClientResponse, address: str, notice: ServerNotice
     ):
-        self.head: AnswerHead = head_of(res.status, res.raw_headers, notice)
+        self.head: ResponseHead = read_response_head(
+            res.status, res.raw_headers, notice
+        )
         self._res = res
         self._address = address
-        # Kept, since the response forgets it at its end.
+        # The response drops its reference to the connection at the end of the body.
         self._protocol = res.connection.protocol if res.connection else None
 
     async def events(self) -> AsyncIterator[StreamEvent]:
-        """Yield the events; ends after the last one."""
+        """Yield the events of the stream."""
         pending = b""
         async for chunk in self._chunks():
             pending += chunk
             while EVENT_END in pending:
                 data, _, pending = pending.partition(EVENT_END)
-                yield StreamEvent(event_id_of(data), data + EVENT_END)
-            if len(pending) > LARGEST_EVENT_BYTES:
-                raise self._broken("an event is too large")
+                yield StreamEvent(parse_event_id(data), data + EVENT_END)
+            if len(pending) > MAX_EVENT_BYTES:
+                raise self._incomplete_error("an event exceeds the size limit")
         if pending:
-            raise self._broken("it ended inside an event")
+            raise self._incomplete_error("the stream ended within an event")
 
-    async def rest(self) -> bytes:
-        """Return the whole body of an answer that is no stream."""
+    async def read_body(self) -> bytes:
+        """Return the complete body of a response that is not an event stream."""
         return b"".join([chunk async for chunk in self._chunks()])
 
     async def _chunks(self) -> AsyncIterator[bytes]:
@@ -150,11 +155,14 @@
             async for chunk in self._res.content.iter_any():
                 yield chunk
         except (TimeoutError, aiohttp.ClientError, OSError) as exc:
-            raise self._broken(repr(exc)) from exc
+            raise self._incomplete_error(repr(exc)) from exc
         self._check_end()
 
     def _check_end(self) -> None:
-        """Refuse an answer without a length whose connection was reset."""
+        """Raise an error if a response without a length ended with a reset.
+
+        Such a response ends when its connection closes; a reset may have cut it short.
+        """
         headers = self._res.headers
         if "Content-Length" in headers or "Transfer-Encoding" in headers:
             return
@@ -162,33 +170,34 @@
             return
         exc = self._protocol.exception()
         if exc is not None and not isinstance(exc, aiohttp.ServerDisconnectedError):
-            raise self._broken(f"reset: {exc!r}")
+            raise self._incomplete_error(f"connection reset: {exc!r}")
 
-    def _broken(self, message: str) -> ExchangeError:
+    def _incomplete_error(self, message: str) -> ExchangeError:
         return ExchangeError(
-            Fate.UNKNOWN, f"answer of {self._address} broke off: {message}"
+            CallOutcome.UNKNOWN, f"incomplete response of {self._address}: {message}"
         )
 
 
 def _check_head(call: BackendCall, res: aiohttp.ClientResponse) -> ServerNotice:
-    """Return what the backend server says of itself.
+    """Return the notice in the headers of a response.
 
     Raises:
-        ExchangeError: The answer is to another request, or says the work never ran.
+        ExchangeError: If the response belongs to another request, or states that the
+            work did not run.
     """
-    if not names_request(res.headers, call.req.request_id):
+    if not matches_request(res.headers, call.req.request_id):
         raise ExchangeError(
-            Fate.UNKNOWN, f"{call.address} answered another request than asked"
+            CallOutcome.UNKNOWN, f"{call.address} responded to a different request"
         )
-    is_other = is_stranger(res.status, res.headers)
-    notice = None if is_other else notice_of(res.status, res.headers)
-    if is_refused_unrun(res.status, res.headers):
+    is_other = is_other_incarnation(res.status, res.headers)
+    notice = None if is_other else read_notice(res.status, res.headers)
+    if is_not_run(res.status, res.headers):
         raise ExchangeError(
-            Fate.NOT_RUN,
-            f"{call.address} refused with {res.status}",
+            CallOutcome.NOT_RUN,
+            f"{call.address} rejected the request with status {res.status}",
             status=res.status,
-            at_fault=at_fault_of(res.headers),
-            is_stranger=is_other,
+            failed_address=read_failed_address(res.headers),
+            is_other_incarnation=is_other,
             notice=notice,
         )
     return notice
--- a/wigeonscale/platform/heartbeats.py
+++ b/wigeonscale/platform/heartbeats.py
@@ -1,6 +1,6 @@
-"""Heartbeats of backend servers, read into the project's own announcement."""
+"""Parser of the heartbeats and deregistrations of backend servers."""
 
-__all__ = ["Farewell", "Heartbeat", "read_farewell", "read_heartbeat"]
+__all__ = ["Deregistration", "Heartbeat", "read_deregistration", "read_heartbeat"]
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -19,12 +19,12 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 DRAINING = "draining"
-# ip:port, as backend servers listen.
-ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-LARGEST_INT64 = 2**63 - 1
+# IPv4 address and port.
+ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
+MAX_INT64 = 2**63 - 1
 
-# Unix millisecond of the start of the backend server, in all that it says of itself.
-Born = Annotated[StrictInt, Field(gt=0, le=LARGEST_INT64)]
+# Start time of the backend server in Unix milliseconds, sent in all its messages.
+StartMs = Annotated[StrictInt, Field(gt=0, le=MAX_INT64)]
 Text = Annotated[StrictStr, Field(min_length=1)]
 Count = Annotated[StrictInt, Field(ge=0, lt=2**31)]
 
@@ -39,28 +39,29 @@
     end: Annotated[Count, Field(alias="to")] = 0
 
 
-class _Loaded(_Model):
+class _LoadedModel(_Model):
     name: StrictStr = ""
 
 
 class _Heartbeat(_Model):
     service: Text
-    address: Annotated[StrictStr, Field(pattern=ADDRESS)]
+    address: Annotated[StrictStr, Field(pattern=ADDRESS_PATTERN)]
     zone: Text
     slots: Count
     state: Literal["ready", "draining"]
-    # Number of the heartbeat. In an engine's report the same name counts orders.
-    seq: Annotated[StrictInt, Field(ge=0, le=LARGEST_INT64)]
-    born: Born | None = None
-    # Present on model engines only.
-    models: list[_Loaded] | None = None
+    # Sequence number of the heartbeat. In the report of an engine, "seq" is the number
+    # of orders.
+    seq: Annotated[StrictInt, Field(ge=0, le=MAX_INT64)]
+    born: StartMs | None = None
+    # Only sent by model engines.
+    models: list[_LoadedModel] | None = None
     layers: _Layers | None = None
-    # Name of the engine's accelerator, not the kind of a route.
+    # Type of the engine's accelerator; unrelated to the kind of a route.
     kind: StrictStr = ""
 
 
-class _Farewell(_Model):
-    born: Born | None = None
+class _Deregistration(_Model):
+    born: StartMs | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,8 +69,8 @@
     """One heartbeat.
 
     Attributes:
-        backend: What the backend server says of itself.
-        sequence: Number of the heartbeat, growing.
+        backend: State of the backend server.
+        sequence: Sequence number of the heartbeat; it increases.
     """
 
     backend: wire.Backend
@@ -77,68 +78,70 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Farewell:
-    """What a backend server says when it goes.
+class Deregistration:
+    """Message of a backend server that shuts down.
 
     Attributes:
-        incarnation: The start that goes; None where it does not say.
+        incarnation: Incarnation that ends; None if the message does not name one.
     """
 
     incarnation: int | None
 
 
 def read_heartbeat(backend_id: str, content: bytes) -> Heartbeat:
-    """Return what a heartbeat says.
+    """Parse a heartbeat.
 
     Args:
-        backend_id: Name of the incarnation, from the path.
+        backend_id: Id of the incarnation, from the request path.
         content: JSON body.
 
     Raises:
-        WigeonscaleError: ``BAD_REQUEST``, naming what is wrong.
+        WigeonscaleError: ``BAD_REQUEST``, naming the invalid field.
     """
     try:
-        beat = _Heartbeat.model_validate_json(content)
+        heartbeat = _Heartbeat.model_validate_json(content)
     except ValidationError as exc:
-        raise _refusal(f"heartbeat of {backend_id!r}", exc) from exc
-    is_engine = beat.models is not None
-    layers = beat.layers or _Layers()
+        raise _bad_request(f"heartbeat of {backend_id!r}", exc) from exc
+    is_engine = heartbeat.models is not None
+    layers = heartbeat.layers or _Layers()
     backend = wire.Backend(
         agent_id=backend_id,
-        incarnation=beat.born or UNNUMBERED,
-        started_ms=beat.born or 0,
-        address=beat.address,
-        domain=beat.zone,
+        incarnation=heartbeat.born or UNNUMBERED,
+        started_ms=heartbeat.born or 0,
+        address=heartbeat.address,
+        domain=heartbeat.zone,
         kind=wire.ENGINE if is_engine else wire.SERVICE,
-        service=beat.service,
-        accelerator=beat.kind,
+        service=heartbeat.service,
+        accelerator=heartbeat.kind,
         first_layer=layers.first,
         last_layer=layers.end - 1,
-        draining=beat.state == DRAINING,
-        slots=beat.slots,
+        draining=heartbeat.state == DRAINING,
+        slots=heartbeat.slots,
     )
-    return Heartbeat(backend, beat.seq)
+    return Heartbeat(backend, heartbeat.seq)
 
 
-def read_farewell(backend_id: str, content: bytes) -> Farewell:
-    """Return what a backend server says when it goes; most say nothing.
+def read_deregistration(backend_id: str, content: bytes) -> Deregistration:
+    """Parse a deregistration; most backend servers send no body.
 
     Args:
-        backend_id: Its name, from the path.
+        backend_id: Id of the backend server, from the request path.
         content: JSON body; empty for none.
 
     Raises:
-        WigeonscaleError: ``BAD_REQUEST``, naming what is wrong.
+        WigeonscaleError: ``BAD_REQUEST``, naming the invalid field.
     """
     if not content.strip():
-        return Farewell(None)
+        return Deregistration(None)
     try:
-        return Farewell(_Farewell.model_validate_json(content).born)
+        return Deregistration(_Deregistration.model_validate_json(content).born)
     except ValidationError as exc:
-        raise _refusal(f"farewell of {backend_id!r}", exc) from exc
+        raise _bad_request(f"deregistration of {backend_id!r}", exc) from exc
 
 
-def _refusal(what: str, exc: ValidationError) -> WigeonscaleError:
+def _bad_request(subject: str, exc: ValidationError) -> WigeonscaleError:
     first = exc.errors(include_url=False, include_input=False)[0]
-    place = ".".join(str(step) for step in first["loc"]) or "body"
-    return WigeonscaleError(ErrorKind.BAD_REQUEST, f"{what}: {place}: {first['msg']}")
+    location = ".".join(str(step) for step in first["loc"]) or "body"
+    return WigeonscaleError(
+        ErrorKind.BAD_REQUEST, f"{subject}: {location}: {first['msg']}"
+    )
--- a/wigeonscale/platform/tests/test_connecting.py
+++ b/wigeonscale/platform/tests/test_connection_limiter.py
@@ -3,16 +3,20 @@
 import aiohttp
 from aiohttp import web
 
-from wigeonscale.platform.connecting import MOST_AT_ONCE
+from wigeonscale.platform.connection_limiter import MAX_CONCURRENT_CONNECTS
 from wigeonscale.platform.exchange_http import new_session
 from wigeonscale.platform.tests.support import serve
 from wigeonscale.testing import AsyncTestCase
 
-HERD = 50
+REQUESTS = 50
 
 
-class OpeningTest(AsyncTestCase):
-    """All requests of a second go to one first engine in one instant."""
+class ConnectionLimitTest(AsyncTestCase):
+    """Many requests to one engine at once overflow its listen backlog.
+
+    This happens when entries start together or an engine comes back, and each request
+    opens a new connection.
+    """
 
     async def prepare(self):
         async def handle(req):
@@ -23,21 +27,21 @@
         self.session = new_session()
         self.addCleanup(self.session.close)
         self.opening = 0
-        self.most = 0
+        self.max_opening = 0
         self.expected = 0
         self.reached = asyncio.Event()
-        self.gate = asyncio.Event()
-        self.gate.set()
+        self.proceed = asyncio.Event()
+        self.proceed.set()
         self._create = self.session.connector._create_connection
-        self.session.connector._create_connection = self.create
+        self.session.connector._create_connection = self.counted_create
 
-    async def create(self, *args, **fields):
+    async def counted_create(self, *args, **fields):
         self.opening += 1
-        self.most = max(self.most, self.opening)
+        self.max_opening = max(self.max_opening, self.opening)
         if self.opening == self.expected:
             self.reached.set()
         try:
-            await self.gate.wait()
+            await self.proceed.wait()
             return await self._create(*args, **fields)
         finally:
             self.opening -= 1
@@ -49,32 +53,32 @@
         ) as res:
             return res.status
 
-    async def test_few_connections_open_at_a_time(self):
-        statuses = await asyncio.gather(*[self.get() for _ in range(HERD)])
-        self.assertEqual([200] * HERD, statuses)
-        self.assertTrue(self.most <= MOST_AT_ONCE, self.most)
+    async def test_concurrent_connects_are_limited(self):
+        statuses = await asyncio.gather(*[self.get() for _ in range(REQUESTS)])
+        self.assertEqual([200] * REQUESTS, statuses)
+        self.assertTrue(self.max_opening <= MAX_CONCURRENT_CONNECTS, self.max_opening)
 
-    async def test_other_servers_are_not_waited_for(self):
-        self.gate.clear()
-        self.expected = MOST_AT_ONCE + 1
-        waiting = [asyncio.create_task(self.get()) for _ in range(HERD)]
+    async def test_limit_applies_per_address(self):
+        self.proceed.clear()
+        self.expected = MAX_CONCURRENT_CONNECTS + 1
+        waiting = [asyncio.create_task(self.get()) for _ in range(REQUESTS)]
         other = asyncio.create_task(self.get("127.0.0.1:1"))
         await self.reached.wait()
-        self.gate.set()
+        self.proceed.set()
         await asyncio.gather(*waiting)
         result = (await asyncio.gather(other, return_exceptions=True))[0]
         self.assertIsInstance(result, aiohttp.ClientConnectorError)
 
-    async def test_callers_that_leave_and_failures_give_their_turn_back(self):
-        self.gate.clear()
-        self.expected = MOST_AT_ONCE
-        leaving = [asyncio.create_task(self.get()) for _ in range(HERD)]
+    async def test_cancelled_and_failed_connects_release_their_slots(self):
+        self.proceed.clear()
+        self.expected = MAX_CONCURRENT_CONNECTS
+        leaving = [asyncio.create_task(self.get()) for _ in range(REQUESTS)]
         await self.reached.wait()
         for task in leaving:
             task.cancel()
         await asyncio.gather(*leaving, return_exceptions=True)
-        self.gate.set()
-        for _ in range(2 * MOST_AT_ONCE):
+        self.proceed.set()
+        for _ in range(2 * MAX_CONCURRENT_CONNECTS):
             results = await asyncio.gather(
                 self.get("127.0.0.1:1"), return_exceptions=True
             )
--- a/wigeonscale/platform/tests/test_engine_orders.py
+++ b/wigeonscale/platform/tests/test_engine_orders.py
@@ -6,7 +6,7 @@
 from wigeonscale.platform.engine_orders import HttpEngineOrders
 from wigeonscale.platform.exchange_http import new_session
 from wigeonscale.platform.tests.support import serve
-from wigeonscale.ports import EngineSign, ProbeAnswer
+from wigeonscale.ports import EngineProbeResult, ProbeResult
 from wigeonscale.ports.orders import OrderOutcome
 from wigeonscale.testing import AsyncTestCase
 
@@ -19,20 +19,20 @@
 
 
 class ProbeTest(OrdersCase):
-    async def test_an_engine_that_answers(self):
+    async def test_engine_responds(self):
         async def handle(req):
             return web.json_response({"seq": 0, "busy": False})
 
         runner, address = await serve(handle)
         self.addCleanup(runner.cleanup)
-        sign = await self.orders.probe(address, 0)
-        self.assertEqual(EngineSign(ProbeAnswer.ANSWERED, 1.0), sign)
-
-    async def test_a_later_start_is_told_from_the_one_asked_for(self):
-        for born, answer in (
-            (100, ProbeAnswer.ANSWERED),
-            (200, ProbeAnswer.REPLACED),
-            ("200", ProbeAnswer.ANSWERED),
+        probe_result = await self.orders.probe(address, 0)
+        self.assertEqual(EngineProbeResult(ProbeResult.ANSWERED, 1.0), probe_result)
+
+    async def test_later_incarnation_is_detected(self):
+        for born, expected in (
+            (100, ProbeResult.ANSWERED),
+            (200, ProbeResult.REPLACED),
+            ("200", ProbeResult.ANSWERED),
         ):
             report = {"seq": 0, "busy": False, "born": born}
 
@@ -41,11 +41,11 @@
 
             runner, address = await serve(handle)
             self.addCleanup(runner.cleanup)
-            sign = await self.orders.probe(address, 100)
-            self.assertIs(answer, sign.answer)
+            probe_result = await self.orders.probe(address, 100)
+            self.assertIs(expected, probe_result.result)
 
-    async def test_how_slow_it_is(self):
-        for pace, wanted in ((12.5, 12.5), ("x", 1.0), (None, 1.0)):
+    async def test_pace_is_reported(self):
+        for pace, expected_pace in ((12.5, 12.5), ("x", 1.0), (None, 1.0)):
             report = {"seq": 0, "busy": False, "pace": pace}
 
             async def handle(req, report=report):
@@ -53,10 +53,12 @@
 
             runner, address = await serve(handle)
             self.addCleanup(runner.cleanup)
-            sign = await self.orders.probe(address, 0)
-            self.assertEqual(EngineSign(ProbeAnswer.ANSWERED, wanted), sign)
+            probe_result = await self.orders.probe(address, 0)
+            self.assertEqual(
+                EngineProbeResult(ProbeResult.ANSWERED, expected_pace), probe_result
+            )
 
-    async def test_a_report_tells_the_start(self):
+    async def test_status_includes_the_start_time(self):
         async def handle(req):
             return web.json_response({"seq": 3, "busy": False, "born": 200})
 
@@ -64,33 +66,33 @@
         self.addCleanup(runner.cleanup)
         self.assertEqual(200, (await self.orders.status(address)).started_ms)
 
-    async def test_an_engine_whose_port_refuses(self):
+    async def test_closed_port(self):
         with socket.socket() as unused:
-            # Bound, so that nobody else gets the port, but not listening.
+            # Bound but not listening, so that no other process takes the port.
             unused.bind(("127.0.0.1", 0))
             port = unused.getsockname()[1]
-            sign = await self.orders.probe(f"127.0.0.1:{port}", 0)
-        self.assertIs(ProbeAnswer.REFUSED, sign.answer)
+            probe_result = await self.orders.probe(f"127.0.0.1:{port}", 0)
+        self.assertIs(ProbeResult.REFUSED, probe_result.result)
 
-    async def test_an_engine_that_cuts_the_connection(self):
+    async def test_engine_aborts_the_connection(self):
         async def handle(req):
             req.transport.abort()
             return web.Response()
 
         runner, address = await serve(handle)
         self.addCleanup(runner.cleanup)
-        sign = await self.orders.probe(address, 0)
-        self.assertIs(ProbeAnswer.NOTHING, sign.answer)
+        probe_result = await self.orders.probe(address, 0)
+        self.assertIs(ProbeResult.NO_ANSWER, probe_result.result)
 
 
 class OrderTest(OrdersCase):
     async def prepare(self):
         await super().prepare()
         self.status = 202
-        self.taken = []
+        self.received = []
 
         async def handle(req):
-            self.taken.append((req.method, req.path, await req.json()))
+            self.received.append((req.method, req.path, await req.json()))
             return web.Response(status=self.status)
 
         runner, self.address = await serve(handle)
@@ -104,26 +106,26 @@
             addresses=["10.1.0.1:80", "10.2.0.1:80"],
         )
 
-    async def test_a_new_path_in_the_form_of_the_first_one(self):
-        self.assertIs(OrderOutcome.BEGUN, await self.change_path())
+    async def test_path_change_sends_the_new_path(self):
+        self.assertIs(OrderOutcome.STARTED, await self.change_path())
         order = {
             "op": "repath",
             "id": "r1",
             "path": "10.1.0.1:80=0-20,10.2.0.1:80=20-80",
         }
-        self.assertEqual([("POST", "/order", order)], self.taken)
+        self.assertEqual([("POST", "/order", order)], self.received)
 
-    async def test_what_comes_of_it(self):
+    async def test_outcome_follows_the_status(self):
         outcomes = {
-            200: OrderOutcome.HOLDS_ALREADY,
+            200: OrderOutcome.UNCHANGED,
             404: OrderOutcome.REFUSED,
-            409: OrderOutcome.MISFIT,
+            409: OrderOutcome.CONFLICT,
             412: OrderOutcome.FENCED,
         }
         for self.status, outcome in outcomes.items():
             self.assertIs(outcome, await self.change_path())
 
-    async def test_whether_requests_shall_end_first(self):
+    async def test_waits_selects_the_strategy(self):
         for waits in (False, True):
             outcome = await self.orders.place(
                 self.address,
@@ -133,8 +135,8 @@
                 expected_orders=2,
                 waits=waits,
             )
-            self.assertIs(OrderOutcome.BEGUN, outcome)
-        (_, _, order), (_, _, waiting) = self.taken
+            self.assertIs(OrderOutcome.STARTED, outcome)
+        (_, _, order), (_, _, waiting) = self.received
         self.assertEqual("queue", waiting["strategy"])
         self.assertEqual(
             (20, 31, "preempt"), (order["from"], order["to"], order["strategy"])
--- a/wigeonscale/platform/tests/test_headers.py
+++ b/wigeonscale/platform/tests/test_headers.py
@@ -2,19 +2,19 @@
 
 from wigeonscale.layers import LayerRange, Part
 from wigeonscale.platform.headers import (
-    answer_headers,
     backend_headers,
-    event_id_of,
-    head_of,
-    is_refused_unrun,
-    is_stranger,
-    notice_of,
+    is_not_run,
+    is_other_incarnation,
+    parse_event_id,
+    read_notice,
     read_request_headers,
+    read_response_head,
+    response_headers,
 )
 from wigeonscale.ports.exchange import (
     BackendCall,
     CallerRequest,
-    Generation,
+    GenerationSize,
     ServerNotice,
 )
 from wigeonscale.testing import AsyncTestCase
@@ -25,14 +25,14 @@
     return read_request_headers(CIMultiDict(named))
 
 
-def sent(call_fields=None, **values):
+def sent_headers(call_fields=None, **values):
     read = headers(**values)
     req = CallerRequest(
         request_id=read.request_id,
         host=read.host,
         method="POST",
         path="/",
-        headers=read.others,
+        headers=read.forwarded,
         body=b"",
         key=read.key,
         arrived_at=0.0,
@@ -48,7 +48,7 @@
 
 
 class RequestTest(AsyncTestCase):
-    def test_what_is_read(self):
+    def test_request_headers(self):
         read = headers(
             attempt_id="id1",
             host="h",
@@ -60,30 +60,35 @@
         self.assertEqual(("id1", "h", "k1"), (read.request_id, read.host, read.key))
         self.assertEqual(1.5, read.deadline_s)
         self.assertEqual(12, read.last_event_id)
-        self.assertEqual(Generation(prompt=1460, most=80, expected=80), read.generation)
+        self.assertEqual(
+            GenerationSize(prompt_tokens=1460, max_tokens=80, expected_tokens=80),
+            read.generation,
+        )
 
-    def test_length_hint(self):
+    def test_length_hint_sets_expected_tokens(self):
         read = headers(token_count="10,80", length_hint="33")
-        self.assertEqual(33, read.generation.expected)
+        self.assertEqual(33, read.generation.expected_tokens)
 
-    def test_nonsense_is_no_number(self):
+    def test_invalid_numbers_are_ignored(self):
         read = headers(
             request_deadline="-1", token_count="x,", last_event_id="1e3", length_hint=""
         )
         self.assertIsNone(read.deadline_s)
         self.assertIsNone(read.last_event_id)
-        self.assertEqual(Generation(), read.generation)
+        self.assertEqual(GenerationSize(), read.generation)
 
 
 class BackendHeadersTest(AsyncTestCase):
-    def test_the_callers_own_go_on(self):
-        got = sent(attempt_id="id1", model="m", prompt_prefix="a:1", x_other="v")
+    def test_headers_of_the_caller_are_forwarded(self):
+        got = sent_headers(
+            attempt_id="id1", model="m", prompt_prefix="a:1", x_other="v"
+        )
         self.assertEqual("id1", got["Attempt-Id"])
         self.assertEqual("v", got["X-Other"])
         self.assertEqual("a:1", got["Prompt-Prefix"])
 
-    def test_own_headers_are_set_whatever_the_caller_sent(self):
-        got = sent(
+    def test_router_headers_override_those_of_the_caller(self):
+        got = sent_headers(
             tenant="forged",
             authorization="Bearer k",
             expect_instance="forged",
@@ -98,12 +103,12 @@
         self.assertNotIn("Authorization", got)
         self.assertNotIn("Hop-Count", got)
 
-    def test_no_organisation_named_without_one(self):
-        got = sent({"organisation": ""}, tenant="forged")
+    def test_no_tenant_header_without_an_organisation(self):
+        got = sent_headers({"organisation": ""}, tenant="forged")
         self.assertNotIn("Tenant", got)
 
-    def test_connection_headers_stay(self):
-        got = sent(
+    def test_hop_by_hop_request_headers_are_dropped(self):
+        got = sent_headers(
             connection="keep-alive, X-Hop",
             x_hop="1",
             te="trailers",
@@ -116,58 +121,62 @@
 
     def test_path(self):
         path = (Part("i-1", LayerRange(0, 20)), Part("i-2", LayerRange(20, 80)))
-        got = sent({"path": path, "addresses": ("a:1", "b:2"), "after_event": 4})
+        got = sent_headers(
+            {"path": path, "addresses": ("a:1", "b:2"), "after_event": 4}
+        )
         self.assertEqual("a:1=0-20,b:2=20-80", got["Hop-Count"])
         self.assertEqual("4", got["Last-Event-Id"])
 
-    def test_priority_within_its_bounds(self):
-        self.assertEqual("9", sent({"priority": 40})["Request-Priority"])
-        self.assertEqual("0", sent({"priority": -1})["Request-Priority"])
-        self.assertNotIn("Request-Priority", sent({"priority": None}))
+    def test_priority_is_clamped(self):
+        self.assertEqual("9", sent_headers({"priority": 40})["Request-Priority"])
+        self.assertEqual("0", sent_headers({"priority": -1})["Request-Priority"])
+        self.assertNotIn("Request-Priority", sent_headers({"priority": None}))
 
 
 class AnswerTest(AsyncTestCase):
-    def test_connection_headers_stay_behind(self):
-        head = head_of(
+    def test_hop_by_hop_response_headers_are_dropped(self):
+        head = read_response_head(
             200,
             [(b"Connection", b"close"), (b"Response-Stamp", b"s"), (b"Date", b"d")],
             ServerNotice(),
         )
         self.assertEqual((("Response-Stamp", "s"),), head.headers)
 
-    def test_refusals(self):
-        self.assertTrue(is_refused_unrun(503, CIMultiDict({"not-run": "1"})))
-        self.assertTrue(is_refused_unrun(421, CIMultiDict()))
-        self.assertFalse(is_refused_unrun(503, CIMultiDict()))
-        self.assertFalse(is_refused_unrun(500, CIMultiDict()))
+    def test_is_not_run(self):
+        self.assertTrue(is_not_run(503, CIMultiDict({"not-run": "1"})))
+        self.assertTrue(is_not_run(421, CIMultiDict()))
+        self.assertFalse(is_not_run(503, CIMultiDict()))
+        self.assertFalse(is_not_run(500, CIMultiDict()))
 
-    def test_another_engine_of_the_path_is_no_stranger(self):
-        self.assertTrue(is_stranger(421, CIMultiDict()))
-        self.assertFalse(is_stranger(421, CIMultiDict({"At-Server": "a:1"})))
+    def test_rejection_by_a_later_engine_is_not_another_incarnation(self):
+        self.assertTrue(is_other_incarnation(421, CIMultiDict()))
+        self.assertFalse(is_other_incarnation(421, CIMultiDict({"At-Server": "a:1"})))
 
     def test_retry_after(self):
         self.assertEqual(
-            {"Attempt-Id": "id1", "Retry-After": "0.30"}, answer_headers("id1", 0.3)
+            {"Attempt-Id": "id1", "Retry-After": "0.30"}, response_headers("id1", 0.3)
         )
-        self.assertEqual({}, answer_headers("", None))
+        self.assertEqual({}, response_headers("", None))
 
     def test_event_ids(self):
-        self.assertEqual(12, event_id_of(b"weight-versions: 2\nid: 12\ndata: x"))
-        self.assertIsNone(event_id_of(b"data: id: 3"))
-        self.assertIsNone(event_id_of(b"id: x"))
-
-    def test_what_a_server_says_of_itself(self):
-        said = notice_of(200, CIMultiDict({"server-limit": "1.5", "Retry-After": "3"}))
-        self.assertEqual(ServerNotice(limit_per_s=1.5), said)
-        said = notice_of(503, CIMultiDict({"Retry-After": "0.25"}))
-        self.assertEqual(ServerNotice(rest_s=0.25), said)
-        said = notice_of(200, CIMultiDict({"Server-Leaving": "1"}))
-        self.assertEqual(ServerNotice(is_leaving=True), said)
-        self.assertEqual(ServerNotice(), notice_of(200, CIMultiDict()))
-        said = notice_of(200, CIMultiDict({"Server-Limit": "0"}))
-        self.assertEqual(ServerNotice(limit_per_s=0.0), said)
-
-    def test_what_cannot_be_read_says_nothing(self):
+        self.assertEqual(12, parse_event_id(b"weight-versions: 2\nid: 12\ndata: x"))
+        self.assertIsNone(parse_event_id(b"data: id: 3"))
+        self.assertIsNone(parse_event_id(b"id: x"))
+
+    def test_server_notice(self):
+        notice = read_notice(
+            200, CIMultiDict({"server-limit": "1.5", "Retry-After": "3"})
+        )
+        self.assertEqual(ServerNotice(limit_per_s=1.5), notice)
+        notice = read_notice(503, CIMultiDict({"Retry-After": "0.25"}))
+        self.assertEqual(ServerNotice(retry_after_s=0.25), notice)
+        notice = read_notice(200, CIMultiDict({"Server-Leaving": "1"}))
+        self.assertEqual(ServerNotice(is_leaving=True), notice)
+        self.assertEqual(ServerNotice(), read_notice(200, CIMultiDict()))
+        notice = read_notice(200, CIMultiDict({"Server-Limit": "0"}))
+        self.assertEqual(ServerNotice(limit_per_s=0.0), notice)
+
+    def test_invalid_notice_headers_are_ignored(self):
         for text in ("", "many", "-1", "nan", "inf"):
             headers = CIMultiDict({"Server-Limit": text, "Retry-After": text})
-            self.assertEqual(ServerNotice(), notice_of(503, headers), text)
+            self.assertEqual(ServerNotice(), read_notice(503, headers), text)
--- a/wigeonscale/platform/tests/test_heartbeats.py
+++ b/wigeonscale/platform/tests/test_heartbeats.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.platform.heartbeats import read_farewell, read_heartbeat
+from wigeonscale.platform.heartbeats import read_deregistration, read_heartbeat
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -50,36 +50,36 @@
     def test_draining(self):
         self.assertTrue(read(state="draining").backend.draining)
 
-    def test_broken(self):
+    def test_malformed_body(self):
         for content in (b"", b"{", b"[]", b"{}", b'{"service": "s"}'):
             exc = self.assertRaises(WigeonscaleError, read_heartbeat, "i", content)
             self.assertEqual(ErrorKind.BAD_REQUEST, exc.kind)
 
-    def test_the_start(self):
+    def test_start_time(self):
         backend = read(born=1_786_000_000_123).backend
         self.assertEqual(1_786_000_000_123, backend.started_ms)
         self.assertEqual(1_786_000_000_123, backend.incarnation)
         backend = read().backend
         self.assertEqual((0, 1), (backend.started_ms, backend.incarnation))
 
-    def test_a_start_that_is_no_whole_number(self):
+    def test_invalid_start_time(self):
         for born in ("1", 1.5, True, -1, 0, 2**63, [1], {}):
             exc = self.assertRaises(WigeonscaleError, read, born=born)
             self.assertEqual(ErrorKind.BAD_REQUEST, exc.kind)
             self.assertIn("born", exc.message)
 
 
-class FarewellTest(AsyncTestCase):
-    def test_most_say_nothing(self):
-        self.assertIsNone(read_farewell("i", b"").incarnation)
-        self.assertIsNone(read_farewell("i", b"{}").incarnation)
+class DeregistrationTest(AsyncTestCase):
+    def test_without_start_time(self):
+        self.assertIsNone(read_deregistration("i", b"").incarnation)
+        self.assertIsNone(read_deregistration("i", b"{}").incarnation)
 
-    def test_the_start_that_goes(self):
-        self.assertEqual(7, read_farewell("i", b'{"born": 7}').incarnation)
+    def test_with_start_time(self):
+        self.assertEqual(7, read_deregistration("i", b'{"born": 7}').incarnation)
 
-    def test_broken(self):
+    def test_malformed_body(self):
         for content in (b"{", b"[]", b'{"born": "7"}', b"\xff"):
-            self.assertRaises(WigeonscaleError, read_farewell, "i", content)
+            self.assertRaises(WigeonscaleError, read_deregistration, "i", content)
 
 
 OTHER = st.none() | st.booleans() | st.floats() | st.text() | st.just([]) | st.just({})
@@ -92,7 +92,7 @@
 
 
 class OtherWriterTest(AsyncTestCase):
-    """Heartbeats that other writers sent are refused with a reason, and never half."""
+    """Invalid heartbeats are rejected with a reason and never applied in part."""
 
     def assert_refused(self, content):
         exc = self.assertRaises(WigeonscaleError, read_heartbeat, "i-1", content)
@@ -132,5 +132,5 @@
         except WigeonscaleError as exc:
             self.assertEqual(ErrorKind.BAD_REQUEST, exc.kind)
             return
-        # What was taken for a heartbeat says all that is acted on.
+        # An accepted heartbeat has all fields that the registry relies on.
         self.assertTrue(backend.service and backend.address and backend.domain)
--- a/wigeonscale/ports/__init__.py
+++ b/wigeonscale/ports/__init__.py
@@ -1,4 +1,8 @@
-"""What the inside of the project asks of the outside, as protocols."""
+"""Ports: the interfaces through which the core uses clocks, engines and services.
+
+Each port is a protocol or a callable type; :mod:`wigeonscale.adapters` and
+:mod:`wigeonscale.platform` implement them.
+"""
 
 __all__ = [
     "CacheEvent",
@@ -6,13 +10,13 @@
     "Engine",
     "EngineInfo",
     "EngineLoad",
+    "EngineProbeResult",
     "EngineResult",
-    "EngineSign",
     "EngineStep",
-    "HttpAnswer",
+    "HttpResponse",
     "Probe",
-    "ProbeAnswer",
-    "Reach",
+    "ProbeResult",
+    "ReachabilityCheck",
     "Service",
     "SystemClock",
 ]
@@ -24,8 +28,13 @@
     EngineLoad,
     EngineResult,
     EngineStep,
-    HttpAnswer,
+    HttpResponse,
     Service,
 )
 from wigeonscale.ports.clock import Clock, SystemClock
-from wigeonscale.ports.probe import EngineSign, Probe, ProbeAnswer, Reach
+from wigeonscale.ports.probe import (
+    EngineProbeResult,
+    Probe,
+    ProbeResult,
+    ReachabilityCheck,
+)
--- a/wigeonscale/ports/exchange.py
+++ b/wigeonscale/ports/exchange.py
@@ -1,18 +1,18 @@
-"""The port to backend servers that are called directly, and what callers send."""
+"""Ports between callers and the backend servers that the entry calls directly."""
 
 __all__ = [
-    "AnswerHead",
-    "AnswerSink",
     "BackendCall",
     "BackendStream",
+    "CallOutcome",
     "CallerRequest",
     "Exchange",
     "ExchangeError",
-    "Fate",
-    "Generation",
+    "FullResponse",
+    "GenerationSize",
+    "ResponseHead",
+    "ResponseSink",
     "ServerNotice",
     "StreamEvent",
-    "WholeAnswer",
 ]
 
 from collections.abc import AsyncIterator
@@ -26,93 +26,96 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-class Fate(StrEnum):
-    """What is known of a call that brought no answer of the work itself."""
+class CallOutcome(StrEnum):
+    """What is known about the work of a call that failed."""
 
-    NOT_SENT = "not-sent"  # nothing of it left this process
-    NOT_RUN = "not-run"  # the backend server says so
-    UNKNOWN = "unknown"  # it may have run
+    NOT_SENT = "not-sent"  # no byte of the request was sent
+    NOT_RUN = "not-run"  # the backend server states that the work did not run
+    UNKNOWN = "unknown"  # the work may have run
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServerNotice:
-    """What an answer says of its backend server, beside the request.
+    """Status of a backend server, as the headers of any of its responses report it.
 
     Attributes:
-        limit_per_s: Requests a second that it takes from all entries together; None
-            where it names no limit.
-        is_leaving: Whether it is about to end.
-        rest_s: Time for which it wants nothing from this entry, in seconds; 0 for none.
+        limit_per_s: Requests per second that it accepts from all entries together; None
+            if it names no limit.
+        is_leaving: Whether it is about to shut down.
+        retry_after_s: Time during which this entry must not send to it, in seconds; 0
+            for none.
     """
 
     limit_per_s: float | None = None
     is_leaving: bool = False
-    rest_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 class ExchangeError(Exception):
-    """A call brought no answer of the work itself.
+    """A call failed without a usable response.
 
     Args:
-        fate: What is known of the call.
-        message: What happened.
-        status: Status of the refusal; 0 without one.
-        at_fault: Address of the backend server that the answer names as the cause;
-            empty for none.
-        is_stranger: Whether another incarnation answers at the address.
-        notice: What its answer says of itself; None without an answer of its own.
+        outcome: What is known about the work of the call.
+        message: Description of the failure.
+        status: HTTP status of the rejection; 0 without one.
+        failed_address: Address of the backend server that the response names as the
+            cause; empty for none.
+        is_other_incarnation: Whether another incarnation responds at the address.
+        notice: Status that the backend server reported; None if it did not respond or
+            another incarnation did.
     """
 
     def __init__(
         self,
-        fate: Fate,
+        outcome: CallOutcome,
         message: str,
         *,
         status: int = 0,
-        at_fault: str = "",
-        is_stranger: bool = False,
+        failed_address: str = "",
+        is_other_incarnation: bool = False,
         notice: ServerNotice | None = None,
     ):
         super().__init__(message)
-        self.fate = fate
+        self.outcome = outcome
         self.message = message
         self.status = status
-        self.at_fault = at_fault
-        self.is_stranger = is_stranger
+        self.failed_address = failed_address
+        self.is_other_incarnation = is_other_incarnation
         self.notice = notice
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Generation:
-    """What a request for a generation says of its size.
+class GenerationSize:
+    """Size of a generation, as its request states it.
 
     Attributes:
-        prompt: Tokens of its prompt.
-        most: Most tokens of its answer.
-        expected: The caller's estimate of the answer's tokens; often far off.
+        prompt_tokens: Number of tokens in the prompt.
+        max_tokens: Maximum number of tokens in the response.
+        expected_tokens: The caller's estimate of the tokens in the response; often far
+            off.
     """
 
-    prompt: int = 0
-    most: int = 0
-    expected: int = 0
+    prompt_tokens: int = 0
+    max_tokens: int = 0
+    expected_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerRequest:
-    """A caller's whole request.
+    """A complete request of a caller.
 
     Attributes:
-        request_id: The caller's own id of this attempt.
-        host: Host that it named.
+        request_id: The caller's id of this attempt.
+        host: Value of the Host header.
         method: HTTP method.
         path: Path with query, as it was sent.
-        headers: Headers that go on to a backend server unchanged.
-        body: Its body.
-        key: Key of its organisation; empty for none.
-        arrived_at: Local instant at which its head was read, in seconds.
-        deadline_s: Time that the caller waits, in seconds; None if not told.
-        generation: Sizes, where it asks for a generation.
-        last_event_id: Event that the caller has already; None for none.
+        headers: Headers to forward to a backend server unchanged.
+        body: Request body.
+        key: API key of the organisation; empty for none.
+        arrived_at: Monotonic time at which the head was read, in seconds.
+        deadline_s: Time that the caller waits, in seconds; None if not given.
+        generation: Token counts, if the request is a generation.
+        last_event_id: Last event that the caller received; None for none.
     """
 
     request_id: str
@@ -124,24 +127,26 @@
     key: str
     arrived_at: float
     deadline_s: float | None = None
-    generation: Generation = Generation()
+    generation: GenerationSize = GenerationSize()
     last_event_id: int | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BackendCall:
-    """One send of a request to a backend server.
+    """One attempt to send a request to a backend server.
 
     Attributes:
         req: The caller's request.
-        address: Where it goes, ``ip:port``.
-        backend_id: Incarnation that must be there.
+        address: ``ip:port`` of the backend server.
+        backend_id: Id of the incarnation expected at the address.
         organisation: Name of the caller's organisation; empty for none.
-        priority: Rank at the backend server, 0 first; None for its usual one.
+        priority: Priority at the backend server, 0 being the highest; None for the
+            default of the backend server.
         left_s: Time that the caller still waits, in seconds.
-        path: Engines that run the layers; empty where one holds all.
+        path: Engines that run the layers; empty if a single engine holds all.
         addresses: Address of each engine on the path.
-        after_event: Event after which the answer shall begin; None for the start.
+        after_event: Event after which the response resumes; None to start at the
+            beginning.
     """
 
     req: CallerRequest
@@ -156,13 +161,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
-    """Status and headers of an answer, as the caller shall get them.
+class ResponseHead:
+    """Status and headers of a response, as they are sent to the caller.
 
     Attributes:
         status: HTTP status.
         headers: Names and values.
-        notice: What the backend server says of itself in it.
+        notice: Status of the backend server, which the caller does not see.
     """
 
     status: int
@@ -171,20 +176,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """A complete answer of a backend server."""
+class FullResponse:
+    """A complete response with its body."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One complete event of a stream.
+    """One complete server-sent event.
 
     Attributes:
-        event_id: Its number; None where it has none.
-        data: Its bytes, the empty line after it included.
+        event_id: Numeric id; None if the event has none.
+        data: Bytes of the event, including the empty line that ends it.
     """
 
     event_id: int | None
@@ -192,53 +197,59 @@
 
 
 class BackendStream(Protocol):
-    """An answer that comes in events."""
+    """A response that arrives as a stream of events."""
 
-    head: AnswerHead
+    head: ResponseHead
 
     def events(self) -> AsyncIterator[StreamEvent]:
-        """Yield the events; ends after the last one.
+        """Yield the events of the stream.
 
         Raises:
-            ExchangeError: The stream broke off.
+            ExchangeError: If the stream ends before it is complete.
         """
 
-    async def rest(self) -> bytes:
-        """Return the whole body of an answer that is no stream."""
+    async def read_body(self) -> bytes:
+        """Return the complete body of a response that is not an event stream."""
 
 
 class Exchange(Protocol):
     """Sends requests to backend servers."""
 
-    async def call(self, call: BackendCall) -> WholeAnswer:
-        """Return the whole answer.
+    async def call(self, call: BackendCall) -> FullResponse:
+        """Send a request and return the complete response.
 
         Raises:
-            ExchangeError: There is none; its fate tells whether the work may have run.
+            ExchangeError: If the call fails; its outcome tells whether the work may
+                have run.
         """
 
     def open(self, call: BackendCall) -> AbstractAsyncContextManager[BackendStream]:
-        """Open a stream; leaving the context early cancels the work.
+        """Send a request and return its response as a stream.
+
+        Leaving the context before the end of the response cancels the work.
 
         Raises:
             ExchangeError: As :meth:`call`.
         """
 
 
-class AnswerSink(Protocol):
-    """Where the answer to one caller goes."""
+class ResponseSink(Protocol):
+    """Destination of the response to one caller."""
 
-    async def send(self, answer: WholeAnswer) -> None:
-        """Send a whole answer."""
+    async def send(self, response: FullResponse) -> None:
+        """Send a complete response."""
 
-    async def begin(self, head: AnswerHead) -> None:
-        """Begin a stream."""
+    async def begin(self, head: ResponseHead) -> None:
+        """Send the head of a streamed response."""
 
     async def write(self, data: bytes) -> None:
-        """Send part of a stream."""
+        """Send a part of the body of a streamed response."""
 
     async def end(self) -> None:
-        """End a stream as complete."""
+        """Finish a streamed response normally."""
+
+    def abort(self) -> None:
+        """Close the connection without the end of the body.
 
-    def cut(self) -> None:
-        """Close the connection, so that the answer does not look complete."""
+        The caller can thus tell that the response is incomplete.
+        """
--- a/wigeonscale/ports/probe.py
+++ b/wigeonscale/ports/probe.py
@@ -1,34 +1,34 @@
-"""The port to a process that is asked whether it is there."""
+"""Port for checking whether another process is alive."""
 
-__all__ = ["EngineSign", "Probe", "ProbeAnswer", "Reach"]
+__all__ = ["EngineProbeResult", "Probe", "ProbeResult", "ReachabilityCheck"]
 
 import enum
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
 
-class ProbeAnswer(enum.Enum):
-    """What came of asking a process."""
+class ProbeResult(enum.Enum):
+    """Result of probing a process."""
 
     ANSWERED = "answered"
-    REFUSED = "refused"  # its VM is up, and nothing listens at its address
-    REPLACED = "replaced"  # a later start listens there
-    NOTHING = "nothing"
+    REFUSED = "refused"  # the VM is up, but nothing listens at the address
+    REPLACED = "replaced"  # a later incarnation listens there
+    NO_ANSWER = "nothing"
 
 
 @dataclass(frozen=True, slots=True)
-class EngineSign:
-    """What came of asking an engine.
+class EngineProbeResult:
+    """Result of probing an engine.
 
     Attributes:
-        answer: Whether it is there.
-        pace: Factor on its usual times; over 1 it is slow.
+        result: Whether it responds.
+        pace: Its current step times relative to the usual ones; above 1 it is slow.
     """
 
-    answer: ProbeAnswer
+    result: ProbeResult
     pace: float = 1.0
 
 
-Probe = Callable[[str], Awaitable[ProbeAnswer]]
-# Whether anything answers at an address within a time in seconds.
-Reach = Callable[[str, float], Awaitable[ProbeAnswer]]
+Probe = Callable[[str], Awaitable[ProbeResult]]
+# Checks whether anything responds at an address within a timeout in seconds.
+ReachabilityCheck = Callable[[str, float], Awaitable[ProbeResult]]
