--- a/bench/pipeline.py
+++ b/bench/pipeline.py
@@ -137,8 +137,8 @@
         else:
             proxy.mute_all()
 
-    lost.engine.break_at = POSITION
-    lost.engine.on_break = lose
+    lost.engine.fault_position = POSITION
+    lost.engine.on_fault = lose
     dispatch_id = await client.generate(chain, b"a", 2 * POSITION)
     await client.wait(lambda: len(client.texts(dispatch_id)) > POSITION)
     seconds = time.monotonic() - lost_at
--- a/bench/prefill.py
+++ b/bench/prefill.py
@@ -95,7 +95,7 @@
         super().__init__(node)
         self.times: dict[str, list[float]] = {}
 
-    def note(self, item) -> None:
+    def on_item(self, item) -> None:
         if item.WhichOneof("body") == "tokens":
             self.times.setdefault(item.dispatch_id, []).append(time.monotonic())
 
--- a/bench/relay_roles.py
+++ b/bench/relay_roles.py
@@ -177,7 +177,7 @@
         for _ in range(load.ticks):
             await asyncio.sleep(load.interval_s)
             await resp.write(encoder.tokens([TOKEN_TEXT] * load.burst))
-        await resp.write(encoder.last("stop"))
+        await resp.write(encoder.final_event("stop"))
         return resp
 
     return await _serve_http(stream)
--- a/wigeonscale/agent/__init__.py
+++ b/wigeonscale/agent/__init__.py
@@ -1,7 +1,7 @@
 """The agent beside each backend server: admits work and guards orders."""
 
-__all__ = ["Agent", "BackendState", "OrderGate"]
+__all__ = ["Agent", "BackendState", "OrderExecutor"]
 
 from wigeonscale.agent.agent import Agent
 from wigeonscale.agent.backend import BackendState
-from wigeonscale.agent.orders import OrderGate
+from wigeonscale.agent.orders import OrderExecutor
--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -144,7 +144,7 @@
             if self.prefixes is not None:
                 group.create_task(self.prefixes.watch())
 
-    async def leave(self) -> None:
+    async def stop_accepting(self) -> None:
         """Refuse new work, and give what is on its way the time to hear so."""
         self.state.set_stopping()
         await self._clock.sleep(STOPPING_GRACE_S)
--- a/wigeonscale/agent/backend.py
+++ b/wigeonscale/agent/backend.py
@@ -79,7 +79,7 @@
         """Return whether new work may name this incarnation."""
         return incarnation == self.incarnation
 
-    def renew(self, ended: int) -> None:
+    def renew_incarnation(self, ended: int) -> None:
         """Take a new incarnation after control declared one ended."""
         if ended == self.incarnation:
             self._incarnations.append(new_incarnation())
--- a/wigeonscale/agent/orders.py
+++ b/wigeonscale/agent/orders.py
@@ -1,6 +1,6 @@
 """Carries out control's orders and refuses those of an overtaken control VM."""
 
-__all__ = ["OrderGate"]
+__all__ = ["OrderExecutor"]
 
 import asyncio
 import logging
@@ -15,7 +15,7 @@
 logger = logging.getLogger(__name__)
 
 
-class OrderGate:
+class OrderExecutor:
     """Guards every order to the engine by its fencing number.
 
     The guard stands here because some engines ignore the number. After a restart
@@ -44,7 +44,7 @@
         self._floor: tuple[int, int] | None = None
         self._one_at_a_time = asyncio.Lock()
 
-    async def carry_out(self, order: wire.Order) -> wire.OrderResult:
+    async def execute(self, order: wire.Order) -> wire.OrderResult:
         """Carry out an order, or say why not."""
         async with self._one_at_a_time:
             try:
--- a/wigeonscale/agent/tests/support.py
+++ b/wigeonscale/agent/tests/support.py
@@ -1,7 +1,7 @@
 """A few agents in one process on loopback, with fake engines and a fake control."""
 
 __all__ = [
-    "BreakingEngine",
+    "FaultInjectingEngine",
     "EntryClient",
     "FakeControl",
     "Node",
@@ -20,7 +20,7 @@
 from reactivex.subject import Subject
 
 from wigeonscale.adapters.channels import new_server, open_channel
-from wigeonscale.agent import Agent, BackendState, OrderGate
+from wigeonscale.agent import Agent, BackendState, OrderExecutor
 from wigeonscale.config import AgentSettings
 from wigeonscale.ports import EngineInfo, SystemClock
 from wigeonscale.testing import rpcs_ended
@@ -38,27 +38,27 @@
             await asyncio.sleep(0.002)
 
 
-class BreakingEngine(FakeEngine):
+class FaultInjectingEngine(FakeEngine):
     """Calls back when it comes to a position, before or after running it."""
 
     def __init__(self, **kwargs):
         super().__init__(**kwargs)
-        self.break_at = None
-        self.break_after = False
-        self.on_break = None
+        self.fault_position = None
+        self.fault_after_run = False
+        self.on_fault = None
 
     async def run(self, steps):
-        due = any(s.position == self.break_at for s in steps)
-        if due and not self.break_after:
+        due = any(s.position == self.fault_position for s in steps)
+        if due and not self.fault_after_run:
             await self._break()
         results = await super().run(steps)
-        if due and self.break_after:
+        if due and self.fault_after_run:
             await self._break()
         return results
 
     async def _break(self):
-        self.break_at = None
-        await self.on_break()
+        self.fault_position = None
+        await self.on_fault()
 
 
 class ReachableService:
@@ -142,7 +142,9 @@
             service=service,
             **links,
         )
-        self.orders = OrderGate(state=self.state, engine=engine, floor=control.floor)
+        self.orders = OrderExecutor(
+            state=self.state, engine=engine, floor=control.floor
+        )
         self.state.on_changed = self.agent.announcement_changed
         self._tasks = []
 
@@ -233,7 +235,7 @@
         await self.wait(lambda: last & set(self.kinds(dispatch_id)[-1:]))
         return self.items(dispatch_id)[-1]
 
-    def note(self, item):
+    def on_item(self, item):
         """Take notice of an item; for more than its being kept."""
 
     async def close(self):
@@ -247,7 +249,7 @@
             async with self._news:
                 self.events.append(event)
                 for item in event.items:
-                    self.note(item)
+                    self.on_item(item)
                     self._items.setdefault(item.dispatch_id, []).append(item)
                 self._news.notify_all()
 
@@ -269,7 +271,7 @@
     nodes = []
     for number in range(stages + spares):
         stage = number if number < stages else settings.get("spare_stage", 1)
-        engine = BreakingEngine(
+        engine = FaultInjectingEngine(
             name=f"a{number}",
             info=EngineInfo(
                 model="m",
--- a/wigeonscale/agent/tests/test_agent.py
+++ b/wigeonscale/agent/tests/test_agent.py
@@ -67,7 +67,7 @@
         clock = ManualClock()
         _, node = await start_service(self, EchoService(), clock=clock)
         client = await connect(self, node)
-        leave = asyncio.create_task(node.agent.leave())
+        leave = asyncio.create_task(node.agent.stop_accepting())
         await clock.advance(STOPPING_GRACE_S / 2)
         await client.open("d1@s0", call=wire.Call(path="/"), once=True, claim_key="k")
         refused = (await client.end("d1@s0")).refused
--- a/wigeonscale/agent/tests/test_backend.py
+++ b/wigeonscale/agent/tests/test_backend.py
@@ -65,8 +65,8 @@
             n1.engine.failing = True
             await asyncio.Event().wait()
 
-        n1.engine.break_at = 3
-        n1.engine.on_break = hang
+        n1.engine.fault_position = 3
+        n1.engine.on_fault = hang
         dispatch_id = await client.generate(chain, b"page one", 8)
         await until(lambda: n1.state.gone)
         control.set_chain(make_chain([n0, spare, n2], epoch=2))
--- a/wigeonscale/agent/tests/test_dispatch.py
+++ b/wigeonscale/agent/tests/test_dispatch.py
@@ -26,8 +26,8 @@
 
     def hold_engine(self):
         gate = asyncio.Event()
-        self.engine.break_at = 0
-        self.engine.on_break = gate.wait
+        self.engine.fault_position = 0
+        self.engine.on_fault = gate.wait
         return gate
 
     async def refusal(self, dispatch_id):
--- a/wigeonscale/agent/tests/test_faults.py
+++ b/wigeonscale/agent/tests/test_faults.py
@@ -82,9 +82,9 @@
         chain = self.nodes[:3]
         chain[self.lost] = self.nodes[3]
         self.repair_with(chain)
-        lost.engine.break_at = self.position
-        lost.engine.break_after = self.after
-        lost.engine.on_break = lost.kill
+        lost.engine.fault_position = self.position
+        lost.engine.fault_after_run = self.after
+        lost.engine.on_fault = lost.kill
         await self.check_whole(await self.send())
         self.assertIn(lost.name, self.control.suspected)
 
@@ -95,8 +95,8 @@
         n0, n1, n2, spare = self.nodes
         self.repair_with([n0, spare, n2])
         prompt = " ".join(f"w{n}" for n in range(4 * PREFILL_FIRST)).encode()
-        n1.engine.break_at = PREFILL_FIRST
-        n1.engine.on_break = n1.kill
+        n1.engine.fault_position = PREFILL_FIRST
+        n1.engine.on_fault = n1.kill
         ids = [await self.client.generate(self.chain, b"page", TOKENS)]
         ids.append(await self.client.generate(self.chain, prompt, TOKENS))
         for dispatch_id, text in zip(ids, (b"page", prompt), strict=True):
@@ -116,8 +116,8 @@
         n0, n1, n2, s1, s2 = self.nodes
         self.repair_with([n0, s1, n2], [n0, s2, n2])
         for node, position in ((n1, PIECES + 2), (s1, 0)):
-            node.engine.break_at = position
-            node.engine.on_break = node.kill
+            node.engine.fault_position = position
+            node.engine.on_fault = node.kill
         await self.check_whole(await self.send())
         self.assertIn("a3", self.control.suspected)
 
@@ -133,8 +133,8 @@
                 lost.append(node.name)
                 await node.kill()
 
-            node.engine.break_at = 0
-            node.engine.on_break = crash
+            node.engine.fault_position = 0
+            node.engine.on_fault = crash
 
         for node in (n1, *spares):
             crash_under(node)
@@ -148,8 +148,8 @@
     async def test_no_spare_ends_with_an_honest_error(self):
         await self.start(repair_timeout_s=0.3)
         lost = self.nodes[1]
-        lost.engine.break_at = PIECES + 2
-        lost.engine.on_break = lost.kill
+        lost.engine.fault_position = PIECES + 2
+        lost.engine.on_fault = lost.kill
         for dispatch_id in await self.send(2):
             refused = (await self.client.end(dispatch_id)).refused
             self.assertEqual(ErrorKind.BACKEND_FAILED, refused.kind)
@@ -163,8 +163,8 @@
         async def die():
             n0.engine.failing = True
 
-        n0.engine.break_at = PIECES + 2
-        n0.engine.on_break = die
+        n0.engine.fault_position = PIECES + 2
+        n0.engine.on_fault = die
         ids = await self.send()
         await until(lambda: n0.state.gone)
         self.assertTrue(n0.state.announcement().draining)
@@ -177,8 +177,8 @@
         async def fail():
             raise WigeonscaleError(ErrorKind.BACKEND_FAILED, "planted")
 
-        self.nodes[1].engine.break_at = PIECES + 2
-        self.nodes[1].engine.on_break = fail
+        self.nodes[1].engine.fault_position = PIECES + 2
+        self.nodes[1].engine.on_fault = fail
         await self.check_whole(await self.send())
 
     async def test_planned_change_of_a_stage(self):
@@ -188,8 +188,8 @@
         async def change():
             self.control.set_chain(make_chain([n0, spare, n2], epoch=2))
 
-        n1.engine.break_at = PIECES + 2
-        n1.engine.on_break = change
+        n1.engine.fault_position = PIECES + 2
+        n1.engine.on_fault = change
         await self.check_whole(await self.send())
         await until(lambda: not n1.agent.stage.active)
         self.assertEqual([], self.control.suspected)
@@ -211,8 +211,8 @@
         async def mute():
             self.nodes[1].proxy.mute_open(self.direction)
 
-        self.nodes[1].engine.break_at = PIECES + 2
-        self.nodes[1].engine.on_break = mute
+        self.nodes[1].engine.fault_position = PIECES + 2
+        self.nodes[1].engine.on_fault = mute
         await self.check_whole(await self.send())
         self.assertGreaterEqual(self.nodes[1].proxy.accepted, 2)
 
@@ -229,8 +229,8 @@
         async def mute():
             proxy.mute_all()
 
-        n1.engine.break_at = PIECES + 2
-        n1.engine.on_break = mute
+        n1.engine.fault_position = PIECES + 2
+        n1.engine.on_fault = mute
         await self.check_whole(await self.send())
         self.assertIn("a1", self.control.suspected)
 
@@ -239,10 +239,10 @@
     async def test_work_in_progress_ends_and_new_work_is_refused(self):
         await self.start()
         gate = asyncio.Event()
-        self.nodes[2].engine.break_at = PIECES + 2
-        self.nodes[2].engine.on_break = gate.wait
+        self.nodes[2].engine.fault_position = PIECES + 2
+        self.nodes[2].engine.on_fault = gate.wait
         ids = await self.send()
-        await until(lambda: self.nodes[2].engine.break_at is None)
+        await until(lambda: self.nodes[2].engine.fault_position is None)
         drains = [asyncio.create_task(node.agent.drain()) for node in self.nodes]
         await asyncio.sleep(0)
         late = await self.client.generate(self.chain, b"late", 3, dispatch_id="late")
@@ -258,10 +258,10 @@
 
     async def test_cut_at_the_bound_is_told(self):
         await self.start(slots=1)
-        self.nodes[2].engine.break_at = 0
-        self.nodes[2].engine.on_break = asyncio.Event().wait
+        self.nodes[2].engine.fault_position = 0
+        self.nodes[2].engine.on_fault = asyncio.Event().wait
         running, queued = await self.send(2)
-        await until(lambda: self.nodes[2].engine.break_at is None)
+        await until(lambda: self.nodes[2].engine.fault_position is None)
         await self.nodes[0].agent.cut()
         states = [
             (await self.client.end(i)).refused.run_state for i in (running, queued)
--- a/wigeonscale/agent/tests/test_orders.py
+++ b/wigeonscale/agent/tests/test_orders.py
@@ -1,6 +1,6 @@
 import dataclasses
 
-from wigeonscale.agent import BackendState, OrderGate
+from wigeonscale.agent import BackendState, OrderExecutor
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.pipelines.constants import LEAVING_GRACE_S
 from wigeonscale.ports import EngineInfo
@@ -34,21 +34,21 @@
         await self.state.probe()
 
     def new_gate(self):
-        return OrderGate(state=self.state, engine=self.engine, floor=self.ask_floor)
+        return OrderExecutor(state=self.state, engine=self.engine, floor=self.ask_floor)
 
     async def ask_floor(self):
         if self.floor is None:
             raise WigeonscaleError(ErrorKind.NO_QUORUM, "no majority")
         return self.floor
 
-    async def carry_out(self, order, gate=None):
-        result = await (gate or self.orders).carry_out(order)
+    async def execute(self, order, gate=None):
+        result = await (gate or self.orders).execute(order)
         return result.done, result.kind
 
 
 class OrderTest(BackendCase):
     async def test_load_is_carried_out_and_announced(self):
-        self.assertEqual((True, ""), await self.carry_out(load_order(3, 10)))
+        self.assertEqual((True, ""), await self.execute(load_order(3, 10)))
         self.assertEqual([(3, 10, "load")], self.engine.orders)
         last = self.changes[-1]
         self.assertEqual((0, 3), (last.first_layer, last.last_layer))
@@ -56,7 +56,7 @@
         self.assertTrue(any(change.loading for change in self.changes))
 
     async def test_nothing_counts_as_loaded_while_an_order_runs(self):
-        await self.carry_out(load_order(3, 10))
+        await self.execute(load_order(3, 10))
         self.assertEqual(3, self.state.loaded().last_layer)
         seen = []
         order = self.engine.order
@@ -66,46 +66,46 @@
             seen.append(self.state.loaded())
 
         self.engine.order = watched_order
-        await self.carry_out(load_order(3, 11, first=4, last=7))
+        await self.execute(load_order(3, 11, first=4, last=7))
         self.assertEqual([None], seen)
         self.assertEqual(7, self.state.loaded().last_layer)
 
     async def test_what_is_held_is_not_loaded_again(self):
-        await self.carry_out(load_order(3, 10))
-        self.assertEqual((True, ""), await self.carry_out(load_order(3, 11)))
+        await self.execute(load_order(3, 10))
+        self.assertEqual((True, ""), await self.execute(load_order(3, 11)))
         self.assertEqual(1, len(self.engine.orders))
-        await self.carry_out(load_order(3, 12, version="v2"))
+        await self.execute(load_order(3, 12, version="v2"))
         self.assertEqual(2, len(self.engine.orders))
 
     async def test_older_number_is_refused(self):
-        await self.carry_out(load_order(4, 20))
+        await self.execute(load_order(4, 20))
         for number in ((4, 19), (3, 99)):
             self.assertEqual(
                 (False, ErrorKind.STALE_TERM),
-                await self.carry_out(load_order(*number, last=1)),
+                await self.execute(load_order(*number, last=1)),
             )
         self.assertEqual([(4, 20, "load")], self.engine.orders)
 
     async def test_overtaken_control_is_refused_after_a_restart(self):
         # A new gate remembers nothing; the majority does.
         self.floor = (4, 20)
-        stale = await self.carry_out(load_order(3, 99), self.new_gate())
+        stale = await self.execute(load_order(3, 99), self.new_gate())
         self.assertEqual((False, ErrorKind.STALE_TERM), stale)
         self.assertEqual([], self.engine.orders)
 
     async def test_nothing_is_obeyed_without_a_majority(self):
         self.floor = None
-        refused = await self.carry_out(load_order(3, 99))
+        refused = await self.execute(load_order(3, 99))
         self.assertEqual((False, ErrorKind.NO_QUORUM), refused)
         self.assertEqual([], self.engine.orders)
         self.floor = (3, 10)
-        self.assertEqual((True, ""), await self.carry_out(load_order(3, 99)))
+        self.assertEqual((True, ""), await self.execute(load_order(3, 99)))
 
     async def test_drain_and_back(self):
         for number, draining in ((10, True), (11, False)):
             order = wire.Order(order_id="d", term=3, sequence=number, drain=draining)
             told = len(self.changes)
-            self.assertEqual((True, ""), await self.carry_out(order))
+            self.assertEqual((True, ""), await self.execute(order))
             self.assertEqual(draining, self.state.leaving)
             # Entries are told by the load word.
             self.assertEqual(told + 1, len(self.changes))
@@ -121,7 +121,7 @@
         self.assertTrue(self.state.leaving)
 
     async def test_dead_engine_is_announced_without_layers(self):
-        await self.carry_out(load_order(3, 10))
+        await self.execute(load_order(3, 10))
         self.engine.failing = True
         await self.state.probe()
         self.assertFalse(self.state.gone)
@@ -141,9 +141,9 @@
 
     async def test_ended_incarnation_is_replaced_once(self):
         old = self.state.incarnation
-        self.state.renew(old)
+        self.state.renew_incarnation(old)
         new = self.state.incarnation
-        self.state.renew(old)
+        self.state.renew_incarnation(old)
         self.assertNotEqual(old, new)
         self.assertEqual([old, new], self.state.incarnations())
         self.assertEqual(new, self.changes[-1].incarnation)
--- a/wigeonscale/daemons/agent.py
+++ b/wigeonscale/daemons/agent.py
@@ -11,7 +11,7 @@
 from wigeonscale.adapters.health import start_http
 from wigeonscale.adapters.logs import setup_logging
 from wigeonscale.adapters.service_http import HttpService, single_attempt_session
-from wigeonscale.agent import Agent, BackendState, OrderGate
+from wigeonscale.agent import Agent, BackendState, OrderExecutor
 from wigeonscale.config import AgentSettings
 from wigeonscale.daemons.runtime import StopStep, run_until_stopped
 from wigeonscale.membership import ControlClient
@@ -50,7 +50,7 @@
         clock=clock,
         probe_s=cfg.heartbeat_s,
     )
-    orders = OrderGate(state=state, engine=engine, floor=lambda: control.floor())
+    orders = OrderExecutor(state=state, engine=engine, floor=lambda: control.floor())
     control = ControlClient(
         node_id=cfg.name,
         role="agent",
@@ -58,8 +58,8 @@
         clock=clock,
         http_address=cfg.http,
         announce=state.announcement,
-        on_order=orders.carry_out,
-        on_ended=state.renew,
+        on_order=orders.execute,
+        on_ended=state.renew_incarnation,
         lease_s=cfg.lease_s,
         heartbeat_s=cfg.heartbeat_s,
         tls=cfg.tls,
@@ -88,7 +88,7 @@
                 "agent": agent.run(),
             },
             stop_steps=[
-                StopStep("leave", agent.leave),
+                StopStep("leave", agent.stop_accepting),
                 StopStep("drain", agent.drain, agent.cut),
             ],
             stop_timeout_s=cfg.stop_timeout_s,
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -20,11 +20,11 @@
     Target,
 )
 from wigeonscale.entry import (
+    BackendInstances,
     CallerServer,
     EntryLimits,
     EntryService,
-    MemberPlaces,
-    ServerNames,
+    MemberSelector,
 )
 from wigeonscale.limits import OrganisationLimits
 from wigeonscale.membership import Change, ControlClient
@@ -49,7 +49,7 @@
     """
     setup_logging(cfg.log_level, cfg.name)
     clock = SystemClock()
-    names = ServerNames(members=lambda: control.members)
+    names = BackendInstances(members=lambda: control.members)
     crashes = new_crash_book(names, clock=clock)
     control = ControlClient(
         node_id=cfg.name,
@@ -64,7 +64,9 @@
     )
     entry = build_entry(cfg, control=control, clock=clock, crashes=crashes)
     control.changes.subscribe(
-        lambda change: entry.leave_lost_chains() if change is Change.MEMBERS else None
+        lambda change: (
+            entry.reroute_removed_chains() if change is Change.MEMBERS else None
+        )
     )
     server = CallerServer(entry=entry, address=cfg.listen)
     pages = await start_http(cfg.http, burn_routes(entry.recorder), entry.is_ready)
@@ -108,10 +110,12 @@
     table = LoadTable(clock=clock)
     view = PrefixView()
     chooser = Chooser(table=table, rng=random.Random(), subset=cfg.subset, view=view)
-    places = MemberPlaces(members=lambda: control.members, chooser=chooser, clock=clock)
+    selector = MemberSelector(
+        members=lambda: control.members, chooser=chooser, clock=clock
+    )
 
     def on_gone(target: Target) -> None:
-        places.avoid_gone(target)
+        selector.avoid_temporarily(target)
         control.suspect(target.agent_id, target.incarnation)
 
     links = AgentLinks(
@@ -124,15 +128,17 @@
         dial=functools.partial(open_channel, tls=cfg.tls),
     )
     transport = DispatchTransport(links=links, table=table)
-    claims = Claims(control=control, transport=transport, selector=places, clock=clock)
-    names = ServerNames(members=lambda: control.members)
+    claims = Claims(
+        control=control, transport=transport, selector=selector, clock=clock
+    )
+    names = BackendInstances(members=lambda: control.members)
     dispatcher = Dispatcher(
         transport=transport,
-        selector=places,
+        selector=selector,
         claims=claims,
         budget=RetryBudget(clock=clock, ratio=cfg.retry_ratio),
         crashes=CrashGuard(
-            book=crashes or new_crash_book(names, clock=clock), servers=names.of
+            book=crashes or new_crash_book(names, clock=clock), servers=names.ids_of
         ),
         clock=clock,
         open_timeout_s=cfg.open_timeout_s,
@@ -142,7 +148,7 @@
         dispatcher=dispatcher,
         links=links,
         claims=claims,
-        places=places,
+        selector=selector,
         organisation_limits=OrganisationLimits(
             clock=clock, entries=lambda: control.entries
         ),
@@ -156,7 +162,7 @@
     )
 
 
-def new_crash_book(names: ServerNames, *, clock: Clock) -> CrashTracker:
+def new_crash_book(names: BackendInstances, *, clock: Clock) -> CrashTracker:
     """Return a book of crashes of the servers behind agents.
 
     Args:
--- a/wigeonscale/entry/__init__.py
+++ b/wigeonscale/entry/__init__.py
@@ -1,8 +1,14 @@
 """The entry: callers' HTTP, rules, limits and answers."""
 
-__all__ = ["CallerServer", "EntryLimits", "EntryService", "MemberPlaces", "ServerNames"]
+__all__ = [
+    "BackendInstances",
+    "CallerServer",
+    "EntryLimits",
+    "EntryService",
+    "MemberSelector",
+]
 
 from wigeonscale.entry.app import CallerServer
-from wigeonscale.entry.places import MemberPlaces
-from wigeonscale.entry.server_names import ServerNames
+from wigeonscale.entry.backend_instances import BackendInstances
+from wigeonscale.entry.member_selector import MemberSelector
 from wigeonscale.entry.service import EntryLimits, EntryService
--- a/wigeonscale/entry/server_names.py
+++ b/wigeonscale/entry/backend_instances.py
@@ -1,6 +1,6 @@
 """Names of the lives of backend servers that stand behind agents."""
 
-__all__ = ["ServerNames"]
+__all__ = ["BackendInstances"]
 
 from collections.abc import Callable, Iterable
 
@@ -10,7 +10,7 @@
 SEPARATOR = "/"
 
 
-class ServerNames:
+class BackendInstances:
     """Tells one life of a backend server from the next.
 
     An agent outlives its server, and says how often it found it gone; so the server of
@@ -23,7 +23,7 @@
     def __init__(self, *, members: Callable[[], MembersView]):
         self._members = members
 
-    def of(self, agent_ids: Iterable[str]) -> tuple[str, ...]:
+    def ids_of(self, agent_ids: Iterable[str]) -> tuple[str, ...]:
         """Return the names of the servers beside some agents, as of now.
 
         Args:
--- a/wigeonscale/entry/places.py
+++ b/wigeonscale/entry/member_selector.py
@@ -1,6 +1,6 @@
 """Where work can go: the members as candidates of the choice."""
 
-__all__ = ["MemberPlaces"]
+__all__ = ["MemberSelector"]
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -27,10 +27,10 @@
 
     index: int
     candidates: tuple[Candidate, ...]
-    places: dict[str, Selection]
+    selections: dict[str, Selection]
 
 
-class MemberPlaces:
+class MemberSelector:
     """Chooses among the members that are ready for a piece of work.
 
     Args:
@@ -74,7 +74,7 @@
             organisation=work.organisation,
             avoid=avoid | self._avoided(),
         )
-        return choices.places[choice.agent_id] if choice is not None else None
+        return choices.selections[choice.agent_id] if choice is not None else None
 
     def is_current(self, agent_id: str, incarnation: int) -> bool:
         """Return whether this incarnation of the agent is a member."""
@@ -86,7 +86,7 @@
         backend = self._members().backends.get(agent_id)
         return None if backend is None else _target(backend)
 
-    def avoid_gone(self, target: Target) -> None:
+    def avoid_temporarily(self, target: Target) -> None:
         """Use an agent no more until control has decided about it."""
         until = self._clock.now() + AVOID_GONE_S
         self._gone[target.agent_id, target.incarnation] = until
@@ -131,8 +131,8 @@
         if known is not None and known.candidates == candidates:
             # The chooser keeps its subset for the same tuple object.
             candidates = known.candidates
-        places = {candidate.agent_id: place for candidate, place in pairs}
-        choices = _Choices(members.index, candidates, places)
+        selections = {candidate.agent_id: place for candidate, place in pairs}
+        choices = _Choices(members.index, candidates, selections)
         self._known[pipeline, service] = choices
         return choices
 
--- a/wigeonscale/entry/service.py
+++ b/wigeonscale/entry/service.py
@@ -15,7 +15,7 @@
     Work,
 )
 from wigeonscale.dispatch.failures import EntryStoppingError
-from wigeonscale.entry.places import MemberPlaces
+from wigeonscale.entry.member_selector import MemberSelector
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.limits import OrganisationLimits
 from wigeonscale.membership import ControlClient
@@ -71,7 +71,7 @@
         dispatcher: Dispatcher,
         links: AgentLinks,
         claims: Claims,
-        places: MemberPlaces,
+        selector: MemberSelector,
         organisation_limits: OrganisationLimits,
         clock: Clock,
         recorder: BurnRecorder,
@@ -79,7 +79,7 @@
     ):
         self.control = control
         self.dispatcher = dispatcher
-        self.places = places
+        self.selector = selector
         self.organisation_limits = organisation_limits
         self.clock = clock
         self.recorder = recorder
@@ -139,7 +139,7 @@
         for stream in self._links.streams():
             stream.fail(EntryStoppingError(stream.dispatch_id))
 
-    def leave_lost_chains(self) -> None:
+    def reroute_removed_chains(self) -> None:
         """Move generations off chains that were given up, where others stand."""
         chains = self.control.members.chains
         for stream in self._links.streams():
@@ -156,7 +156,7 @@
         pipeline = stream.opening.generate.chain.pipeline
         work = Work(organisation=stream.organisation, pipeline=pipeline)
         # Its own head may head the new chain, which has another id.
-        return self.places.choose(work, frozenset()) is not None
+        return self.selector.choose(work, frozenset()) is not None
 
     # ------------------------------------------------- callers that have vanished
 
--- a/wigeonscale/entry/sse.py
+++ b/wigeonscale/entry/sse.py
@@ -53,9 +53,9 @@
         self._created = created
         self._next_index = next_index
         self.request_id = ""
-        self.rename(request_id)
+        self.set_request_id(request_id)
 
-    def rename(self, request_id: str) -> None:
+    def set_request_id(self, request_id: str) -> None:
         """Use another request id from now on, after work went on elsewhere."""
         if request_id == self.request_id:
             return
@@ -78,7 +78,7 @@
         ]
         return "".join(events).encode("ascii")
 
-    def last(self, finish_reason: str) -> bytes:
+    def final_event(self, finish_reason: str) -> bytes:
         """Return the explicit last event, which tells the count of tokens."""
         chunk = self._chunk(_choice(self._shape, "", finish_reason))
         chunk["usage"] = {"completion_tokens": self._next_index}
--- a/wigeonscale/entry/streams.py
+++ b/wigeonscale/entry/streams.py
@@ -135,11 +135,11 @@
     )
     try:
         while texts := await answer.read():
-            encoder.rename(answer.request_id)
+            encoder.set_request_id(answer.request_id)
             await events.write(texts)
             # Until the caller is slow, tokens go on without this task.
             answer.stream.forward_to(events.write_now)
-        last = encoder.last(answer.stream.done.finish_reason)
+        last = encoder.final_event(answer.stream.done.finish_reason)
     except WigeonscaleError as exc:
         log.kind = exc.kind
         last = encoder.error(exc)
--- a/wigeonscale/entry/takeup.py
+++ b/wigeonscale/entry/takeup.py
@@ -24,7 +24,7 @@
     request_id = req.match_info["id"]
     from_token = _from_token(req)
     form = AnswerForm(stream=True, shape=_shape(req))
-    target = entry.places.target(request_id.rpartition("@")[2])
+    target = entry.selector.target(request_id.rpartition("@")[2])
     if target is None:
         raise WigeonscaleError(
             ErrorKind.ANSWER_EXPIRED,
--- a/wigeonscale/entry/tests/test_server_names.py
+++ b/wigeonscale/entry/tests/test_backend_instances.py
@@ -1,4 +1,4 @@
-from wigeonscale.entry import ServerNames
+from wigeonscale.entry import BackendInstances
 from wigeonscale.membership import MembersView
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.wire import wire_pb2 as wire
@@ -8,9 +8,9 @@
     def setUp(self):
         super().setUp()
         self.members = MembersView()
-        self.names = ServerNames(members=lambda: self.members)
+        self.names = BackendInstances(members=lambda: self.members)
         self.show()
-        (self.name,) = self.names.of(["a/1", "unknown"])
+        (self.name,) = self.names.ids_of(["a/1", "unknown"])
 
     def show(self, **fields):
         backend = wire.Backend(agent_id="a/1", **{"incarnation": 7, **fields})
@@ -28,7 +28,7 @@
         self.assertEqual((True, True), self.judged())
         self.show(losses=1)
         self.assertEqual((True, True), self.judged())
-        self.assertNotEqual((self.name,), self.names.of(["a/1"]))
+        self.assertNotEqual((self.name,), self.names.ids_of(["a/1"]))
 
     def test_leaving_by_intent(self):
         self.show(draining=True)
--- a/wigeonscale/entry/tests/test_failures.py
+++ b/wigeonscale/entry/tests/test_failures.py
@@ -80,10 +80,10 @@
             index=members.index + 1, removed_chains=["chain-a1"]
         )
         members.apply(given_up)
-        self.entry.leave_lost_chains()
+        self.entry.reroute_removed_chains()
         self.assertNotIn("cancel", self.agent.names())
         await self.start_agent("a2")
-        self.entry.leave_lost_chains()
+        self.entry.reroute_removed_chains()
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
         await self.agent.until(lambda agent: "cancel" in agent.names())
 
@@ -100,7 +100,7 @@
         )
         members.apply(rebuilt)
         self.agent.hold = None
-        self.entry.leave_lost_chains()
+        self.entry.reroute_removed_chains()
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
         self.assertEqual(2, len(self.agent.opened))
 
--- a/wigeonscale/entry/tests/test_places.py
+++ b/wigeonscale/entry/tests/test_member_selector.py
@@ -3,7 +3,7 @@
 import random
 
 from wigeonscale.dispatch import Work
-from wigeonscale.entry.places import MemberPlaces
+from wigeonscale.entry.member_selector import MemberSelector
 from wigeonscale.membership import MembersView
 from wigeonscale.routing import Chooser, LoadTable, PrefixView
 from wigeonscale.testing import AsyncTestCase, ManualClock
@@ -17,7 +17,7 @@
         self.members = MembersView()
         self.table, self.view = LoadTable(clock=clock), PrefixView()
         chooser = Chooser(table=self.table, rng=random.Random(1), view=self.view)
-        self.places = MemberPlaces(
+        self.selector = MemberSelector(
             members=lambda: self.members, chooser=chooser, clock=clock
         )
 
@@ -37,7 +37,7 @@
             backends=backends,
         )
         self.members.apply(update)
-        return self.places.choose(Work(organisation="o", pipeline="p"), frozenset())
+        return self.selector.choose(Work(organisation="o", pipeline="p"), frozenset())
 
     async def test_only_ready_chains_that_stay_get_new_work(self):
         self.assertEqual("a", self.choose()[0].agent_id)
@@ -81,4 +81,4 @@
         index = self.members.index + 1
         update = wire.MembersUpdate(full=True, index=index, backends=[backend])
         self.members.apply(update)
-        self.places.choose(Work(organisation="o", pipeline="p"), frozenset())
+        self.selector.choose(Work(organisation="o", pipeline="p"), frozenset())
--- a/wigeonscale/testing/matrix/nodes.py
+++ b/wigeonscale/testing/matrix/nodes.py
@@ -10,7 +10,7 @@
 
 from wigeonscale.adapters.channels import new_server, open_channel
 from wigeonscale.adapters.service_http import HttpService, single_attempt_session
-from wigeonscale.agent import Agent, BackendState, OrderGate
+from wigeonscale.agent import Agent, BackendState, OrderExecutor
 from wigeonscale.config import AgentSettings, ControlSettings, EntrySettings
 from wigeonscale.daemons.control import ControlDaemon
 from wigeonscale.daemons.entry import build_entry
@@ -117,7 +117,7 @@
         entry = build_entry(cfg, control=control, clock=clock)
         control.changes.subscribe(
             lambda change: (
-                entry.leave_lost_chains() if change is Change.MEMBERS else None
+                entry.reroute_removed_chains() if change is Change.MEMBERS else None
             )
         )
         self.control = control
@@ -181,7 +181,7 @@
             clock=clock,
             probe_s=cfg.heartbeat_s,
         )
-        orders = OrderGate(
+        orders = OrderExecutor(
             state=state, engine=self.engine, floor=lambda: control.floor()
         )
         self.control = control = ControlClient(
@@ -190,8 +190,8 @@
             addresses=cfg.control,
             clock=clock,
             announce=state.announcement,
-            on_order=orders.carry_out,
-            on_ended=state.renew,
+            on_order=orders.execute,
+            on_ended=state.renew_incarnation,
             lease_s=cfg.lease_s,
             heartbeat_s=cfg.heartbeat_s,
         )
@@ -223,7 +223,7 @@
 
     async def stop(self) -> None:
         """Stop gracefully."""
-        await self._agent.leave()
+        await self._agent.stop_accepting()
         await self._agent.drain()
         await self.kill()
 
