--- a/wigeonscale/agent/admission.py
+++ b/wigeonscale/agent/admission.py
@@ -42,7 +42,7 @@
         self._begin = begin
         self._expire = expire
         self._rng = rng
-        self._filling = False
+        self._is_starting = False
         self._queue: FairQueue[Dispatch] = FairQueue(limit=queue_limit, clock=clock)
         self._estimator = WaitEstimator(clock=clock)
 
@@ -103,7 +103,7 @@
         except WigeonscaleError as exc:
             exc.retry_after = exc.retry_after or max(1.0, self.wait_s())
             raise
-        self.fill()
+        self.start_queued()
         return queued_before
 
     def remove(self, dispatch: Dispatch) -> bool:
@@ -118,14 +118,14 @@
     def release(self) -> None:
         """Free the slot of a dispatch that never ran."""
         self.running -= 1
-        self.fill()
+        self.start_queued()
 
-    def fill(self) -> None:
+    def start_queued(self) -> None:
         """Start waiting dispatches while slots are free."""
-        if self._filling:
+        if self._is_starting:
             # A start that failed at once frees its slot in here; the loop goes on.
             return
-        self._filling = True
+        self._is_starting = True
         try:
             while self.running < self.slots:
                 dispatch = self._queue.pop()
@@ -135,7 +135,7 @@
             for dispatch in self._queue.take_expired():
                 self._expire(dispatch)
         finally:
-            self._filling = False
+            self._is_starting = False
 
     def _latest_start(self, deadline: float | None) -> float | None:
         if deadline is None:
--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -28,13 +28,13 @@
 from wigeonscale.ports import Clock, Engine, Service
 from wigeonscale.wire import wire_pb2 as wire
 
-DEFAULT_CALL_S = 30.0
+DEFAULT_CALL_TIMEOUT_S = 30.0
 """Seconds for a call to a plain service that no rules document names."""
 
-DRAIN_LOOK_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 """Seconds between two looks at whether a stop may go on."""
 
-SILENT_HEARTBEATS = 6
+MAX_MISSED_HEARTBEATS = 6
 """Heartbeats without a message after which an entry does not count as a reader."""
 
 STOPPING_GRACE_S = 0.5
@@ -82,7 +82,7 @@
             clock=clock, keep_bytes=cfg.keep_answers_bytes, keep_s=cfg.keep_answers_s
         )
         self.outcomes = OutcomeReporter(
-            submit=control.submit, clock=clock, on_reported=self.table.memory.reported
+            submit=control.submit, clock=clock, on_reported=self.table.history.unpin
         )
         self.dispatcher = Dispatcher(
             agent_id=cfg.name,
@@ -112,14 +112,16 @@
         self.servicer = AgentServicer(
             dispatcher=self.dispatcher,
             stage=self.stage,
-            load=self.load_word,
+            load=self.current_load,
             clock=clock,
             prefixes=self.prefixes,
-            entry_silence_s=max(ENTRY_SILENCE_S, SILENT_HEARTBEATS * cfg.heartbeat_s),
+            entry_silence_s=max(
+                ENTRY_SILENCE_S, MAX_MISSED_HEARTBEATS * cfg.heartbeat_s
+            ),
         )
         control.changes.subscribe(self._on_change)
 
-    def load_word(self) -> wire.LoadWord:
+    def current_load(self) -> wire.LoadWord:
         """Return the load as it is now."""
         return wire.LoadWord(
             running=self.admission.running,
@@ -131,9 +133,9 @@
 
     def announcement_changed(self) -> None:
         """Tell control and the entries of a change of the backend server."""
-        if self.state.gone and self.stage is not None:
+        if self.state.unreachable and self.stage is not None:
             self.stage.cut_engine_calls()
-            self.prefixes.restarted()
+            self.prefixes.reset()
         self._control.announce_changed()
         self.servicer.announce_load()
 
@@ -152,9 +154,9 @@
     async def drain(self) -> None:
         """Refuse new work, then wait until the work in progress has ended."""
         self.state.set_stopping()
-        await self.dispatcher.drained()
+        await self.dispatcher.wait_drained()
         while self.stage is not None and self.stage.is_used():
-            await self._clock.sleep(DRAIN_LOOK_S)
+            await self._clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self.outcomes.flush()
 
     async def cut(self) -> None:
@@ -272,14 +274,14 @@
             self._begin_call(dispatch)
             return
         work = dispatch.open.generate
-        self.prefixes.begins(dispatch.dispatch_id, work.prompt)
+        self.prefixes.track_prompt(dispatch.dispatch_id, work.prompt)
         newest = self._control.members.chains.get(work.chain.chain_id)
         usable = newest is not None and newest.ready
         start_generation(
             dispatch,
             chain=newest if usable and newest.epoch > work.chain.epoch else work.chain,
             head=self.head,
-            on_token=self.dispatcher.token,
+            on_token=self.dispatcher.add_token,
             on_end=self.dispatcher.finish,
             on_failed=self.dispatcher.fail,
         )
@@ -303,4 +305,4 @@
 
     def _service_timeout_s(self) -> float:
         known = self._control.document.services.get(self._cfg.service)
-        return known.timeout_s if known else DEFAULT_CALL_S
+        return known.timeout_s if known else DEFAULT_CALL_TIMEOUT_S
--- a/wigeonscale/agent/answers.py
+++ b/wigeonscale/agent/answers.py
@@ -10,7 +10,7 @@
 from wigeonscale.pipelines.constants import INITIAL_CREDIT
 from wigeonscale.wire import wire_pb2 as wire
 
-TOKENS_PER_RUN = 512
+MAX_TOKENS_PER_RUN = 512
 """Most tokens in one message to one reader."""
 
 
@@ -30,7 +30,7 @@
         dispatch: The answer read.
         wake: Called when there is more to send.
         entry: Name of the entry.
-        is_heard: Returns whether the entry gave a sign of life lately.
+        is_alive: Returns whether the entry gave a sign of life lately.
         cursor: Index of the next token to send.
         credit: Tokens that may still be sent.
         notices: Items to send before any token.
@@ -41,11 +41,11 @@
     cursor: int
     credit: int = INITIAL_CREDIT
     entry: str = ""
-    is_heard: Callable[[], bool] = lambda: True
+    is_alive: Callable[[], bool] = lambda: True
     notices: list[wire.DispatchItem] = field(default_factory=list)
     ended: bool = False
 
-    def take(self) -> list[wire.DispatchItem]:
+    def pop_pending(self) -> list[wire.DispatchItem]:
         """Return what may be sent now and count it as sent."""
         items, self.notices = self.notices, []
         dispatch = self.dispatch
@@ -56,7 +56,7 @@
             )
         if self._end_is_due:
             self.ended = True
-            dispatch.was_taken = True
+            dispatch.was_delivered = True
             items.append(dispatch.end)
         return items
 
@@ -78,7 +78,7 @@
 
     def _token_run(self) -> wire.TokenRun | None:
         dispatch = self.dispatch
-        count = min(self.credit, dispatch.produced - self.cursor, TOKENS_PER_RUN)
+        count = min(self.credit, dispatch.produced - self.cursor, MAX_TOKENS_PER_RUN)
         if count <= 0:
             return None
         start = self.cursor - dispatch.first_index
@@ -104,9 +104,9 @@
         tokens: Tokens made here.
         end: Last item of the answer, once it has ended.
         readers: Entries that read the answer now.
-        given_up: Whether its caller gave up while an older connection of the same
-            entry still seemed to read it.
-        was_taken: Whether an entry was sent the whole answer, or gave it up.
+        cancel_requested: Whether its caller gave up while an older connection of the
+            same entry still seemed to read it.
+        was_delivered: Whether an entry was sent the whole answer, or gave it up.
         started_at: Reading of the clock when work began.
         ended_at: Reading of the clock when it ended.
         stop_work: Stops running work; None when it cannot be stopped.
@@ -123,8 +123,8 @@
     started_at: float = 0.0
     ended_at: float = 0.0
     kept_bytes: int = 0
-    was_taken: bool = False
-    given_up: bool = False
+    was_delivered: bool = False
+    cancel_requested: bool = False
     stop_work: Callable[[], None] | None = None
     set_paused: Callable[[bool], None] | None = None
 
@@ -144,7 +144,7 @@
         return self.first_index + len(self.tokens)
 
     @property
-    def ran(self) -> RunState:
+    def run_state(self) -> RunState:
         """What a refusal now must say of the work."""
         queued = self.state is DispatchState.QUEUED
         return RunState.NOT_RUN if queued else RunState.RAN
@@ -155,20 +155,20 @@
         return max((r.cursor for r in self.readers), default=self.first_index)
 
     @property
-    def is_read(self) -> bool:
+    def has_live_reader(self) -> bool:
         """Whether an entry that gives signs of life reads the answer now."""
-        return any(reader.is_heard() for reader in self.readers)
+        return any(reader.is_alive() for reader in self.readers)
 
-    def is_read_by_others(self, entry: str) -> bool:
+    def has_other_live_reader(self, entry: str) -> bool:
         """Return whether another entry that gives signs of life reads it now."""
-        return any(r.is_heard() and r.entry != entry for r in self.readers)
+        return any(r.is_alive() and r.entry != entry for r in self.readers)
 
     def wake_readers(self) -> None:
         """Tell every reader that there is more to send."""
         for reader in self.readers:
             reader.wake(reader)
 
-    def late(self, now: float) -> bool:
+    def deadline_exceeded(self, now: float) -> bool:
         """Return whether the deadline has passed."""
         return self.deadline is not None and now >= self.deadline
 
--- a/wigeonscale/agent/backend.py
+++ b/wigeonscale/agent/backend.py
@@ -15,10 +15,10 @@
 
 logger = logging.getLogger(__name__)
 
-GONE_AFTER = 2
+MAX_FAILED_PROBES = 2
 """Failed probes in a row after which the backend server counts as gone."""
 
-MAX_PROBE_PAUSE_S = 2.0
+MAX_PROBE_INTERVAL_S = 2.0
 """Longest pause between two probes of a backend server that is gone."""
 
 
@@ -56,10 +56,10 @@
         self._probe_s = probe_s
         self._incarnations = [new_incarnation()]
         # It counts as gone until it first answers.
-        self._failures = GONE_AFTER
+        self._failures = MAX_FAILED_PROBES
         self._losses = 0
         self._probe_now = asyncio.Event()
-        self._left_at: float | None = None
+        self._leaving_since: float | None = None
 
     @property
     def agent_id(self) -> str:
@@ -90,17 +90,17 @@
         return None if self.loading else self.info
 
     @property
-    def gone(self) -> bool:
+    def unreachable(self) -> bool:
         """Whether the backend server does not answer."""
         if self._engine is not None:
             return self.info is None
-        return self._service is not None and self._failures >= GONE_AFTER
+        return self._service is not None and self._failures >= MAX_FAILED_PROBES
 
     @property
     def leaving(self) -> bool:
         """Whether no new work is taken, for whatever reason."""
-        engine_leaves = self.info is not None and self.info.leaving
-        return self.stopping or self.draining or engine_leaves or self.gone
+        engine_leaving = self.info is not None and self.info.leaving
+        return self.stopping or self.draining or engine_leaving or self.unreachable
 
     def announcement(self) -> wire.Backend:
         """Return what to announce now."""
@@ -113,8 +113,8 @@
         backend.loading = self.loading
         backend.losses = self._losses
         # An order to drain comes from control and is not echoed as our own word.
-        own_word = self.info is not None and self.info.leaving
-        backend.draining = self.stopping or self.gone or own_word
+        engine_leaving = self.info is not None and self.info.leaving
+        backend.draining = self.stopping or self.unreachable or engine_leaving
         return backend
 
     def check_new(self) -> None:
@@ -128,7 +128,7 @@
             raise WigeonscaleError(
                 ErrorKind.STOPPING, f"agent {self.agent_id} is stopping", retry_after=1
             )
-        if self.gone:
+        if self.unreachable:
             raise WigeonscaleError(
                 ErrorKind.BACKEND_FAILED,
                 f"the backend server of {self.agent_id} does not answer",
@@ -144,11 +144,11 @@
     def check_sequence(self) -> None:
         """Refuse to begin a sequence some time after leaving began."""
         if not self.leaving:
-            self._left_at = None
+            self._leaving_since = None
             return
-        if self._left_at is None:
-            self._left_at = self._clock.now()
-        if self._clock.now() - self._left_at > LEAVING_GRACE_S:
+        if self._leaving_since is None:
+            self._leaving_since = self._clock.now()
+        if self._clock.now() - self._leaving_since > LEAVING_GRACE_S:
             self.check_new()
 
     def set_loading(self, loading: bool) -> None:
@@ -174,9 +174,9 @@
     def check_leaving(self) -> None:
         """Note the time at which leaving began."""
         if not self.leaving:
-            self._left_at = None
-        elif self._left_at is None:
-            self._left_at = self._clock.now()
+            self._leaving_since = None
+        elif self._leaving_since is None:
+            self._leaving_since = self._clock.now()
 
     def probe_soon(self) -> None:
         """Probe the backend server now rather than at the next turn."""
@@ -184,24 +184,24 @@
 
     async def probe(self) -> None:
         """Ask the backend server for a sign of life and announce a change."""
-        before = (self.info, self.gone)
+        before = (self.info, self.unreachable)
         try:
-            await self._ask()
+            await self._refresh()
             self._failures = 0
         except WigeonscaleError as exc:
             self._failures += 1
             logger.warning("probe failed: %s", exc.message)
-            if self._failures >= GONE_AFTER:
+            if self._failures >= MAX_FAILED_PROBES:
                 self.info = None
-        if (self.info, self.gone) != before:
+        if (self.info, self.unreachable) != before:
             self._losses += self._was_lost(*before)
             self.check_leaving()
             self.on_changed()
 
-    def _was_lost(self, info: EngineInfo | None, gone: bool) -> bool:
+    def _was_lost(self, info: EngineInfo | None, was_unreachable: bool) -> bool:
         """Return whether the backend server went, or started again in between."""
-        if self.gone:
-            return not gone
+        if self.unreachable:
+            return not was_unreachable
         is_empty = self.info is not None and self.info.last_layer < 0
         had_layers = info is not None and info.last_layer >= info.first_layer
         return had_layers and is_empty and not self.loading
@@ -210,22 +210,22 @@
         """Probe the backend server for ever."""
         while True:
             await self.probe()
-            await wait_event(self._probe_now, self._clock, self._pause_s())
+            await wait_event(self._probe_now, self._clock, self._probe_interval_s())
             self._probe_now.clear()
 
-    async def _ask(self) -> None:
+    async def _refresh(self) -> None:
         if self._engine is not None:
             self.info = await self._engine.info()
         if self._service is not None:
             await self._service.probe()
 
-    def _pause_s(self) -> float:
+    def _probe_interval_s(self) -> float:
         if not self._failures:
             return self._probe_s
-        if self._failures < GONE_AFTER:
+        if self._failures < MAX_FAILED_PROBES:
             return self._probe_s / 4
-        longer = self._probe_s * 2 ** min(self._failures - GONE_AFTER, 8)
-        return max(self._probe_s, min(longer, MAX_PROBE_PAUSE_S))
+        backoff_s = self._probe_s * 2 ** min(self._failures - MAX_FAILED_PROBES, 8)
+        return max(self._probe_s, min(backoff_s, MAX_PROBE_INTERVAL_S))
 
 
 def new_incarnation() -> int:
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -20,10 +20,10 @@
 
 logger = logging.getLogger(__name__)
 
-FULL_RETRY_S = 2.0
-SWEEP_S = 0.1
+TABLE_FULL_RETRY_AFTER_S = 2.0
+SWEEP_INTERVAL_S = 0.1
 
-PAUSE_TOKENS = INITIAL_CREDIT
+MAX_UNSENT_TOKENS = INITIAL_CREDIT
 """Unsent tokens past which a generation pauses while memory is short."""
 
 
@@ -96,8 +96,8 @@
             dispatch = self._new_dispatch(msg)
         except WigeonscaleError as exc:
             if exc.run_state is RunState.NOT_RUN:
-                self._table.never(msg.dispatch_id)
-            self._count(exc.kind)
+                self._table.record_not_run(msg.dispatch_id)
+            self._count_end(exc.kind)
             stream.send(refused_item(msg.dispatch_id, exc))
             return
         self._admit(dispatch, stream)
@@ -106,8 +106,8 @@
         """Let an entry read a dispatch from a token index on."""
         known = self._table.get(msg.dispatch_id)
         if known is None:
-            remembered = self._table.memory.state(msg.dispatch_id)
-            exc = refusals.not_kept(msg.dispatch_id, remembered)
+            known_state = self._table.history.state(msg.dispatch_id)
+            exc = refusals.answer_unavailable(msg.dispatch_id, known_state)
             stream.send(refused_item(msg.dispatch_id, exc))
             return
         self._attach_to(known, msg.organisation, msg.from_token, stream)
@@ -117,24 +117,24 @@
         stream.detach(msg.dispatch_id)
         dispatch = self._table.get(msg.dispatch_id)
         if dispatch is None or dispatch.end is not None:
-            if dispatch is None and self._table.memory.state(msg.dispatch_id) is None:
-                self._table.never(msg.dispatch_id)
+            if dispatch is None and self._table.history.state(msg.dispatch_id) is None:
+                self._table.record_not_run(msg.dispatch_id)
             return
-        if dispatch.is_read:
+        if dispatch.has_live_reader:
             # Its caller has come back by another connection or entry, or the reader
             # is an older connection of this entry that has yet to count as silent.
-            dispatch.given_up = not dispatch.is_read_by_others(stream.name)
+            dispatch.cancel_requested = not dispatch.has_other_live_reader(stream.name)
             return
-        self._give_up(dispatch)
+        self._cancel(dispatch)
 
-    def _give_up(self, dispatch: Dispatch) -> None:
+    def _cancel(self, dispatch: Dispatch) -> None:
         if dispatch.state is DispatchState.RUNNING and dispatch.stop_work is None:
             return
-        dispatch.was_taken = True
+        dispatch.was_delivered = True
         self.fail(
             dispatch,
             WigeonscaleError(
-                ErrorKind.CANCELLED, "the caller gave up", run_state=dispatch.ran
+                ErrorKind.CANCELLED, "the caller gave up", run_state=dispatch.run_state
             ),
         )
 
@@ -153,7 +153,7 @@
 
     # ---------------------------------------------------------------- ends
 
-    def token(self, dispatch: Dispatch, token: wire.Token) -> None:
+    def add_token(self, dispatch: Dispatch, token: wire.Token) -> None:
         """Take a token of a running generation."""
         if dispatch.end is None:
             self._table.produced(dispatch, token)
@@ -178,12 +178,12 @@
     def begin(self, dispatch: Dispatch) -> None:
         """Begin the work of a dispatch whose turn has come."""
         try:
-            if dispatch.late(self._clock.now()):
-                raise refusals.late(dispatch)
+            if dispatch.deadline_exceeded(self._clock.now()):
+                raise refusals.deadline_exceeded(dispatch)
             self._check_begin()
             dispatch.state = DispatchState.RUNNING
             if dispatch.open.once and dispatch.open.claim_key:
-                self._table.memory.await_report(dispatch.dispatch_id)
+                self._table.history.pin(dispatch.dispatch_id)
             self._begin_work(dispatch)
         except WigeonscaleError as exc:
             dispatch.state = DispatchState.QUEUED
@@ -193,12 +193,12 @@
 
     def expire(self, dispatch: Dispatch) -> None:
         """End a dispatch whose deadline has passed."""
-        self.fail(dispatch, refusals.late(dispatch))
+        self.fail(dispatch, refusals.deadline_exceeded(dispatch))
 
     async def sweep(self) -> None:
         """Enforce deadlines and the bounds of the table, for ever."""
         while True:
-            await self._clock.sleep(SWEEP_S)
+            await self._clock.sleep(SWEEP_INTERVAL_S)
             self.sweep_once()
 
     def sweep_once(self) -> None:
@@ -208,22 +208,26 @@
             cannot_stop = dispatch.state is DispatchState.RUNNING and (
                 dispatch.stop_work is None
             )
-            if dispatch.late(now) and not cannot_stop:
+            if dispatch.deadline_exceeded(now) and not cannot_stop:
                 self.expire(dispatch)
-            elif dispatch.given_up and dispatch.readers and not dispatch.is_read:
-                self._give_up(dispatch)
+            elif (
+                dispatch.cancel_requested
+                and dispatch.readers
+                and not dispatch.has_live_reader
+            ):
+                self._cancel(dispatch)
             elif dispatch.set_paused is not None:
                 unsent = dispatch.produced - dispatch.sent
-                dispatch.set_paused(self._table.is_full and unsent > PAUSE_TOKENS)
-        self.admission.fill()
+                dispatch.set_paused(self._table.is_full and unsent > MAX_UNSENT_TOKENS)
+        self.admission.start_queued()
         self._table.sweep()
         self._metrics.running.set(self.admission.running)
         self._metrics.queued.set(self.admission.queued)
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Wait until no dispatch is open and no answer waits to be taken."""
-        while self._table.live() or self._table.untaken():
-            await self._clock.sleep(SWEEP_S)
+        while self._table.live() or self._table.undelivered():
+            await self._clock.sleep(SWEEP_INTERVAL_S)
 
     def cut(self) -> None:
         """End every open dispatch because the process stops now."""
@@ -234,7 +238,7 @@
             exc = WigeonscaleError(
                 ErrorKind.STOPPING,
                 f"agent {self._agent_id} stopped before the end",
-                run_state=dispatch.ran,
+                run_state=dispatch.run_state,
             )
             self.fail(dispatch, exc)
 
@@ -249,9 +253,9 @@
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST, f"dispatch {msg.dispatch_id!r} names no work"
             )
-        remembered = self._table.memory.state(msg.dispatch_id)
-        if remembered is not None:
-            raise refusals.not_kept(msg.dispatch_id, remembered)
+        known_state = self._table.history.state(msg.dispatch_id)
+        if known_state is not None:
+            raise refusals.answer_unavailable(msg.dispatch_id, known_state)
         if msg.agent_incarnation not in self._incarnations():
             raise refusals.stale_incarnation(self._agent_id, msg.agent_incarnation)
         self._check_new_work(msg)
@@ -259,7 +263,7 @@
             raise WigeonscaleError(
                 ErrorKind.OVERLOADED,
                 "the kept answers take all their bytes",
-                retry_after=FULL_RETRY_S,
+                retry_after=TABLE_FULL_RETRY_AFTER_S,
             )
         deadline_s = msg.deadline_ms / 1000 if msg.deadline_ms else None
         self.admission.check(msg.organisation, msg.priority, deadline_s)
@@ -290,11 +294,11 @@
         self, dispatch: Dispatch, organisation: str, index: int, stream: EntryStream
     ) -> None:
         if organisation != dispatch.organisation:
-            exc = refusals.not_kept(dispatch.dispatch_id, None)
+            exc = refusals.answer_unavailable(dispatch.dispatch_id, None)
             stream.send(refused_item(dispatch.dispatch_id, exc))
             return
         reader = stream.attach(dispatch, index)
-        dispatch.given_up = False
+        dispatch.cancel_requested = False
         if dispatch.end is None:
             reader.notices.append(
                 wire.DispatchItem(
@@ -309,13 +313,13 @@
                 dispatch, WigeonscaleError(ErrorKind.CANCELLED, "the entry sealed it")
             )
             return True
-        remembered = self._table.memory.state(dispatch_id)
-        if dispatch is None and remembered is None:
-            if self._table.memory.forgot_early:
+        known_state = self._table.history.state(dispatch_id)
+        if dispatch is None and known_state is None:
+            if self._table.history.evicted_early:
                 return False
-            self._table.never(dispatch_id)
+            self._table.record_not_run(dispatch_id)
             return True
-        return remembered is RunState.NOT_RUN
+        return known_state is RunState.NOT_RUN
 
     def _end(
         self,
@@ -330,7 +334,7 @@
             # A service that could not be reached never began.
             dispatch.state = DispatchState.QUEUED
         self._table.end(dispatch, item)
-        self._count(kind)
+        self._count_end(kind)
         if dispatch.open.once and dispatch.open.claim_key:
             self._report(dispatch, state, not_run)
         logger.info(
@@ -347,7 +351,7 @@
             self.admission.finished(dispatch)
 
     def _report(self, dispatch: Dispatch, state: wire.ClaimState, not_run: bool):
-        self._table.memory.await_report(dispatch.dispatch_id)
+        self._table.history.pin(dispatch.dispatch_id)
         self._outcomes.report(
             wire.Outcome(
                 organisation=dispatch.organisation,
@@ -358,5 +362,5 @@
             )
         )
 
-    def _count(self, kind: str) -> None:
+    def _count_end(self, kind: str) -> None:
         self._metrics.dispatches.add(kind=kind)
--- a/wigeonscale/agent/orders.py
+++ b/wigeonscale/agent/orders.py
@@ -42,14 +42,14 @@
         self._ask_floor = floor
         self._metrics = metrics
         self._floor: tuple[int, int] | None = None
-        self._one_at_a_time = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     async def execute(self, order: wire.Order) -> wire.OrderResult:
         """Carry out an order, or say why not."""
-        async with self._one_at_a_time:
+        async with self._lock:
             try:
                 await self._check_fence(order)
-                await self._do(order)
+                await self._apply(order)
             except WigeonscaleError as exc:
                 logger.warning("order %s refused: %s", order.order_id, exc.message)
                 self._metrics.orders.add(kind=exc.kind)
@@ -70,7 +70,7 @@
             )
         self._floor = number
 
-    async def _do(self, order: wire.Order) -> None:
+    async def _apply(self, order: wire.Order) -> None:
         body = order.WhichOneof("body")
         if body == "drain":
             self._state.set_draining(order.drain)
@@ -83,7 +83,7 @@
 
     async def _load(self, order: wire.Order) -> None:
         load = order.load
-        if self._holds(load):
+        if self._is_loaded(load):
             return
         # Until the engine has said what it holds now, no step may run on it.
         self._state.set_loading(True)
@@ -108,7 +108,7 @@
             },
         )
 
-    def _holds(self, load: wire.LoadLayers) -> bool:
+    def _is_loaded(self, load: wire.LoadLayers) -> bool:
         info = self._state.info
         if info is None:
             return False
--- a/wigeonscale/agent/outcomes.py
+++ b/wigeonscale/agent/outcomes.py
@@ -12,8 +12,8 @@
 
 logger = logging.getLogger(__name__)
 
-RETRY_S = 1.0
-AT_ONCE = 32
+RETRY_INTERVAL_S = 1.0
+MAX_CONCURRENT_SUBMITS = 32
 
 
 class OutcomeReporter:
@@ -36,7 +36,7 @@
         self._clock = clock
         self._on_reported = on_reported
         self._tasks: set[asyncio.Task] = set()
-        self._gate = asyncio.Semaphore(AT_ONCE)
+        self._semaphore = asyncio.Semaphore(MAX_CONCURRENT_SUBMITS)
 
     def report(self, outcome: wire.Outcome) -> None:
         """Report an outcome in the background."""
@@ -58,12 +58,12 @@
     async def _report(self, outcome: wire.Outcome) -> None:
         while True:
             try:
-                async with self._gate:
+                async with self._semaphore:
                     await self._submit(wire.Command(outcome=outcome))
                 break
             except WigeonscaleError as exc:
                 logger.warning("outcome of %s: %s", outcome.dispatch_id, exc.message)
                 if not ANSWERS[exc.kind].retryable:
                     return
-                await self._clock.sleep(RETRY_S)
+                await self._clock.sleep(RETRY_INTERVAL_S)
         self._on_reported(outcome.dispatch_id)
--- a/wigeonscale/agent/prefixes.py
+++ b/wigeonscale/agent/prefixes.py
@@ -14,16 +14,16 @@
 
 logger = logging.getLogger(__name__)
 
-NAMED_KEPT = 4096
+MAX_TRACKED_PROMPTS = 4096
 """Dispatches whose prompt can still be told from an engine's event."""
 
-HELD_KEPT = 1024
+MAX_HELD_PREFIXES = 1024
 """Prefixes that one agent tells of; an engine may hold more."""
 
-FULL_EVENTS = 256
+MAX_SNAPSHOT_EVENTS = 256
 """Most prefixes with which a new stream starts, newest last."""
 
-UNSENT_EVENTS = 256
+MAX_UNSENT_EVENTS = 256
 """Most events in one message; where more wait the oldest are lost, as a gap."""
 
 
@@ -52,19 +52,19 @@
         self._held: OrderedDict[str, wire.PrefixEvent] = OrderedDict()
         self._outboxes: set[PrefixOutbox] = set()
         self._is_failing = False
-        self._number = 0
-        self._engine_number = 0
+        self._last_number = 0
+        self._last_engine_number = 0
 
-    def begins(self, dispatch_id: str, prompt: bytes) -> None:
+    def track_prompt(self, dispatch_id: str, prompt: bytes) -> None:
         """Note the prompt of a dispatch that begins."""
         self._digests[dispatch_id] = prefix_digest(prompt)
-        if len(self._digests) > NAMED_KEPT:
+        if len(self._digests) > MAX_TRACKED_PROMPTS:
             self._digests.popitem(last=False)
 
     def subscribe(self) -> "PrefixOutbox":
         """Return a new stream's outbox, with the prefixes held now."""
-        held = list(self._held.values())[-FULL_EVENTS:]
-        outbox = PrefixOutbox(held, number=self._number)
+        held = list(self._held.values())[-MAX_SNAPSHOT_EVENTS:]
+        outbox = PrefixOutbox(held, number=self._last_number)
         self._outboxes.add(outbox)
         return outbox
 
@@ -72,12 +72,12 @@
         """Pass on nothing more to an outbox."""
         self._outboxes.discard(outbox)
 
-    def restarted(self) -> None:
+    def reset(self) -> None:
         """Forget what an engine held that is gone."""
         self._held.clear()
-        self._engine_number = 0
+        self._last_engine_number = 0
         for outbox in self._outboxes:
-            outbox.start_again(self._number)
+            outbox.reset(self._last_number)
 
     async def watch(self) -> None:
         """Ask the engine for ever."""
@@ -88,7 +88,7 @@
     async def poll(self) -> None:
         """Ask the engine once and pass on what is new."""
         try:
-            events = await self._engine.cache_events(self._engine_number)
+            events = await self._engine.cache_events(self._last_engine_number)
         except WigeonscaleError as exc:
             if not self._is_failing:
                 logger.info("no cache events: %s", exc.message)
@@ -96,18 +96,20 @@
             return
         self._is_failing = False
         events.sort(key=lambda event: event.number)
-        told = [event for event in map(self._translate, events) if event is not None]
-        if told:
+        translated = [
+            event for event in map(self._translate, events) if event is not None
+        ]
+        if translated:
             for outbox in self._outboxes:
-                outbox.add(told)
+                outbox.add(translated)
 
     def _translate(self, event: CacheEvent) -> wire.PrefixEvent | None:
-        if event.number <= self._engine_number:
+        if event.number <= self._last_engine_number:
             return None
-        lost = event.number - self._engine_number - 1
+        lost = event.number - self._last_engine_number - 1
         # A larger gap tells the entries no more.
-        self._number += min(lost, RESET_GAP_EVENTS)
-        self._engine_number = event.number
+        self._last_number += min(lost, RESET_GAP_EVENTS)
+        self._last_engine_number = event.number
         if event.held:
             dispatch_id = event.sequence_id.rpartition("#")[0]
             digest = self._digests.get(dispatch_id, b"")
@@ -116,13 +118,15 @@
             digest = known.digest if known is not None else b""
         if not digest:
             return None
-        self._number += 1
-        told = wire.PrefixEvent(number=self._number, digest=digest, held=event.held)
+        self._last_number += 1
+        translated = wire.PrefixEvent(
+            number=self._last_number, digest=digest, held=event.held
+        )
         if event.held:
-            self._held[event.prefix] = told
-            if len(self._held) > HELD_KEPT:
+            self._held[event.prefix] = translated
+            if len(self._held) > MAX_HELD_PREFIXES:
                 self._held.popitem(last=False)
-        return told
+        return translated
 
 
 class PrefixOutbox:
@@ -139,28 +143,28 @@
     def __init__(self, held: Iterable[wire.PrefixEvent], *, number: int):
         self.on_added: Callable[[], None] = lambda: None
         self._full = True
-        self._number = number
-        self._unsent: deque[wire.PrefixEvent] = deque(held, maxlen=UNSENT_EVENTS)
+        self._last_number = number
+        self._unsent: deque[wire.PrefixEvent] = deque(held, maxlen=MAX_UNSENT_EVENTS)
 
     def add(self, events: Sequence[wire.PrefixEvent]) -> None:
         """Add events; where too many wait the oldest are lost."""
         self._unsent.extend(events)
-        self._number = events[-1].number
+        self._last_number = events[-1].number
         self.on_added()
 
-    def start_again(self, number: int) -> None:
+    def reset(self, number: int) -> None:
         """Replace what was sent by an empty list."""
         self._unsent.clear()
         self._full = True
-        self._number = number
+        self._last_number = number
         self.on_added()
 
-    def take(self) -> wire.PrefixEvents | None:
+    def pop_pending(self) -> wire.PrefixEvents | None:
         """Return what waits, or None."""
         if not self._full and not self._unsent:
             return None
         events = wire.PrefixEvents(
-            full=self._full, events=self._unsent, number=self._number
+            full=self._full, events=self._unsent, number=self._last_number
         )
         self._full = False
         self._unsent.clear()
--- a/wigeonscale/agent/refusals.py
+++ b/wigeonscale/agent/refusals.py
@@ -1,23 +1,25 @@
 """The errors by which a dispatch is refused or ended."""
 
-__all__ = ["late", "not_kept", "stale_incarnation"]
+__all__ = ["answer_unavailable", "deadline_exceeded", "stale_incarnation"]
 
 from wigeonscale.agent.answers import Dispatch
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
 
-def not_kept(dispatch_id: str, remembered: RunState | None) -> WigeonscaleError:
+def answer_unavailable(
+    dispatch_id: str, known_state: RunState | None
+) -> WigeonscaleError:
     """Return the error for a dispatch that has no answer here.
 
     Args:
         dispatch_id: Its id.
-        remembered: What is remembered of it; None if it was never seen.
+        known_state: What is remembered of it; None if it was never seen.
     """
-    if remembered is RunState.NOT_RUN:
+    if known_state is RunState.NOT_RUN:
         return WigeonscaleError(
             ErrorKind.CANCELLED, f"dispatch {dispatch_id} was sealed"
         )
-    if remembered is not None:
+    if known_state is not None:
         return WigeonscaleError(
             ErrorKind.ANSWER_EXPIRED,
             f"the answer of dispatch {dispatch_id} is no longer kept",
@@ -39,10 +41,10 @@
     )
 
 
-def late(dispatch: Dispatch) -> WigeonscaleError:
+def deadline_exceeded(dispatch: Dispatch) -> WigeonscaleError:
     """Return the error for a dispatch whose deadline has passed."""
     return WigeonscaleError(
         ErrorKind.DEADLINE_EXCEEDED,
         f"the deadline of {dispatch.open.deadline_ms} ms has passed",
-        run_state=dispatch.ran,
+        run_state=dispatch.run_state,
     )
--- a/wigeonscale/agent/servicer.py
+++ b/wigeonscale/agent/servicer.py
@@ -117,7 +117,7 @@
             logger.info("step reply not delivered: %r", exc)
 
     def _handle(self, req: wire.DispatchRequest, stream: EntryStream) -> None:
-        stream.heard()
+        stream.record_activity()
         try:
             self._dispatcher.handle(req, stream)
         except Exception:
--- a/wigeonscale/agent/stream.py
+++ b/wigeonscale/agent/stream.py
@@ -40,7 +40,7 @@
         self._clock = clock
         self._prefixes = prefixes
         self._silence_s = silence_s
-        self._heard_at = clock.now()
+        self._last_activity = clock.now()
         self._readers: dict[str, Reader] = {}
         self._dirty: dict[Reader, None] = {}
         self._items: deque[wire.DispatchItem] = deque()
@@ -57,24 +57,24 @@
         self.detach(dispatch.dispatch_id)
         reader = Reader(
             dispatch=dispatch,
-            wake=self._mark,
+            wake=self._mark_dirty,
             cursor=max(from_token, dispatch.first_index),
             credit=INITIAL_CREDIT,
             entry=self.name,
-            is_heard=self.is_heard,
+            is_alive=self.is_alive,
         )
         self._readers[dispatch.dispatch_id] = reader
         dispatch.readers.add(reader)
-        self._mark(reader)
+        self._mark_dirty(reader)
         return reader
 
-    def heard(self) -> None:
+    def record_activity(self) -> None:
         """Note a message of the entry."""
-        self._heard_at = self._clock.now()
+        self._last_activity = self._clock.now()
 
-    def is_heard(self) -> bool:
+    def is_alive(self) -> bool:
         """Return whether the entry gave a sign of life lately."""
-        return self._clock.now() - self._heard_at < self._silence_s
+        return self._clock.now() - self._last_activity < self._silence_s
 
     def detach(self, dispatch_id: str) -> None:
         """Stop reading an answer."""
@@ -89,7 +89,7 @@
             reader = self._readers.get(credit.dispatch_id)
             if reader is not None and credit.tokens > 0:
                 reader.credit += credit.tokens
-                self._mark(reader)
+                self._mark_dirty(reader)
 
     def send(self, item: wire.DispatchItem) -> None:
         """Send one item as soon as may be."""
@@ -121,25 +121,25 @@
     def _next_event(self) -> wire.DispatchEvent:
         event = wire.DispatchEvent(load=self._load(), pong_us=self._pong_us)
         self._pong_us = 0
-        prefixes = self._prefixes.take() if self._prefixes is not None else None
+        prefixes = self._prefixes.pop_pending() if self._prefixes is not None else None
         if prefixes is not None:
             event.prefixes.CopyFrom(prefixes)
         event.items.extend(self._items)
         self._items.clear()
         dirty, self._dirty = self._dirty, {}
         for reader in dirty:
-            event.items.extend(reader.take())
+            event.items.extend(reader.pop_pending())
             if reader.has_more:
-                self._mark(reader)
+                self._mark_dirty(reader)
             if reader.ended:
-                self._forget(reader)
+                self._remove(reader)
         return event
 
-    def _forget(self, reader: Reader) -> None:
+    def _remove(self, reader: Reader) -> None:
         reader.dispatch.readers.discard(reader)
         if self._readers.get(reader.dispatch.dispatch_id) is reader:
             del self._readers[reader.dispatch.dispatch_id]
 
-    def _mark(self, reader: Reader) -> None:
+    def _mark_dirty(self, reader: Reader) -> None:
         self._dirty[reader] = None
         self._wake.set()
--- a/wigeonscale/agent/table.py
+++ b/wigeonscale/agent/table.py
@@ -6,15 +6,15 @@
 
 from wigeonscale.agent import refusals
 from wigeonscale.agent.answers import Dispatch, DispatchState, refused_item
-from wigeonscale.agent.memory import DispatchMemory
+from wigeonscale.agent.history import DispatchHistory
 from wigeonscale.errors import RunState
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
-TOKEN_BYTES = 150
+TOKEN_OVERHEAD_BYTES = 150
 """Estimated memory of one kept token beside its text."""
 
-TAKE_GRACE_S = 3.0
+DELIVERY_GRACE_S = 3.0
 """Seconds for which a stop waits for an entry to come back for an answer."""
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, *, clock: Clock, keep_bytes: int, keep_s: float):
         self.kept_bytes = 0
-        self.memory = DispatchMemory(clock=clock)
+        self.history = DispatchHistory(clock=clock)
         self._clock = clock
         self._keep_bytes = keep_bytes
         self._keep_s = keep_s
@@ -51,29 +51,29 @@
         """Return the dispatches that have not ended."""
         return [d for d in self._dispatches.values() if d.end is None]
 
-    def untaken(self) -> list[Dispatch]:
+    def undelivered(self) -> list[Dispatch]:
         """Return ended answers that an entry still reads or may come back for."""
-        oldest = self._clock.now() - TAKE_GRACE_S
+        oldest = self._clock.now() - DELIVERY_GRACE_S
         return [
             dispatch
             for dispatch in self._ended.values()
-            if dispatch.is_read
-            or (not dispatch.was_taken and dispatch.ended_at > oldest)
+            if dispatch.has_live_reader
+            or (not dispatch.was_delivered and dispatch.ended_at > oldest)
         ]
 
     def add(self, dispatch: Dispatch) -> None:
         """Add a dispatch that was just opened."""
         self._dispatches[dispatch.dispatch_id] = dispatch
-        self._count(dispatch, dispatch.open.ByteSize())
+        self._add_bytes(dispatch, dispatch.open.ByteSize())
 
-    def never(self, dispatch_id: str) -> None:
+    def record_not_run(self, dispatch_id: str) -> None:
         """Remember that a dispatch never began and must never begin."""
-        self.memory.remember(dispatch_id, RunState.NOT_RUN)
+        self.history.record(dispatch_id, RunState.NOT_RUN)
 
     def produced(self, dispatch: Dispatch, token: wire.Token) -> None:
         """Append a token to an answer and count its bytes."""
         dispatch.tokens.append(token)
-        self._count(dispatch, TOKEN_BYTES + len(token.text))
+        self._add_bytes(dispatch, TOKEN_OVERHEAD_BYTES + len(token.text))
         dispatch.wake_readers()
 
     def end(self, dispatch: Dispatch, item: wire.DispatchItem) -> None:
@@ -84,10 +84,10 @@
         dispatch.state = DispatchState.ENDED
         dispatch.ended_at = self._clock.now()
         state = RunState.NOT_RUN if never_began else RunState.RAN
-        self.memory.remember(dispatch.dispatch_id, state)
+        self.history.record(dispatch.dispatch_id, state)
         self._ended[dispatch.dispatch_id] = dispatch
         self._release_work(dispatch)
-        self._count(dispatch, item.ByteSize())
+        self._add_bytes(dispatch, item.ByteSize())
         dispatch.wake_readers()
 
     def sweep(self) -> None:
@@ -96,10 +96,10 @@
         for dispatch in list(self._ended.values()):
             if now - dispatch.ended_at < self._keep_s:
                 break
-            self._drop(dispatch)
+            self._evict(dispatch)
         if self.is_full:
-            self._drop_over_bytes()
-        self.memory.forget_old()
+            self._evict_to_limit()
+        self.history.evict_old()
 
     @property
     def is_full(self) -> bool:
@@ -112,31 +112,31 @@
         dispatch.stop_work = dispatch.set_paused = None
         dispatch.open.ClearField("generate")
         dispatch.open.ClearField("call")
-        self._count(dispatch, dispatch.open.ByteSize() - before)
+        self._add_bytes(dispatch, dispatch.open.ByteSize() - before)
 
-    def _drop_over_bytes(self) -> None:
+    def _evict_to_limit(self) -> None:
         # Taken answers first, then the oldest that nobody reads now.
-        unread = [d for d in self._ended.values() if not d.is_read]
-        unread.sort(key=lambda dispatch: not dispatch.was_taken)
+        unread = [d for d in self._ended.values() if not d.has_live_reader]
+        unread.sort(key=lambda dispatch: not dispatch.was_delivered)
         for dispatch in unread:
             if not self.is_full:
                 return
-            self._drop(dispatch)
+            self._evict(dispatch)
 
-    def _drop(self, dispatch: Dispatch) -> None:
+    def _evict(self, dispatch: Dispatch) -> None:
         self._ended.pop(dispatch.dispatch_id, None)
         self._dispatches.pop(dispatch.dispatch_id, None)
         self.kept_bytes -= dispatch.kept_bytes
         # From now on only the memory knows it.
-        state = self.memory.state(dispatch.dispatch_id) or RunState.RAN
-        self.memory.remember(dispatch.dispatch_id, state)
-        exc = refusals.not_kept(dispatch.dispatch_id, RunState.RAN)
+        state = self.history.state(dispatch.dispatch_id) or RunState.RAN
+        self.history.record(dispatch.dispatch_id, state)
+        exc = refusals.answer_unavailable(dispatch.dispatch_id, RunState.RAN)
         expired = refused_item(dispatch.dispatch_id, exc)
         for reader in list(dispatch.readers):
             reader.notices.append(expired)
             reader.ended = True
             reader.wake(reader)
 
-    def _count(self, dispatch: Dispatch, size: int) -> None:
+    def _add_bytes(self, dispatch: Dispatch, size: int) -> None:
         dispatch.kept_bytes += size
         self.kept_bytes += size
--- a/wigeonscale/agent/tests/support.py
+++ b/wigeonscale/agent/tests/support.py
@@ -50,13 +50,13 @@
     async def run(self, steps):
         due = any(s.position == self.fault_position for s in steps)
         if due and not self.fault_after_run:
-            await self._break()
+            await self._inject_fault()
         results = await super().run(steps)
         if due and self.fault_after_run:
-            await self._break()
+            await self._inject_fault()
         return results
 
-    async def _break(self):
+    async def _inject_fault(self):
         self.fault_position = None
         await self.on_fault()
 
@@ -187,7 +187,7 @@
         self.events: list[wire.DispatchEvent] = []
         self._ids = itertools.count(1)
         self._items: dict[str, list[wire.DispatchItem]] = {}
-        self._news = asyncio.Condition()
+        self._changed = asyncio.Condition()
         self._channel = open_channel(node.address)
         self._stream = wire_pb2_grpc.AgentStub(self._channel).Dispatch()
         self._reader = asyncio.create_task(self._read())
@@ -226,8 +226,8 @@
         return texts
 
     async def wait(self, condition):
-        async with asyncio.timeout(30), self._news:
-            await self._news.wait_for(condition)
+        async with asyncio.timeout(30), self._changed:
+            await self._changed.wait_for(condition)
 
     async def end(self, dispatch_id):
         """Wait for the last item of a dispatch and return it."""
@@ -246,12 +246,12 @@
 
     async def _read(self):
         async for event in self._stream:
-            async with self._news:
+            async with self._changed:
                 self.events.append(event)
                 for item in event.items:
                     self.on_item(item)
                     self._items.setdefault(item.dispatch_id, []).append(item)
-                self._news.notify_all()
+                self._changed.notify_all()
 
 
 async def start_chain(
--- a/wigeonscale/agent/tests/tcp_proxy.py
+++ b/wigeonscale/agent/tests/tcp_proxy.py
@@ -12,7 +12,7 @@
         self._target = target
         self._muted: set[str] = set()
         self._connections = set()
-        self._deaf = False
+        self._drop_all = False
         self.accepted = 0
 
     async def start(self, case):
@@ -28,7 +28,7 @@
 
     def mute_all(self):
         """Swallow everything, on new connections too."""
-        self._deaf = True
+        self._drop_all = True
 
     async def stop(self):
         self._server.close()
@@ -44,10 +44,12 @@
         self.accepted += 1
         host, _, port = self._target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
             await asyncio.gather(
-                self._copy(reader, far_writer, conn, "in"),
-                self._copy(far_reader, writer, conn, "out"),
+                self._copy(reader, target_writer, conn, "in"),
+                self._copy(target_reader, writer, conn, "out"),
             )
         except OSError:
             pass
@@ -57,7 +59,7 @@
 
     async def _copy(self, reader, writer, conn, direction):
         while data := await reader.read(1 << 16):
-            if not self._deaf and direction not in conn:
+            if not self._drop_all and direction not in conn:
                 writer.write(data)
                 await writer.drain()
         writer.close()
--- a/wigeonscale/agent/tests/test_backend.py
+++ b/wigeonscale/agent/tests/test_backend.py
@@ -68,7 +68,7 @@
         n1.engine.fault_position = 3
         n1.engine.on_fault = hang
         dispatch_id = await client.generate(chain, b"page one", 8)
-        await until(lambda: n1.state.gone)
+        await until(lambda: n1.state.unreachable)
         control.set_chain(make_chain([n0, spare, n2], epoch=2))
         await client.end(dispatch_id)
         self.assertEqual(expected_tokens("page one", 6, 8), client.texts(dispatch_id))
--- a/wigeonscale/agent/tests/test_faults.py
+++ b/wigeonscale/agent/tests/test_faults.py
@@ -166,7 +166,7 @@
         n0.engine.fault_position = PIECES + 2
         n0.engine.on_fault = die
         ids = await self.send()
-        await until(lambda: n0.state.gone)
+        await until(lambda: n0.state.unreachable)
         self.assertTrue(n0.state.announcement().draining)
         self.control.set_chain(make_chain([spare, n1, n2], epoch=2))
         await self.check_whole(ids)
--- a/wigeonscale/agent/tests/test_fuzz.py
+++ b/wigeonscale/agent/tests/test_fuzz.py
@@ -81,7 +81,7 @@
         node = Node(name="s0", control=control, service=service, clock=clock, slots=1)
         node.state.incarnations()[:] = [INCARNATION]
         agent = node.agent
-        load = agent.load_word
+        load = agent.current_load
         streams = [EntryStream(load=load, clock=clock) for _ in range(2)]
         said = []
 
--- a/wigeonscale/agent/tests/test_memory.py
+++ b/wigeonscale/agent/tests/test_history.py
@@ -1,5 +1,5 @@
 from wigeonscale.agent.answers import Dispatch
-from wigeonscale.agent.memory import DispatchMemory
+from wigeonscale.agent.history import DispatchHistory
 from wigeonscale.agent.outcomes import OutcomeReporter
 from wigeonscale.agent.table import DispatchTable
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
@@ -7,38 +7,38 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 
-class MemoryTest(AsyncTestCase):
+class HistoryTest(AsyncTestCase):
     async def prepare(self):
         self.clock = ManualClock()
-        self.memory = DispatchMemory(clock=self.clock, remember_s=100, limit=3)
+        self.history = DispatchHistory(clock=self.clock, retention_s=100, limit=3)
 
     async def test_ran_is_never_turned_back(self):
-        self.memory.remember("d", RunState.RAN)
-        self.memory.remember("d", RunState.NOT_RUN)
-        self.assertEqual(RunState.RAN, self.memory.state("d"))
+        self.history.record("d", RunState.RAN)
+        self.history.record("d", RunState.NOT_RUN)
+        self.assertEqual(RunState.RAN, self.history.state("d"))
 
     async def test_unreported_id_outlives_its_time(self):
-        self.memory.remember("once", RunState.RAN)
-        self.memory.remember("other", RunState.RAN)
-        self.memory.await_report("once")
+        self.history.record("once", RunState.RAN)
+        self.history.record("other", RunState.RAN)
+        self.history.pin("once")
         for _ in range(3):
             await self.clock.advance(101)
-            self.memory.forget_old()
-        self.assertEqual(RunState.RAN, self.memory.state("once"))
-        self.assertIsNone(self.memory.state("other"))
-        self.memory.reported("once")
+            self.history.evict_old()
+        self.assertEqual(RunState.RAN, self.history.state("once"))
+        self.assertIsNone(self.history.state("other"))
+        self.history.unpin("once")
         await self.clock.advance(101)
-        self.memory.forget_old()
-        self.assertIsNone(self.memory.state("once"))
-        self.assertFalse(self.memory.forgot_early)
+        self.history.evict_old()
+        self.assertIsNone(self.history.state("once"))
+        self.assertFalse(self.history.evicted_early)
 
     async def test_forgetting_before_the_time_is_known(self):
         for number in range(5):
-            self.memory.remember(f"d{number}", RunState.RAN)
-        self.memory.forget_old()
-        self.assertTrue(self.memory.forgot_early)
-        self.assertEqual(RunState.RAN, self.memory.state("d4"))
-        self.assertIsNone(self.memory.state("d0"))
+            self.history.record(f"d{number}", RunState.RAN)
+        self.history.evict_old()
+        self.assertTrue(self.history.evicted_early)
+        self.assertEqual(RunState.RAN, self.history.state("d4"))
+        self.assertIsNone(self.history.state("d0"))
 
     async def test_answer_kept_longer_than_ids_is_remembered_after_it(self):
         table = DispatchTable(clock=self.clock, keep_bytes=1000, keep_s=5000)
@@ -50,7 +50,7 @@
             await self.clock.advance(4000)
             table.sweep()
         self.assertIsNone(table.get("d"))
-        self.assertEqual(RunState.RAN, table.memory.state("d"))
+        self.assertEqual(RunState.RAN, table.history.state("d"))
 
 
 class OutcomeTest(AsyncTestCase):
--- a/wigeonscale/agent/tests/test_orders.py
+++ b/wigeonscale/agent/tests/test_orders.py
@@ -30,10 +30,10 @@
             probe_s=0.5,
             on_changed=lambda: self.changes.append(self.state.announcement()),
         )
-        self.orders = self.new_gate()
+        self.orders = self.new_executor()
         await self.state.probe()
 
-    def new_gate(self):
+    def new_executor(self):
         return OrderExecutor(state=self.state, engine=self.engine, floor=self.ask_floor)
 
     async def ask_floor(self):
@@ -41,8 +41,8 @@
             raise WigeonscaleError(ErrorKind.NO_QUORUM, "no majority")
         return self.floor
 
-    async def execute(self, order, gate=None):
-        result = await (gate or self.orders).execute(order)
+    async def execute(self, order, executor=None):
+        result = await (executor or self.orders).execute(order)
         return result.done, result.kind
 
 
@@ -89,7 +89,7 @@
     async def test_overtaken_control_is_refused_after_a_restart(self):
         # A new gate remembers nothing; the majority does.
         self.floor = (4, 20)
-        stale = await self.execute(load_order(3, 99), self.new_gate())
+        stale = await self.execute(load_order(3, 99), self.new_executor())
         self.assertEqual((False, ErrorKind.STALE_TERM), stale)
         self.assertEqual([], self.engine.orders)
 
@@ -124,7 +124,7 @@
         await self.execute(load_order(3, 10))
         self.engine.failing = True
         await self.state.probe()
-        self.assertFalse(self.state.gone)
+        self.assertFalse(self.state.unreachable)
         await self.state.probe()
         last = self.changes[-1]
         self.assertEqual(
--- a/wigeonscale/agent/tests/test_prefixes.py
+++ b/wigeonscale/agent/tests/test_prefixes.py
@@ -1,6 +1,6 @@
 """Cache events of an engine reach the entries, late, with gaps, bounded."""
 
-from wigeonscale.agent.prefixes import UNSENT_EVENTS, PrefixFeed, PrefixOutbox
+from wigeonscale.agent.prefixes import MAX_UNSENT_EVENTS, PrefixFeed, PrefixOutbox
 from wigeonscale.agent.tests.support import connect, start_chain
 from wigeonscale.ports import CacheEvent, EngineInfo
 from wigeonscale.routing import PrefixView, prefix_digest
@@ -83,26 +83,29 @@
         engine = FakeEngine(name="e", info=EngineInfo(model="m"))
         feed = PrefixFeed(engine=engine, clock=ManualClock(), poll_s=1.0)
         outbox = feed.subscribe()
-        feed.begins("d1", PROMPTS[0])
-        told = [CacheEvent(2, "x", True, "d1#1"), CacheEvent(1 << 80, "x", False)]
+        feed.track_prompt("d1", PROMPTS[0])
+        engine_events = [
+            CacheEvent(2, "x", True, "d1#1"),
+            CacheEvent(1 << 80, "x", False),
+        ]
 
         async def all_events(after):
-            return told
+            return engine_events
 
         engine.cache_events = all_events
         for _ in range(3):
             await feed.poll()
-        numbers = [event.number for event in outbox.take().events]
+        numbers = [event.number for event in outbox.pop_pending().events]
         self.assertEqual([2, 3 + RESET_GAP_EVENTS], numbers)
 
 
 class PrefixOutboxTest(AsyncTestCase):
     def test_events_that_nobody_takes_are_lost_as_a_gap(self):
         outbox = PrefixOutbox([], number=0)
-        for number in range(1, 3 * UNSENT_EVENTS + 1):
+        for number in range(1, 3 * MAX_UNSENT_EVENTS + 1):
             digest = number.to_bytes(2, "big")
             outbox.add([wire.PrefixEvent(number=number, digest=digest, held=True)])
-        taken = outbox.take()
-        self.assertEqual(UNSENT_EVENTS, len(taken.events))
-        self.assertEqual(3 * UNSENT_EVENTS, taken.number)
-        self.assertIsNone(outbox.take())
+        taken = outbox.pop_pending()
+        self.assertEqual(MAX_UNSENT_EVENTS, len(taken.events))
+        self.assertEqual(3 * MAX_UNSENT_EVENTS, taken.number)
+        self.assertIsNone(outbox.pop_pending())
--- a/wigeonscale/agent/work.py
+++ b/wigeonscale/agent/work.py
@@ -95,8 +95,11 @@
         try:
             answer = await _call_service(dispatch, service, clock, timeout_s)
         except WigeonscaleError as exc:
-            if dispatch.late(clock.now()) and exc.run_state is not RunState.NOT_RUN:
-                exc = _late(dispatch)
+            if (
+                dispatch.deadline_exceeded(clock.now())
+                and exc.run_state is not RunState.NOT_RUN
+            ):
+                exc = _deadline_exceeded(dispatch)
             on_failed(dispatch, exc)
         except Exception as exc:
             logger.exception("call of %s failed", dispatch.dispatch_id)
@@ -132,7 +135,7 @@
     )
 
 
-def _late(dispatch: Dispatch) -> WigeonscaleError:
+def _deadline_exceeded(dispatch: Dispatch) -> WigeonscaleError:
     # The call was cut at the deadline; the service may have done the work.
     return WigeonscaleError(
         ErrorKind.DEADLINE_EXCEEDED,
--- a/wigeonscale/entry/app.py
+++ b/wigeonscale/entry/app.py
@@ -9,11 +9,11 @@
 from wigeonscale.adapters import bound_address
 from wigeonscale.entry.calls import call_service
 from wigeonscale.entry.completions import completions_handler
-from wigeonscale.entry.flow import guarded
-from wigeonscale.entry.rejects import CallerRunner
+from wigeonscale.entry.flow import make_handler
+from wigeonscale.entry.malformed_http import CallerRunner
+from wigeonscale.entry.resume import resume_answer
 from wigeonscale.entry.service import EntryService
 from wigeonscale.entry.sse import Shape
-from wigeonscale.entry.takeup import take_up
 
 BACKLOG = 1024
 # Time for the balancer to see the entry as not ready, in seconds.
@@ -65,13 +65,13 @@
 
         Requests on connections that stand are still served, the last on each.
         """
-        self._entry.leaving = True
+        self._entry.draining = True
         await self._entry.clock.sleep(UNREADY_GRACE_S)
         await self._site.stop()
 
     async def finish(self) -> None:
         """Wait for the answers in progress."""
-        await self._entry.until_idle()
+        await self._entry.wait_until_idle()
 
     async def cut(self) -> None:
         """End the answers still in progress by an honest error."""
@@ -79,7 +79,7 @@
         self._entry.cut()
         try:
             async with asyncio.timeout(CUT_GRACE_S):
-                await self._entry.until_idle()
+                await self._entry.wait_until_idle()
         except TimeoutError:
             return
 
@@ -95,17 +95,17 @@
     app = web.Application(client_max_size=entry.limits.body_limit_bytes)
 
     async def close_when_leaving(req: web.Request, resp: web.StreamResponse) -> None:
-        if entry.leaving:
+        if entry.draining:
             resp.headers[hdrs.CONNECTION] = "close"
             resp.force_close()
 
     app.on_response_prepare.append(close_when_leaving)
     app.router.add_post(
-        "/v1/completions", guarded(entry, completions_handler(Shape.COMPLETION))
+        "/v1/completions", make_handler(entry, completions_handler(Shape.COMPLETION))
     )
     app.router.add_post(
-        "/v1/chat/completions", guarded(entry, completions_handler(Shape.CHAT))
+        "/v1/chat/completions", make_handler(entry, completions_handler(Shape.CHAT))
     )
-    app.router.add_get("/v1/requests/{id}", guarded(entry, take_up))
-    app.router.add_route("*", "/{path:.*}", guarded(entry, call_service))
+    app.router.add_get("/v1/requests/{id}", make_handler(entry, resume_answer))
+    app.router.add_route("*", "/{path:.*}", make_handler(entry, call_service))
     return app
--- a/wigeonscale/entry/backend_instances.py
+++ b/wigeonscale/entry/backend_instances.py
@@ -30,31 +30,33 @@
             agent_ids: The agents; those that are no members are left out.
         """
         backends = self._members().backends
-        return tuple(_name(backends[i]) for i in agent_ids if i in backends)
+        return tuple(_instance_id(backends[i]) for i in agent_ids if i in backends)
 
-    def is_serving(self, name: str) -> bool:
+    def is_serving(self, instance_id: str) -> bool:
         """Return whether the agent is there, and does not leave by intent."""
-        backend = self._backend(name)
-        if backend is None or _start(name) != _start(_name(backend)):
+        backend = self._backend(instance_id)
+        if backend is None or _agent_part(instance_id) != _agent_part(
+            _instance_id(backend)
+        ):
             return False
         # It leaves, too, while its server is gone.
-        return not backend.draining or name != _name(backend)
+        return not backend.draining or instance_id != _instance_id(backend)
 
-    def has_ended(self, name: str) -> bool:
+    def has_ended(self, instance_id: str) -> bool:
         """Return whether that life of the server is over."""
-        backend = self._backend(name)
-        return backend is None or name != _name(backend)
+        backend = self._backend(instance_id)
+        return backend is None or instance_id != _instance_id(backend)
 
-    def _backend(self, name: str) -> wire.Backend | None:
-        agent_id = name.rsplit(SEPARATOR, 2)[0]
+    def _backend(self, instance_id: str) -> wire.Backend | None:
+        agent_id = instance_id.rsplit(SEPARATOR, 2)[0]
         return self._members().backends.get(agent_id)
 
 
-def _name(backend: wire.Backend) -> str:
+def _instance_id(backend: wire.Backend) -> str:
     parts = (backend.agent_id, backend.incarnation, backend.losses)
     return SEPARATOR.join(map(str, parts))
 
 
-def _start(name: str) -> str:
+def _agent_part(instance_id: str) -> str:
     """Return the part of a name that stands for the agent and its incarnation."""
-    return name.rpartition(SEPARATOR)[0]
+    return instance_id.rpartition(SEPARATOR)[0]
--- a/wigeonscale/entry/calls.py
+++ b/wigeonscale/entry/calls.py
@@ -9,7 +9,7 @@
 
 from wigeonscale.adapters.service_http import HOP_HEADERS
 from wigeonscale.dispatch import Answer, Work
-from wigeonscale.entry.answers import REQUEST_HEADER
+from wigeonscale.entry.error_responses import REQUEST_HEADER
 from wigeonscale.entry.flow import Admission, admit, identify, request_facts
 from wigeonscale.entry.records import RequestLog
 from wigeonscale.entry.requests import check_path, read_body
--- a/wigeonscale/entry/completions.py
+++ b/wigeonscale/entry/completions.py
@@ -9,7 +9,7 @@
 from wigeonscale.entry.flow import (
     Admission,
     Caller,
-    Handle,
+    Handler,
     admit,
     identify,
     request_facts,
@@ -23,7 +23,7 @@
 )
 from wigeonscale.entry.service import EntryService
 from wigeonscale.entry.sse import Shape
-from wigeonscale.entry.streams import AnswerForm, send_answer
+from wigeonscale.entry.streams import ResponseOptions, send_answer
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.rules import RequestFacts
 from wigeonscale.wire import wire_pb2 as wire
@@ -31,7 +31,7 @@
 _BODY_TYPES = {Shape.COMPLETION: CompletionBody, Shape.CHAT: ChatBody}
 
 
-def completions_handler(shape: Shape) -> Handle:
+def completions_handler(shape: Shape) -> Handler:
     """Return the handler of generations in one JSON shape.
 
     Args:
@@ -54,8 +54,8 @@
             return await forward(entry, req, log, admission, raw)
         work = _work(entry, req, admission, raw, prompt, body.max_tokens)
         answer = await entry.dispatcher.start(work)
-        form = AnswerForm(stream=body.stream, shape=shape, model=body.model)
-        return await send_answer(entry, req, log, answer, form)
+        options = ResponseOptions(stream=body.stream, shape=shape, model=body.model)
+        return await send_answer(entry, req, log, answer, options)
 
     return complete
 
--- a/wigeonscale/entry/flow.py
+++ b/wigeonscale/entry/flow.py
@@ -3,9 +3,9 @@
 __all__ = [
     "Admission",
     "Caller",
-    "Handle",
+    "Handler",
     "admit",
-    "guarded",
+    "make_handler",
     "identify",
     "request_facts",
 ]
@@ -20,8 +20,8 @@
 from wigeonscale.adapters import log_fields
 from wigeonscale.crashes import request_fingerprint
 from wigeonscale.dispatch import Work
-from wigeonscale.entry.answers import error_response
 from wigeonscale.entry.auth import authenticate
+from wigeonscale.entry.error_responses import error_response
 from wigeonscale.entry.records import RequestLog, record
 from wigeonscale.entry.requests import RequestOptions, read_options, request_digest
 from wigeonscale.entry.service import EntryService
@@ -90,13 +90,13 @@
         )
 
 
-Handle = Callable[
+Handler = Callable[
     [EntryService, web.Request, RequestLog], Awaitable[web.StreamResponse]
 ]
 
 
-def guarded(
-    entry: EntryService, handle: Handle
+def make_handler(
+    entry: EntryService, handle: Handler
 ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
     """Return an aiohttp handler that counts, answers errors and records.
 
@@ -109,7 +109,7 @@
         log = RequestLog(started=entry.clock.now())
         entered = False
         try:
-            entry.enter()
+            entry.begin_request()
             entered = True
             return await handle(entry, req, log)
         except WigeonscaleError as exc:
@@ -126,7 +126,7 @@
             return error_response(_internal(log), log.request_id)
         finally:
             if entered:
-                entry.leave()
+                entry.end_request()
             _finish(entry, log)
 
     return handler
@@ -202,11 +202,11 @@
             " Idempotency-Key",
         )
     _take_permits(entry, log, caller.organisation, decision)
-    asked = caller.options.priority
+    requested = caller.options.priority
     return Admission(
         caller=caller,
         decision=decision,
-        priority=asked if decision.priority is None else decision.priority,
+        priority=requested if decision.priority is None else decision.priority,
         deadline=log.started + _deadline_s(entry, caller.options, decision),
         dispatch_ids=log.dispatch_ids,
     )
@@ -230,8 +230,8 @@
 def _deadline_s(
     entry: EntryService, options: RequestOptions, decision: Decision
 ) -> float:
-    asked = options.deadline_s or entry.limits.default_deadline_s
-    limits = [asked]
+    requested = options.deadline_s or entry.limits.default_deadline_s
+    limits = [requested]
     if decision.deadline_s:
         limits.append(decision.deadline_s)
     service = entry.control.document.services.get(decision.service)
--- a/wigeonscale/entry/rejects.py
+++ b/wigeonscale/entry/malformed_http.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from wigeonscale.adapters import METRICS
-from wigeonscale.entry.answers import error_response
+from wigeonscale.entry.error_responses import error_response
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
 MAX_MESSAGE_LENGTH = 200
--- a/wigeonscale/entry/member_selector.py
+++ b/wigeonscale/entry/member_selector.py
@@ -12,11 +12,11 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 # Control decides within seconds whether an agent that gave no answer is gone.
-AVOID_GONE_S = 5.0
+AVOID_UNREACHABLE_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Choices:
+class _CandidateSet:
     """Where work of one pipeline or service can go.
 
     Attributes:
@@ -53,9 +53,9 @@
         self._members = members
         self._chooser = chooser
         self._clock = clock
-        self._known: dict[tuple[str, str], _Choices] = {}
-        self._gone: dict[tuple[str, int], float] = {}
-        self._states: dict[str, tuple[int, bool]] = {}
+        self._candidate_sets: dict[tuple[str, str], _CandidateSet] = {}
+        self._avoid_until: dict[tuple[str, int], float] = {}
+        self._backend_states: dict[str, tuple[int, bool]] = {}
         self._seen_index = -1
 
     def choose(self, work: Work, avoid: frozenset[str]) -> Selection | None:
@@ -65,16 +65,16 @@
             work: The work.
             avoid: Ids of agents not to use.
         """
-        self._follow_members()
-        choices = self._choices(work.pipeline, work.service)
+        self._sync_members()
+        candidate_set = self._candidate_set(work.pipeline, work.service)
         prompt = work.generate.prompt if work.generate is not None else b""
         choice = self._chooser.choose(
-            choices.candidates,
+            candidate_set.candidates,
             prefix=prompt,
             organisation=work.organisation,
             avoid=avoid | self._avoided(),
         )
-        return choices.selections[choice.agent_id] if choice is not None else None
+        return candidate_set.selections[choice.agent_id] if choice is not None else None
 
     def is_current(self, agent_id: str, incarnation: int) -> bool:
         """Return whether this incarnation of the agent is a member."""
@@ -88,10 +88,10 @@
 
     def avoid_temporarily(self, target: Target) -> None:
         """Use an agent no more until control has decided about it."""
-        until = self._clock.now() + AVOID_GONE_S
-        self._gone[target.agent_id, target.incarnation] = until
+        until = self._clock.now() + AVOID_UNREACHABLE_S
+        self._avoid_until[target.agent_id, target.incarnation] = until
 
-    def _follow_members(self) -> None:
+    def _sync_members(self) -> None:
         members = self._members()
         if members.index == self._seen_index:
             return
@@ -103,46 +103,46 @@
         }
         for agent_id, state in states.items():
             # An agent's own word of leaving is void once it is back.
-            if not state[1] and state != self._states.get(agent_id, state):
+            if not state[1] and state != self._backend_states.get(agent_id, state):
                 self._chooser.clear_leaving(agent_id)
-        self._states = states
+        self._backend_states = states
 
     def _avoided(self) -> frozenset[str]:
-        if not self._gone:
+        if not self._avoid_until:
             return frozenset()
         now = self._clock.now()
-        self._gone = {
+        self._avoid_until = {
             (agent_id, incarnation): until
-            for (agent_id, incarnation), until in self._gone.items()
+            for (agent_id, incarnation), until in self._avoid_until.items()
             if until > now and self.is_current(agent_id, incarnation)
         }
-        return frozenset(agent_id for agent_id, _ in self._gone)
+        return frozenset(agent_id for agent_id, _ in self._avoid_until)
 
-    def _choices(self, pipeline: str, service: str) -> _Choices:
+    def _candidate_set(self, pipeline: str, service: str) -> _CandidateSet:
         members = self._members()
-        known = self._known.get((pipeline, service))
+        known = self._candidate_sets.get((pipeline, service))
         if known is not None and known.index == members.index:
             return known
         if pipeline:
-            pairs = list(_chain_places(members, pipeline))
+            pairs = list(_chain_candidates(members, pipeline))
         else:
-            pairs = list(_service_places(members, service))
+            pairs = list(_service_candidates(members, service))
         candidates = tuple(candidate for candidate, _ in pairs)
         if known is not None and known.candidates == candidates:
             # The chooser keeps its subset for the same tuple object.
             candidates = known.candidates
-        selections = {candidate.agent_id: place for candidate, place in pairs}
-        choices = _Choices(members.index, candidates, selections)
-        self._known[pipeline, service] = choices
-        return choices
+        selections = {candidate.agent_id: selection for candidate, selection in pairs}
+        candidate_set = _CandidateSet(members.index, candidates, selections)
+        self._candidate_sets[pipeline, service] = candidate_set
+        return candidate_set
 
 
-def _chain_places(members: MembersView, pipeline: str):
+def _chain_candidates(members: MembersView, pipeline: str):
     backends = members.backends
     for chain in members.chains_of(pipeline):
         if not chain.ready or chain.retiring:
             continue
-        if any(_leaves(backends, stage) for stage in chain.stages):
+        if any(_is_draining(backends, stage) for stage in chain.stages):
             continue
         head = chain.stages[0]
         candidate = Candidate(
@@ -154,7 +154,7 @@
         yield candidate, (_target(head), chain)
 
 
-def _service_places(members: MembersView, service: str):
+def _service_candidates(members: MembersView, service: str):
     for backend in members.backends_of(service):
         if backend.draining:
             continue
@@ -164,10 +164,10 @@
         yield candidate, (_target(backend), None)
 
 
-def _leaves(backends, stage: wire.Stage) -> bool:
+def _is_draining(backends, stage: wire.Stage) -> bool:
     backend = backends.get(stage.agent_id)
     return backend is not None and backend.draining
 
 
-def _target(place: wire.Backend | wire.Stage) -> Target:
-    return Target(place.agent_id, place.incarnation, place.address)
+def _target(member: wire.Backend | wire.Stage) -> Target:
+    return Target(member.agent_id, member.incarnation, member.address)
--- a/wigeonscale/entry/records.py
+++ b/wigeonscale/entry/records.py
@@ -12,8 +12,10 @@
 
 logger = logging.getLogger(__name__)
 
-SERVER_FAULT = 500
-LATE_GAP_S = next(obj.threshold_s for obj in DEFAULT_OBJECTIVES if obj.name == "gap")
+MIN_SERVER_ERROR_STATUS = 500
+GAP_OBJECTIVE_S = next(
+    obj.threshold_s for obj in DEFAULT_OBJECTIVES if obj.name == "gap"
+)
 
 
 @dataclass(slots=True)
@@ -75,7 +77,7 @@
             self.first_token_s = now - self.started
         else:
             gap_s = now - self.last_token
-            (self.gaps if gap_s <= LATE_GAP_S else self.late_gaps).add(gap_s)
+            (self.gaps if gap_s <= GAP_OBJECTIVE_S else self.late_gaps).add(gap_s)
         self.last_token = now
         self.tokens += count
 
@@ -84,8 +86,8 @@
         """Whether the request ended well, or badly by the caller's own doing."""
         if self.kind == OK:
             return True
-        own_doing = ANSWERS[self.kind].status < SERVER_FAULT
-        return own_doing and self.kind is not ErrorKind.OUTCOME_UNKNOWN
+        is_caller_error = ANSWERS[self.kind].status < MIN_SERVER_ERROR_STATUS
+        return is_caller_error and self.kind is not ErrorKind.OUTCOME_UNKNOWN
 
 
 def record(log: RequestLog, now: float, recorder: BurnRecorder) -> None:
--- a/wigeonscale/entry/requests.py
+++ b/wigeonscale/entry/requests.py
@@ -74,7 +74,7 @@
 
     def prompt_text(self) -> str:
         """Return the text that the first stage gets: one line a message."""
-        return "\n".join(_line(message) for message in self.messages)
+        return "\n".join(_message_line(message) for message in self.messages)
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +113,9 @@
     if value is None:
         return ""
     if not _KEY.fullmatch(value):
-        raise _bad(KEY_HEADER, value, f"1 to {MAX_KEY_LENGTH} visible characters")
+        raise _bad_request(
+            KEY_HEADER, value, f"1 to {MAX_KEY_LENGTH} visible characters"
+        )
     return value
 
 
@@ -129,7 +131,7 @@
     """
     # isdigit alone would let other scripts' digits through.
     if not (value.isascii() and value.isdigit() and len(value) <= 6):
-        raise _bad(name, value, "a token index, 0 or more")
+        raise _bad_request(name, value, "a token index, 0 or more")
     return int(value)
 
 
@@ -171,7 +173,7 @@
     try:
         return body_type.model_validate_json(raw)
     except pydantic.ValidationError as exc:
-        raise WigeonscaleError(ErrorKind.BAD_REQUEST, _problems(exc)) from exc
+        raise WigeonscaleError(ErrorKind.BAD_REQUEST, _validation_summary(exc)) from exc
 
 
 def check_path(req: web.Request) -> None:
@@ -185,7 +187,7 @@
     """
     path = urllib.parse.unquote(req.raw_path.partition("?")[0]).replace("\\", "/")
     if not {".", ".."}.isdisjoint(path.split("/")):
-        raise _bad("path", req.raw_path, "a path without . and .. segments")
+        raise _bad_request("path", req.raw_path, "a path without . and .. segments")
 
 
 def request_digest(method: str, path: str, body: bytes) -> bytes:
@@ -193,7 +195,7 @@
     return hashlib.sha256(f"{method}\n{path}\n".encode() + body).digest()
 
 
-def _line(message: ChatMessage) -> str:
+def _message_line(message: ChatMessage) -> str:
     if message.role == "user":
         return message.content
     return f"{message.role}: {message.content}"
@@ -207,7 +209,9 @@
     except ValueError:
         seconds = 0.0
     if not 0.0 < seconds <= MAX_DEADLINE_S:
-        raise _bad(DEADLINE_HEADER, value, f"seconds, above 0 to {MAX_DEADLINE_S:g}")
+        raise _bad_request(
+            DEADLINE_HEADER, value, f"seconds, above 0 to {MAX_DEADLINE_S:g}"
+        )
     return seconds
 
 
@@ -220,17 +224,17 @@
         priority = MAX_PRIORITY + 1
     if not -MAX_PRIORITY <= priority <= MAX_PRIORITY:
         allowed = f"an integer from -{MAX_PRIORITY} to {MAX_PRIORITY}"
-        raise _bad(PRIORITY_HEADER, value, allowed)
+        raise _bad_request(PRIORITY_HEADER, value, allowed)
     return priority
 
 
-def _bad(name: str, value: str, allowed: str) -> WigeonscaleError:
+def _bad_request(name: str, value: str, allowed: str) -> WigeonscaleError:
     return WigeonscaleError(
         ErrorKind.BAD_REQUEST, f"{name}: {value[:80]!r} where {allowed} is allowed"
     )
 
 
-def _problems(exc: pydantic.ValidationError) -> str:
+def _validation_summary(exc: pydantic.ValidationError) -> str:
     found = exc.errors(include_url=False, include_context=False, include_input=False)
     texts = (
         f"{'.'.join(map(str, problem['loc'])) or 'body'}: {problem['msg']}"
--- a/wigeonscale/entry/takeup.py
+++ b/wigeonscale/entry/resume.py
@@ -1,6 +1,6 @@
 """Answers taken up again: ``GET /v1/requests/{id}``."""
 
-__all__ = ["take_up"]
+__all__ = ["resume_answer"]
 
 from aiohttp import web
 
@@ -10,20 +10,20 @@
 from wigeonscale.entry.requests import token_index
 from wigeonscale.entry.service import EntryService
 from wigeonscale.entry.sse import Shape
-from wigeonscale.entry.streams import AnswerForm, send_answer
+from wigeonscale.entry.streams import ResponseOptions, send_answer
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
 LAST_EVENT_HEADER = "Last-Event-ID"
 
 
-async def take_up(
+async def resume_answer(
     entry: EntryService, req: web.Request, log: RequestLog
 ) -> web.StreamResponse:
     """Send the rest of an answer from a token index, at any entry."""
     caller = identify(entry, req, log)
     request_id = req.match_info["id"]
     from_token = _from_token(req)
-    form = AnswerForm(stream=True, shape=_shape(req))
+    options = ResponseOptions(stream=True, shape=_shape(req))
     target = entry.selector.target(request_id.rpartition("@")[2])
     if target is None:
         raise WigeonscaleError(
@@ -35,9 +35,9 @@
         target, request_id, caller.organisation.name, from_token
     )
     log.dispatch_ids.append(request_id)
-    entry.keep(request_id)
+    entry.cancel_abandon(request_id)
     if answer.stream.response is None:
-        return await send_answer(entry, req, log, answer, form)
+        return await send_answer(entry, req, log, answer, options)
     try:
         return await service_response(answer)
     finally:
--- a/wigeonscale/entry/service.py
+++ b/wigeonscale/entry/service.py
@@ -24,7 +24,7 @@
 
 # A caller that lost its connection may take up its answer for this long; then
 # the work is stopped.
-TAKE_UP_GRACE_S = 10.0
+RESUME_GRACE_S = 10.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -35,13 +35,13 @@
         default_deadline_s: Deadline of a request that names none, in seconds.
         body_limit_bytes: Largest request body.
         max_streams: Requests in progress at once.
-        take_up_grace_s: How long work goes on for a caller that vanished, in seconds.
+        resume_grace_s: How long work goes on for a caller that vanished, in seconds.
     """
 
     default_deadline_s: float = 120.0
     body_limit_bytes: int = 1024 * 1024
     max_streams: int = 5000
-    take_up_grace_s: float = TAKE_UP_GRACE_S
+    resume_grace_s: float = RESUME_GRACE_S
 
 
 class EntryService:
@@ -85,19 +85,19 @@
         self.recorder = recorder
         self.limits = limits or EntryLimits()
         self.in_progress = 0
-        self.leaving = False
+        self.draining = False
         self.stopping = False
         self._links = links
         self._claims = claims
         self._idle = asyncio.Event()
         self._idle.set()
-        self._graces: dict[str, asyncio.Task] = {}
+        self._grace_tasks: dict[str, asyncio.Task] = {}
 
     def is_ready(self) -> bool:
         """Return whether the balancer may send requests here."""
-        return not self.leaving and self.control.lease_valid()
+        return not self.draining and self.control.lease_valid()
 
-    def enter(self) -> None:
+    def begin_request(self) -> None:
         """Count a request in, or refuse it.
 
         Raises:
@@ -123,14 +123,14 @@
         self._idle.clear()
         METRICS.open_streams.set(self.in_progress)
 
-    def leave(self) -> None:
+    def end_request(self) -> None:
         """Count a request out."""
         self.in_progress -= 1
         METRICS.open_streams.set(self.in_progress)
         if not self.in_progress:
             self._idle.set()
 
-    async def until_idle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until no request is in progress."""
         await self._idle.wait()
 
@@ -144,7 +144,7 @@
         chains = self.control.members.chains
         for stream in self._links.streams():
             chain_id = stream.chain_id
-            if chain_id and chain_id not in chains and self._has_other(stream):
+            if chain_id and chain_id not in chains and self._has_alternative(stream):
                 message = f"chain {chain_id} was given up"
                 stream.abort(
                     WigeonscaleError(
@@ -152,7 +152,7 @@
                     )
                 )
 
-    def _has_other(self, stream: DispatchStream) -> bool:
+    def _has_alternative(self, stream: DispatchStream) -> bool:
         pipeline = stream.opening.generate.chain.pipeline
         work = Work(organisation=stream.organisation, pipeline=pipeline)
         # Its own head may head the new chain, which has another id.
@@ -160,22 +160,22 @@
 
     # ------------------------------------------------- callers that have vanished
 
-    def abandon_later(self, answer: Answer) -> None:
+    def abandon_after_grace(self, answer: Answer) -> None:
         """Stop the work of a vanished caller unless it takes the answer up soon."""
         request_id = answer.request_id
         task = asyncio.create_task(self._abandon(answer))
-        self._graces[request_id] = task
-        task.add_done_callback(lambda _: self._graces.pop(request_id, None))
+        self._grace_tasks[request_id] = task
+        task.add_done_callback(lambda _: self._grace_tasks.pop(request_id, None))
 
-    def keep(self, request_id: str) -> None:
+    def cancel_abandon(self, request_id: str) -> None:
         """Let work go on whose answer is taken up again here."""
-        task = self._graces.get(request_id)
+        task = self._grace_tasks.get(request_id)
         if task is not None:
             task.cancel()
 
     async def close(self) -> None:
         """End the waits for vanished callers, and finish the releases of claims."""
-        tasks = list(self._graces.values())
+        tasks = list(self._grace_tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -184,7 +184,7 @@
 
     async def _abandon(self, answer: Answer) -> None:
         try:
-            await self.clock.sleep(self.limits.take_up_grace_s)
+            await self.clock.sleep(self.limits.resume_grace_s)
         except asyncio.CancelledError:
             answer.close()
             raise
--- a/wigeonscale/entry/sse.py
+++ b/wigeonscale/entry/sse.py
@@ -1,12 +1,12 @@
 """Answers as server-sent events."""
 
-__all__ = ["EventEncoder", "Shape", "plain_document"]
+__all__ = ["EventEncoder", "Shape", "json_document"]
 
 import json
 from enum import StrEnum
 from json.encoder import encode_basestring_ascii as quote
 
-from wigeonscale.entry.answers import error_document
+from wigeonscale.entry.error_responses import error_document
 from wigeonscale.errors import WigeonscaleError
 
 
@@ -21,8 +21,8 @@
     Shape.COMPLETION: "text_completion",
     Shape.CHAT: "chat.completion.chunk",
 }
-_PLAIN_OBJECTS = {Shape.COMPLETION: "text_completion", Shape.CHAT: "chat.completion"}
-_TEXT_MARK = "@text@"
+_JSON_OBJECTS = {Shape.COMPLETION: "text_completion", Shape.CHAT: "chat.completion"}
+_TEXT_PLACEHOLDER = "@text@"
 
 
 class EventEncoder:
@@ -60,8 +60,8 @@
         if request_id == self.request_id:
             return
         self.request_id = request_id
-        chunk = json.dumps(self._chunk(_choice(self._shape, _TEXT_MARK, None)))
-        before, _, after = chunk.partition(json.dumps(_TEXT_MARK))
+        chunk = json.dumps(self._chunk(_choice(self._shape, _TEXT_PLACEHOLDER, None)))
+        before, _, after = chunk.partition(json.dumps(_TEXT_PLACEHOLDER))
         self._before = f"\ndata: {before}"
         self._after = f"{after}\n\n"
 
@@ -98,7 +98,7 @@
         }
 
 
-def plain_document(
+def json_document(
     *,
     request_id: str,
     shape: Shape,
@@ -116,7 +116,7 @@
         choice["text"] = text
     return {
         "id": request_id,
-        "object": _PLAIN_OBJECTS[shape],
+        "object": _JSON_OBJECTS[shape],
         "created": created,
         "model": model,
         "choices": [choice],
--- a/wigeonscale/entry/streams.py
+++ b/wigeonscale/entry/streams.py
@@ -1,6 +1,6 @@
 """Answers written to callers: streams token by token, plain ones at their end."""
 
-__all__ = ["AnswerForm", "send_answer"]
+__all__ = ["ResponseOptions", "send_answer"]
 
 import asyncio
 from dataclasses import dataclass
@@ -9,16 +9,16 @@
 from aiohttp.http_writer import StreamWriter
 
 from wigeonscale.dispatch import Answer
-from wigeonscale.entry.answers import REQUEST_HEADER
+from wigeonscale.entry.error_responses import REQUEST_HEADER
 from wigeonscale.entry.records import RequestLog
 from wigeonscale.entry.service import EntryService
-from wigeonscale.entry.sse import EventEncoder, Shape, plain_document
+from wigeonscale.entry.sse import EventEncoder, Shape, json_document
 from wigeonscale.errors import WigeonscaleError
 
 # Bytes not yet sent to a caller, above which its stream waits.
 WRITE_BUFFER_BYTES = 16 * 1024
 # A caller that takes nothing for so long counts as vanished.
-STALLED_CALLER_S = 60.0
+CALLER_STALL_TIMEOUT_S = 60.0
 
 STREAM_HEADERS = {
     hdrs.CONTENT_TYPE: "text/event-stream",
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerForm:
+class ResponseOptions:
     """How a caller wants its answer.
 
     Attributes:
@@ -47,7 +47,7 @@
     req: web.Request,
     log: RequestLog,
     answer: Answer,
-    form: AnswerForm,
+    options: ResponseOptions,
 ) -> web.StreamResponse:
     """Send an answer that has begun, and leave it.
 
@@ -56,38 +56,38 @@
         req: The caller's request.
         log: Takes what is recorded.
         answer: The answer.
-        form: How the caller wants it.
+        options: How the caller wants it.
 
     Raises:
         WigeonscaleError: Before anything was written.
         ConnectionError: When the caller has vanished.
     """
-    send = _send_stream if form.stream else _send_plain
+    send = _send_stream if options.stream else _send_json
     try:
-        resp = await send(entry, req, log, answer, form)
+        resp = await send(entry, req, log, answer, options)
     except (asyncio.CancelledError, ConnectionError):
-        _leave_vanished(entry, log, answer, form)
+        _abandon_disconnected(entry, log, answer, options)
         raise
     answer.close()
     return resp
 
 
-def _leave_vanished(
-    entry: EntryService, log: RequestLog, answer: Answer, form: AnswerForm
+def _abandon_disconnected(
+    entry: EntryService, log: RequestLog, answer: Answer, options: ResponseOptions
 ) -> None:
-    if form.stream and not answer.once:
+    if options.stream and not answer.once:
         # It knows the request id and may come back for the rest.
-        entry.abandon_later(answer)
+        entry.abandon_after_grace(answer)
     else:
         answer.abandon()
 
 
-async def _send_plain(
+async def _send_json(
     entry: EntryService,
     req: web.Request,
     log: RequestLog,
     answer: Answer,
-    form: AnswerForm,
+    options: ResponseOptions,
 ) -> web.Response:
     try:
         while texts := await answer.read():
@@ -95,10 +95,10 @@
     except WigeonscaleError:
         answer.close()
         raise
-    document = plain_document(
+    document = json_document(
         request_id=answer.request_id,
-        shape=form.shape,
-        model=form.model,
+        shape=options.shape,
+        model=options.model,
         created=int(entry.clock.wall()),
         texts=answer.record.texts,
         finish_reason=answer.stream.done.finish_reason,
@@ -111,7 +111,7 @@
     req: web.Request,
     log: RequestLog,
     answer: Answer,
-    form: AnswerForm,
+    options: ResponseOptions,
 ) -> web.StreamResponse:
     resp = web.StreamResponse(
         headers={**STREAM_HEADERS, REQUEST_HEADER: answer.request_id}
@@ -121,8 +121,8 @@
         raise ConnectionResetError("the caller has vanished")
     encoder = EventEncoder(
         request_id=answer.request_id,
-        shape=form.shape,
-        model=form.model,
+        shape=options.shape,
+        model=options.model,
         created=int(entry.clock.wall()),
         next_index=answer.record.base,
     )
@@ -164,7 +164,7 @@
         self._encoder = encoder
         self._payload = payload
         self._transport = transport
-        self._is_begun = False
+        self._has_written = False
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
 
     async def write(self, texts: list[str]) -> None:
@@ -172,7 +172,7 @@
         if self.write_now(texts):
             return
         try:
-            async with asyncio.timeout(STALLED_CALLER_S):
+            async with asyncio.timeout(CALLER_STALL_TIMEOUT_S):
                 await self._payload.drain()
         except TimeoutError as exc:
             raise ConnectionResetError("the caller takes nothing") from exc
@@ -182,16 +182,16 @@
         if self._transport.is_closing():
             return False
         events = self._encoder.tokens(texts)
-        if self._is_begun and self._payload.chunked:
+        if self._has_written and self._payload.chunked:
             # One chunk as the library frames it, for half of its price.
             self._transport.write(b"%x\r\n%b\r\n" % (len(events), events))
-        elif not self._write_by_library(events):
+        elif not self._write_via_aiohttp(events):
             return False
-        self._is_begun = True
+        self._has_written = True
         self._log.note_tokens(len(texts), self._entry.clock.now())
         return self._transport.get_write_buffer_size() <= WRITE_BUFFER_BYTES
 
-    def _write_by_library(self, events: bytes) -> bool:
+    def _write_via_aiohttp(self, events: bytes) -> bool:
         """Write events after the headers, which the first write sends."""
         write = self._payload.write(events, drain=False)
         try:
--- a/wigeonscale/entry/tests/support.py
+++ b/wigeonscale/entry/tests/support.py
@@ -85,25 +85,25 @@
         if command.WhichOneof("body") == "outcome":
             return self._end(command.outcome)
         claim = command.claim
-        standing = self.claims.get((claim.organisation, claim.key))
-        if standing is None and not claim.agent_id:
+        existing = self.claims.get((claim.organisation, claim.key))
+        if existing is None and not claim.agent_id:
             raise WigeonscaleError(ErrorKind.STALE_INCARNATION, "no such agent")
-        if standing is None:
+        if existing is None:
             record = wire.ClaimRecord(claim=claim, state=wire.CLAIMED)
             self.claims[claim.organisation, claim.key] = record
             return wire.CommandResult(claim=record, granted=True)
-        if standing.claim.digest != claim.digest:
+        if existing.claim.digest != claim.digest:
             raise WigeonscaleError(ErrorKind.IDEMPOTENCY_KEY_REUSED, claim.key)
-        return wire.CommandResult(claim=standing, granted=False)
+        return wire.CommandResult(claim=existing, granted=False)
 
     def _end(self, outcome: wire.Outcome) -> wire.CommandResult:
-        standing = self.claims.get((outcome.organisation, outcome.key))
-        same = standing and standing.claim.dispatch_id == outcome.dispatch_id
+        existing = self.claims.get((outcome.organisation, outcome.key))
+        same = existing and existing.claim.dispatch_id == outcome.dispatch_id
         if same and outcome.not_run:
             del self.claims[outcome.organisation, outcome.key]
         return wire.CommandResult()
 
-    def lose(self, agent: FakeAgent) -> None:
+    def record_loss(self, agent: FakeAgent) -> None:
         """Show that an agent found its backend server gone once more, and back."""
         backend = wire.Backend()
         backend.CopyFrom(self.members.backends[agent.agent_id])
--- a/wigeonscale/entry/tests/test_completions.py
+++ b/wigeonscale/entry/tests/test_completions.py
@@ -75,7 +75,7 @@
         await self.agent.until(lambda agent: agent.opened)
         request.cancel()
         await self.agent.until(lambda agent: "cancel" in agent.names())
-        await self.entry.until_idle()
+        await self.entry.wait_until_idle()
 
     async def test_refusal_of_the_agent_reaches_the_caller(self):
         refused = wire.Refused(
--- a/wigeonscale/entry/tests/test_crashing.py
+++ b/wigeonscale/entry/tests/test_crashing.py
@@ -44,7 +44,7 @@
                 run_state=RunState.UNKNOWN,
             )
             agent.send(number, opening.dispatch_id, refused=refused)
-            self.control.lose(agent)
+            self.control.record_loss(agent)
 
         agent.on_open = on_open
 
--- a/wigeonscale/entry/tests/test_failures.py
+++ b/wigeonscale/entry/tests/test_failures.py
@@ -154,7 +154,7 @@
         answer = await self.begin_stream(self.agent)
         request_id = answer.headers["Wigeonscale-Request"]
         answer.close()
-        await self.entry.until_idle()
+        await self.entry.wait_until_idle()
         path = f"/v1/requests/{request_id}"
         headers = {"Last-Event-ID": "2"}
         rest = asyncio.create_task(self.http.get(path, headers=headers))
@@ -166,7 +166,7 @@
         self.assertNotIn("cancel", self.agent.names())
 
     async def test_answer_not_taken_up_is_cancelled(self):
-        self.entry.limits = EntryLimits(take_up_grace_s=0.01)
+        self.entry.limits = EntryLimits(resume_grace_s=0.01)
         answer = await self.begin_stream(self.agent)
         answer.close()
         await self.agent.until(lambda agent: "cancel" in agent.names())
--- a/wigeonscale/entry/tests/test_member_selector.py
+++ b/wigeonscale/entry/tests/test_member_selector.py
@@ -10,7 +10,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 
-class PlacesTest(AsyncTestCase):
+class MemberSelectorTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
         clock = ManualClock()
--- a/wigeonscale/entry/tests/test_once.py
+++ b/wigeonscale/entry/tests/test_once.py
@@ -93,7 +93,7 @@
         first = asyncio.create_task(self.note())
         await self.service.until(lambda agent: agent.once_effects)
         first.cancel()
-        await self.entry.until_idle()
+        await self.entry.wait_until_idle()
         self.service.resume.set()
         self.assertEqual((200, "", "did /notes/1"), await self.note())
         self.assertNotIn("cancel", self.service.names())
