--- a/wigeonscale/agent/__init__.py
+++ b/wigeonscale/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent beside each backend server: admits work and guards orders."""
+"""The agent of a backend server: admits work and executes control's orders."""
 
 __all__ = ["Agent", "BackendState", "OrderExecutor"]
 
--- a/wigeonscale/agent/admission.py
+++ b/wigeonscale/agent/admission.py
@@ -1,4 +1,4 @@
-"""Admission: the bounded queue before the backend server, and its slots."""
+"""Admission control: a bounded queue and the slots of the backend server."""
 
 __all__ = ["Admission"]
 
@@ -12,16 +12,16 @@
 
 
 class Admission:
-    """Starts dispatches as slots come free, by priority and fair share.
+    """Starts dispatches when slots become free, by priority and fair share.
 
     Args:
         clock: Clock port.
-        slots: Requests that run at once.
-        queue_limit: Requests that wait at most.
+        slots: Maximum number of requests that run concurrently.
+        queue_limit: Maximum number of queued requests.
         share: Returns the weight of an organisation.
         begin: Starts a dispatch.
-        expire: Told of a dispatch whose deadline passed while it waited.
-        rng: Spreads the times at which refused requests come back.
+        expire: Called with a dispatch whose deadline passed in the queue.
+        rng: Adds jitter to the retry times of refused requests.
     """
 
     def __init__(
@@ -48,22 +48,22 @@
 
     @property
     def queued(self) -> int:
-        """Dispatches that wait."""
+        """Number of queued dispatches."""
         return len(self._queue)
 
     def wait_s(self) -> float:
-        """Return the estimated wait of a new request, in seconds."""
+        """Return the estimated queueing time of a new request, in seconds."""
         if self.running < self.slots:
             return 0.0
         return self._estimator.wait(self.queued + 1, self.slots)
 
     def check(self, organisation: str, priority: int, deadline_s: float | None) -> None:
-        """Refuse a request that would start too late.
+        """Refuse a request that would start too late to meet its deadline.
 
         Args:
-            organisation: Whose request it is.
-            priority: Its priority.
-            deadline_s: Seconds until its deadline; None for none.
+            organisation: Organisation of the caller.
+            priority: Priority of the request.
+            deadline_s: Seconds until its deadline, or None.
 
         Raises:
             WigeonscaleError: ``OVERLOADED``, not run, with ``retry_after``.
@@ -80,10 +80,10 @@
         )
 
     def push(self, dispatch: Dispatch) -> int:
-        """Queue a dispatch and start what may start.
+        """Enqueue a dispatch, then start queued dispatches while slots are free.
 
         Returns:
-            How many waited before it.
+            The number of dispatches that were queued before it.
 
         Raises:
             WigeonscaleError: ``OVERLOADED``, not run, with ``retry_after``.
@@ -107,7 +107,7 @@
         return queued_before
 
     def remove(self, dispatch: Dispatch) -> bool:
-        """Take a dispatch out of the queue; returns whether it waited."""
+        """Remove a dispatch from the queue; return whether it was queued."""
         return self._queue.remove(dispatch)
 
     def finished(self, dispatch: Dispatch) -> None:
@@ -121,9 +121,10 @@
         self.start_queued()
 
     def start_queued(self) -> None:
-        """Start waiting dispatches while slots are free."""
+        """Start queued dispatches while slots are free, and expire late ones."""
         if self._is_starting:
-            # A start that failed at once frees its slot in here; the loop goes on.
+            # A start that fails at once releases its slot, which calls this method
+            # again; the outer loop continues.
             return
         self._is_starting = True
         try:
--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -1,4 +1,4 @@
-"""Puts the parts of an agent together."""
+"""The agent: creates and connects its components."""
 
 __all__ = ["Agent"]
 
@@ -29,34 +29,35 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 DEFAULT_CALL_TIMEOUT_S = 30.0
-"""Seconds for a call to a plain service that no rules document names."""
+"""Timeout of a call to a plain service that is not in the rules document."""
 
 DRAIN_POLL_INTERVAL_S = 0.05
-"""Seconds between two looks at whether a stop may go on."""
+"""Interval at which a drain checks whether pipeline steps are still in use."""
 
 MAX_MISSED_HEARTBEATS = 6
-"""Heartbeats without a message after which an entry does not count as a reader."""
+"""Heartbeat intervals without a message after which an entry counts as silent."""
 
 STOPPING_GRACE_S = 0.5
-"""Seconds in which what is on its way to a stopping agent is refused as not run.
+"""Time during which a stopping agent still refuses messages in transit as not run.
 
-Without them it would be lost with the process, and its outcome unknown."""
+Without it such a message would be lost with the process and its outcome unknown.
+"""
 
 logger = logging.getLogger(__name__)
 
 
 class Agent:
-    """The agent beside one backend server.
+    """The agent of one backend server.
 
     Args:
         cfg: Settings of the agent.
-        control: Watch on control; announces what ``state`` says.
+        control: Client of control; announces ``state``.
         clock: Clock port.
-        state: What is known of the backend server.
+        state: State of the backend server.
         dial: Returns a new channel to an address.
-        engine: The engine, or None beside a plain service.
-        service: The plain service, or None beside an engine.
-        link_options: Further arguments of the step links.
+        engine: The engine, or None if the backend server is a plain service.
+        service: The plain service, or None if the backend server is an engine.
+        link_options: Additional arguments of :class:`StepLinks`.
     """
 
     def __init__(
@@ -122,7 +123,7 @@
         control.changes.subscribe(self._on_change)
 
     def current_load(self) -> wire.LoadWord:
-        """Return the load as it is now."""
+        """Return the current load."""
         return wire.LoadWord(
             running=self.admission.running,
             queued=self.admission.queued,
@@ -132,7 +133,7 @@
         )
 
     def announcement_changed(self) -> None:
-        """Tell control and the entries of a change of the backend server."""
+        """Publish a change of the backend server's state to control and entries."""
         if self.state.unreachable and self.stage is not None:
             self.stage.cut_engine_calls()
             self.prefixes.reset()
@@ -140,19 +141,19 @@
         self.servicer.announce_load()
 
     async def run(self) -> None:
-        """Enforce deadlines and bounds, and pass on cache events, for ever."""
+        """Run until cancelled: enforce deadlines and limits, forward cache events."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.dispatcher.sweep())
             if self.prefixes is not None:
                 group.create_task(self.prefixes.watch())
 
     async def stop_accepting(self) -> None:
-        """Refuse new work, and give what is on its way the time to hear so."""
+        """Refuse new work, and keep refusing messages in transit for a short time."""
         self.state.set_stopping()
         await self._clock.sleep(STOPPING_GRACE_S)
 
     async def drain(self) -> None:
-        """Refuse new work, then wait until the work in progress has ended."""
+        """Refuse new work, then wait until the work in progress has finished."""
         self.state.set_stopping()
         await self.dispatcher.wait_drained()
         while self.stage is not None and self.stage.is_used():
@@ -160,11 +161,11 @@
         await self.outcomes.flush()
 
     async def cut(self) -> None:
-        """End what is still in progress and tell its callers."""
+        """Abort the work still in progress with an error to its callers."""
         self.dispatcher.cut()
 
     async def close(self) -> None:
-        """Cancel every task of this agent."""
+        """Cancel all tasks of this agent."""
         if self.head is not None:
             await self.head.close()
         await self.servicer.close()
@@ -221,7 +222,7 @@
             )
 
     def _check_sequence(self) -> None:
-        # A step that was held up on its way may come long after this agent left.
+        # A delayed step may arrive long after this agent has stopped taking work.
         self._check_lease()
         self.state.check_sequence()
 
@@ -300,7 +301,7 @@
 
     def _call_failed(self, dispatch: Dispatch, exc: WigeonscaleError) -> None:
         self.dispatcher.fail(dispatch, exc)
-        # No connection was made, or the server may have ended under the call.
+        # A failed call can mean that the service is unreachable or has crashed.
         self.state.probe_soon()
 
     def _service_timeout_s(self) -> float:
--- a/wigeonscale/agent/answers.py
+++ b/wigeonscale/agent/answers.py
@@ -1,4 +1,4 @@
-"""Answers in the making, and the places of those who read them."""
+"""Dispatches with their answers, and the read positions of entries."""
 
 __all__ = ["Dispatch", "DispatchState", "Reader", "refused_item"]
 
@@ -11,11 +11,11 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 MAX_TOKENS_PER_RUN = 512
-"""Most tokens in one message to one reader."""
+"""Maximum number of tokens in one message to one reader."""
 
 
 class DispatchState(StrEnum):
-    """How far a dispatch has come."""
+    """Progress of a dispatch."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -24,16 +24,17 @@
 
 @dataclass(slots=True, eq=False)
 class Reader:
-    """One entry's place in an answer.
+    """The position of one entry in an answer.
 
     Attributes:
-        dispatch: The answer read.
-        wake: Called when there is more to send.
-        entry: Name of the entry.
-        is_alive: Returns whether the entry gave a sign of life lately.
+        dispatch: The dispatch whose answer is read.
+        wake: Called when there are items to send.
         cursor: Index of the next token to send.
-        credit: Tokens that may still be sent.
+        credit: Number of tokens that may still be sent.
+        entry: Name of the entry.
+        is_alive: Returns whether the entry has sent a message recently.
         notices: Items to send before any token.
+        ended: Whether the last item has been sent.
     """
 
     dispatch: "Dispatch"
@@ -46,7 +47,7 @@
     ended: bool = False
 
     def pop_pending(self) -> list[wire.DispatchItem]:
-        """Return what may be sent now and count it as sent."""
+        """Return the items that may be sent now and advance the cursor past them."""
         items, self.notices = self.notices, []
         dispatch = self.dispatch
         run = self._token_run()
@@ -62,7 +63,7 @@
 
     @property
     def has_more(self) -> bool:
-        """Whether another ``take`` would give something."""
+        """Whether another call of :meth:`pop_pending` would return items."""
         if self.ended:
             return False
         waiting = self.cursor < self.dispatch.produced
@@ -73,7 +74,8 @@
         end = self.dispatch.end
         if end is None or self.cursor >= self.dispatch.produced:
             return end is not None
-        # An error is told at once, not when a slow caller has taken the rest.
+        # An error is sent as soon as the credit is used up, so that a slow caller
+        # does not have to read the remaining tokens first.
         return self.credit <= 0 and end.HasField("refused")
 
     def _token_run(self) -> wire.TokenRun | None:
@@ -94,23 +96,24 @@
 
 @dataclass(slots=True, eq=False)
 class Dispatch:
-    """One request as this agent knows it.
+    """One dispatched request and its answer.
 
     Attributes:
-        open: The message that opened it.
-        deadline: Reading of the clock at which it is late; None for never.
-        state: How far it has come.
-        first_index: Index of the first token made here.
-        tokens: Tokens made here.
-        end: Last item of the answer, once it has ended.
-        readers: Entries that read the answer now.
-        cancel_requested: Whether its caller gave up while an older connection of the
-            same entry still seemed to read it.
-        was_delivered: Whether an entry was sent the whole answer, or gave it up.
-        started_at: Reading of the clock when work began.
-        ended_at: Reading of the clock when it ended.
-        stop_work: Stops running work; None when it cannot be stopped.
-        set_paused: Pauses a generation or lets it go on; None for other work.
+        open: The message that opened the dispatch.
+        deadline: Clock time of the deadline, in seconds; None for no deadline.
+        state: Progress of the dispatch.
+        first_index: Index of the first token produced by this agent.
+        tokens: Tokens produced by this agent.
+        end: Last item of the answer; None while the dispatch is open.
+        readers: Entries that currently read the answer.
+        started_at: Clock time at which the work began, in seconds.
+        ended_at: Clock time at which the dispatch ended, in seconds.
+        kept_bytes: Estimated size of request and answer in memory, in bytes.
+        was_delivered: Whether an entry was sent the whole answer or cancelled it.
+        cancel_requested: Whether the caller cancelled while an older connection of
+            the same entry still appeared to read the answer.
+        stop_work: Stops the running work; None if it cannot be stopped.
+        set_paused: Pauses or resumes a generation; None for other work.
     """
 
     open: wire.Open
@@ -130,7 +133,7 @@
 
     @property
     def dispatch_id(self) -> str:
-        """Id given by the entry."""
+        """Id assigned by the entry."""
         return self.open.dispatch_id
 
     @property
@@ -140,31 +143,31 @@
 
     @property
     def produced(self) -> int:
-        """Tokens of the whole answer so far."""
+        """Number of tokens of the answer so far, including the given prefix."""
         return self.first_index + len(self.tokens)
 
     @property
     def run_state(self) -> RunState:
-        """What a refusal now must say of the work."""
+        """Run state to report if the dispatch is refused now."""
         queued = self.state is DispatchState.QUEUED
         return RunState.NOT_RUN if queued else RunState.RAN
 
     @property
     def sent(self) -> int:
-        """Tokens that the furthest reader was sent."""
+        """Number of tokens sent to the most advanced reader."""
         return max((r.cursor for r in self.readers), default=self.first_index)
 
     @property
     def has_live_reader(self) -> bool:
-        """Whether an entry that gives signs of life reads the answer now."""
+        """Whether a live entry currently reads the answer."""
         return any(reader.is_alive() for reader in self.readers)
 
     def has_other_live_reader(self, entry: str) -> bool:
-        """Return whether another entry that gives signs of life reads it now."""
+        """Return whether a live entry other than ``entry`` reads the answer."""
         return any(r.is_alive() and r.entry != entry for r in self.readers)
 
     def wake_readers(self) -> None:
-        """Tell every reader that there is more to send."""
+        """Notify all readers that there are items to send."""
         for reader in self.readers:
             reader.wake(reader)
 
@@ -174,7 +177,7 @@
 
 
 def refused_item(dispatch_id: str, exc: WigeonscaleError) -> wire.DispatchItem:
-    """Return the item that tells an entry of an error."""
+    """Return the item that reports an error to an entry."""
     return wire.DispatchItem(
         dispatch_id=dispatch_id,
         refused=wire.Refused(
--- a/wigeonscale/agent/backend.py
+++ b/wigeonscale/agent/backend.py
@@ -1,4 +1,4 @@
-"""What this agent knows and announces of its backend server."""
+"""Health and announced state of the agent's backend server."""
 
 __all__ = ["BackendState"]
 
@@ -16,22 +16,22 @@
 logger = logging.getLogger(__name__)
 
 MAX_FAILED_PROBES = 2
-"""Failed probes in a row after which the backend server counts as gone."""
+"""Consecutive failed probes after which the backend server counts as unreachable."""
 
 MAX_PROBE_INTERVAL_S = 2.0
-"""Longest pause between two probes of a backend server that is gone."""
+"""Maximum interval between two probes of an unreachable backend server."""
 
 
 class BackendState:
-    """Probes the backend server and keeps the announcement true.
+    """Probes the backend server and keeps its announcement up to date.
 
     Args:
-        base: The parts of the announcement that settings give.
+        base: The fields of the announcement that come from the settings.
         engine: The engine; None for a plain service.
         service: The plain service; None for an engine.
         clock: Clock port.
-        probe_s: Seconds between probes.
-        on_changed: Called when the announcement changed.
+        probe_s: Interval between probes, in seconds.
+        on_changed: Called when the announcement has changed.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._clock = clock
         self._probe_s = probe_s
         self._incarnations = [new_incarnation()]
-        # It counts as gone until it first answers.
+        # The backend server counts as unreachable until the first successful probe.
         self._failures = MAX_FAILED_PROBES
         self._losses = 0
         self._probe_now = asyncio.Event()
@@ -63,12 +63,12 @@
 
     @property
     def agent_id(self) -> str:
-        """Name of the backend server."""
+        """Name of the agent and of its backend server."""
         return self._base.agent_id
 
     @property
     def incarnation(self) -> int:
-        """The incarnation that is announced now."""
+        """The currently announced incarnation."""
         return self._incarnations[-1]
 
     def incarnations(self) -> list[int]:
@@ -76,34 +76,34 @@
         return self._incarnations
 
     def is_current(self, incarnation: int) -> bool:
-        """Return whether new work may name this incarnation."""
+        """Return whether new work may be addressed to this incarnation."""
         return incarnation == self.incarnation
 
     def renew_incarnation(self, ended: int) -> None:
-        """Take a new incarnation after control declared one ended."""
+        """Start a new incarnation after control has declared ``ended`` over."""
         if ended == self.incarnation:
             self._incarnations.append(new_incarnation())
             self.on_changed()
 
     def loaded(self) -> EngineInfo | None:
-        """Return what the engine holds; None while an order may change it."""
+        """Return what the engine has loaded; None while an order may change it."""
         return None if self.loading else self.info
 
     @property
     def unreachable(self) -> bool:
-        """Whether the backend server does not answer."""
+        """Whether the backend server does not respond to probes."""
         if self._engine is not None:
             return self.info is None
         return self._service is not None and self._failures >= MAX_FAILED_PROBES
 
     @property
     def leaving(self) -> bool:
-        """Whether no new work is taken, for whatever reason."""
+        """Whether new work is refused, for any reason."""
         engine_leaving = self.info is not None and self.info.leaving
         return self.stopping or self.draining or engine_leaving or self.unreachable
 
     def announcement(self) -> wire.Backend:
-        """Return what to announce now."""
+        """Return the current announcement."""
         backend = wire.Backend()
         backend.CopyFrom(self._base)
         backend.incarnation = self.incarnation
@@ -112,13 +112,14 @@
             _fill_from_info(backend, self.info)
         backend.loading = self.loading
         backend.losses = self._losses
-        # An order to drain comes from control and is not echoed as our own word.
+        # self.draining is left out: control ordered that drain, and announcing it
+        # back would keep it in force after control has ended it.
         engine_leaving = self.info is not None and self.info.leaving
         backend.draining = self.stopping or self.unreachable or engine_leaving
         return backend
 
     def check_new(self) -> None:
-        """Refuse new work when the backend server leaves.
+        """Refuse new work if the backend server is leaving or unreachable.
 
         Raises:
             WigeonscaleError: ``STOPPING``, ``BACKEND_LEAVING`` or
@@ -142,7 +143,11 @@
             )
 
     def check_sequence(self) -> None:
-        """Refuse to begin a sequence some time after leaving began."""
+        """Refuse new sequences once ``LEAVING_GRACE_S`` has passed while leaving.
+
+        Raises:
+            WigeonscaleError: As :meth:`check_new`.
+        """
         if not self.leaving:
             self._leaving_since = None
             return
@@ -152,38 +157,38 @@
             self.check_new()
 
     def set_loading(self, loading: bool) -> None:
-        """Note and announce whether the engine loads weights."""
+        """Record and announce whether the engine is loading weights."""
         self.loading = loading
         self.on_changed()
 
     def set_draining(self, draining: bool) -> None:
-        """Follow an order to drain or to take work again."""
+        """Start or end draining, as ordered by control."""
         changed = draining != self.draining
         self.draining = draining
         self.check_leaving()
         if changed:
-            # Entries hear it at once, by the load word.
+            # Entries are notified at once by a load word.
             self.on_changed()
 
     def set_stopping(self) -> None:
-        """Take no new work from now on and announce it."""
+        """Refuse new work from now on and announce it."""
         self.stopping = True
         self.check_leaving()
         self.on_changed()
 
     def check_leaving(self) -> None:
-        """Note the time at which leaving began."""
+        """Record the time at which leaving began, or clear it."""
         if not self.leaving:
             self._leaving_since = None
         elif self._leaving_since is None:
             self._leaving_since = self._clock.now()
 
     def probe_soon(self) -> None:
-        """Probe the backend server now rather than at the next turn."""
+        """Probe the backend server without waiting for the next interval."""
         self._probe_now.set()
 
     async def probe(self) -> None:
-        """Ask the backend server for a sign of life and announce a change."""
+        """Probe the backend server once and announce a change of its state."""
         before = (self.info, self.unreachable)
         try:
             await self._refresh()
@@ -199,7 +204,12 @@
             self.on_changed()
 
     def _was_lost(self, info: EngineInfo | None, was_unreachable: bool) -> bool:
-        """Return whether the backend server went, or started again in between."""
+        """Return whether the backend server became unreachable or was restarted.
+
+        Args:
+            info: Engine information before the probe.
+            was_unreachable: Whether it was unreachable before the probe.
+        """
         if self.unreachable:
             return not was_unreachable
         is_empty = self.info is not None and self.info.last_layer < 0
@@ -207,7 +217,7 @@
         return had_layers and is_empty and not self.loading
 
     async def watch(self) -> None:
-        """Probe the backend server for ever."""
+        """Probe the backend server periodically until cancelled."""
         while True:
             await self.probe()
             await wait_event(self._probe_now, self._clock, self._probe_interval_s())
@@ -229,7 +239,7 @@
 
 
 def new_incarnation() -> int:
-    """Return a random positive number that no other start has."""
+    """Return a random positive number that identifies one start of an agent."""
     return secrets.randbits(62) + 1
 
 
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -1,4 +1,4 @@
-"""Opens, attaches, seals and cancels dispatches, and ends them."""
+"""Handles the dispatch protocol: open, attach, cancel, seal and end."""
 
 __all__ = ["Dispatcher"]
 
@@ -21,25 +21,31 @@
 logger = logging.getLogger(__name__)
 
 TABLE_FULL_RETRY_AFTER_S = 2.0
+"""Retry time given to entries while the memory for kept answers is full."""
+
 SWEEP_INTERVAL_S = 0.1
+"""Interval at which deadlines and limits are enforced."""
 
 MAX_UNSENT_TOKENS = INITIAL_CREDIT
-"""Unsent tokens past which a generation pauses while memory is short."""
+"""Unsent tokens above which a generation pauses while the table is full."""
 
 
 class Dispatcher:
-    """The dispatch table's rules: a dispatch id begins at most once.
+    """Handles dispatch messages; the work of a dispatch id starts at most once.
 
     Args:
-        agent_id: Name of the own backend server.
+        agent_id: Name of this agent.
         incarnations: Returns the incarnations of this process, newest last.
         table: Holds dispatches and their answers.
         clock: Clock port.
-        check_new: Raises when an ``Open`` cannot be admitted now.
-        check_begin: Raises when admitted work cannot begin now.
-        begin: Starts the work of a dispatch; raises when it cannot run.
-        outcomes: Reports the ends of non-idempotent work.
-        metrics: Where ends are counted.
+        check_new: Raises if an ``Open`` cannot be admitted now.
+        check_begin: Raises if admitted work cannot start now.
+        begin: Starts the work of a dispatch; raises if it cannot run.
+        outcomes: Reports the outcomes of non-idempotent work.
+        metrics: Counts ended dispatches.
+
+    Attributes:
+        admission: Admission control; set after construction.
     """
 
     def __init__(
@@ -69,7 +75,7 @@
     # ------------------------------------------------------------ messages
 
     def handle(self, req: wire.DispatchRequest, stream: EntryStream) -> None:
-        """Handle one message of an entry."""
+        """Handle one message from an entry."""
         handlers = {
             "hello": self._hello,
             "open": self.open,
@@ -86,7 +92,7 @@
         handlers[body](getattr(req, body), stream)
 
     def open(self, msg: wire.Open, stream: EntryStream) -> None:
-        """Admit a dispatch, or refuse it for good under this id."""
+        """Admit a dispatch, or refuse its id permanently."""
         known = self._table.get(msg.dispatch_id)
         if known is not None:
             self._attach_to(known, msg.organisation, 0, stream)
@@ -103,7 +109,7 @@
         self._admit(dispatch, stream)
 
     def attach(self, msg: wire.Attach, stream: EntryStream) -> None:
-        """Let an entry read a dispatch from a token index on."""
+        """Attach an entry as a reader of a dispatch from a token index on."""
         known = self._table.get(msg.dispatch_id)
         if known is None:
             known_state = self._table.history.state(msg.dispatch_id)
@@ -113,7 +119,7 @@
         self._attach_to(known, msg.organisation, msg.from_token, stream)
 
     def cancel(self, msg: wire.Cancel, stream: EntryStream) -> None:
-        """Stop a dispatch that its caller gave up, where it may be stopped."""
+        """Stop a dispatch that its caller has cancelled, if it can be stopped."""
         stream.detach(msg.dispatch_id)
         dispatch = self._table.get(msg.dispatch_id)
         if dispatch is None or dispatch.end is not None:
@@ -121,8 +127,9 @@
                 self._table.record_not_run(msg.dispatch_id)
             return
         if dispatch.has_live_reader:
-            # Its caller has come back by another connection or entry, or the reader
-            # is an older connection of this entry that has yet to count as silent.
+            # Either the caller has reconnected through another connection or entry,
+            # or the reader is an older connection of this entry that has not yet
+            # been silent long enough. In the second case the sweep cancels it.
             dispatch.cancel_requested = not dispatch.has_other_live_reader(stream.name)
             return
         self._cancel(dispatch)
@@ -139,7 +146,7 @@
         )
 
     def seal(self, msg: wire.Seal, stream: EntryStream) -> None:
-        """Promise that a dispatch never begins, if it has not begun."""
+        """Guarantee that a dispatch never starts, unless it has already started."""
         if msg.agent_incarnation not in self._incarnations():
             exc = refusals.stale_incarnation(self._agent_id, msg.agent_incarnation)
             stream.send(refused_item(msg.dispatch_id, exc))
@@ -154,17 +161,17 @@
     # ---------------------------------------------------------------- ends
 
     def add_token(self, dispatch: Dispatch, token: wire.Token) -> None:
-        """Take a token of a running generation."""
+        """Append a token of a running generation to its answer."""
         if dispatch.end is None:
             self._table.produced(dispatch, token)
 
     def finish(self, dispatch: Dispatch, item: wire.DispatchItem) -> None:
-        """End a dispatch with its whole answer."""
+        """End a dispatch whose answer is complete."""
         if dispatch.end is None:
             self._end(dispatch, item, wire.RAN, OK)
 
     def fail(self, dispatch: Dispatch, exc: WigeonscaleError) -> None:
-        """End a dispatch by an error; stops its work."""
+        """End a dispatch with an error and stop its work."""
         if dispatch.end is not None:
             return
         if self.admission.remove(dispatch):
@@ -176,7 +183,7 @@
         self._end(dispatch, item, state, exc.kind, exc.run_state is RunState.NOT_RUN)
 
     def begin(self, dispatch: Dispatch) -> None:
-        """Begin the work of a dispatch whose turn has come."""
+        """Start the work of a dispatch that was given a slot."""
         try:
             if dispatch.deadline_exceeded(self._clock.now()):
                 raise refusals.deadline_exceeded(dispatch)
@@ -188,7 +195,8 @@
         except WigeonscaleError as exc:
             dispatch.state = DispatchState.QUEUED
             self.fail(dispatch, exc)
-            # The slot was counted, but fail() saw a dispatch that never ran.
+            # The slot was taken before this call. fail() does not release it because
+            # the dispatch is marked as not running.
             self.admission.release()
 
     def expire(self, dispatch: Dispatch) -> None:
@@ -196,13 +204,13 @@
         self.fail(dispatch, refusals.deadline_exceeded(dispatch))
 
     async def sweep(self) -> None:
-        """Enforce deadlines and the bounds of the table, for ever."""
+        """Enforce deadlines and the limits of the table until cancelled."""
         while True:
             await self._clock.sleep(SWEEP_INTERVAL_S)
             self.sweep_once()
 
     def sweep_once(self) -> None:
-        """Enforce deadlines and the bounds of the table."""
+        """Enforce deadlines and the limits of the table once."""
         now = self._clock.now()
         for dispatch in self._table.live():
             cannot_stop = dispatch.state is DispatchState.RUNNING and (
@@ -225,13 +233,13 @@
         self._metrics.queued.set(self.admission.queued)
 
     async def wait_drained(self) -> None:
-        """Wait until no dispatch is open and no answer waits to be taken."""
+        """Wait until no dispatch is open and all answers have been delivered."""
         while self._table.live() or self._table.undelivered():
             await self._clock.sleep(SWEEP_INTERVAL_S)
 
     def cut(self) -> None:
-        """End every open dispatch because the process stops now."""
-        # Those that wait go first, or a freed slot would begin them.
+        """Abort all open dispatches because the process is stopping."""
+        # Queued dispatches first: a slot freed by a running one would start them.
         live = self._table.live()
         live.sort(key=lambda dispatch: dispatch.state is DispatchState.RUNNING)
         for dispatch in live:
@@ -331,7 +339,7 @@
     ) -> None:
         was_running = dispatch.state is DispatchState.RUNNING
         if not_run:
-            # A service that could not be reached never began.
+            # For example a call whose service could not be reached.
             dispatch.state = DispatchState.QUEUED
         self._table.end(dispatch, item)
         self._count_end(kind)
--- a/wigeonscale/agent/history.py
+++ b/wigeonscale/agent/history.py
@@ -1,4 +1,4 @@
-"""Ids of earlier dispatches, remembered so that none begins twice."""
+"""Run states of earlier dispatches, kept so that no dispatch id starts twice."""
 
 __all__ = ["DispatchHistory"]
 
@@ -9,10 +9,10 @@
 from wigeonscale.ports import Clock
 
 RETENTION_S = 3600.0
-"""Seconds for which the id of a dispatch is remembered."""
+"""Time for which the id of a dispatch is kept, in seconds."""
 
 MAX_RETAINED_IDS = 200_000
-"""Most ids remembered; at about 200 bytes each."""
+"""Maximum number of ids kept; each takes about 200 bytes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,16 +22,16 @@
 
 
 class DispatchHistory:
-    """Remembers by id whether a dispatch began.
+    """Records by id whether a dispatch has started.
 
     Args:
         clock: Clock port.
-        retention_s: Seconds for which an id is remembered.
-        limit: Most ids remembered.
+        retention_s: Time for which an id is kept, in seconds.
+        limit: Maximum number of ids.
 
     Attributes:
-        evicted_early: Whether an id had to be forgotten before its time, so that
-            nobody can say any more that an unknown dispatch never began.
+        evicted_early: Whether an id was evicted before its retention time because of
+            the limit. From then on an unknown id may belong to a dispatch that ran.
     """
 
     def __init__(
@@ -49,32 +49,32 @@
         self._pinned: set[str] = set()
 
     def state(self, dispatch_id: str) -> RunState | None:
-        """Return what is remembered of a dispatch.
+        """Return the recorded run state of a dispatch.
 
         Returns:
-            ``NOT_RUN`` for one that never began and never will, ``RAN`` for one
-            that began; None for one never seen.
+            ``NOT_RUN`` if it has not started and never will, ``RAN`` if it has
+            started, None if the id is unknown.
         """
         record = self._records.get(dispatch_id)
         return record.state if record else None
 
     def record(self, dispatch_id: str, state: RunState) -> None:
-        """Remember a dispatch from now on; one that ran stays so."""
+        """Record a run state and restart the retention time; ``RAN`` is final."""
         if self.state(dispatch_id) is RunState.RAN:
             state = RunState.RAN
         self._records[dispatch_id] = _Record(state, self._clock.now())
         self._records.move_to_end(dispatch_id)
 
     def pin(self, dispatch_id: str) -> None:
-        """Remember this id until :meth:`reported`, however long it takes."""
+        """Keep this id regardless of age and limit until :meth:`unpin`."""
         self._pinned.add(dispatch_id)
 
     def unpin(self, dispatch_id: str) -> None:
-        """Its outcome stands in control, so the id may be forgotten in time."""
+        """Allow eviction again, after control has stored the outcome."""
         self._pinned.discard(dispatch_id)
 
     def evict_old(self) -> None:
-        """Forget ids past their time, or the oldest past the limit."""
+        """Evict ids past their retention time, and the oldest ids over the limit."""
         now = self._clock.now()
         for dispatch_id, record in list(self._oldest(now)):
             if dispatch_id in self._pinned:
--- a/wigeonscale/agent/orders.py
+++ b/wigeonscale/agent/orders.py
@@ -1,4 +1,4 @@
-"""Carries out control's orders and refuses those of an overtaken control VM."""
+"""Executes orders from control and refuses those of a superseded leader."""
 
 __all__ = ["OrderExecutor"]
 
@@ -16,17 +16,17 @@
 
 
 class OrderExecutor:
-    """Guards every order to the engine by its fencing number.
+    """Executes orders one at a time after checking their fencing tokens.
 
-    The guard stands here because some engines ignore the number. After a restart
-    the agent remembers none, so it first asks a majority of control for the
-    position that no order may be older than.
+    The agent checks the fencing token (term, sequence) because some engines ignore
+    it. A restarted agent has no previous token, so it first asks a majority of
+    control replicas for the lowest token that is still valid.
 
     Args:
-        state: The backend server's state.
+        state: State of the backend server.
         engine: The engine; None for a plain service.
-        floor: Asks a majority for the newest (term, index).
-        metrics: Where orders are counted.
+        floor: Asks a majority of control replicas for the newest (term, index).
+        metrics: Counts orders.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._lock = asyncio.Lock()
 
     async def execute(self, order: wire.Order) -> wire.OrderResult:
-        """Carry out an order, or say why not."""
+        """Execute an order; the result contains the error if it is refused."""
         async with self._lock:
             try:
                 await self._check_fence(order)
@@ -85,7 +85,7 @@
         load = order.load
         if self._is_loaded(load):
             return
-        # Until the engine has said what it holds now, no step may run on it.
+        # No step may run until the engine has reported which layers it has loaded.
         self._state.set_loading(True)
         try:
             await self._order_engine(order)
--- a/wigeonscale/agent/outcomes.py
+++ b/wigeonscale/agent/outcomes.py
@@ -1,4 +1,4 @@
-"""Reports the outcome of non-idempotent work to control until it stands there."""
+"""Reports outcomes of non-idempotent work to control until they are committed."""
 
 __all__ = ["OutcomeReporter"]
 
@@ -13,16 +13,19 @@
 logger = logging.getLogger(__name__)
 
 RETRY_INTERVAL_S = 1.0
+"""Delay before a failed submission is repeated."""
+
 MAX_CONCURRENT_SUBMITS = 32
+"""Maximum number of concurrent submissions to control."""
 
 
 class OutcomeReporter:
-    """Submits outcomes, again and again while control has no quorum.
+    """Submits outcomes and retries while control has no quorum.
 
     Args:
         submit: Submits a command to control.
         clock: Clock port.
-        on_reported: Called with the dispatch id once its outcome stands.
+        on_reported: Called with the dispatch id when its outcome is committed.
     """
 
     def __init__(
@@ -45,12 +48,12 @@
         task.add_done_callback(self._tasks.discard)
 
     async def flush(self) -> None:
-        """Wait until every outcome stands."""
+        """Wait until no submission is pending."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
     async def close(self) -> None:
-        """Give up what was not reported."""
+        """Cancel pending submissions."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/wigeonscale/agent/prefixes.py
+++ b/wigeonscale/agent/prefixes.py
@@ -1,4 +1,4 @@
-"""Cache events of the own engine, passed on to the entries."""
+"""Forwards the engine's prefix cache events to the entries."""
 
 __all__ = ["PrefixFeed"]
 
@@ -15,30 +15,33 @@
 logger = logging.getLogger(__name__)
 
 MAX_TRACKED_PROMPTS = 4096
-"""Dispatches whose prompt can still be told from an engine's event."""
+"""Maximum number of dispatches whose prompt digest is kept to resolve events."""
 
 MAX_HELD_PREFIXES = 1024
-"""Prefixes that one agent tells of; an engine may hold more."""
+"""Maximum number of cached prefixes tracked; the engine may hold more."""
 
 MAX_SNAPSHOT_EVENTS = 256
-"""Most prefixes with which a new stream starts, newest last."""
+"""Maximum number of cached prefixes sent to a new stream, newest last."""
 
 MAX_UNSENT_EVENTS = 256
-"""Most events in one message; where more wait the oldest are lost, as a gap."""
+"""Maximum number of events in one message.
+
+If more are pending, the oldest are dropped; entries see a gap in the numbers.
+"""
 
 
 class PrefixFeed:
-    """Turns the engine's cache events into events about prompts.
+    """Translates cache events of the engine into events about prompt digests.
 
-    The engine names a prefix in its own way and by the sequence that stored it;
-    entries know it by the digest of the prompt. Events are numbered here, leaving
-    out a number for each one that the engine lost, so that every loss on the way
-    shows as a gap; a restart of the engine makes every stream start again.
+    The engine identifies a prefix by a name of its own and by the sequence that
+    stored it; entries identify it by the digest of the prompt. The feed numbers its
+    events and skips one number for each event the engine lost, so that entries
+    detect every loss as a gap. After a restart of the engine all streams are reset.
 
     Args:
         engine: The engine.
         clock: Clock port.
-        poll_s: Seconds between two questions to the engine.
+        poll_s: Interval at which the engine is polled, in seconds.
 
     Notes:
         Constant time per event and stream; all memory is bounded.
@@ -56,37 +59,37 @@
         self._last_engine_number = 0
 
     def track_prompt(self, dispatch_id: str, prompt: bytes) -> None:
-        """Note the prompt of a dispatch that begins."""
+        """Record the prompt of a starting dispatch, to resolve later events."""
         self._digests[dispatch_id] = prefix_digest(prompt)
         if len(self._digests) > MAX_TRACKED_PROMPTS:
             self._digests.popitem(last=False)
 
     def subscribe(self) -> "PrefixOutbox":
-        """Return a new stream's outbox, with the prefixes held now."""
+        """Return an outbox for a new stream, filled with the cached prefixes."""
         held = list(self._held.values())[-MAX_SNAPSHOT_EVENTS:]
         outbox = PrefixOutbox(held, number=self._last_number)
         self._outboxes.add(outbox)
         return outbox
 
     def unsubscribe(self, outbox: "PrefixOutbox") -> None:
-        """Pass on nothing more to an outbox."""
+        """Stop adding events to an outbox."""
         self._outboxes.discard(outbox)
 
     def reset(self) -> None:
-        """Forget what an engine held that is gone."""
+        """Discard all cached prefixes, after the engine was lost or restarted."""
         self._held.clear()
         self._last_engine_number = 0
         for outbox in self._outboxes:
             outbox.reset(self._last_number)
 
     async def watch(self) -> None:
-        """Ask the engine for ever."""
+        """Poll the engine periodically until cancelled."""
         while True:
             await self._clock.sleep(self._poll_s)
             await self.poll()
 
     async def poll(self) -> None:
-        """Ask the engine once and pass on what is new."""
+        """Poll the engine once and forward new events."""
         try:
             events = await self._engine.cache_events(self._last_engine_number)
         except WigeonscaleError as exc:
@@ -107,7 +110,8 @@
         if event.number <= self._last_engine_number:
             return None
         lost = event.number - self._last_engine_number - 1
-        # A larger gap tells the entries no more.
+        # A gap of this size already makes entries discard what they know, so a larger
+        # one adds no information.
         self._last_number += min(lost, RESET_GAP_EVENTS)
         self._last_engine_number = event.number
         if event.held:
@@ -130,14 +134,14 @@
 
 
 class PrefixOutbox:
-    """Events that wait for one stream, bounded.
+    """Bounded buffer of events not yet sent on one stream.
 
     Args:
-        held: Events of the prefixes held at its start.
+        held: Events of the prefixes cached when the stream starts.
         number: Number of the newest event.
 
     Attributes:
-        on_added: Called when there is something to take.
+        on_added: Called when there are events to send.
     """
 
     def __init__(self, held: Iterable[wire.PrefixEvent], *, number: int):
@@ -147,20 +151,20 @@
         self._unsent: deque[wire.PrefixEvent] = deque(held, maxlen=MAX_UNSENT_EVENTS)
 
     def add(self, events: Sequence[wire.PrefixEvent]) -> None:
-        """Add events; where too many wait the oldest are lost."""
+        """Add events; the oldest are dropped if the buffer is full."""
         self._unsent.extend(events)
         self._last_number = events[-1].number
         self.on_added()
 
     def reset(self, number: int) -> None:
-        """Replace what was sent by an empty list."""
+        """Discard pending events and start over with an empty full update."""
         self._unsent.clear()
         self._full = True
         self._last_number = number
         self.on_added()
 
     def pop_pending(self) -> wire.PrefixEvents | None:
-        """Return what waits, or None."""
+        """Return and clear the pending events; None if there is nothing to send."""
         if not self._full and not self._unsent:
             return None
         events = wire.PrefixEvents(
--- a/wigeonscale/agent/refusals.py
+++ b/wigeonscale/agent/refusals.py
@@ -1,4 +1,4 @@
-"""The errors by which a dispatch is refused or ended."""
+"""Errors with which dispatches are refused or ended."""
 
 __all__ = ["answer_unavailable", "deadline_exceeded", "stale_incarnation"]
 
@@ -9,11 +9,11 @@
 def answer_unavailable(
     dispatch_id: str, known_state: RunState | None
 ) -> WigeonscaleError:
-    """Return the error for a dispatch that has no answer here.
+    """Return the error for a dispatch whose answer this agent does not have.
 
     Args:
-        dispatch_id: Its id.
-        known_state: What is remembered of it; None if it was never seen.
+        dispatch_id: Id of the dispatch.
+        known_state: Its recorded run state; None if the id is unknown.
     """
     if known_state is RunState.NOT_RUN:
         return WigeonscaleError(
@@ -33,7 +33,7 @@
 
 
 def stale_incarnation(agent_id: str, incarnation: int) -> WigeonscaleError:
-    """Return the error for work meant for another start of the agent."""
+    """Return the error for work addressed to another incarnation of the agent."""
     return WigeonscaleError(
         ErrorKind.STALE_INCARNATION,
         f"incarnation {incarnation} of {agent_id} is not running",
--- a/wigeonscale/agent/servicer.py
+++ b/wigeonscale/agent/servicer.py
@@ -1,4 +1,4 @@
-"""The agent's gRPC service: entries' dispatch streams and heads' step streams."""
+"""The agent's gRPC service: dispatch streams of entries and step streams of agents."""
 
 __all__ = ["AgentServicer"]
 
@@ -21,16 +21,16 @@
 
 
 class AgentServicer(wire_pb2_grpc.AgentServicer):
-    """Serves the wire's ``Agent`` service.
+    """Implements the gRPC service ``Agent``.
 
     Args:
         dispatcher: Handles the messages of entries.
-        stage: Runs steps; None for a plain service.
-        load: Returns the load word.
+        stage: Executes pipeline steps; None for a plain service.
+        load: Returns the current load word.
         clock: Clock port.
-        prefixes: Cache events of the engine; None beside a plain service.
-        entry_silence_s: Seconds without a message after which an entry does not
-            count as a reader.
+        prefixes: Cache events of the engine; None for a plain service.
+        entry_silence_s: Seconds without a message after which an entry no longer
+            counts as a live reader.
     """
 
     def __init__(
@@ -53,18 +53,18 @@
         self._steps: set[asyncio.Task] = set()
 
     def announce_load(self) -> None:
-        """Send the load word on every dispatch stream."""
+        """Send the load word on all dispatch streams."""
         for stream in self._streams:
             stream.wake()
 
     async def close(self) -> None:
-        """Cancel steps whose reply nobody can get any more."""
+        """Cancel running steps, whose replies can no longer be delivered."""
         for task in self._steps:
             task.cancel()
         await asyncio.gather(*self._steps, return_exceptions=True)
 
     async def Dispatch(self, request_iterator, context):  # noqa: N802
-        """Serve one entry's stream until it ends."""
+        """Serve the dispatch stream of one entry until it ends."""
         outbox = self._prefixes.subscribe() if self._prefixes is not None else None
         stream = EntryStream(
             load=self._load,
@@ -86,7 +86,7 @@
             await asyncio.gather(writer, return_exceptions=True)
 
     async def Steps(self, request_iterator, context):  # noqa: N802
-        """Serve one head's, or previous stage's, stream until it ends."""
+        """Serve the step stream of a head or a previous stage until it ends."""
         if self._stage is None:
             text = "a plain service runs no steps"
             await context.abort(grpc.StatusCode.UNIMPLEMENTED, text)
@@ -100,7 +100,8 @@
             if not req.steps and not req.cancelled:
                 await write(wire.StepReply(batch_id=req.batch_id))
                 continue
-            # Not bound to this stream: the record must be complete for a resend.
+            # The task outlives this stream: its reply must be recorded in full in case
+            # the request is sent again.
             task = asyncio.create_task(self._step(req, write))
             self._steps.add(task)
             task.add_done_callback(self._steps.discard)
--- a/wigeonscale/agent/stream.py
+++ b/wigeonscale/agent/stream.py
@@ -1,4 +1,4 @@
-"""One entry's dispatch stream: its readers and its single writer."""
+"""The dispatch stream of one entry: its readers and its single writer."""
 
 __all__ = ["EntryStream"]
 
@@ -14,17 +14,22 @@
 
 
 class EntryStream:
-    """Sends one message per iteration with all that its entry may get.
+    """Batches all items that are ready for one entry into one message at a time.
 
-    Nothing is queued for the answers themselves: a reader is a place in a kept
-    answer. While the peer does not take messages, tokens gather in the table and
-    go out together, so one slow peer costs neither memory nor the others' time.
+    Tokens are not queued per stream: a reader is only a position in a kept answer.
+    While the entry does not accept messages, tokens accumulate in the dispatch table
+    and are sent together later. A slow entry therefore needs no additional memory
+    and does not delay other entries.
 
     Args:
-        load: Returns the load word that rides on every message.
+        load: Returns the load word that is sent with every message.
         clock: Clock port.
-        prefixes: Cache events for this stream; None beside a plain service.
-        silence_s: Seconds without a message after which the entry does not count.
+        prefixes: Cache events for this stream; None for a plain service.
+        silence_s: Seconds without a message after which the entry no longer counts
+            as alive.
+
+    Attributes:
+        name: Name of the entry; empty until its ``EntryHello``.
     """
 
     def __init__(
@@ -50,7 +55,7 @@
             prefixes.on_added = self.wake
 
     def attach(self, dispatch: Dispatch, from_token: int) -> Reader:
-        """Read an answer from a token index, with fresh initial credit.
+        """Start reading an answer from a token index, with the initial credit.
 
         An earlier reader of the same dispatch on this stream is replaced.
         """
@@ -69,11 +74,11 @@
         return reader
 
     def record_activity(self) -> None:
-        """Note a message of the entry."""
+        """Record that a message from the entry has arrived."""
         self._last_activity = self._clock.now()
 
     def is_alive(self) -> bool:
-        """Return whether the entry gave a sign of life lately."""
+        """Return whether a message from the entry has arrived recently."""
         return self._clock.now() - self._last_activity < self._silence_s
 
     def detach(self, dispatch_id: str) -> None:
@@ -84,7 +89,7 @@
             reader.dispatch.readers.discard(reader)
 
     def credit(self, credits: Iterable[wire.Credit]) -> None:
-        """Allow further tokens of answers to be sent."""
+        """Add credit, which allows more tokens of answers to be sent."""
         for credit in credits:
             reader = self._readers.get(credit.dispatch_id)
             if reader is not None and credit.tokens > 0:
@@ -92,21 +97,21 @@
                 self._mark_dirty(reader)
 
     def send(self, item: wire.DispatchItem) -> None:
-        """Send one item as soon as may be."""
+        """Schedule one item for the next message."""
         self._items.append(item)
         self._wake.set()
 
     def pong(self, sent_us: int) -> None:
-        """Answer a ping; only the newest one is answered."""
+        """Schedule the reply to a ping; only the newest ping is answered."""
         self._pong_us = sent_us
         self._wake.set()
 
     def wake(self) -> None:
-        """Send the load word even if there is nothing else."""
+        """Schedule a message with the load word, even without items."""
         self._wake.set()
 
     async def write(self, send: Callable[[wire.DispatchEvent], Awaitable]) -> None:
-        """Write messages for ever."""
+        """Write messages until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -114,7 +119,7 @@
             await send(event)
 
     def close(self) -> None:
-        """Stop reading every answer."""
+        """Stop reading all answers."""
         for dispatch_id in list(self._readers):
             self.detach(dispatch_id)
 
--- a/wigeonscale/agent/table.py
+++ b/wigeonscale/agent/table.py
@@ -1,4 +1,4 @@
-"""The dispatch table: what is open here, and the answers kept until taken."""
+"""The dispatch table: open dispatches and the answers kept for entries."""
 
 __all__ = ["DispatchTable"]
 
@@ -12,23 +12,23 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 TOKEN_OVERHEAD_BYTES = 150
-"""Estimated memory of one kept token beside its text."""
+"""Estimated memory of one kept token in addition to its text, in bytes."""
 
 DELIVERY_GRACE_S = 3.0
-"""Seconds for which a stop waits for an entry to come back for an answer."""
+"""Time for which a drain waits for an entry to reconnect for an ended answer."""
 
 
 class DispatchTable:
-    """Every dispatch that is open or kept.
+    """All open dispatches and all ended ones whose answers are kept.
 
     Args:
         clock: Clock port.
-        keep_bytes: Most bytes of requests and answers kept.
-        keep_s: Seconds for which an ended answer is kept.
+        keep_bytes: Memory limit for requests and answers, in bytes.
+        keep_s: Time for which an ended answer is kept, in seconds.
 
     Attributes:
-        kept_bytes: Estimated bytes of requests and answers now.
-        memory: Ids of earlier dispatches.
+        kept_bytes: Estimated current memory of requests and answers, in bytes.
+        history: Run states of earlier dispatches.
     """
 
     def __init__(self, *, clock: Clock, keep_bytes: int, keep_s: float):
@@ -52,7 +52,7 @@
         return [d for d in self._dispatches.values() if d.end is None]
 
     def undelivered(self) -> list[Dispatch]:
-        """Return ended answers that an entry still reads or may come back for."""
+        """Return ended dispatches that are being read or may still be fetched."""
         oldest = self._clock.now() - DELIVERY_GRACE_S
         return [
             dispatch
@@ -62,12 +62,12 @@
         ]
 
     def add(self, dispatch: Dispatch) -> None:
-        """Add a dispatch that was just opened."""
+        """Add a newly opened dispatch."""
         self._dispatches[dispatch.dispatch_id] = dispatch
         self._add_bytes(dispatch, dispatch.open.ByteSize())
 
     def record_not_run(self, dispatch_id: str) -> None:
-        """Remember that a dispatch never began and must never begin."""
+        """Record that a dispatch has not started and must never start."""
         self.history.record(dispatch_id, RunState.NOT_RUN)
 
     def produced(self, dispatch: Dispatch, token: wire.Token) -> None:
@@ -91,7 +91,7 @@
         dispatch.wake_readers()
 
     def sweep(self) -> None:
-        """Drop answers past their age or over the bytes, and old ids."""
+        """Evict answers that are too old or over the memory limit, and old ids."""
         now = self._clock.now()
         for dispatch in list(self._ended.values()):
             if now - dispatch.ended_at < self._keep_s:
@@ -103,11 +103,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether more is kept than may be."""
+        """Whether the memory limit is exceeded."""
         return self.kept_bytes > self._keep_bytes
 
     def _release_work(self, dispatch: Dispatch) -> None:
-        """Free the prompt or body, which nobody needs after the end."""
+        """Free the prompt or body, which is not needed after the dispatch has ended."""
         before = dispatch.open.ByteSize()
         dispatch.stop_work = dispatch.set_paused = None
         dispatch.open.ClearField("generate")
@@ -115,7 +115,7 @@
         self._add_bytes(dispatch, dispatch.open.ByteSize() - before)
 
     def _evict_to_limit(self) -> None:
-        # Taken answers first, then the oldest that nobody reads now.
+        # Unread answers only: delivered ones first, then the oldest.
         unread = [d for d in self._ended.values() if not d.has_live_reader]
         unread.sort(key=lambda dispatch: not dispatch.was_delivered)
         for dispatch in unread:
@@ -127,7 +127,7 @@
         self._ended.pop(dispatch.dispatch_id, None)
         self._dispatches.pop(dispatch.dispatch_id, None)
         self.kept_bytes -= dispatch.kept_bytes
-        # From now on only the memory knows it.
+        # Restarts the retention time, since the history is now the only record.
         state = self.history.state(dispatch.dispatch_id) or RunState.RAN
         self.history.record(dispatch.dispatch_id, state)
         exc = refusals.answer_unavailable(dispatch.dispatch_id, RunState.RAN)
--- a/wigeonscale/agent/work.py
+++ b/wigeonscale/agent/work.py
@@ -1,4 +1,4 @@
-"""Runs admitted dispatches: generations through the head, calls on the service."""
+"""Runs admitted dispatches: generations on the chain and calls to the service."""
 
 __all__ = ["start_call", "start_generation"]
 
@@ -26,15 +26,15 @@
     on_end: Callable[[Dispatch, wire.DispatchItem], None],
     on_failed: Callable[[Dispatch, WigeonscaleError], None],
 ) -> Generation:
-    """Start a generation on its chain.
+    """Start a generation on a chain.
 
     Args:
         dispatch: The admitted dispatch.
         chain: The chain to use.
-        head: Drives it.
-        on_token: Told of each token.
-        on_end: Told of the last item.
-        on_failed: Told of an error instead.
+        head: Head of the chain, which runs the generation.
+        on_token: Called with each token.
+        on_end: Called with the last item if the generation succeeds.
+        on_failed: Called with the error if it fails.
 
     Returns:
         The running generation.
@@ -77,15 +77,15 @@
     on_end: Callable[[Dispatch, wire.DispatchItem], None],
     on_failed: Callable[[Dispatch, WigeonscaleError], None],
 ) -> asyncio.Task:
-    """Start one call to the plain service; it is never cancelled.
+    """Start one call to the plain service; callers cannot cancel it.
 
     Args:
         dispatch: The admitted dispatch.
         service: The plain service.
         clock: Clock port.
-        timeout_s: Longest call, in seconds; the deadline may cut it shorter.
-        on_end: Told of the answer.
-        on_failed: Told of an error instead.
+        timeout_s: Timeout of the call, in seconds; an earlier deadline shortens it.
+        on_end: Called with the response.
+        on_failed: Called with the error if the call fails.
 
     Returns:
         The task that makes the call.
@@ -136,7 +136,7 @@
 
 
 def _deadline_exceeded(dispatch: Dispatch) -> WigeonscaleError:
-    # The call was cut at the deadline; the service may have done the work.
+    # The call timed out at the deadline; the service may have done the work.
     return WigeonscaleError(
         ErrorKind.DEADLINE_EXCEEDED,
         f"no answer within {dispatch.open.deadline_ms} ms",
