--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -217,7 +217,7 @@
         if not self._control.lease_valid():
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
-                f"agent {self._cfg.name} has no word from a majority of control",
+                f"agent {self._cfg.name} has no valid lease from a majority of control",
                 retry_after=self._cfg.lease_s,
             )
 
@@ -237,7 +237,8 @@
         is_call = msg.WhichOneof("work") == "call"
         if is_call != (self._service is not None):
             raise WigeonscaleError(
-                ErrorKind.BAD_REQUEST, f"{self._cfg.name} cannot do this kind of work"
+                ErrorKind.BAD_REQUEST,
+                f"agent {self._cfg.name} does not support this type of work",
             )
         if not is_call:
             self._check_generate(msg.generate)
@@ -247,18 +248,19 @@
         if work.max_tokens <= 0 or not chain.stages:
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"{work.max_tokens} tokens on {len(chain.stages)} stages",
+                f"invalid generation: {work.max_tokens} tokens on a chain of"
+                f" {len(chain.stages)} stages",
             )
         if chain.stages[0].agent_id != self._cfg.name:
             raise WigeonscaleError(
                 ErrorKind.STALE_EPOCH,
-                f"head of the chain is {chain.stages[0].agent_id}",
+                f"the head of the chain is agent {chain.stages[0].agent_id}",
             )
         newest = self._control.members.chains.get(chain.chain_id)
         if newest is not None and newest.epoch > chain.epoch:
             raise WigeonscaleError(
                 ErrorKind.STALE_EPOCH,
-                f"chain {chain.chain_id} is at epoch {newest.epoch}",
+                f"chain {chain.chain_id} already has epoch {newest.epoch}",
                 retry_after=1,
             )
         for stage in chain.stages:
--- a/wigeonscale/agent/backend.py
+++ b/wigeonscale/agent/backend.py
@@ -132,7 +132,7 @@
         if self.unreachable:
             raise WigeonscaleError(
                 ErrorKind.BACKEND_FAILED,
-                f"the backend server of {self.agent_id} does not answer",
+                f"the backend server of agent {self.agent_id} does not respond",
                 retry_after=1,
             )
         if self.leaving:
@@ -195,7 +195,7 @@
             self._failures = 0
         except WigeonscaleError as exc:
             self._failures += 1
-            logger.warning("probe failed: %s", exc.message)
+            logger.warning("probe of the backend server failed: %s", exc.message)
             if self._failures >= MAX_FAILED_PROBES:
                 self.info = None
         if (self.info, self.unreachable) != before:
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -141,7 +141,9 @@
         self.fail(
             dispatch,
             WigeonscaleError(
-                ErrorKind.CANCELLED, "the caller gave up", run_state=dispatch.run_state
+                ErrorKind.CANCELLED,
+                "the caller cancelled the request",
+                run_state=dispatch.run_state,
             ),
         )
 
@@ -245,7 +247,7 @@
         for dispatch in live:
             exc = WigeonscaleError(
                 ErrorKind.STOPPING,
-                f"agent {self._agent_id} stopped before the end",
+                f"agent {self._agent_id} stopped before the dispatch ended",
                 run_state=dispatch.run_state,
             )
             self.fail(dispatch, exc)
@@ -259,7 +261,8 @@
     def _check_new(self, msg: wire.Open) -> None:
         if not msg.dispatch_id or msg.WhichOneof("work") is None:
             raise WigeonscaleError(
-                ErrorKind.BAD_REQUEST, f"dispatch {msg.dispatch_id!r} names no work"
+                ErrorKind.BAD_REQUEST,
+                f"dispatch {msg.dispatch_id!r} has no id or no work",
             )
         known_state = self._table.history.state(msg.dispatch_id)
         if known_state is not None:
@@ -270,7 +273,7 @@
         if self._table.is_full:
             raise WigeonscaleError(
                 ErrorKind.OVERLOADED,
-                "the kept answers take all their bytes",
+                "the memory for kept answers is full",
                 retry_after=TABLE_FULL_RETRY_AFTER_S,
             )
         deadline_s = msg.deadline_ms / 1000 if msg.deadline_ms else None
@@ -318,7 +321,8 @@
         dispatch = self._table.get(dispatch_id)
         if dispatch is not None and dispatch.state is DispatchState.QUEUED:
             self.fail(
-                dispatch, WigeonscaleError(ErrorKind.CANCELLED, "the entry sealed it")
+                dispatch,
+                WigeonscaleError(ErrorKind.CANCELLED, "the entry sealed the dispatch"),
             )
             return True
         known_state = self._table.history.state(dispatch_id)
--- a/wigeonscale/agent/orders.py
+++ b/wigeonscale/agent/orders.py
@@ -66,7 +66,8 @@
         if number < self._floor:
             raise WigeonscaleError(
                 ErrorKind.STALE_TERM,
-                f"order {order.order_id} has number {number}, older than {self._floor}",
+                f"fencing token {number} of order {order.order_id} is older than"
+                f" {self._floor}",
             )
         self._floor = number
 
@@ -78,7 +79,8 @@
             await self._load(order)
         else:
             raise WigeonscaleError(
-                ErrorKind.BAD_REQUEST, f"order {order.order_id} names {body}"
+                ErrorKind.BAD_REQUEST,
+                f"this agent does not support order {order.order_id} of type {body}",
             )
 
     async def _load(self, order: wire.Order) -> None:
--- a/wigeonscale/agent/outcomes.py
+++ b/wigeonscale/agent/outcomes.py
@@ -65,7 +65,11 @@
                     await self._submit(wire.Command(outcome=outcome))
                 break
             except WigeonscaleError as exc:
-                logger.warning("outcome of %s: %s", outcome.dispatch_id, exc.message)
+                logger.warning(
+                    "submitting the outcome of dispatch %s failed: %s",
+                    outcome.dispatch_id,
+                    exc.message,
+                )
                 if not ANSWERS[exc.kind].retryable:
                     return
                 await self._clock.sleep(RETRY_INTERVAL_S)
--- a/wigeonscale/agent/prefixes.py
+++ b/wigeonscale/agent/prefixes.py
@@ -94,7 +94,7 @@
             events = await self._engine.cache_events(self._last_engine_number)
         except WigeonscaleError as exc:
             if not self._is_failing:
-                logger.info("no cache events: %s", exc.message)
+                logger.info("polling the engine's cache events failed: %s", exc.message)
             self._is_failing = True
             return
         self._is_failing = False
--- a/wigeonscale/agent/refusals.py
+++ b/wigeonscale/agent/refusals.py
@@ -27,7 +27,7 @@
         )
     return WigeonscaleError(
         ErrorKind.NOT_FOUND,
-        f"no dispatch {dispatch_id} here",
+        f"dispatch {dispatch_id} is unknown to this agent",
         run_state=RunState.UNKNOWN,
     )
 
--- a/wigeonscale/agent/servicer.py
+++ b/wigeonscale/agent/servicer.py
@@ -88,7 +88,7 @@
     async def Steps(self, request_iterator, context):  # noqa: N802
         """Serve the step stream of a head or a previous stage until it ends."""
         if self._stage is None:
-            text = "a plain service runs no steps"
+            text = "the agent of a plain service does not execute steps"
             await context.abort(grpc.StatusCode.UNIMPLEMENTED, text)
         write_lock = asyncio.Lock()
 
@@ -115,11 +115,11 @@
         try:
             await write(reply)
         except Exception as exc:
-            logger.info("step reply not delivered: %r", exc)
+            logger.info("could not deliver a step reply: %r", exc)
 
     def _handle(self, req: wire.DispatchRequest, stream: EntryStream) -> None:
         stream.record_activity()
         try:
             self._dispatcher.handle(req, stream)
         except Exception:
-            logger.exception("message of entry %s failed", stream.name)
+            logger.exception("handling a message from entry %s failed", stream.name)
--- a/wigeonscale/agent/work.py
+++ b/wigeonscale/agent/work.py
@@ -102,7 +102,7 @@
                 exc = _deadline_exceeded(dispatch)
             on_failed(dispatch, exc)
         except Exception as exc:
-            logger.exception("call of %s failed", dispatch.dispatch_id)
+            logger.exception("service call of dispatch %s failed", dispatch.dispatch_id)
             on_failed(
                 dispatch,
                 WigeonscaleError(
@@ -139,6 +139,6 @@
     # The call timed out at the deadline; the service may have done the work.
     return WigeonscaleError(
         ErrorKind.DEADLINE_EXCEEDED,
-        f"no answer within {dispatch.open.deadline_ms} ms",
+        f"the service did not respond within {dispatch.open.deadline_ms} ms",
         run_state=RunState.UNKNOWN,
     )
