--- a/wigeonscale/entry/__init__.py
+++ b/wigeonscale/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry: callers' HTTP, rules, limits and answers."""
+"""The entry: HTTP server for callers; applies rules and limits, sends answers."""
 
 __all__ = [
     "BackendInstances",
--- a/wigeonscale/entry/app.py
+++ b/wigeonscale/entry/app.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server of an entry."""
+"""The entry's HTTP server for callers."""
 
 __all__ = ["CallerServer"]
 
@@ -16,18 +16,18 @@
 from wigeonscale.entry.sse import Shape
 
 BACKLOG = 1024
-# Time for the balancer to see the entry as not ready, in seconds.
+# Time given to the load balancer to notice that the entry is not ready.
 UNREADY_GRACE_S = 1.0
-# Time for cut answers to write their last event, in seconds.
+# Time given to aborted answers to write their error event.
 CUT_GRACE_S = 0.5
 
 
 class CallerServer:
-    """Serves callers, and stops without cutting what is in progress.
+    """HTTP server for callers with a graceful shutdown.
 
     Args:
         entry: The entry.
-        address: ``ip:port`` to listen on; port 0 takes a free one.
+        address: ``ip:port`` to listen on; port 0 selects a free port.
     """
 
     def __init__(self, *, entry: EntryService, address: str):
@@ -42,12 +42,13 @@
         return bound_address(self._runner)
 
     async def start(self) -> None:
-        """Listen.
+        """Start to listen.
 
         Raises:
             OSError: If the address cannot be bound.
         """
-        # A vanished caller cancels its handler, which sees to its work.
+        # handler_cancellation: when a caller disconnects, its handler is cancelled and
+        # then stops or detaches the work.
         self._runner = CallerRunner(
             _application(self._entry),
             access_log=None,
@@ -61,20 +62,20 @@
         await self._site.start()
 
     async def stop_accepting(self) -> None:
-        """Be unready first, then take no new connection.
+        """Become unready, then stop to accept connections.
 
-        Requests on connections that stand are still served, the last on each.
+        Open connections are still served; each is closed after its next response.
         """
         self._entry.draining = True
         await self._entry.clock.sleep(UNREADY_GRACE_S)
         await self._site.stop()
 
     async def finish(self) -> None:
-        """Wait for the answers in progress."""
+        """Wait until the answers in progress are complete."""
         await self._entry.wait_until_idle()
 
     async def cut(self) -> None:
-        """End the answers still in progress by an honest error."""
+        """Abort the answers still in progress with an error event."""
         self._entry.stopping = True
         self._entry.cut()
         try:
@@ -84,7 +85,7 @@
             return
 
     async def close(self) -> None:
-        """Close every connection; a request that comes now is refused."""
+        """Close all connections; requests that still arrive are refused."""
         self._entry.stopping = True
         if self._runner is not None:
             await self._runner.cleanup()
--- a/wigeonscale/entry/auth.py
+++ b/wigeonscale/entry/auth.py
@@ -1,4 +1,4 @@
-"""From a caller's API key to its organisation."""
+"""Authentication of callers by API key."""
 
 __all__ = ["authenticate"]
 
@@ -12,14 +12,14 @@
 
 
 def authenticate(req: web.Request, ruleset: Ruleset) -> Organisation:
-    """Return the organisation that holds the request's API key.
+    """Return the organisation that owns the request's API key.
 
     Args:
         req: The request.
-        ruleset: The rules in force.
+        ruleset: The current rules.
 
     Raises:
-        WigeonscaleError: ``UNKNOWN_KEY``; the key itself is not repeated.
+        WigeonscaleError: ``UNKNOWN_KEY``; the message does not contain the key.
     """
     scheme, _, key = req.headers.get("Authorization", "").partition(" ")
     key = key.strip()
--- a/wigeonscale/entry/backend_instances.py
+++ b/wigeonscale/entry/backend_instances.py
@@ -1,4 +1,4 @@
-"""Names of the lives of backend servers that stand behind agents."""
+"""Ids of the instances of backend servers, for crash tracking."""
 
 __all__ = ["BackendInstances"]
 
@@ -11,39 +11,45 @@
 
 
 class BackendInstances:
-    """Tells one life of a backend server from the next.
+    """Identifies the instances (process lifetimes) of backend servers.
 
-    An agent outlives its server, and says how often it found it gone; so the server of
-    one life is named by the agent, its incarnation and that count.
+    An agent can outlive its backend server and announces how often it has lost it.
+    An instance id therefore consists of the agent id, the agent's incarnation and
+    that count.
 
     Args:
-        members: Returns the members now known.
+        members: Returns the current members.
     """
 
     def __init__(self, *, members: Callable[[], MembersView]):
         self._members = members
 
     def ids_of(self, agent_ids: Iterable[str]) -> tuple[str, ...]:
-        """Return the names of the servers beside some agents, as of now.
+        """Return the ids of the current backend server instances of some agents.
 
         Args:
-            agent_ids: The agents; those that are no members are left out.
+            agent_ids: The agents; those that are not members are skipped.
         """
         backends = self._members().backends
         return tuple(_instance_id(backends[i]) for i in agent_ids if i in backends)
 
     def is_serving(self, instance_id: str) -> bool:
-        """Return whether the agent is there, and does not leave by intent."""
+        """Return whether the instance's agent is a member and not draining on purpose.
+
+        Args:
+            instance_id: Id of the instance, which may have ended.
+        """
         backend = self._backend(instance_id)
         if backend is None or _agent_part(instance_id) != _agent_part(
             _instance_id(backend)
         ):
             return False
-        # It leaves, too, while its server is gone.
+        # An agent also announces draining while its backend server is unreachable. If
+        # the instance has been replaced, that may be the reason.
         return not backend.draining or instance_id != _instance_id(backend)
 
     def has_ended(self, instance_id: str) -> bool:
-        """Return whether that life of the server is over."""
+        """Return whether the instance has ended or its agent is not a member."""
         backend = self._backend(instance_id)
         return backend is None or instance_id != _instance_id(backend)
 
@@ -58,5 +64,5 @@
 
 
 def _agent_part(instance_id: str) -> str:
-    """Return the part of a name that stands for the agent and its incarnation."""
+    """Return the part of an instance id that identifies agent and incarnation."""
     return instance_id.rpartition(SEPARATOR)[0]
--- a/wigeonscale/entry/calls.py
+++ b/wigeonscale/entry/calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: any path that a rule routes to one."""
+"""Calls to plain services, for any path that a rule routes to a service."""
 
 __all__ = ["call_service", "forward", "service_response"]
 
@@ -17,7 +17,7 @@
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.wire import wire_pb2 as wire
 
-# The key to this system is not the service's business.
+# "authorization" contains the caller's API key, which services must not see.
 _NOT_FORWARDED = HOP_HEADERS | {"authorization", "expect", "accept-encoding"}
 _NOT_RETURNED = HOP_HEADERS | {"content-encoding", "date", "server"}
 
@@ -25,7 +25,7 @@
 async def call_service(
     entry: EntryService, req: web.Request, log: RequestLog
 ) -> web.StreamResponse:
-    """Serve any path that is not the system's own."""
+    """Serve any path that has no handler of its own."""
     check_path(req)
     caller = identify(entry, req, log)
     raw = await read_body(req)
@@ -52,15 +52,15 @@
     Args:
         entry: The entry.
         req: The request.
-        log: Takes what is recorded.
-        admission: What the rules decided.
-        raw: The request's body.
+        log: Record of the request.
+        admission: The admission of the request.
+        raw: Body of the request.
 
     Returns:
-        The service's answer.
+        The response of the service.
 
     Raises:
-        WigeonscaleError: When there is none.
+        WigeonscaleError: If the call failed.
     """
     answer = await entry.dispatcher.start(_work(req, admission, raw))
     try:
@@ -70,13 +70,13 @@
 
 
 async def service_response(answer: Answer) -> web.Response:
-    """Return a plain service's answer as HTTP.
+    """Return the HTTP response of a plain service.
 
     Args:
         answer: The answer to a call.
 
     Raises:
-        WigeonscaleError: When the call failed.
+        WigeonscaleError: If the call failed.
     """
     await answer.read()
     response = answer.stream.response
--- a/wigeonscale/entry/completions.py
+++ b/wigeonscale/entry/completions.py
@@ -32,10 +32,10 @@
 
 
 def completions_handler(shape: Shape) -> Handler:
-    """Return the handler of generations in one JSON shape.
+    """Return the handler of generations for one JSON shape.
 
     Args:
-        shape: Shape of the caller's body and of the answer.
+        shape: JSON shape of request and response.
     """
     body_type = _BODY_TYPES[shape]
 
--- a/wigeonscale/entry/error_responses.py
+++ b/wigeonscale/entry/error_responses.py
@@ -1,4 +1,4 @@
-"""Errors as HTTP answers."""
+"""HTTP responses for errors."""
 
 __all__ = ["REQUEST_HEADER", "error_document", "error_response"]
 
@@ -15,14 +15,14 @@
 
 
 def error_response(exc: WigeonscaleError, request_id: str = "") -> web.Response:
-    """Return the HTTP answer for an error.
+    """Return the HTTP response for an error.
 
     Args:
         exc: The error.
-        request_id: Id of the request, when its work was dispatched.
+        request_id: Id of the request if its work was dispatched, else empty.
 
     Returns:
-        Status, headers and JSON body as the table of kinds says.
+        Status, headers and JSON body as defined by ``wigeonscale.errors.ANSWERS``.
     """
     answer = ANSWERS[exc.kind]
     headers = {RUN_HEADER: exc.run_state.value}
@@ -39,7 +39,7 @@
 
 
 def error_document(exc: WigeonscaleError) -> str:
-    """Return an error as the JSON text that callers get."""
+    """Return the JSON text of an error that is sent to callers."""
     retryable = ANSWERS[exc.kind].retryable
     error = {
         "kind": exc.kind.value,
--- a/wigeonscale/entry/flow.py
+++ b/wigeonscale/entry/flow.py
@@ -1,4 +1,4 @@
-"""The path of every request: count, admit, handle, answer errors, record."""
+"""Common handling of requests: authentication, admission, errors and records."""
 
 __all__ = [
     "Admission",
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who sends a request.
+    """The sender of a request.
 
     Attributes:
-        organisation: Holder of the API key.
-        options: What is asked for in headers.
+        organisation: Owner of the API key.
+        options: Options given in headers.
     """
 
     organisation: Organisation
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A request that rules and limits let through.
+    """A request that has passed rules and limits.
 
     Attributes:
-        caller: Who sends it.
-        decision: What the first matching rule decided.
-        priority: Priority to use.
-        deadline: Instant of the clock port at which the whole answer is due.
-        dispatch_ids: Takes the ids of the work's dispatches.
+        caller: The sender.
+        decision: Decision of the first matching rule.
+        priority: Effective priority.
+        deadline: Clock time at which the complete answer is due, in seconds.
+        dispatch_ids: List to which the ids of the work's dispatches are appended.
     """
 
     caller: Caller
@@ -67,8 +67,8 @@
 
         Args:
             req: The request.
-            raw: Its body.
-            **target: Pipeline and generation, or service and call, of the work.
+            raw: Body of the request.
+            **target: ``pipeline`` and ``generate``, or ``service`` and ``call``.
         """
         once = self.decision.once
         return Work(
@@ -98,11 +98,13 @@
 def make_handler(
     entry: EntryService, handle: Handler
 ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
-    """Return an aiohttp handler that counts, answers errors and records.
+    """Return an aiohttp handler that wraps the handler of one type of request.
+
+    It counts the request, turns errors into responses and records the outcome.
 
     Args:
         entry: The entry.
-        handle: Does the work of one kind of request.
+        handle: The wrapped handler.
     """
 
     async def handler(req: web.Request) -> web.StreamResponse:
@@ -133,12 +135,12 @@
 
 
 def identify(entry: EntryService, req: web.Request, log: RequestLog) -> Caller:
-    """Return who sends a request and what its headers ask for.
+    """Return the sender of a request and the options in its headers.
 
     Args:
         entry: The entry.
         req: The request.
-        log: Takes the organisation.
+        log: Record of the request; its organisation is set.
 
     Raises:
         WigeonscaleError: ``UNKNOWN_KEY`` or ``BAD_REQUEST``.
@@ -156,14 +158,14 @@
     model: str = "",
     stream: bool = False,
 ) -> RequestFacts:
-    """Return what rules may look at.
+    """Return the properties of a request that rules can match.
 
     Args:
         req: The request.
-        caller: Who sends it.
-        size: Bytes of the prompt or body.
-        model: Model named by the caller.
-        stream: Whether a stream was asked for.
+        caller: The sender.
+        size: Size of the prompt or body, in bytes.
+        model: Model requested by the caller.
+        stream: Whether a stream was requested.
     """
     return RequestFacts(
         organisation=caller.organisation.name,
@@ -180,16 +182,17 @@
 def admit(
     entry: EntryService, log: RequestLog, caller: Caller, facts: RequestFacts
 ) -> Admission:
-    """Let a request through rules and limits.
+    """Apply rules and limits to a request.
 
     Args:
         entry: The entry.
-        log: Takes the rule, and the permits, which are given back at the end.
-        caller: Who sends it.
-        facts: What the rules look at.
+        log: Record of the request; its rule is set and the acquired permits are
+            added, to be released at the end of the request.
+        caller: The sender.
+        facts: Properties of the request that rules can match.
 
     Raises:
-        WigeonscaleError: Why it is refused.
+        WigeonscaleError: If the request is refused.
     """
     decision = entry.control.ruleset.decide(facts)
     log.rule = decision.rule
--- a/wigeonscale/entry/malformed_http.py
+++ b/wigeonscale/entry/malformed_http.py
@@ -1,4 +1,4 @@
-"""What is not HTTP: refused in the form of every other error."""
+"""Error responses for malformed HTTP, in the format of all other errors."""
 
 __all__ = ["CallerRunner"]
 
@@ -14,11 +14,11 @@
 
 
 class CallerRunner(web.AppRunner):
-    """Runs an application whose connections refuse broken HTTP by our own answer."""
+    """Runs an application that answers malformed HTTP with its own error format."""
 
     @property
     def server(self) -> "_ConnectionFactory | None":
-        """What sites call for each connection."""
+        """Factory that sites call for each connection."""
         server = super().server
         return None if server is None else _ConnectionFactory(server=server)
 
@@ -42,7 +42,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Return the answer to what never reached a handler, and close."""
+        """Return the response to a request that reached no handler, and close."""
         error = _error(status, message or "")
         METRICS.requests.add(organisation="", kind=error.kind)
         if status >= web.HTTPInternalServerError.status_code:
--- a/wigeonscale/entry/member_selector.py
+++ b/wigeonscale/entry/member_selector.py
@@ -1,4 +1,4 @@
-"""Where work can go: the members as candidates of the choice."""
+"""Selection of an agent for a piece of work among the current members."""
 
 __all__ = ["MemberSelector"]
 
@@ -11,18 +11,18 @@
 from wigeonscale.routing import Candidate, Chooser
 from wigeonscale.wire import wire_pb2 as wire
 
-# Control decides within seconds whether an agent that gave no answer is gone.
+# Control decides within seconds whether an unresponsive agent is removed.
 AVOID_UNREACHABLE_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class _CandidateSet:
-    """Where work of one pipeline or service can go.
+    """The candidates for work of one pipeline or service.
 
     Attributes:
-        index: Index of the members that this was built from.
-        candidates: What the chooser gets.
-        places: Place of each agent among the candidates.
+        index: Index of the members from which the set was built.
+        candidates: Input of the chooser.
+        selections: Agent id of each candidate to its target and chain.
     """
 
     index: int
@@ -31,16 +31,16 @@
 
 
 class MemberSelector:
-    """Chooses among the members that are ready for a piece of work.
+    """Selects a ready agent for a piece of work.
 
     Args:
-        members: Returns the members now known.
-        chooser: Makes the choice.
+        members: Returns the current members.
+        chooser: Chooses among candidates.
         clock: Clock port.
 
     Notes:
-        Candidates are built, and agents that are gone forgotten, once per change of
-        the members, not per request.
+        Candidates are rebuilt and data about removed agents is discarded once per
+        change of the members, not once per request.
     """
 
     def __init__(
@@ -59,11 +59,15 @@
         self._seen_index = -1
 
     def choose(self, work: Work, avoid: frozenset[str]) -> Selection | None:
-        """Return an agent, and the chain it heads, or None.
+        """Return a target agent and the chain of which it is the head.
 
         Args:
             work: The work.
             avoid: Ids of agents not to use.
+
+        Returns:
+            Target and chain, with None as the chain of a plain service; None if no
+            agent is available.
         """
         self._sync_members()
         candidate_set = self._candidate_set(work.pipeline, work.service)
@@ -77,17 +81,17 @@
         return candidate_set.selections[choice.agent_id] if choice is not None else None
 
     def is_current(self, agent_id: str, incarnation: int) -> bool:
-        """Return whether this incarnation of the agent is a member."""
+        """Return whether the agent is a member with this incarnation."""
         backend = self._members().backends.get(agent_id)
         return backend is not None and backend.incarnation == incarnation
 
     def target(self, agent_id: str) -> Target | None:
-        """Return how to reach a member's agent, or None."""
+        """Return the target of an agent, or None if it is not a member."""
         backend = self._members().backends.get(agent_id)
         return None if backend is None else _target(backend)
 
     def avoid_temporarily(self, target: Target) -> None:
-        """Use an agent no more until control has decided about it."""
+        """Do not select this incarnation of an agent for ``AVOID_UNREACHABLE_S``."""
         until = self._clock.now() + AVOID_UNREACHABLE_S
         self._avoid_until[target.agent_id, target.incarnation] = until
 
@@ -102,7 +106,8 @@
             for agent_id, backend in members.backends.items()
         }
         for agent_id, state in states.items():
-            # An agent's own word of leaving is void once it is back.
+            # Once the agent is announced again without draining, an earlier load word
+            # with leaving set no longer applies.
             if not state[1] and state != self._backend_states.get(agent_id, state):
                 self._chooser.clear_leaving(agent_id)
         self._backend_states = states
@@ -129,7 +134,7 @@
             pairs = list(_service_candidates(members, service))
         candidates = tuple(candidate for candidate, _ in pairs)
         if known is not None and known.candidates == candidates:
-            # The chooser keeps its subset for the same tuple object.
+            # The chooser caches its subset by the identity of the tuple.
             candidates = known.candidates
         selections = {candidate.agent_id: selection for candidate, selection in pairs}
         candidate_set = _CandidateSet(members.index, candidates, selections)
--- a/wigeonscale/entry/records.py
+++ b/wigeonscale/entry/records.py
@@ -1,4 +1,4 @@
-"""What is recorded of each request: metrics, service levels and one log line."""
+"""Records of requests: metrics, service level indicators and one log line each."""
 
 __all__ = ["RequestLog", "record"]
 
@@ -20,33 +20,33 @@
 
 @dataclass(slots=True)
 class Gaps:
-    """Times between two writes of tokens, in seconds."""
+    """Count and sum of the times between two writes of tokens."""
 
     count: int = 0
     total_s: float = 0.0
 
     def add(self, seconds: float) -> None:
-        """Count one gap."""
+        """Add one gap."""
         self.count += 1
         self.total_s += seconds
 
 
 @dataclass(slots=True)
 class RequestLog:
-    """What is recorded of one request.
+    """Record of one request.
 
     Attributes:
-        started: Instant of its arrival.
+        started: Clock time of arrival, in seconds.
         dispatch_ids: Ids of its dispatches so far.
-        organisation: Organisation of the caller; empty before it is known.
-        rule: Rule that decided.
+        organisation: Organisation of the caller; empty until authenticated.
+        rule: Name of the matching rule.
         kind: Error kind, or ``ok``.
-        tokens: Tokens written.
-        first_token_s: Seconds to the first token, or None.
-        last_token: Instant of the last write of tokens.
-        gaps: Gaps within the objective.
-        late_gaps: Longer gaps.
-        permits: Limits to give back at the end.
+        tokens: Number of tokens written.
+        first_token_s: Time to the first token in seconds; None before it.
+        last_token: Clock time of the last write of tokens, in seconds.
+        gaps: Gaps within the service level objective.
+        late_gaps: Gaps longer than the objective.
+        permits: Permits to release at the end of the request.
     """
 
     started: float
@@ -63,15 +63,15 @@
 
     @property
     def request_id(self) -> str:
-        """Id of the work, under which the answer can be taken up, or empty."""
+        """Id with which the answer can be resumed; empty before a dispatch."""
         return self.dispatch_ids[-1] if self.dispatch_ids else ""
 
     def note_tokens(self, count: int, now: float) -> None:
-        """Count tokens that were just written.
+        """Record a write of tokens.
 
         Args:
-            count: How many.
-            now: Reading of the clock.
+            count: Number of tokens.
+            now: Current clock time, in seconds.
         """
         if self.first_token_s is None:
             self.first_token_s = now - self.started
@@ -83,7 +83,7 @@
 
     @property
     def is_good(self) -> bool:
-        """Whether the request ended well, or badly by the caller's own doing."""
+        """Whether the request succeeded or failed through a fault of the caller."""
         if self.kind == OK:
             return True
         is_caller_error = ANSWERS[self.kind].status < MIN_SERVER_ERROR_STATUS
@@ -94,9 +94,9 @@
     """Record a finished request.
 
     Args:
-        log: What is known of it.
-        now: Reading of the clock.
-        recorder: Takes the service levels.
+        log: Record of the request.
+        now: Current clock time, in seconds.
+        recorder: Receives the service level indicators.
     """
     elapsed_s = now - log.started
     METRICS.requests.add(organisation=log.organisation, kind=log.kind)
@@ -127,7 +127,8 @@
     recorder.first_token(organisation, log.first_token_s)
     for gaps in (log.gaps, log.late_gaps):
         if gaps.count:
-            # The mean of gaps on one side of the objective stays on that side.
+            # The mean of gaps on one side of the objective is on the same side, so one
+            # observation of the mean classifies all of them correctly.
             mean_s = gaps.total_s / gaps.count
             METRICS.token_gap_s.observe(mean_s)
             recorder.gap(organisation, mean_s, gaps.count)
--- a/wigeonscale/entry/requests.py
+++ b/wigeonscale/entry/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests, checked at the border."""
+"""Parsing and validation of callers' requests."""
 
 __all__ = [
     "ChatBody",
@@ -43,7 +43,7 @@
 
 
 class CompletionBody(pydantic.BaseModel):
-    """Body of ``POST /v1/completions``; other members are left to the engine."""
+    """Body of ``POST /v1/completions``; other members are not validated."""
 
     model: ModelName
     prompt: str
@@ -51,7 +51,7 @@
     stream: bool = False
 
     def prompt_text(self) -> str:
-        """Return the text that the first stage gets."""
+        """Return the prompt for the first stage."""
         return self.prompt
 
 
@@ -73,18 +73,18 @@
     stream: bool = False
 
     def prompt_text(self) -> str:
-        """Return the text that the first stage gets: one line a message."""
+        """Return the prompt for the first stage, with one line per message."""
         return "\n".join(_message_line(message) for message in self.messages)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestOptions:
-    """What callers ask for in headers.
+    """Options that callers set in headers.
 
     Attributes:
-        deadline_s: Seconds within which the answer is due; None: not given.
-        priority: Larger goes first.
-        key: Idempotency key; empty: not given.
+        deadline_s: Time until the answer is due, in seconds; None if not given.
+        priority: Priority; higher values are served first.
+        key: Idempotency key; empty if not given.
     """
 
     deadline_s: float | None
@@ -99,7 +99,7 @@
         req: The request.
 
     Raises:
-        WigeonscaleError: ``BAD_REQUEST`` naming the header and its value.
+        WigeonscaleError: ``BAD_REQUEST`` with the header and its value.
     """
     return RequestOptions(
         deadline_s=_deadline(req.headers.get(DEADLINE_HEADER)),
@@ -109,7 +109,11 @@
 
 
 def idempotency_key(value: str | None) -> str:
-    """Return a checked idempotency key; empty when there is none."""
+    """Return the validated idempotency key; empty if there is none.
+
+    Raises:
+        WigeonscaleError: ``BAD_REQUEST``.
+    """
     if value is None:
         return ""
     if not _KEY.fullmatch(value):
@@ -120,16 +124,16 @@
 
 
 def token_index(name: str, value: str) -> int:
-    """Return a token index given by a caller.
+    """Parse a token index given by a caller.
 
     Args:
-        name: Where it was given, for the message.
-        value: Its text.
+        name: Name of the header or parameter, for the error message.
+        value: Text of the index.
 
     Raises:
         WigeonscaleError: ``BAD_REQUEST``.
     """
-    # isdigit alone would let other scripts' digits through.
+    # str.isdigit alone also accepts digits of other scripts.
     if not (value.isascii() and value.isdigit() and len(value) <= 6):
         raise _bad_request(name, value, "a token index, 0 or more")
     return int(value)
@@ -139,7 +143,7 @@
     """Return a request's body.
 
     Raises:
-        WigeonscaleError: ``BODY_TOO_LARGE``, or ``BAD_REQUEST`` for a broken one.
+        WigeonscaleError: ``BODY_TOO_LARGE``, or ``BAD_REQUEST`` if reading failed.
     """
     try:
         return await req.read()
@@ -154,16 +158,16 @@
 
 
 def parse_body(req: web.Request, raw: bytes, body_type: type[BodyT]) -> BodyT:
-    """Return a JSON body as a model.
+    """Parse a JSON body into a pydantic model.
 
     Args:
         req: The request; its content type must be JSON.
         raw: The body.
-        body_type: Model to parse it into.
+        body_type: Type of the model.
 
     Raises:
-        WigeonscaleError: ``UNSUPPORTED_MEDIA_TYPE``, or ``BAD_REQUEST`` naming the
-            member and what is wrong.
+        WigeonscaleError: ``UNSUPPORTED_MEDIA_TYPE``, or ``BAD_REQUEST`` with the
+            invalid members.
     """
     if req.content_type != "application/json":
         raise WigeonscaleError(
@@ -177,7 +181,7 @@
 
 
 def check_path(req: web.Request) -> None:
-    """Refuse a path that a service may read as another one than the rules did.
+    """Refuse a path that a service could resolve differently from the rules.
 
     Args:
         req: The request.
@@ -191,7 +195,7 @@
 
 
 def request_digest(method: str, path: str, body: bytes) -> bytes:
-    """Return the digest that tells whether two requests with one key are the same."""
+    """Return the digest that detects reuse of an idempotency key for other requests."""
     return hashlib.sha256(f"{method}\n{path}\n".encode() + body).digest()
 
 
--- a/wigeonscale/entry/resume.py
+++ b/wigeonscale/entry/resume.py
@@ -1,4 +1,4 @@
-"""Answers taken up again: ``GET /v1/requests/{id}``."""
+"""Resumption of answers: ``GET /v1/requests/{id}``."""
 
 __all__ = ["resume_answer"]
 
@@ -19,7 +19,7 @@
 async def resume_answer(
     entry: EntryService, req: web.Request, log: RequestLog
 ) -> web.StreamResponse:
-    """Send the rest of an answer from a token index, at any entry."""
+    """Send the rest of an answer from a token index on; any entry can serve it."""
     caller = identify(entry, req, log)
     request_id = req.match_info["id"]
     from_token = _from_token(req)
--- a/wigeonscale/entry/service.py
+++ b/wigeonscale/entry/service.py
@@ -1,4 +1,4 @@
-"""The state of one entry: what its handlers share."""
+"""State of one entry that is shared by its request handlers."""
 
 __all__ = ["EntryLimits", "EntryService"]
 
@@ -22,20 +22,21 @@
 from wigeonscale.ports import Clock
 from wigeonscale.reports import BurnRecorder
 
-# A caller that lost its connection may take up its answer for this long; then
-# the work is stopped.
+# Time in which a disconnected caller can resume its answer before the work is
+# cancelled.
 RESUME_GRACE_S = 10.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntryLimits:
-    """Bounds of one entry.
+    """Limits of one entry.
 
     Attributes:
-        default_deadline_s: Deadline of a request that names none, in seconds.
-        body_limit_bytes: Largest request body.
-        max_streams: Requests in progress at once.
-        resume_grace_s: How long work goes on for a caller that vanished, in seconds.
+        default_deadline_s: Deadline of a request without its own, in seconds.
+        body_limit_bytes: Maximum size of a request body.
+        max_streams: Maximum number of requests in progress.
+        resume_grace_s: Time for which work continues after its caller has
+            disconnected, in seconds.
     """
 
     default_deadline_s: float = 120.0
@@ -45,22 +46,22 @@
 
 
 class EntryService:
-    """What the handlers of one entry share.
+    """State and operations shared by the request handlers of one entry.
 
     Args:
-        control: Rules, members and lease.
-        dispatcher: Brings work to agents.
+        control: Provides rules, members and lease.
+        dispatcher: Dispatches work to agents.
         links: Connections to agents.
-        claims: Claims under way.
-        places: Where work can go.
+        claims: Claims on idempotency keys.
+        selector: Selects agents for work.
         organisation_limits: Limits per organisation and per rule.
         clock: Clock port.
-        recorder: Takes the service levels.
-        limits: Bounds of this entry.
+        recorder: Receives the service level indicators.
+        limits: Limits of this entry.
 
     Attributes:
-        in_progress: Requests in progress.
-        leaving: Whether the balancer shall send no more requests.
+        in_progress: Number of requests in progress.
+        draining: Whether the load balancer should send no more requests.
         stopping: Whether new requests are refused.
     """
 
@@ -94,11 +95,11 @@
         self._grace_tasks: dict[str, asyncio.Task] = {}
 
     def is_ready(self) -> bool:
-        """Return whether the balancer may send requests here."""
+        """Return whether the load balancer may send requests to this entry."""
         return not self.draining and self.control.lease_valid()
 
     def begin_request(self) -> None:
-        """Count a request in, or refuse it.
+        """Count a new request in progress, or refuse it.
 
         Raises:
             WigeonscaleError: ``STOPPING``, ``LEASE_EXPIRED`` or ``OVERLOADED``.
@@ -124,7 +125,7 @@
         METRICS.open_streams.set(self.in_progress)
 
     def end_request(self) -> None:
-        """Count a request out."""
+        """Remove a finished request from the requests in progress."""
         self.in_progress -= 1
         METRICS.open_streams.set(self.in_progress)
         if not self.in_progress:
@@ -135,12 +136,12 @@
         await self._idle.wait()
 
     def cut(self) -> None:
-        """End every answer still in progress by an error that says how to go on."""
+        """Abort all answers in progress with an error that explains how to resume."""
         for stream in self._links.streams():
             stream.fail(EntryStoppingError(stream.dispatch_id))
 
     def reroute_removed_chains(self) -> None:
-        """Move generations off chains that were given up, where others stand."""
+        """Move generations from removed chains to another chain, if there is one."""
         chains = self.control.members.chains
         for stream in self._links.streams():
             chain_id = stream.chain_id
@@ -155,26 +156,27 @@
     def _has_alternative(self, stream: DispatchStream) -> bool:
         pipeline = stream.opening.generate.chain.pipeline
         work = Work(organisation=stream.organisation, pipeline=pipeline)
-        # Its own head may head the new chain, which has another id.
+        # The stream's own agent is not excluded: it may also be the head of the
+        # replacement chain, which has another id.
         return self.selector.choose(work, frozenset()) is not None
 
-    # ------------------------------------------------- callers that have vanished
+    # ------------------------------------------------------- disconnected callers
 
     def abandon_after_grace(self, answer: Answer) -> None:
-        """Stop the work of a vanished caller unless it takes the answer up soon."""
+        """Cancel the work of a disconnected caller unless it resumes in time."""
         request_id = answer.request_id
         task = asyncio.create_task(self._abandon(answer))
         self._grace_tasks[request_id] = task
         task.add_done_callback(lambda _: self._grace_tasks.pop(request_id, None))
 
     def cancel_abandon(self, request_id: str) -> None:
-        """Let work go on whose answer is taken up again here."""
+        """Keep work running because its caller has resumed the answer here."""
         task = self._grace_tasks.get(request_id)
         if task is not None:
             task.cancel()
 
     async def close(self) -> None:
-        """End the waits for vanished callers, and finish the releases of claims."""
+        """Stop waiting for disconnected callers, release claims, close connections."""
         tasks = list(self._grace_tasks.values())
         for task in tasks:
             task.cancel()
--- a/wigeonscale/entry/sse.py
+++ b/wigeonscale/entry/sse.py
@@ -1,4 +1,4 @@
-"""Answers as server-sent events."""
+"""Encoding of answers as server-sent events or as one JSON document."""
 
 __all__ = ["EventEncoder", "Shape", "json_document"]
 
@@ -11,7 +11,7 @@
 
 
 class Shape(StrEnum):
-    """JSON shape of an answer."""
+    """JSON shape of an answer: text completion or chat completion."""
 
     COMPLETION = "completion"
     CHAT = "chat"
@@ -31,12 +31,12 @@
     Args:
         request_id: Id of the request.
         shape: JSON shape of the chunks.
-        model: Model named by the caller.
-        created: Wall-clock seconds at which the answer began.
-        next_index: Index of the first token to come.
+        model: Model requested by the caller.
+        created: Unix time at which the answer began, in seconds.
+        next_index: Index of the next token.
 
     Notes:
-        Everything around a token's text is built once per answer.
+        The JSON text around a token is built once per answer, not once per token.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self.set_request_id(request_id)
 
     def set_request_id(self, request_id: str) -> None:
-        """Use another request id from now on, after work went on elsewhere."""
+        """Change the request id, after the work has moved to another dispatch."""
         if request_id == self.request_id:
             return
         self.request_id = request_id
@@ -66,7 +66,7 @@
         self._after = f"{after}\n\n"
 
     def tokens(self, texts: list[str]) -> bytes:
-        """Return one event per token, with its index as event id."""
+        """Return one event per token, with the token index as event id."""
         before, after = self._before, self._after
         index = self._next_index
         self._next_index = index + len(texts)
@@ -79,13 +79,13 @@
         return "".join(events).encode("ascii")
 
     def final_event(self, finish_reason: str) -> bytes:
-        """Return the explicit last event, which tells the count of tokens."""
+        """Return the final events: finish reason and token count, then ``[DONE]``."""
         chunk = self._chunk(_choice(self._shape, "", finish_reason))
         chunk["usage"] = {"completion_tokens": self._next_index}
         return f"data: {json.dumps(chunk)}\n\ndata: [DONE]\n\n".encode("ascii")
 
     def error(self, exc: WigeonscaleError) -> bytes:
-        """Return the event that ends a cut answer."""
+        """Return the event that ends an answer with an error."""
         return f"event: error\ndata: {error_document(exc)}\n\n".encode("ascii")
 
     def _chunk(self, choice: dict) -> dict:
@@ -107,7 +107,7 @@
     texts: list[str],
     finish_reason: str,
 ) -> dict:
-    """Return a whole answer as the usual JSON document."""
+    """Return a complete answer as one JSON document, for callers without streaming."""
     text = "".join(texts)
     choice: dict = {"index": 0, "finish_reason": finish_reason}
     if shape is Shape.CHAT:
--- a/wigeonscale/entry/streams.py
+++ b/wigeonscale/entry/streams.py
@@ -1,4 +1,4 @@
-"""Answers written to callers: streams token by token, plain ones at their end."""
+"""Sends answers to callers, either as event streams or as one JSON document."""
 
 __all__ = ["ResponseOptions", "send_answer"]
 
@@ -15,9 +15,9 @@
 from wigeonscale.entry.sse import EventEncoder, Shape, json_document
 from wigeonscale.errors import WigeonscaleError
 
-# Bytes not yet sent to a caller, above which its stream waits.
+# Unsent bytes in the transport above which a stream waits for its caller.
 WRITE_BUFFER_BYTES = 16 * 1024
-# A caller that takes nothing for so long counts as vanished.
+# Time without progress after which a slow caller counts as disconnected.
 CALLER_STALL_TIMEOUT_S = 60.0
 
 STREAM_HEADERS = {
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseOptions:
-    """How a caller wants its answer.
+    """Format of a response, as requested by the caller.
 
     Attributes:
-        stream: As events; otherwise one document.
+        stream: Whether to send events; otherwise one JSON document.
         shape: JSON shape.
-        model: Model named by the caller.
+        model: Model requested by the caller.
     """
 
     stream: bool
@@ -49,18 +49,18 @@
     answer: Answer,
     options: ResponseOptions,
 ) -> web.StreamResponse:
-    """Send an answer that has begun, and leave it.
+    """Send an answer to its caller, then close or abandon the answer.
 
     Args:
         entry: The entry.
-        req: The caller's request.
-        log: Takes what is recorded.
+        req: The request of the caller.
+        log: Record of the request.
         answer: The answer.
-        options: How the caller wants it.
+        options: Format of the response.
 
     Raises:
-        WigeonscaleError: Before anything was written.
-        ConnectionError: When the caller has vanished.
+        WigeonscaleError: If the answer failed before anything was written.
+        ConnectionError: If the caller has disconnected.
     """
     send = _send_stream if options.stream else _send_json
     try:
@@ -76,7 +76,7 @@
     entry: EntryService, log: RequestLog, answer: Answer, options: ResponseOptions
 ) -> None:
     if options.stream and not answer.once:
-        # It knows the request id and may come back for the rest.
+        # The caller knows the request id from a header and may resume the answer.
         entry.abandon_after_grace(answer)
     else:
         answer.abandon()
@@ -137,7 +137,8 @@
         while texts := await answer.read():
             encoder.set_request_id(answer.request_id)
             await events.write(texts)
-            # Until the caller is slow, tokens go on without this task.
+            # While the caller keeps up, tokens are written directly on arrival and
+            # this task does not run.
             answer.stream.forward_to(events.write_now)
         last = encoder.final_event(answer.stream.done.finish_reason)
     except WigeonscaleError as exc:
@@ -168,7 +169,12 @@
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
 
     async def write(self, texts: list[str]) -> None:
-        """Write tokens and wait while the caller is slow."""
+        """Write tokens, then wait while the caller is slow.
+
+        Raises:
+            ConnectionResetError: If the caller reads nothing for
+                ``CALLER_STALL_TIMEOUT_S``.
+        """
         if self.write_now(texts):
             return
         try:
@@ -178,12 +184,12 @@
             raise ConnectionResetError("the caller takes nothing") from exc
 
     def write_now(self, texts: list[str]) -> bool:
-        """Write tokens and return whether the caller keeps up."""
+        """Write tokens without waiting; return whether the caller keeps up."""
         if self._transport.is_closing():
             return False
         events = self._encoder.tokens(texts)
         if self._has_written and self._payload.chunked:
-            # One chunk as the library frames it, for half of its price.
+            # Writes the same chunk framing as aiohttp at half of its cost.
             self._transport.write(b"%x\r\n%b\r\n" % (len(events), events))
         elif not self._write_via_aiohttp(events):
             return False
@@ -192,10 +198,11 @@
         return self._transport.get_write_buffer_size() <= WRITE_BUFFER_BYTES
 
     def _write_via_aiohttp(self, events: bytes) -> bool:
-        """Write events after the headers, which the first write sends."""
+        """Write events with aiohttp, which sends the headers with the first write."""
         write = self._payload.write(events, drain=False)
         try:
-            # Without draining it ends at once: no task need be woken for it.
+            # With drain=False the coroutine finishes in its first step, so that no
+            # task is needed.
             write.send(None)
         except StopIteration:
             return True
