--- a/wigeonscale/entry/calls.py
+++ b/wigeonscale/entry/calls.py
@@ -34,8 +34,8 @@
     if not admission.decision.service:
         raise WigeonscaleError(
             ErrorKind.NOT_FOUND,
-            f"{req.method} {req.path} cannot go to the pipeline"
-            f" {admission.decision.pipeline!r}",
+            f"{req.method} {req.path} is not a completion request and cannot be served"
+            f" by pipeline {admission.decision.pipeline!r}",
         )
     return await forward(entry, req, log, admission, raw)
 
--- a/wigeonscale/entry/completions.py
+++ b/wigeonscale/entry/completions.py
@@ -70,7 +70,7 @@
         unmatched = exc.kind is ErrorKind.NO_MATCHING_RULE
         if unmatched and all(each.model != facts.model for each in pipelines):
             raise WigeonscaleError(
-                ErrorKind.UNKNOWN_MODEL, f"no pipeline has the model {facts.model!r}"
+                ErrorKind.UNKNOWN_MODEL, f"no pipeline serves the model {facts.model!r}"
             ) from exc
         raise
 
--- a/wigeonscale/entry/flow.py
+++ b/wigeonscale/entry/flow.py
@@ -201,8 +201,8 @@
     if decision.once and not caller.options.key:
         raise WigeonscaleError(
             ErrorKind.IDEMPOTENCY_KEY_REQUIRED,
-            f"rule {decision.rule}: work that is not repeated needs the header"
-            " Idempotency-Key",
+            f"rule {decision.rule} requires the header Idempotency-Key because its work"
+            " must not be repeated",
         )
     _take_permits(entry, log, caller.organisation, decision)
     requested = caller.options.priority
@@ -246,7 +246,7 @@
 def _internal(log: RequestLog) -> WigeonscaleError:
     state = RunState.UNKNOWN if log.request_id else RunState.NOT_RUN
     return WigeonscaleError(
-        ErrorKind.INTERNAL, "the entry failed on this request", run_state=state
+        ErrorKind.INTERNAL, "internal error in the entry", run_state=state
     )
 
 
--- a/wigeonscale/entry/malformed_http.py
+++ b/wigeonscale/entry/malformed_http.py
@@ -48,7 +48,7 @@
         if status >= web.HTTPInternalServerError.status_code:
             self.log_exception("request outside any handler failed", exc_info=exc)
         if request.writer.output_size > 0:
-            raise ConnectionError("part of another answer is written already")
+            raise ConnectionError("another response has already been partly written")
         resp = error_response(error)
         resp.force_close()
         return resp
@@ -58,8 +58,8 @@
     if status >= web.HTTPInternalServerError.status_code:
         return WigeonscaleError(
             ErrorKind.INTERNAL,
-            "the entry failed on this request",
+            "internal error in the entry",
             run_state=RunState.UNKNOWN,
         )
     first_line = message.strip().partition("\n")[0][:MAX_MESSAGE_LENGTH]
-    return WigeonscaleError(ErrorKind.BAD_REQUEST, f"not HTTP: {first_line}")
+    return WigeonscaleError(ErrorKind.BAD_REQUEST, f"malformed HTTP: {first_line}")
--- a/wigeonscale/entry/requests.py
+++ b/wigeonscale/entry/requests.py
@@ -172,7 +172,7 @@
     if req.content_type != "application/json":
         raise WigeonscaleError(
             ErrorKind.UNSUPPORTED_MEDIA_TYPE,
-            f"content type {req.content_type!r} where application/json is due",
+            f"unsupported content type {req.content_type!r}; expected application/json",
         )
     try:
         return body_type.model_validate_json(raw)
@@ -234,7 +234,8 @@
 
 def _bad_request(name: str, value: str, allowed: str) -> WigeonscaleError:
     return WigeonscaleError(
-        ErrorKind.BAD_REQUEST, f"{name}: {value[:80]!r} where {allowed} is allowed"
+        ErrorKind.BAD_REQUEST,
+        f"{name}: invalid value {value[:80]!r}; expected {allowed}",
     )
 
 
--- a/wigeonscale/entry/resume.py
+++ b/wigeonscale/entry/resume.py
@@ -56,6 +56,6 @@
     if value not in set(Shape):
         raise WigeonscaleError(
             ErrorKind.BAD_REQUEST,
-            f"shape: {value[:80]!r} where {', '.join(Shape)} is allowed",
+            f"shape: invalid value {value[:80]!r}; expected one of {', '.join(Shape)}",
         )
     return Shape(value)
--- a/wigeonscale/entry/service.py
+++ b/wigeonscale/entry/service.py
@@ -106,12 +106,12 @@
         """
         if self.stopping:
             raise WigeonscaleError(
-                ErrorKind.STOPPING, "this entry is stopping", retry_after=1.0
+                ErrorKind.STOPPING, "this entry is shutting down", retry_after=1.0
             )
         if not self.control.lease_valid():
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
-                "this entry has not heard from a majority of control",
+                "this entry has no valid lease from a majority of control",
                 retry_after=1.0,
             )
         if self.in_progress >= self.limits.max_streams:
@@ -146,7 +146,7 @@
         for stream in self._links.streams():
             chain_id = stream.chain_id
             if chain_id and chain_id not in chains and self._has_alternative(stream):
-                message = f"chain {chain_id} was given up"
+                message = f"chain {chain_id} was removed"
                 stream.abort(
                     WigeonscaleError(
                         ErrorKind.STALE_EPOCH, message, run_state=RunState.RAN
--- a/wigeonscale/entry/streams.py
+++ b/wigeonscale/entry/streams.py
@@ -118,7 +118,7 @@
     )
     payload = await resp.prepare(req)
     if req.transport is None:
-        raise ConnectionResetError("the caller has vanished")
+        raise ConnectionResetError("the caller has disconnected")
     encoder = EventEncoder(
         request_id=answer.request_id,
         shape=options.shape,
@@ -181,7 +181,7 @@
             async with asyncio.timeout(CALLER_STALL_TIMEOUT_S):
                 await self._payload.drain()
         except TimeoutError as exc:
-            raise ConnectionResetError("the caller takes nothing") from exc
+            raise ConnectionResetError("the caller does not read its stream") from exc
 
     def write_now(self, texts: list[str]) -> bool:
         """Write tokens without waiting; return whether the caller keeps up."""
