--- a/wigeonscale/agent/tests/support.py
+++ b/wigeonscale/agent/tests/support.py
@@ -1,4 +1,4 @@
-"""A few agents in one process on loopback, with fake engines and a fake control."""
+"""Runs agents in this process on loopback, with fake engines and a fake control."""
 
 __all__ = [
     "FaultInjectingEngine",
@@ -32,14 +32,20 @@
 
 
 async def until(condition):
-    """Wait for a condition that no event tells of."""
+    """Poll until a condition holds; fail after 30 s."""
     async with asyncio.timeout(30):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.002)
 
 
 class FaultInjectingEngine(FakeEngine):
-    """Calls back when it comes to a position, before or after running it."""
+    """Fake engine that awaits ``on_fault`` once, at a given token position.
+
+    Attributes:
+        fault_position: Position of the step at which the fault occurs, or None.
+        fault_after_run: Whether the fault occurs after the step has run, not before.
+        on_fault: Coroutine function that causes the fault.
+    """
 
     def __init__(self, **kwargs):
         super().__init__(**kwargs)
@@ -62,14 +68,14 @@
 
 
 class ReachableService:
-    """The part of a plain service that tests of calls take for granted."""
+    """Base class of fake plain services whose probes always succeed."""
 
     async def probe(self):
-        """Take the connection."""
+        """Succeed, as a reachable service does."""
 
 
 class FakeControl:
-    """What agents ask of control, shared by all agents of a test."""
+    """In-memory replacement of the control client, shared by the agents of a test."""
 
     def __init__(self):
         self.changes = Subject()
@@ -105,7 +111,7 @@
 
 
 class Node:
-    """One agent with its server."""
+    """One agent with its gRPC server."""
 
     def __init__(self, *, name, control, engine=None, service=None, **settings):
         self.name = name
@@ -165,7 +171,7 @@
         await self.agent.close()
 
     async def kill(self):
-        """Break every connection at once; nothing is told to anyone."""
+        """Close all connections at once, without notifying the peers."""
         await self.server.stop(grace=None)
 
     def stage(self, number):
@@ -180,7 +186,7 @@
 
 
 class EntryClient:
-    """A dispatch stream with a record of all that came."""
+    """Client of one dispatch stream that records all received items."""
 
     def __init__(self, node):
         self.node = node
@@ -214,13 +220,13 @@
         return [item.WhichOneof("body") for item in self.items(dispatch_id)]
 
     def texts(self, dispatch_id):
-        """Return the token texts; fails on a gap or a doubled index."""
+        """Return the token texts; fail on a missing or repeated index."""
         texts = []
         for item in self.items(dispatch_id):
             if item.WhichOneof("body") == "tokens":
                 start = getattr(item.tokens, "from")
                 if texts and start != self._next:
-                    raise AssertionError(f"token {start} where {self._next} was due")
+                    raise AssertionError(f"token {start}, expected {self._next}")
                 texts += item.tokens.texts
                 self._next = start + len(item.tokens.texts)
         return texts
@@ -236,7 +242,7 @@
         return self.items(dispatch_id)[-1]
 
     def on_item(self, item):
-        """Take notice of an item; for more than its being kept."""
+        """Called with each received item, for subclasses to override."""
 
     async def close(self):
         self._reader.cancel()
@@ -265,7 +271,7 @@
     position_s=0.0,
     **settings,
 ):
-    """Start agents with loaded engines; returns control, nodes and the chain."""
+    """Start agents with loaded engines; return control, nodes and the chain."""
     case.addCleanup(rpcs_ended)
     control = settings.pop("control", None) or FakeControl()
     nodes = []
--- a/wigeonscale/agent/tests/tcp_proxy.py
+++ b/wigeonscale/agent/tests/tcp_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy whose open connections can be muted, as where a link goes silent."""
+"""A TCP proxy that can silently drop traffic, to simulate a silent link."""
 
 __all__ = ["TcpProxy"]
 
@@ -6,7 +6,7 @@
 
 
 class TcpProxy:
-    """Forwards connections to an address; some or all may go silent for good."""
+    """Forwards connections to an address; can drop data on some or all of them."""
 
     def __init__(self, target):
         self._target = target
@@ -22,12 +22,12 @@
         return f"{host}:{port}"
 
     def mute_open(self, direction):
-        """Swallow what goes "in" or "out" on the connections open now."""
+        """Drop data in direction "in" or "out" on the currently open connections."""
         for conn in self._connections:
             conn.add(direction)
 
     def mute_all(self):
-        """Swallow everything, on new connections too."""
+        """Drop all data, also on new connections."""
         self._drop_all = True
 
     async def stop(self):
--- a/wigeonscale/agent/tests/test_agent.py
+++ b/wigeonscale/agent/tests/test_agent.py
@@ -63,7 +63,7 @@
 
 
 class StoppingTest(AsyncTestCase):
-    async def test_work_on_its_way_is_refused_as_not_run_before_the_end(self):
+    async def test_work_in_transit_is_refused_as_not_run_during_stop(self):
         clock = ManualClock()
         _, node = await start_service(self, EchoService(), clock=clock)
         client = await connect(self, node)
@@ -76,7 +76,7 @@
         await clock.advance(STOPPING_GRACE_S)
         await leave
 
-    async def test_stage_without_a_lease_begins_no_sequence(self):
+    async def test_stage_without_lease_starts_no_sequence(self):
         control, nodes, chain = await start_chain(self)
         late = wire.SequenceStep(sequence_id="late#1", epoch=1, count=1, first=True)
         late.hidden = b'["a"]'
--- a/wigeonscale/agent/tests/test_backend.py
+++ b/wigeonscale/agent/tests/test_backend.py
@@ -1,4 +1,4 @@
-"""A backend server that cannot be reached, or answers nothing, gets no work."""
+"""A backend server that is unreachable or does not respond gets no work."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class ServiceHealthTest(AsyncTestCase):
-    async def test_unreachable_service_is_announced_and_comes_back(self):
+    async def test_unreachable_service_is_announced_and_recovers(self):
         runner, url = await serve_service(name="directory", trace=lambda record: None)
         port = int(url.rpartition(":")[2])
         session = single_attempt_session()
@@ -54,14 +54,14 @@
 
 
 class EngineHealthTest(AsyncTestCase):
-    async def test_engine_that_hangs_is_left_before_its_call_times_out(self):
+    async def test_hanging_engine_is_replaced_before_its_call_times_out(self):
         control, nodes, chain = await start_chain(self, spares=1)
         n0, n1, n2, spare = nodes
         n1.agent.stage._step_timeout_s = 600.0
         client = await connect(self, n0)
 
         async def hang():
-            # As after a lost accelerator: calls are taken and never answered.
+            # As after the loss of an accelerator: calls are accepted but never return.
             n1.engine.failing = True
             await asyncio.Event().wait()
 
--- a/wigeonscale/agent/tests/test_cancel.py
+++ b/wigeonscale/agent/tests/test_cancel.py
@@ -1,4 +1,4 @@
-"""A cancelled dispatch goes on while another caller reads it, and only then."""
+"""A cancelled dispatch continues only while another live reader is attached."""
 
 from wigeonscale.agent.tests.support import connect, start_chain
 from wigeonscale.pipelines.constants import ENTRY_SILENCE_S
@@ -16,7 +16,7 @@
         await self.held.acquire()
 
     async def open_and_attach(self, *entries):
-        """Open a dispatch at the first entry and take it up at the second."""
+        """Open a dispatch from the first entry and attach to it from the second."""
         first, second = [await connect(self, self.nodes[0]) for _ in entries]
         for client, entry_id in zip((first, second), entries, strict=True):
             await client.send(hello=wire.EntryHello(entry_id=entry_id))
@@ -32,12 +32,10 @@
         await client.send(ping=wire.Ping(sent_us=7))
         await client.wait(lambda: any(event.pong_us == 7 for event in client.events))
 
-    async def test_answer_taken_up_by_another_entry_survives_the_first_ones_cancel(
-        self,
-    ):
+    async def test_answer_read_by_another_entry_survives_cancel(self):
         await self.check_survives_cancel("e1", "e2")
 
-    async def test_second_caller_of_the_same_entry_survives_the_first_ones_cancel(self):
+    async def test_answer_read_on_another_stream_of_the_entry_survives_cancel(self):
         await self.check_survives_cancel("e1", "e1")
 
     async def check_survives_cancel(self, *entries):
@@ -52,14 +50,14 @@
         await second.end(dispatch_id)
         self.assertEqual(expected_tokens("page one", 6, 8), second.texts(dispatch_id))
 
-    async def test_reader_on_a_silent_connection_keeps_no_work_alive(self):
+    async def test_reader_on_silent_connection_does_not_prevent_cancel(self):
         _, second, dispatch_id = await self.open_and_attach("e1", "e2")
         await self.clock.jump(ENTRY_SILENCE_S)
         await self.cancel(second, dispatch_id)
         self.assertEqual([], self.table.live())
         self.held.release()
 
-    async def test_older_connection_of_the_same_entry_keeps_no_work_alive(self):
+    async def test_older_connection_of_same_entry_does_not_prevent_cancel(self):
         _, second, dispatch_id = await self.open_and_attach("e1", "e1")
         await self.cancel(second, dispatch_id)
         await self.clock.jump(ENTRY_SILENCE_S)
--- a/wigeonscale/agent/tests/test_dispatch.py
+++ b/wigeonscale/agent/tests/test_dispatch.py
@@ -39,7 +39,7 @@
 
 
 class CreditTest(GenerateCase):
-    async def test_slow_reader_holds_nobody(self):
+    async def test_slow_reader_does_not_delay_others(self):
         await self.start()
         slow = await self.client.generate(self.chain, b"slow", INITIAL_CREDIT + 50)
         fast = await self.client.generate(self.chain, b"fast", 20)
@@ -55,7 +55,7 @@
         want = self.want("slow", INITIAL_CREDIT + 50)
         self.assertEqual(want, self.client.texts(slow))
 
-    async def test_stop_waits_until_a_slow_reader_has_the_answer(self):
+    async def test_drain_waits_until_slow_reader_has_the_answer(self):
         await self.start()
         slow = await self.client.generate(self.chain, b"slow", INITIAL_CREDIT + 50)
         agent = self.nodes[0].agent
@@ -80,17 +80,17 @@
         await self.client.end(first)
         self.assertLess(self.nodes[0].agent.table.kept_bytes, 2000)
 
-    async def test_one_message_carries_an_iteration(self):
+    async def test_one_message_contains_all_tokens_of_an_iteration(self):
         await self.start(stages=3)
         ids = [await self.client.generate(self.chain, b"a", 20) for _ in range(32)]
         for dispatch_id in ids:
             await self.client.end(dispatch_id)
         iterations = self.engine.iterations
-        # Beside one message an iteration, at most one for each acceptance.
+        # One message per iteration, plus at most one for each accepted dispatch.
         self.assertLessEqual(len(self.client.events), iterations + len(ids))
         self.assertLess(iterations, 32 * 20 / 4)
 
-    async def test_answers_over_the_bytes_are_bounded(self):
+    async def test_memory_limit_pauses_generation_and_refuses_new_work(self):
         await self.start(keep_answers_bytes=100_000)
         first = await self.client.generate(self.chain, b"p", 2000, dispatch_id="f")
         table = self.nodes[0].agent.table
@@ -107,7 +107,7 @@
 
 
 class AttachTest(GenerateCase):
-    async def test_another_entry_takes_up_from_a_token(self):
+    async def test_another_entry_attaches_from_a_token(self):
         await self.start()
         first = await self.client.generate(self.chain, b"p", 10)
         await self.client.end(first)
@@ -118,7 +118,7 @@
         self.assertEqual(10, last.done.tokens)
         self.assertEqual(self.want("p", 10)[4:], other.texts(first))
 
-    async def test_answer_goes_on_after_the_entry_is_gone(self):
+    async def test_answer_continues_after_the_entry_disconnects(self):
         await self.start()
         gate = self.hold_engine()
         first = await self.client.generate(self.chain, b"p", 10)
@@ -139,7 +139,7 @@
         refused = (await other.end(first)).refused
         self.assertEqual(ErrorKind.NOT_FOUND, refused.kind)
 
-    async def test_prefix_goes_on_after_delivered_tokens(self):
+    async def test_generation_continues_after_the_given_prefix(self):
         await self.start()
         whole = self.want("p", 8)
         prefix = [wire.Token(text=text) for text in whole[:3]]
@@ -148,7 +148,7 @@
         self.assertEqual(8, last.done.tokens)
         self.assertEqual(whole[3:], self.client.texts(first))
 
-    async def test_expired_answer_is_told(self):
+    async def test_expired_answer_is_reported(self):
         await self.start(keep_answers_s=0)
         first = await self.client.generate(self.chain, b"p", 3)
         await self.client.end(first)
@@ -192,14 +192,14 @@
         await self.client.wait(lambda: self.client.kinds(running)[-1] == "done")
         self.assertEqual(3, self.engine.iterations)
 
-    async def test_ended_dispatch_was_run_even_when_forgotten(self):
+    async def test_ended_dispatch_counts_as_run_after_eviction(self):
         await self.start(keep_answers_s=0)
         first = await self.client.generate(self.chain, b"p", 3)
         await self.client.end(first)
         await until(lambda: self.nodes[0].agent.table.get(first) is None)
         self.assertFalse(await self.seal(first))
 
-    async def test_seal_for_another_incarnation_is_not_answered(self):
+    async def test_seal_for_another_incarnation_is_refused(self):
         await self.start()
         await self.client.send(seal=wire.Seal(dispatch_id="d", agent_incarnation=1))
         self.assertEqual(
@@ -240,7 +240,7 @@
         await self.client.end(after)
         await until(lambda: not self.engine.caches)
 
-    async def test_deadline_in_mid_stream(self):
+    async def test_deadline_during_stream(self):
         clock = ManualClock()
         await self.start(stages=3, clock=clock)
         late = await self.client.generate(self.chain, b"p", 1_000_000, deadline_ms=300)
@@ -300,7 +300,7 @@
         self.assertGreater(self.client.items(late)[0].refused.retry_after_ms, 0)
         self.assertEqual(0, self.engine.iterations)
 
-    async def test_lost_lease_refuses_what_waited(self):
+    async def test_lost_lease_refuses_queued_work(self):
         await self.start(slots=1)
         gate = self.hold_engine()
         running = await self.client.generate(self.chain, b"p", 3)
@@ -313,7 +313,7 @@
             self.assertEqual("not-run", (await self.refusal(dispatch_id))[1])
         self.assertEqual(0, self.nodes[0].agent.admission.running)
 
-    async def test_full_queue_is_refused_with_a_time(self):
+    async def test_full_queue_is_refused_with_retry_time(self):
         await self.start(slots=1, queue_limit=1)
         gate = self.hold_engine()
         ids = [await self.client.generate(self.chain, b"p", 3) for _ in range(3)]
--- a/wigeonscale/agent/tests/test_faults.py
+++ b/wigeonscale/agent/tests/test_faults.py
@@ -51,14 +51,14 @@
         self.assertEqual([], [str(v) for v in found])
 
     def repair_with(self, *nodes_of_epochs):
-        """On each newly suspected agent put the next nodes into the chain."""
+        """For each newly suspected agent, publish the chain with the next nodes."""
         epochs = iter(enumerate(nodes_of_epochs, start=2))
         repaired = set()
 
         def repair(agent_id):
             if agent_id not in repaired:
                 repaired.add(agent_id)
-                # Without another spare the chain stays as it is.
+                # The chain stays unchanged when no spare is left.
                 for epoch, nodes in itertools.islice(epochs, 1):
                     self.control.set_chain(make_chain(nodes, epoch=epoch))
 
@@ -76,7 +76,7 @@
         [("before", {"after": False}), ("after", {"after": True})],
     )
 
-    async def test_stream_goes_on_with_a_spare(self):
+    async def test_stream_continues_on_a_spare(self):
         await self.start(spares=1, spare_stage=self.lost)
         lost = self.nodes[self.lost]
         chain = self.nodes[:3]
@@ -111,7 +111,7 @@
 
 
 class RepairTest(ChainCase):
-    async def test_second_loss_during_the_repair(self):
+    async def test_second_loss_during_repair(self):
         await self.start(spares=2)
         n0, n1, n2, s1, s2 = self.nodes
         self.repair_with([n0, s1, n2], [n0, s2, n2])
@@ -121,8 +121,8 @@
         await self.check_whole(await self.send())
         self.assertIn("a3", self.control.suspected)
 
-    async def test_a_request_that_is_lost_with_stage_after_stage(self):
-        """Each engine that begins to run it crashes; each repair brings a spare."""
+    async def test_request_that_crashes_every_stage_is_refused(self):
+        """Each engine that runs the request crashes and is replaced by a spare."""
         await self.start(spares=4, repair_timeout_s=2)
         n0, n1, n2, *spares = self.nodes
         self.repair_with(*([n0, spare, n2] for spare in spares))
@@ -142,10 +142,11 @@
         refused = (await self.client.end(dispatch_id)).refused
         self.assertEqual(ErrorKind.BACKEND_FAILED, refused.kind)
         self.assertEqual(RunState.RAN, refused.run_state)
-        # The entry decides by these whether it may go to another chain.
+        # The agent stops after two crashes; from these the entry decides whether to try
+        # another chain.
         self.assertEqual(["a1", "a3"], lost)
 
-    async def test_no_spare_ends_with_an_honest_error(self):
+    async def test_lost_stage_without_spare_ends_with_error(self):
         await self.start(repair_timeout_s=0.3)
         lost = self.nodes[1]
         lost.engine.fault_position = PIECES + 2
@@ -156,7 +157,7 @@
             self.assertEqual(RunState.RAN, refused.run_state)
         self.assertEqual(0, self.nodes[0].agent.admission.running)
 
-    async def test_own_engine_of_the_head_dies(self):
+    async def test_engine_of_the_head_fails(self):
         await self.start(spares=1, spare_stage=0)
         n0, n1, n2, spare = self.nodes
 
@@ -201,7 +202,7 @@
         ("requests lost", {"direction": "in"}),
     ]
 
-    async def test_stream_goes_on_over_a_second_connection(self):
+    async def test_stream_continues_on_a_second_connection(self):
         proxies = {}
         await self.start(dial=lambda address: open_channel(proxies[address]))
         for node in self.nodes[1:]:
@@ -216,7 +217,7 @@
         await self.check_whole(await self.send())
         self.assertGreaterEqual(self.nodes[1].proxy.accepted, 2)
 
-    async def test_dead_silent_peer_is_suspected(self):
+    async def test_peer_silent_on_all_connections_is_suspected(self):
         proxies = {}
         await self.start(
             dial=lambda address: open_channel(proxies.get(address, address)), spares=1
@@ -236,7 +237,7 @@
 
 
 class StopTest(ChainCase):
-    async def test_work_in_progress_ends_and_new_work_is_refused(self):
+    async def test_work_in_progress_completes_and_new_work_is_refused(self):
         await self.start()
         gate = asyncio.Event()
         self.nodes[2].engine.fault_position = PIECES + 2
@@ -256,7 +257,7 @@
         await asyncio.gather(*drains)
         self.assertTrue(self.nodes[0].state.announcement().draining)
 
-    async def test_cut_at_the_bound_is_told(self):
+    async def test_work_cut_at_stop_timeout_is_reported(self):
         await self.start(slots=1)
         self.nodes[2].engine.fault_position = 0
         self.nodes[2].engine.on_fault = asyncio.Event().wait
--- a/wigeonscale/agent/tests/test_fuzz.py
+++ b/wigeonscale/agent/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Random orders of an entry's messages, held against what the service saw."""
+"""Random sequences of entry messages, checked against the calls of the service."""
 
 import asyncio
 
@@ -62,7 +62,8 @@
     ),
     st.just(wire.DispatchRequest()),
 )
-# After a message: nothing, the service answers, time passes, the lease goes or comes.
+# After a message: nothing, the service responds, time passes, or the lease is lost or
+# regained.
 events = st.sampled_from(["", "", "answer", "wait", "lose lease", "get lease"])
 moves = st.tuples(messages, events, st.booleans())
 
--- a/wigeonscale/agent/tests/test_history.py
+++ b/wigeonscale/agent/tests/test_history.py
@@ -12,12 +12,12 @@
         self.clock = ManualClock()
         self.history = DispatchHistory(clock=self.clock, retention_s=100, limit=3)
 
-    async def test_ran_is_never_turned_back(self):
+    async def test_ran_is_final(self):
         self.history.record("d", RunState.RAN)
         self.history.record("d", RunState.NOT_RUN)
         self.assertEqual(RunState.RAN, self.history.state("d"))
 
-    async def test_unreported_id_outlives_its_time(self):
+    async def test_pinned_id_is_kept_beyond_retention(self):
         self.history.record("once", RunState.RAN)
         self.history.record("other", RunState.RAN)
         self.history.pin("once")
@@ -32,7 +32,7 @@
         self.assertIsNone(self.history.state("once"))
         self.assertFalse(self.history.evicted_early)
 
-    async def test_forgetting_before_the_time_is_known(self):
+    async def test_early_eviction_is_recorded(self):
         for number in range(5):
             self.history.record(f"d{number}", RunState.RAN)
         self.history.evict_old()
@@ -40,7 +40,7 @@
         self.assertEqual(RunState.RAN, self.history.state("d4"))
         self.assertIsNone(self.history.state("d0"))
 
-    async def test_answer_kept_longer_than_ids_is_remembered_after_it(self):
+    async def test_id_is_kept_after_an_answer_that_outlived_retention(self):
         table = DispatchTable(clock=self.clock, keep_bytes=1000, keep_s=5000)
         dispatch = Dispatch(open=wire.Open(dispatch_id="d"))
         dispatch.state = "running"
@@ -54,7 +54,7 @@
 
 
 class OutcomeTest(AsyncTestCase):
-    async def test_retried_without_quorum_and_given_up_when_refused(self):
+    async def test_retries_without_quorum_and_stops_when_refused(self):
         answers = {"d1": [ErrorKind.NO_QUORUM, None], "d2": [ErrorKind.BAD_REQUEST]}
         reported = []
         clock = ManualClock()
--- a/wigeonscale/agent/tests/test_once.py
+++ b/wigeonscale/agent/tests/test_once.py
@@ -13,7 +13,7 @@
 
 
 class GatedService(ReachableService):
-    """Holds calls until told; fails them when told."""
+    """Blocks calls until ``gate`` is set, then raises ``error`` if there is one."""
 
     def __init__(self):
         self.calls = 0
@@ -47,7 +47,7 @@
         await self.node.agent.outcomes.flush()
         return [(o.dispatch_id, o.not_run, o.state) for o in self.control.outcomes]
 
-    async def test_begun_call_is_neither_cancelled_nor_repeated(self):
+    async def test_started_call_is_neither_cancelled_nor_repeated(self):
         await self.open("d1")
         await until(lambda: self.service.calls)
         await self.client.send(cancel=wire.Cancel(dispatch_id="d1"))
@@ -57,7 +57,7 @@
         self.assertEqual(1, self.service.calls)
         self.assertEqual([("d1", False, wire.RAN)], await self.outcome())
 
-    async def test_sealed_in_the_queue_releases_the_claim(self):
+    async def test_sealing_a_queued_dispatch_releases_the_claim(self):
         await self.open("d1")
         await self.open("d2")
         incarnation = self.node.state.incarnation
@@ -70,7 +70,7 @@
         await self.client.end("d1")
         self.assertEqual(1, self.service.calls)
 
-    async def test_call_cut_at_its_deadline(self):
+    async def test_call_that_times_out_at_its_deadline_is_unknown(self):
         late = WigeonscaleError(
             ErrorKind.BACKEND_FAILED, "planted", run_state=RunState.UNKNOWN
         )
@@ -86,7 +86,7 @@
         )
         self.assertEqual([("d1", False, wire.UNKNOWN)], await self.outcome())
 
-    async def test_errors_say_what_is_known(self):
+    async def test_errors_report_the_known_run_state(self):
         self.service.gate.set()
         known = {RunState.NOT_RUN: (True, 0), RunState.UNKNOWN: (False, wire.UNKNOWN)}
         for state, (not_run, claim_state) in known.items():
--- a/wigeonscale/agent/tests/test_orders.py
+++ b/wigeonscale/agent/tests/test_orders.py
@@ -17,7 +17,7 @@
 class BackendCase(AsyncTestCase):
     async def prepare(self):
         self.clock = ManualClock()
-        # The engine ignores the fencing number, so the agent alone guards it.
+        # This engine ignores fencing tokens, so only the agent checks them.
         self.engine = FakeEngine(
             name="e", info=EngineInfo(model="m", checks_fencing=False)
         )
@@ -47,7 +47,7 @@
 
 
 class OrderTest(BackendCase):
-    async def test_load_is_carried_out_and_announced(self):
+    async def test_load_is_executed_and_announced(self):
         self.assertEqual((True, ""), await self.execute(load_order(3, 10)))
         self.assertEqual([(3, 10, "load")], self.engine.orders)
         last = self.changes[-1]
@@ -70,14 +70,14 @@
         self.assertEqual([None], seen)
         self.assertEqual(7, self.state.loaded().last_layer)
 
-    async def test_what_is_held_is_not_loaded_again(self):
+    async def test_loaded_layers_are_not_loaded_again(self):
         await self.execute(load_order(3, 10))
         self.assertEqual((True, ""), await self.execute(load_order(3, 11)))
         self.assertEqual(1, len(self.engine.orders))
         await self.execute(load_order(3, 12, version="v2"))
         self.assertEqual(2, len(self.engine.orders))
 
-    async def test_older_number_is_refused(self):
+    async def test_older_fencing_token_is_refused(self):
         await self.execute(load_order(4, 20))
         for number in ((4, 19), (3, 99)):
             self.assertEqual(
@@ -86,14 +86,14 @@
             )
         self.assertEqual([(4, 20, "load")], self.engine.orders)
 
-    async def test_overtaken_control_is_refused_after_a_restart(self):
-        # A new gate remembers nothing; the majority does.
+    async def test_superseded_leader_is_refused_after_a_restart(self):
+        # A new executor has no previous token and asks the majority for it.
         self.floor = (4, 20)
         stale = await self.execute(load_order(3, 99), self.new_executor())
         self.assertEqual((False, ErrorKind.STALE_TERM), stale)
         self.assertEqual([], self.engine.orders)
 
-    async def test_nothing_is_obeyed_without_a_majority(self):
+    async def test_order_is_refused_without_a_majority(self):
         self.floor = None
         refused = await self.execute(load_order(3, 99))
         self.assertEqual((False, ErrorKind.NO_QUORUM), refused)
@@ -101,26 +101,26 @@
         self.floor = (3, 10)
         self.assertEqual((True, ""), await self.execute(load_order(3, 99)))
 
-    async def test_drain_and_back(self):
+    async def test_drain_starts_and_ends(self):
         for number, draining in ((10, True), (11, False)):
             order = wire.Order(order_id="d", term=3, sequence=number, drain=draining)
             told = len(self.changes)
             self.assertEqual((True, ""), await self.execute(order))
             self.assertEqual(draining, self.state.leaving)
-            # Entries are told by the load word.
+            # Entries are notified by the load word.
             self.assertEqual(told + 1, len(self.changes))
-            # Control knows; echoing its word would keep it for ever.
+            # Control ordered the drain; announcing it back would make it permanent.
             self.assertFalse(self.state.announcement().draining)
 
 
 class AnnouncementTest(BackendCase):
-    async def test_engine_that_says_it_leaves_is_announced(self):
+    async def test_engine_that_reports_leaving_is_announced(self):
         self.engine.state = dataclasses.replace(self.engine.state, leaving=True)
         await self.state.probe()
         self.assertTrue(self.changes[-1].draining)
         self.assertTrue(self.state.leaving)
 
-    async def test_dead_engine_is_announced_without_layers(self):
+    async def test_unreachable_engine_is_announced_without_layers(self):
         await self.execute(load_order(3, 10))
         self.engine.failing = True
         await self.state.probe()
@@ -148,7 +148,7 @@
         self.assertEqual([old, new], self.state.incarnations())
         self.assertEqual(new, self.changes[-1].incarnation)
 
-    async def test_leaving_stage_begins_sequences_only_for_a_while(self):
+    async def test_leaving_stage_accepts_sequences_only_for_grace_period(self):
         self.state.set_draining(True)
         self.state.check_sequence()
         await self.clock.advance(LEAVING_GRACE_S + 0.1)
--- a/wigeonscale/agent/tests/test_prefixes.py
+++ b/wigeonscale/agent/tests/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Cache events of an engine reach the entries, late, with gaps, bounded."""
+"""Forwarding of an engine's cache events to entries, with gaps and bounded buffers."""
 
 from wigeonscale.agent.prefixes import MAX_UNSENT_EVENTS, PrefixFeed, PrefixOutbox
 from wigeonscale.agent.tests.support import connect, start_chain
@@ -30,7 +30,7 @@
         await self.node.agent.prefixes.poll()
 
     async def seen(self, client, number):
-        """Return the prompts whose prefix an entry believes to be held."""
+        """Return the prompts whose prefix an entry considers to be cached."""
         await client.wait(
             lambda: any(e.prefixes.number >= number for e in client.events)
         )
@@ -50,7 +50,7 @@
             (1, 3), (self.engine.prefixes.hits, self.engine.prefixes.misses)
         )
 
-    async def test_new_stream_starts_with_what_is_held(self):
+    async def test_new_stream_starts_with_cached_prefixes(self):
         first = await connect(self, self.node)
         await self.generate(first, *PROMPTS)
         second = await connect(self, self.node)
@@ -65,7 +65,7 @@
         numbers = [e.number for event in client.events for e in event.prefixes.events]
         self.assertEqual([1, 3], numbers)
 
-    async def test_engine_that_restarts_holds_nothing(self):
+    async def test_restarted_engine_has_no_cached_prefixes(self):
         client = await connect(self, self.node)
         await self.generate(client, *PROMPTS[:2])
         self.engine.failing = True
@@ -79,7 +79,7 @@
 
 
 class OddEngineTest(AsyncTestCase):
-    async def test_repeated_and_absurd_numbers_neither_end_nor_undo_the_feed(self):
+    async def test_repeated_and_huge_event_numbers_do_not_break_the_feed(self):
         engine = FakeEngine(name="e", info=EngineInfo(model="m"))
         feed = PrefixFeed(engine=engine, clock=ManualClock(), poll_s=1.0)
         outbox = feed.subscribe()
@@ -100,7 +100,7 @@
 
 
 class PrefixOutboxTest(AsyncTestCase):
-    def test_events_that_nobody_takes_are_lost_as_a_gap(self):
+    def test_events_over_the_buffer_limit_are_dropped_as_a_gap(self):
         outbox = PrefixOutbox([], number=0)
         for number in range(1, 3 * MAX_UNSENT_EVENTS + 1):
             digest = number.to_bytes(2, "big")
--- a/wigeonscale/entry/tests/support.py
+++ b/wigeonscale/entry/tests/support.py
@@ -72,16 +72,16 @@
         self.entries = 1
 
     def lease_valid(self) -> bool:
-        """Return whether the entry may serve."""
+        """Return whether the entry has a valid lease."""
         return self.lease
 
     def suspect(self, agent_id: str, incarnation: int) -> None:
-        """Note a suspicion."""
+        """Record a suspicion."""
         self.suspected.append(agent_id)
         self.suspicion.set()
 
     async def submit(self, command, timeout_s=3.0) -> wire.CommandResult:
-        """Carry out a claim or an outcome."""
+        """Execute a claim or an outcome."""
         if command.WhichOneof("body") == "outcome":
             return self._end(command.outcome)
         claim = command.claim
@@ -104,7 +104,7 @@
         return wire.CommandResult()
 
     def record_loss(self, agent: FakeAgent) -> None:
-        """Show that an agent found its backend server gone once more, and back."""
+        """Announce that an agent has lost its backend server once more."""
         backend = wire.Backend()
         backend.CopyFrom(self.members.backends[agent.agent_id])
         backend.losses += 1
@@ -113,7 +113,7 @@
         )
 
     def add(self, agent: FakeAgent, kind: int = wire.ENGINE) -> None:
-        """Make an agent a member: a one-stage chain, or a plain service."""
+        """Add an agent as a member: as a one-stage chain or as a plain service."""
         target = agent.target
         backend = wire.Backend(
             agent_id=target.agent_id,
@@ -150,7 +150,7 @@
     entry_settings: dict[str, object] = {}
 
     async def prepare(self) -> None:
-        """Start them."""
+        """Start the agents, the entry and an HTTP client."""
         self.control = FakeControl()
         self.agent = await self.start_agent("a1")
         self.service = await self.start_agent("s1", wire.SERVICE)
@@ -174,14 +174,14 @@
         self.http = aiohttp.ClientSession(
             base_url=f"http://{self.server.address}",
             headers={"Authorization": f"Bearer {KEY}"},
-            # A connection that a bad request spoilt must not serve the next one.
+            # A connection that was broken by a bad request must not be reused.
             connector=aiohttp.TCPConnector(force_close=True),
             timeout=aiohttp.ClientTimeout(total=30),
         )
         self.addCleanup(self.http.close)
 
     async def start_agent(self, agent_id: str, kind: int = wire.ENGINE) -> FakeAgent:
-        """Start a fake agent and make it a member."""
+        """Start a fake agent and add it as a member."""
         agent = FakeAgent(agent_id=agent_id)
         await agent.start()
         self.addCleanup(agent.stop)
@@ -189,7 +189,7 @@
         return agent
 
     def complete(self, *, stream: bool = False, headers=None, **body):
-        """Return the context of one completion request."""
+        """Return the context manager of one completion request."""
         body = {"model": "proof-12", "prompt": "hello", "stream": stream, **body}
         return self.http.post("/v1/completions", json=body, headers=headers or {})
 
--- a/wigeonscale/entry/tests/test_backend_instances.py
+++ b/wigeonscale/entry/tests/test_backend_instances.py
@@ -22,21 +22,21 @@
             self.instance_id
         )
 
-    def test_there(self):
+    def test_running_instance(self):
         self.assertEqual((True, False), self.status())
 
-    def test_found_gone_by_its_agent_and_back(self):
+    def test_instance_lost_and_replaced(self):
         self.show(losses=1, draining=True)
         self.assertEqual((True, True), self.status())
         self.show(losses=1)
         self.assertEqual((True, True), self.status())
         self.assertNotEqual((self.instance_id,), self.instances.ids_of(["a/1"]))
 
-    def test_leaving_by_intent(self):
+    def test_draining_agent(self):
         self.show(draining=True)
         self.assertEqual((False, False), self.status())
 
-    def test_agent_started_again_or_gone(self):
+    def test_agent_restarted_or_removed(self):
         self.show(incarnation=8)
         self.assertEqual((False, True), self.status())
         index = self.members.index + 1
--- a/wigeonscale/entry/tests/test_bad_input.py
+++ b/wigeonscale/entry/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad requests get the error table's answer, and the entry goes on."""
+"""Invalid requests get the documented error, and the entry keeps serving."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 def bad(name, kind, *, body=GOOD, path="/v1/completions", method="POST", **headers):
-    """Return one scenario."""
+    """Return the scenario of one invalid request and its expected error kind."""
     headers = JSON | {key.replace("_", "-"): text for key, text in headers.items()}
     fields = {"kind": kind, "body": body, "path": path, "method": method}
     return name, fields | {"headers": headers}
@@ -67,7 +67,7 @@
         bad("other", ErrorKind.NOT_FOUND, path="/v1/requests/x@a1", method="GET"),
     ]
 
-    async def test_answer_of_the_error_table(self):
+    async def test_response_matches_the_error_table(self):
         answer = await self.http.request(
             self.method,
             URL(self.path, encoded=True),
@@ -88,7 +88,7 @@
 
 
 class RawBytesTest(EntryCase):
-    async def test_what_is_not_http_is_refused_and_the_entry_goes_on(self):
+    async def test_malformed_http_is_refused_and_the_entry_keeps_serving(self):
         host, _, port = self.server.address.rpartition(":")
         head = b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
         head += f"Authorization: Bearer {KEY}\r\n".encode()
--- a/wigeonscale/entry/tests/test_completions.py
+++ b/wigeonscale/entry/tests/test_completions.py
@@ -1,4 +1,4 @@
-"""Generations through the entry: streams, plain answers and their errors."""
+"""Generations through the entry: streams, JSON responses and errors."""
 
 import asyncio
 import json
@@ -9,7 +9,7 @@
 
 
 class CompletionsTest(EntryCase):
-    async def test_stream_carries_every_token_with_its_index(self):
+    async def test_stream_contains_every_token_with_its_index(self):
         async with self.complete(stream=True) as answer:
             events = await read_events(answer)
         texts = [event["data"]["choices"][0]["text"] for event in events[:-2]]
@@ -22,7 +22,7 @@
         self.assertEqual("[DONE]", events[-1]["data"])
         self.assertEqual(answer.headers["Wigeonscale-Request"], last["id"])
 
-    async def test_stream_to_a_caller_without_chunks_has_none(self):
+    async def test_stream_to_http_1_0_caller_is_not_chunked(self):
         host, _, port = self.server.address.rpartition(":")
         body = b'{"model": "proof-12", "prompt": "x", "stream": true}'
         head = (
@@ -39,7 +39,7 @@
         self.assertEqual(len(WORDS), events.count(b"id: "))
         self.assertTrue(events.endswith(b"data: [DONE]\n\n"))
 
-    async def test_plain_answer_is_whole(self):
+    async def test_json_response_is_complete(self):
         async with self.complete() as answer:
             document = await answer.json()
         self.assertEqual("".join(WORDS), document["choices"][0]["text"])
@@ -57,7 +57,7 @@
         opening = dict(self.agent.seen)["open"]
         self.assertEqual(b"ahoj", opening.generate.prompt)
 
-    async def test_many_answers_at_once_are_not_crossed(self):
+    async def test_concurrent_answers_are_not_mixed_up(self):
         async def one(shape: int) -> list[str]:
             async with self.complete(stream=True, prompt=f"page {shape}") as answer:
                 events = await read_events(answer)
@@ -69,7 +69,7 @@
         self.assertEqual([list(WORDS)] * 40, answers)
         self.assertEqual(40, len(set(self.agent.opened)))
 
-    async def test_vanished_plain_caller_is_cancelled_at_the_agent(self):
+    async def test_disconnect_without_streaming_cancels_at_the_agent(self):
         self.agent.hold = 2
         request = asyncio.create_task(self._plain())
         await self.agent.until(lambda agent: agent.opened)
--- a/wigeonscale/entry/tests/test_crashing.py
+++ b/wigeonscale/entry/tests/test_crashing.py
@@ -1,7 +1,8 @@
-"""One request crashes the backend server behind each agent that begins to run it.
+"""A request that crashes every backend server that runs it is refused in the end.
 
-Each entry took it in as a new request each time it came, since nothing but its id told
-one attempt from another: where agents stand between entry and engines as where none do.
+Guards against a failure in which the caller repeats such a request and the entry treats
+each repetition as a new request, because only the id distinguishes requests, so that
+more backend servers crash. It occurred with agents and with engines without agents.
 """
 
 from wigeonscale.entry.tests.support import EntryCase
@@ -9,7 +10,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 ATTEMPTS = 8
-# Three crashes say what the request does; three further ones are borne.
+# The request is blamed after three crashes; up to three more are tolerated.
 MOST_CRASHES = 6
 
 
@@ -27,7 +28,7 @@
         return agent
 
     def crash_under(self, agent):
-        """Let the backend server of an agent crash under requests that say so."""
+        """Make the backend server of an agent crash on requests with "crash"."""
         usual = type(agent).on_open
 
         def on_open(number, opening):
@@ -48,7 +49,7 @@
 
         agent.on_open = on_open
 
-    async def test_a_generation_is_refused_after_three_crashes(self):
+    async def test_generation_is_refused_after_three_crashes(self):
         for _ in range(ATTEMPTS):
             async with self.complete(prompt="crash") as answer:
                 error = (await answer.json())["error"]
@@ -58,7 +59,7 @@
         self.assertEqual(("crashes-backends", "not-run"), (error["kind"], error["run"]))
         self.assertTrue(float(answer.headers.get("Retry-After", 1)) > 0)
 
-    async def test_a_call_is_refused_after_three_crashes(self):
+    async def test_call_is_refused_after_three_crashes(self):
         url = f"http://{self.server.address}/lookup/x"
         for _ in range(ATTEMPTS):
             async with self.http.post(url, data=b"crash") as answer:
--- a/wigeonscale/entry/tests/test_failures.py
+++ b/wigeonscale/entry/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Streams under failure: silence, lost agents, slow and vanished callers, stop."""
+"""Streams under faults: silent or lost agents, slow callers, disconnects, shutdown."""
 
 import asyncio
 
@@ -14,13 +14,13 @@
 
 class FailuresTest(EntryCase):
     async def begin_stream(self, agent, hold=3):
-        """Start a stream that stops at the agent after some tokens."""
+        """Start a stream that the agent suspends after some tokens."""
         agent.hold = hold
         answer = await self.complete(stream=True)
         await answer.content.readuntil(f"id: {hold - 1}\n".encode())
         return answer
 
-    async def test_silent_connection_is_replaced_and_no_token_is_lost(self):
+    async def test_silent_connection_is_replaced_without_token_loss(self):
         answer = await self.begin_stream(self.agent)
         self.agent.mute_open_streams()
         self.agent.resume.set()
@@ -30,7 +30,7 @@
         self.assertEqual(1, len(self.agent.opened))
         self.assertEqual([], self.control.suspected)
 
-    async def test_lost_agent_is_replaced_and_no_token_is_doubled(self):
+    async def test_lost_agent_is_replaced_without_repeated_tokens(self):
         answer = await self.begin_stream(self.agent)
         other = await self.start_agent("a2")
         await self.agent.stop()
@@ -41,7 +41,7 @@
         self.assertEqual(list(WORDS[:3]), [token.text for token in prefix])
         self.assertEqual(["a1"], self.control.suspected)
 
-    async def test_lost_agent_without_another_ends_by_an_honest_error(self):
+    async def test_lost_agent_without_replacement_ends_with_error(self):
         self.entry.dispatcher._repair_wait_s = 0.0
         answer = await self.begin_stream(self.agent)
         await self.agent.stop()
@@ -51,7 +51,7 @@
         self.assertEqual(ErrorKind.NO_BACKEND, error["kind"])
         self.assertEqual("ran", error["run"])
 
-    async def test_stream_whose_agent_is_lost_waits_for_the_repair(self):
+    async def test_stream_waits_for_repair_after_agent_loss(self):
         answer = await self.begin_stream(self.agent)
         await self.agent.stop()
         async with asyncio.timeout(30):
@@ -60,7 +60,7 @@
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
         self.assertEqual(1, len(other.opened))
 
-    async def test_agent_lost_after_the_last_token_gets_no_token_more(self):
+    async def test_agent_loss_after_the_last_token_adds_no_token(self):
         self.agent.hold = len(WORDS)
         other = await self.start_agent("a2")
         other.hold = len(WORDS)
@@ -73,7 +73,7 @@
         self.assertEqual(len(WORDS), last["usage"]["completion_tokens"])
         self.assertEqual("length", last["choices"][0]["finish_reason"])
 
-    async def test_generation_leaves_a_chain_that_was_given_up(self):
+    async def test_generation_moves_away_from_a_removed_chain(self):
         answer = await self.begin_stream(self.agent)
         members = self.control.members
         given_up = wire.MembersUpdate(
@@ -87,10 +87,10 @@
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
         await self.agent.until(lambda agent: "cancel" in agent.names())
 
-    async def test_generation_goes_on_at_a_new_chain_of_the_same_head(self):
+    async def test_generation_continues_on_a_new_chain_with_the_same_head(self):
         answer = await self.begin_stream(self.agent)
         while self.entry.dispatcher._budget.try_spend():
-            continue  # such a move is paid for by nobody
+            continue  # the move must not depend on the retry budget
         members = self.control.members
         chain = wire.Chain()
         chain.CopyFrom(members.chains["chain-a1"])
@@ -104,7 +104,7 @@
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
         self.assertEqual(2, len(self.agent.opened))
 
-    async def test_gap_doubled_and_foreign_tokens_are_mended_or_dropped(self):
+    async def test_missing_repeated_and_foreign_tokens_are_handled(self):
         answer = await self.begin_stream(self.agent)
         dispatch_id = self.agent.opened[0]
         self.agent.send_token(0, dispatch_id, 1)
@@ -114,7 +114,7 @@
         self.agent.resume.set()
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
 
-    async def test_answer_without_its_last_event_is_never_called_whole(self):
+    async def test_answer_with_missing_tokens_ends_with_error(self):
         self.agent.hold = 2
         async with self.complete(stream=True) as answer:
             await self.agent.until(lambda agent: agent.opened)
@@ -124,7 +124,7 @@
             events = await read_events(answer)
         self.assertEqual("error", events[-1]["event"])
 
-    async def test_slow_caller_does_not_hold_the_others(self):
+    async def test_slow_caller_does_not_delay_others(self):
         self.agent.words = ("x" * 30_000,) * INITIAL_CREDIT
         slow = await self.complete(stream=True)
         async with self.complete() as other:
@@ -142,7 +142,7 @@
         self.assertIn("Retry-After", answer.headers)
         self.assertEqual(["open", "seal"], self.agent.names())
 
-    async def test_refused_as_not_run_is_tried_elsewhere(self):
+    async def test_refusal_as_not_run_is_retried_on_another_agent(self):
         self.agent.refusals = [wire.Refused(kind="stopping", run_state="not-run")] * 9
         other = await self.start_agent("a2")
         for _ in range(4):
@@ -150,7 +150,7 @@
                 self.assertEqual(200, answer.status)
         self.assertEqual(4, len(other.opened))
 
-    async def test_answer_is_taken_up_after_the_connection_broke(self):
+    async def test_answer_is_resumed_after_a_broken_connection(self):
         answer = await self.begin_stream(self.agent)
         request_id = answer.headers["Wigeonscale-Request"]
         answer.close()
@@ -165,14 +165,14 @@
             self.assertEqual(list(WORDS), texts_of(await read_events(whole)))
         self.assertNotIn("cancel", self.agent.names())
 
-    async def test_answer_not_taken_up_is_cancelled(self):
+    async def test_answer_that_is_not_resumed_is_cancelled(self):
         self.entry.limits = EntryLimits(resume_grace_s=0.01)
         answer = await self.begin_stream(self.agent)
         answer.close()
         await self.agent.until(lambda agent: "cancel" in agent.names())
         self.assertEqual([], self.entry._links.streams())
 
-    async def test_limit_and_lease_refuse_at_once(self):
+    async def test_exceeded_limit_and_lost_lease_refuse_at_once(self):
         headers = {"Authorization": "Bearer key-of-vltava"}
         self.agent.hold = 1
         first = await self.complete(stream=True, headers=headers)
@@ -187,12 +187,12 @@
         self.assertEqual("lease-expired", document["error"]["kind"])
         self.assertFalse(self.entry.is_ready())
 
-    async def test_stop_is_unready_first_and_finishes_streams(self):
+    async def test_shutdown_becomes_unready_and_finishes_streams(self):
         answer = await self.begin_stream(self.agent)
         stopping = asyncio.create_task(self.server.stop_accepting())
         await asyncio.sleep(0)
         self.assertFalse(self.entry.is_ready() or self.entry.stopping)
-        # A request on a connection that stands is served, the last one on it.
+        # A request on an open connection is still served; then it is closed.
         url = f"http://{self.server.address}/lookup/x"
         async with aiohttp.ClientSession(headers=self.http.headers) as keeping:
             async with keeping.get(url) as late:
@@ -203,7 +203,7 @@
         await self.server.finish()
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
 
-    async def test_stream_cut_at_the_bound_names_its_request(self):
+    async def test_stream_cut_at_stop_timeout_reports_its_request_id(self):
         answer = await self.begin_stream(self.agent)
         await self.server.cut()
         events = await read_events(answer)
--- a/wigeonscale/entry/tests/test_member_selector.py
+++ b/wigeonscale/entry/tests/test_member_selector.py
@@ -1,4 +1,4 @@
-"""Which chains are offered new work."""
+"""Selection of members for new work."""
 
 import random
 
@@ -22,7 +22,7 @@
         )
 
     def choose(self, *, draining=False, **fields):
-        """Return the choice among one ready chain of two stages."""
+        """Return the selection with one chain of two stages as the only chain."""
         stages = [wire.Stage(agent_id=agent_id) for agent_id in "ab"]
         fields = {"ready": True} | fields
         chain = wire.Chain(chain_id="c", pipeline="p", stages=stages, **fields)
@@ -39,14 +39,14 @@
         self.members.apply(update)
         return self.selector.choose(Work(organisation="o", pipeline="p"), frozenset())
 
-    async def test_only_ready_chains_that_stay_get_new_work(self):
+    async def test_only_ready_chains_without_draining_stages_get_work(self):
         self.assertEqual("a", self.choose()[0].agent_id)
         self.assertIsNone(self.choose(ready=False))
         self.assertIsNone(self.choose(draining=True))
         self.assertIsNone(self.choose(retiring=True))
         self.assertEqual("a", self.choose()[0].agent_id)
 
-    def test_what_was_known_of_agents_that_are_gone_is_forgotten(self):
+    def test_data_about_removed_agents_is_discarded(self):
         word = wire.LoadWord(running=9, slots=4)
         for agent_id in ("a", "gone", "gone but used"):
             self.table.update_load(agent_id, word)
@@ -62,14 +62,14 @@
         self.choose()
         self.assertEqual(0, self.table.backlog("gone but used"))
 
-    def test_word_of_leaving_is_void_once_the_agent_is_back(self):
+    def test_leaving_is_cleared_when_the_agent_is_back(self):
         stays = wire.Backend(agent_id="a", incarnation=1)
         leaves = wire.Backend(agent_id="a", incarnation=1, draining=True)
         restarted = wire.Backend(agent_id="a", incarnation=2)
         for back in (stays, restarted):
             self.see(stays)
             self.table.update_load("a", wire.LoadWord(leaving=True))
-            self.see(stays)  # of something else: the word is newer
+            self.see(stays)  # unrelated update: the load word is newer
             self.assertTrue(self.table.leaving("a"))
             self.see(leaves)
             self.assertTrue(self.table.leaving("a"))
@@ -77,7 +77,7 @@
             self.assertFalse(self.table.leaving("a"))
 
     def see(self, backend):
-        """Make one backend server the only member, and let the places look."""
+        """Make one backend server the only member and update the selector."""
         index = self.members.index + 1
         update = wire.MembersUpdate(full=True, index=index, backends=[backend])
         self.members.apply(update)
--- a/wigeonscale/entry/tests/test_once.py
+++ b/wigeonscale/entry/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Work that must not run twice: claims, second callers, unknown outcomes."""
+"""Work that must run at most once: claims, repeated requests, unknown outcomes."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
             run = answer.headers.get("Wigeonscale-Run", "")
             return answer.status, run, text
 
-    async def test_two_callers_of_one_key_get_one_effect_and_the_same_answer(self):
+    async def test_two_callers_with_one_key_get_one_effect_and_one_answer(self):
         self.service.hold = 0
         first = asyncio.create_task(self.note())
         await self.service.until(lambda agent: agent.once_effects)
@@ -28,7 +28,7 @@
         self.assertEqual(await first, await self.note())
         self.assertEqual(["k1"], self.service.once_effects)
 
-    async def test_claim_stands_before_the_dispatch(self):
+    async def test_claim_is_stored_before_the_dispatch(self):
         await self.note()
         claim = self.control.claims["korrektur", "k1"].claim
         self.assertEqual(self.service.opened, [claim.dispatch_id])
@@ -40,7 +40,7 @@
         self.assertEqual((422, "not-run"), (status, run))
         self.assertEqual(["k1"], self.service.once_effects)
 
-    async def test_agent_gone_is_unknown_at_once_and_stays_so(self):
+    async def test_lost_agent_makes_the_outcome_unknown_permanently(self):
         self.service.hold = 0
         first = asyncio.create_task(self.note())
         await self.service.until(lambda agent: agent.once_effects)
@@ -52,7 +52,7 @@
         self.assertEqual(["s1"], self.control.suspected[:1])
         self.assertEqual(["k1"], self.service.once_effects)
 
-    async def test_frozen_agent_is_unknown_though_its_connections_stand(self):
+    async def test_frozen_agent_with_open_connections_makes_outcome_unknown(self):
         self.entry._links._limits = KeepaliveLimits(interval_s=0.02, reconnect_checks=3)
         self.service.hold = 0
         first = asyncio.create_task(self.note())
@@ -64,14 +64,14 @@
         self.assertEqual(2, self.service.streams)
         self.assertEqual(["s1"], self.control.suspected)
 
-    async def test_refused_as_not_run_frees_the_key(self):
+    async def test_refusal_as_not_run_releases_the_key(self):
         refused = wire.Refused(kind="limit-exceeded", run_state="not-run")
         self.service.refusals = [refused]
         self.assertEqual((429, "not-run"), (await self.note())[:2])
         self.assertEqual(200, (await self.note())[0])
         self.assertEqual(["k1"], self.service.once_effects)
 
-    async def test_claimed_dispatch_that_never_arrived_is_sealed_and_run_anew(self):
+    async def test_claimed_dispatch_that_never_arrived_is_sealed_and_rerun(self):
         lost = wire.Claim(
             organisation="korrektur",
             key="k1",
@@ -88,7 +88,7 @@
         self.assertIn("lost@s1", self.service.sealed)
         self.assertEqual(["probe", "k1"], self.service.once_effects)
 
-    async def test_vanished_caller_does_not_cancel_and_the_key_gives_the_answer(self):
+    async def test_disconnect_does_not_cancel_and_the_key_returns_the_answer(self):
         self.service.hold = 0
         first = asyncio.create_task(self.note())
         await self.service.until(lambda agent: agent.once_effects)
--- a/wigeonscale/entry/tests/test_real_agents.py
+++ b/wigeonscale/entry/tests/test_real_agents.py
@@ -1,4 +1,4 @@
-"""The entry with real agents and fake engines: whole answers, also after a loss."""
+"""The entry with real agents and fake engines: complete answers, also after a loss."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 class RealAgentsTest(EntryCase):
     async def use_chain(self, prefix: str, step_s: float = 0.0) -> list[agents.Node]:
-        """Start a chain of three agents and make it the only one."""
+        """Start a chain of three agents and make it the only chain."""
         control = agents.FakeControl()
         nodes = []
         for number in range(STAGES):
@@ -36,7 +36,7 @@
         self.control.members.apply(update)
         return nodes
 
-    async def test_streams_and_plain_answers_are_whole(self):
+    async def test_streams_and_json_responses_are_complete(self):
         await self.use_chain("a")
 
         async def one(number: int) -> None:
