--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -165,7 +165,7 @@
     def add_token(self, dispatch: Dispatch, token: wire.Token) -> None:
         """Append a token of a running generation to its answer."""
         if dispatch.end is None:
-            self._table.produced(dispatch, token)
+            self._table.append_token(dispatch, token)
 
     def finish(self, dispatch: Dispatch, item: wire.DispatchItem) -> None:
         """End a dispatch whose answer is complete."""
--- a/wigeonscale/agent/orders.py
+++ b/wigeonscale/agent/orders.py
@@ -62,14 +62,14 @@
     async def _check_fence(self, order: wire.Order) -> None:
         if self._floor is None:
             self._floor = tuple(await self._ask_floor())
-        number = (order.term, order.sequence)
-        if number < self._floor:
+        token = (order.term, order.sequence)
+        if token < self._floor:
             raise WigeonscaleError(
                 ErrorKind.STALE_TERM,
-                f"fencing token {number} of order {order.order_id} is older than"
+                f"fencing token {token} of order {order.order_id} is older than"
                 f" {self._floor}",
             )
-        self._floor = number
+        self._floor = token
 
     async def _apply(self, order: wire.Order) -> None:
         body = order.WhichOneof("body")
--- a/wigeonscale/agent/table.py
+++ b/wigeonscale/agent/table.py
@@ -70,7 +70,7 @@
         """Record that a dispatch has not started and must never start."""
         self.history.record(dispatch_id, RunState.NOT_RUN)
 
-    def produced(self, dispatch: Dispatch, token: wire.Token) -> None:
+    def append_token(self, dispatch: Dispatch, token: wire.Token) -> None:
         """Append a token to an answer and count its bytes."""
         dispatch.tokens.append(token)
         self._add_bytes(dispatch, TOKEN_OVERHEAD_BYTES + len(token.text))
--- a/wigeonscale/agent/tests/test_faults.py
+++ b/wigeonscale/agent/tests/test_faults.py
@@ -40,7 +40,7 @@
             for n in range(streams)
         ]
 
-    async def check_whole(self, ids):
+    async def check_complete(self, ids):
         for n, dispatch_id in enumerate(ids):
             last = await self.client.end(dispatch_id)
             self.assertEqual(TOKENS, last.done.tokens, last)
@@ -85,7 +85,7 @@
         lost.engine.fault_position = self.position
         lost.engine.fault_after_run = self.after
         lost.engine.on_fault = lost.kill
-        await self.check_whole(await self.send())
+        await self.check_complete(await self.send())
         self.assertIn(lost.name, self.control.suspected)
 
 
@@ -118,7 +118,7 @@
         for node, position in ((n1, PIECES + 2), (s1, 0)):
             node.engine.fault_position = position
             node.engine.on_fault = node.kill
-        await self.check_whole(await self.send())
+        await self.check_complete(await self.send())
         self.assertIn("a3", self.control.suspected)
 
     async def test_request_that_crashes_every_stage_is_refused(self):
@@ -170,7 +170,7 @@
         await until(lambda: n0.state.unreachable)
         self.assertTrue(n0.state.announcement().draining)
         self.control.set_chain(make_chain([spare, n1, n2], epoch=2))
-        await self.check_whole(ids)
+        await self.check_complete(ids)
 
     async def test_one_failed_engine_call(self):
         await self.start()
@@ -180,7 +180,7 @@
 
         self.nodes[1].engine.fault_position = PIECES + 2
         self.nodes[1].engine.on_fault = fail
-        await self.check_whole(await self.send())
+        await self.check_complete(await self.send())
 
     async def test_planned_change_of_a_stage(self):
         await self.start(spares=1)
@@ -191,7 +191,7 @@
 
         n1.engine.fault_position = PIECES + 2
         n1.engine.on_fault = change
-        await self.check_whole(await self.send())
+        await self.check_complete(await self.send())
         await until(lambda: not n1.agent.stage.active)
         self.assertEqual([], self.control.suspected)
 
@@ -214,7 +214,7 @@
 
         self.nodes[1].engine.fault_position = PIECES + 2
         self.nodes[1].engine.on_fault = mute
-        await self.check_whole(await self.send())
+        await self.check_complete(await self.send())
         self.assertGreaterEqual(self.nodes[1].proxy.accepted, 2)
 
     async def test_peer_silent_on_all_connections_is_suspected(self):
@@ -232,7 +232,7 @@
 
         n1.engine.fault_position = PIECES + 2
         n1.engine.on_fault = mute
-        await self.check_whole(await self.send())
+        await self.check_complete(await self.send())
         self.assertIn("a1", self.control.suspected)
 
 
@@ -253,7 +253,7 @@
         )
         self.assertTrue(self.client.events[-1].load.leaving)
         gate.set()
-        await self.check_whole(ids)
+        await self.check_complete(ids)
         await asyncio.gather(*drains)
         self.assertTrue(self.nodes[0].state.announcement().draining)
 
--- a/wigeonscale/agent/tests/test_orders.py
+++ b/wigeonscale/agent/tests/test_orders.py
@@ -104,11 +104,11 @@
     async def test_drain_starts_and_ends(self):
         for number, draining in ((10, True), (11, False)):
             order = wire.Order(order_id="d", term=3, sequence=number, drain=draining)
-            told = len(self.changes)
+            announced_before = len(self.changes)
             self.assertEqual((True, ""), await self.execute(order))
             self.assertEqual(draining, self.state.leaving)
             # Entries are notified by the load word.
-            self.assertEqual(told + 1, len(self.changes))
+            self.assertEqual(announced_before + 1, len(self.changes))
             # Control ordered the drain; announcing it back would make it permanent.
             self.assertFalse(self.state.announcement().draining)
 
--- a/wigeonscale/entry/member_selector.py
+++ b/wigeonscale/entry/member_selector.py
@@ -56,7 +56,7 @@
         self._candidate_sets: dict[tuple[str, str], _CandidateSet] = {}
         self._avoid_until: dict[tuple[str, int], float] = {}
         self._backend_states: dict[str, tuple[int, bool]] = {}
-        self._seen_index = -1
+        self._synced_index = -1
 
     def choose(self, work: Work, avoid: frozenset[str]) -> Selection | None:
         """Return a target agent and the chain of which it is the head.
@@ -97,9 +97,9 @@
 
     def _sync_members(self) -> None:
         members = self._members()
-        if members.index == self._seen_index:
+        if members.index == self._synced_index:
             return
-        self._seen_index = members.index
+        self._synced_index = members.index
         self._chooser.forget_absent(members.backends)
         states = {
             agent_id: (backend.incarnation, backend.draining)
