--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -1,4 +1,4 @@
-"""Puts the parts of an agent together."""
+"""The agent: creates and connects its components."""
 
 __all__ = ["Agent"]
 
@@ -28,35 +28,36 @@
 from wigeonscale.ports import Clock, Engine, Service
 from wigeonscale.wire import wire_pb2 as wire
 
-DEFAULT_CALL_S = 30.0
-"""Seconds for a call to a plain service that no rules document names."""
+DEFAULT_CALL_TIMEOUT_S = 30.0
+"""Timeout of a call to a plain service that is not in the rules document."""
 
-DRAIN_LOOK_S = 0.05
-"""Seconds between two looks at whether a stop may go on."""
+DRAIN_POLL_INTERVAL_S = 0.05
+"""Interval at which a drain checks whether pipeline steps are still in use."""
 
-SILENT_HEARTBEATS = 6
-"""Heartbeats without a message after which an entry does not count as a reader."""
+MAX_MISSED_HEARTBEATS = 6
+"""Heartbeat intervals without a message after which an entry counts as silent."""
 
 STOPPING_GRACE_S = 0.5
-"""Seconds in which what is on its way to a stopping agent is refused as not run.
+"""Time during which a stopping agent still refuses messages in transit as not run.
 
-Without them it would be lost with the process, and its outcome unknown."""
+Without it such a message would be lost with the process and its outcome unknown.
+"""
 
 logger = logging.getLogger(__name__)
 
 
 class Agent:
-    """The agent beside one backend server.
+    """The agent of one backend server.
 
     Args:
         cfg: Settings of the agent.
-        control: Watch on control; announces what ``state`` says.
+        control: Client of control; announces ``state``.
         clock: Clock port.
-        state: What is known of the backend server.
+        state: State of the backend server.
         dial: Returns a new channel to an address.
-        engine: The engine, or None beside a plain service.
-        service: The plain service, or None beside an engine.
-        link_options: Further arguments of the step links.
+        engine: The engine, or None if the backend server is a plain service.
+        service: The plain service, or None if the backend server is an engine.
+        link_options: Additional arguments of :class:`StepLinks`.
     """
 
     def __init__(
@@ -82,7 +83,7 @@
             clock=clock, keep_bytes=cfg.keep_answers_bytes, keep_s=cfg.keep_answers_s
         )
         self.outcomes = OutcomeReporter(
-            submit=control.submit, clock=clock, on_reported=self.table.memory.reported
+            submit=control.submit, clock=clock, on_reported=self.table.history.unpin
         )
         self.dispatcher = Dispatcher(
             agent_id=cfg.name,
@@ -112,15 +113,17 @@
         self.servicer = AgentServicer(
             dispatcher=self.dispatcher,
             stage=self.stage,
-            load=self.load_word,
+            load=self.current_load,
             clock=clock,
             prefixes=self.prefixes,
-            entry_silence_s=max(ENTRY_SILENCE_S, SILENT_HEARTBEATS * cfg.heartbeat_s),
+            entry_silence_s=max(
+                ENTRY_SILENCE_S, MAX_MISSED_HEARTBEATS * cfg.heartbeat_s
+            ),
         )
         control.changes.subscribe(self._on_change)
 
-    def load_word(self) -> wire.LoadWord:
-        """Return the load as it is now."""
+    def current_load(self) -> wire.LoadWord:
+        """Return the current load."""
         return wire.LoadWord(
             running=self.admission.running,
             queued=self.admission.queued,
@@ -130,39 +133,39 @@
         )
 
     def announcement_changed(self) -> None:
-        """Tell control and the entries of a change of the backend server."""
-        if self.state.gone and self.stage is not None:
+        """Publish a change of the backend server's state to control and entries."""
+        if self.state.unreachable and self.stage is not None:
             self.stage.cut_engine_calls()
-            self.prefixes.restarted()
+            self.prefixes.reset()
         self._control.announce_changed()
         self.servicer.announce_load()
 
     async def run(self) -> None:
-        """Enforce deadlines and bounds, and pass on cache events, for ever."""
+        """Run until cancelled: enforce deadlines and limits, forward cache events."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.dispatcher.sweep())
             if self.prefixes is not None:
                 group.create_task(self.prefixes.watch())
 
-    async def leave(self) -> None:
-        """Refuse new work, and give what is on its way the time to hear so."""
+    async def stop_accepting(self) -> None:
+        """Refuse new work, and keep refusing messages in transit for a short time."""
         self.state.set_stopping()
         await self._clock.sleep(STOPPING_GRACE_S)
 
     async def drain(self) -> None:
-        """Refuse new work, then wait until the work in progress has ended."""
+        """Refuse new work, then wait until the work in progress has finished."""
         self.state.set_stopping()
-        await self.dispatcher.drained()
+        await self.dispatcher.wait_drained()
         while self.stage is not None and self.stage.is_used():
-            await self._clock.sleep(DRAIN_LOOK_S)
+            await self._clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self.outcomes.flush()
 
     async def cut(self) -> None:
-        """End what is still in progress and tell its callers."""
+        """Abort the work still in progress with an error to its callers."""
         self.dispatcher.cut()
 
     async def close(self) -> None:
-        """Cancel every task of this agent."""
+        """Cancel all tasks of this agent."""
         if self.head is not None:
             await self.head.close()
         await self.servicer.close()
@@ -214,12 +217,12 @@
         if not self._control.lease_valid():
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
-                f"agent {self._cfg.name} has no word from a majority of control",
+                f"agent {self._cfg.name} has no valid lease from a majority of control",
                 retry_after=self._cfg.lease_s,
             )
 
     def _check_sequence(self) -> None:
-        # A step that was held up on its way may come long after this agent left.
+        # A delayed step may arrive long after this agent has stopped taking work.
         self._check_lease()
         self.state.check_sequence()
 
@@ -234,7 +237,8 @@
         is_call = msg.WhichOneof("work") == "call"
         if is_call != (self._service is not None):
             raise WigeonscaleError(
-                ErrorKind.BAD_REQUEST, f"{self._cfg.name} cannot do this kind of work"
+                ErrorKind.BAD_REQUEST,
+                f"agent {self._cfg.name} does not support this type of work",
             )
         if not is_call:
             self._check_generate(msg.generate)
@@ -244,18 +248,19 @@
         if work.max_tokens <= 0 or not chain.stages:
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"{work.max_tokens} tokens on {len(chain.stages)} stages",
+                f"invalid generation: {work.max_tokens} tokens on a chain of"
+                f" {len(chain.stages)} stages",
             )
         if chain.stages[0].agent_id != self._cfg.name:
             raise WigeonscaleError(
                 ErrorKind.STALE_EPOCH,
-                f"head of the chain is {chain.stages[0].agent_id}",
+                f"the head of the chain is agent {chain.stages[0].agent_id}",
             )
         newest = self._control.members.chains.get(chain.chain_id)
         if newest is not None and newest.epoch > chain.epoch:
             raise WigeonscaleError(
                 ErrorKind.STALE_EPOCH,
-                f"chain {chain.chain_id} is at epoch {newest.epoch}",
+                f"chain {chain.chain_id} already has epoch {newest.epoch}",
                 retry_after=1,
             )
         for stage in chain.stages:
@@ -272,14 +277,14 @@
             self._begin_call(dispatch)
             return
         work = dispatch.open.generate
-        self.prefixes.begins(dispatch.dispatch_id, work.prompt)
+        self.prefixes.track_prompt(dispatch.dispatch_id, work.prompt)
         newest = self._control.members.chains.get(work.chain.chain_id)
         usable = newest is not None and newest.ready
         start_generation(
             dispatch,
             chain=newest if usable and newest.epoch > work.chain.epoch else work.chain,
             head=self.head,
-            on_token=self.dispatcher.token,
+            on_token=self.dispatcher.add_token,
             on_end=self.dispatcher.finish,
             on_failed=self.dispatcher.fail,
         )
@@ -298,9 +303,9 @@
 
     def _call_failed(self, dispatch: Dispatch, exc: WigeonscaleError) -> None:
         self.dispatcher.fail(dispatch, exc)
-        # No connection was made, or the server may have ended under the call.
+        # A failed call can mean that the service is unreachable or has crashed.
         self.state.probe_soon()
 
     def _service_timeout_s(self) -> float:
         known = self._control.document.services.get(self._cfg.service)
-        return known.timeout_s if known else DEFAULT_CALL_S
+        return known.timeout_s if known else DEFAULT_CALL_TIMEOUT_S
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -1,4 +1,4 @@
-"""Opens, attaches, seals and cancels dispatches, and ends them."""
+"""Handles the dispatch protocol: open, attach, cancel, seal and end."""
 
 __all__ = ["Dispatcher"]
 
@@ -20,26 +20,32 @@
 
 logger = logging.getLogger(__name__)
 
-FULL_RETRY_S = 2.0
-SWEEP_S = 0.1
+TABLE_FULL_RETRY_AFTER_S = 2.0
+"""Retry time given to entries while the memory for kept answers is full."""
 
-PAUSE_TOKENS = INITIAL_CREDIT
-"""Unsent tokens past which a generation pauses while memory is short."""
+SWEEP_INTERVAL_S = 0.1
+"""Interval at which deadlines and limits are enforced."""
+
+MAX_UNSENT_TOKENS = INITIAL_CREDIT
+"""Unsent tokens above which a generation pauses while the table is full."""
 
 
 class Dispatcher:
-    """The dispatch table's rules: a dispatch id begins at most once.
+    """Handles dispatch messages; the work of a dispatch id starts at most once.
 
     Args:
-        agent_id: Name of the own backend server.
+        agent_id: Name of this agent.
         incarnations: Returns the incarnations of this process, newest last.
         table: Holds dispatches and their answers.
         clock: Clock port.
-        check_new: Raises when an ``Open`` cannot be admitted now.
-        check_begin: Raises when admitted work cannot begin now.
-        begin: Starts the work of a dispatch; raises when it cannot run.
-        outcomes: Reports the ends of non-idempotent work.
-        metrics: Where ends are counted.
+        check_new: Raises if an ``Open`` cannot be admitted now.
+        check_begin: Raises if admitted work cannot start now.
+        begin: Starts the work of a dispatch; raises if it cannot run.
+        outcomes: Reports the outcomes of non-idempotent work.
+        metrics: Counts ended dispatches.
+
+    Attributes:
+        admission: Admission control; set after construction.
     """
 
     def __init__(
@@ -69,7 +75,7 @@
     # ------------------------------------------------------------ messages
 
     def handle(self, req: wire.DispatchRequest, stream: EntryStream) -> None:
-        """Handle one message of an entry."""
+        """Handle one message from an entry."""
         handlers = {
             "hello": self._hello,
             "open": self.open,
@@ -86,7 +92,7 @@
         handlers[body](getattr(req, body), stream)
 
     def open(self, msg: wire.Open, stream: EntryStream) -> None:
-        """Admit a dispatch, or refuse it for good under this id."""
+        """Admit a dispatch, or refuse its id permanently."""
         known = self._table.get(msg.dispatch_id)
         if known is not None:
             self._attach_to(known, msg.organisation, 0, stream)
@@ -96,50 +102,53 @@
             dispatch = self._new_dispatch(msg)
         except WigeonscaleError as exc:
             if exc.run_state is RunState.NOT_RUN:
-                self._table.never(msg.dispatch_id)
-            self._count(exc.kind)
+                self._table.record_not_run(msg.dispatch_id)
+            self._count_end(exc.kind)
             stream.send(refused_item(msg.dispatch_id, exc))
             return
         self._admit(dispatch, stream)
 
     def attach(self, msg: wire.Attach, stream: EntryStream) -> None:
-        """Let an entry read a dispatch from a token index on."""
+        """Attach an entry as a reader of a dispatch from a token index on."""
         known = self._table.get(msg.dispatch_id)
         if known is None:
-            remembered = self._table.memory.state(msg.dispatch_id)
-            exc = refusals.not_kept(msg.dispatch_id, remembered)
+            known_state = self._table.history.state(msg.dispatch_id)
+            exc = refusals.answer_unavailable(msg.dispatch_id, known_state)
             stream.send(refused_item(msg.dispatch_id, exc))
             return
         self._attach_to(known, msg.organisation, msg.from_token, stream)
 
     def cancel(self, msg: wire.Cancel, stream: EntryStream) -> None:
-        """Stop a dispatch that its caller gave up, where it may be stopped."""
+        """Stop a dispatch that its caller has cancelled, if it can be stopped."""
         stream.detach(msg.dispatch_id)
         dispatch = self._table.get(msg.dispatch_id)
         if dispatch is None or dispatch.end is not None:
-            if dispatch is None and self._table.memory.state(msg.dispatch_id) is None:
-                self._table.never(msg.dispatch_id)
+            if dispatch is None and self._table.history.state(msg.dispatch_id) is None:
+                self._table.record_not_run(msg.dispatch_id)
             return
-        if dispatch.is_read:
-            # Its caller has come back by another connection or entry, or the reader
-            # is an older connection of this entry that has yet to count as silent.
-            dispatch.given_up = not dispatch.is_read_by_others(stream.name)
+        if dispatch.has_live_reader:
+            # Either the caller has reconnected through another connection or entry,
+            # or the reader is an older connection of this entry that has not yet
+            # been silent long enough. In the second case the sweep cancels it.
+            dispatch.cancel_requested = not dispatch.has_other_live_reader(stream.name)
             return
-        self._give_up(dispatch)
+        self._cancel(dispatch)
 
-    def _give_up(self, dispatch: Dispatch) -> None:
+    def _cancel(self, dispatch: Dispatch) -> None:
         if dispatch.state is DispatchState.RUNNING and dispatch.stop_work is None:
             return
-        dispatch.was_taken = True
+        dispatch.was_delivered = True
         self.fail(
             dispatch,
             WigeonscaleError(
-                ErrorKind.CANCELLED, "the caller gave up", run_state=dispatch.ran
+                ErrorKind.CANCELLED,
+                "the caller cancelled the request",
+                run_state=dispatch.run_state,
             ),
         )
 
     def seal(self, msg: wire.Seal, stream: EntryStream) -> None:
-        """Promise that a dispatch never begins, if it has not begun."""
+        """Guarantee that a dispatch never starts, unless it has already started."""
         if msg.agent_incarnation not in self._incarnations():
             exc = refusals.stale_incarnation(self._agent_id, msg.agent_incarnation)
             stream.send(refused_item(msg.dispatch_id, exc))
@@ -153,18 +162,18 @@
 
     # ---------------------------------------------------------------- ends
 
-    def token(self, dispatch: Dispatch, token: wire.Token) -> None:
-        """Take a token of a running generation."""
+    def add_token(self, dispatch: Dispatch, token: wire.Token) -> None:
+        """Append a token of a running generation to its answer."""
         if dispatch.end is None:
-            self._table.produced(dispatch, token)
+            self._table.append_token(dispatch, token)
 
     def finish(self, dispatch: Dispatch, item: wire.DispatchItem) -> None:
-        """End a dispatch with its whole answer."""
+        """End a dispatch whose answer is complete."""
         if dispatch.end is None:
             self._end(dispatch, item, wire.RAN, OK)
 
     def fail(self, dispatch: Dispatch, exc: WigeonscaleError) -> None:
-        """End a dispatch by an error; stops its work."""
+        """End a dispatch with an error and stop its work."""
         if dispatch.end is not None:
             return
         if self.admission.remove(dispatch):
@@ -176,65 +185,70 @@
         self._end(dispatch, item, state, exc.kind, exc.run_state is RunState.NOT_RUN)
 
     def begin(self, dispatch: Dispatch) -> None:
-        """Begin the work of a dispatch whose turn has come."""
+        """Start the work of a dispatch that was given a slot."""
         try:
-            if dispatch.late(self._clock.now()):
-                raise refusals.late(dispatch)
+            if dispatch.deadline_exceeded(self._clock.now()):
+                raise refusals.deadline_exceeded(dispatch)
             self._check_begin()
             dispatch.state = DispatchState.RUNNING
             if dispatch.open.once and dispatch.open.claim_key:
-                self._table.memory.await_report(dispatch.dispatch_id)
+                self._table.history.pin(dispatch.dispatch_id)
             self._begin_work(dispatch)
         except WigeonscaleError as exc:
             dispatch.state = DispatchState.QUEUED
             self.fail(dispatch, exc)
-            # The slot was counted, but fail() saw a dispatch that never ran.
+            # The slot was taken before this call. fail() does not release it because
+            # the dispatch is marked as not running.
             self.admission.release()
 
     def expire(self, dispatch: Dispatch) -> None:
         """End a dispatch whose deadline has passed."""
-        self.fail(dispatch, refusals.late(dispatch))
+        self.fail(dispatch, refusals.deadline_exceeded(dispatch))
 
     async def sweep(self) -> None:
-        """Enforce deadlines and the bounds of the table, for ever."""
+        """Enforce deadlines and the limits of the table until cancelled."""
         while True:
-            await self._clock.sleep(SWEEP_S)
+            await self._clock.sleep(SWEEP_INTERVAL_S)
             self.sweep_once()
 
     def sweep_once(self) -> None:
-        """Enforce deadlines and the bounds of the table."""
+        """Enforce deadlines and the limits of the table once."""
         now = self._clock.now()
         for dispatch in self._table.live():
             cannot_stop = dispatch.state is DispatchState.RUNNING and (
                 dispatch.stop_work is None
             )
-            if dispatch.late(now) and not cannot_stop:
+            if dispatch.deadline_exceeded(now) and not cannot_stop:
                 self.expire(dispatch)
-            elif dispatch.given_up and dispatch.readers and not dispatch.is_read:
-                self._give_up(dispatch)
+            elif (
+                dispatch.cancel_requested
+                and dispatch.readers
+                and not dispatch.has_live_reader
+            ):
+                self._cancel(dispatch)
             elif dispatch.set_paused is not None:
                 unsent = dispatch.produced - dispatch.sent
-                dispatch.set_paused(self._table.is_full and unsent > PAUSE_TOKENS)
-        self.admission.fill()
+                dispatch.set_paused(self._table.is_full and unsent > MAX_UNSENT_TOKENS)
+        self.admission.start_queued()
         self._table.sweep()
         self._metrics.running.set(self.admission.running)
         self._metrics.queued.set(self.admission.queued)
 
-    async def drained(self) -> None:
-        """Wait until no dispatch is open and no answer waits to be taken."""
-        while self._table.live() or self._table.untaken():
-            await self._clock.sleep(SWEEP_S)
+    async def wait_drained(self) -> None:
+        """Wait until no dispatch is open and all answers have been delivered."""
+        while self._table.live() or self._table.undelivered():
+            await self._clock.sleep(SWEEP_INTERVAL_S)
 
     def cut(self) -> None:
-        """End every open dispatch because the process stops now."""
-        # Those that wait go first, or a freed slot would begin them.
+        """Abort all open dispatches because the process is stopping."""
+        # Queued dispatches first: a slot freed by a running one would start them.
         live = self._table.live()
         live.sort(key=lambda dispatch: dispatch.state is DispatchState.RUNNING)
         for dispatch in live:
             exc = WigeonscaleError(
                 ErrorKind.STOPPING,
-                f"agent {self._agent_id} stopped before the end",
-                run_state=dispatch.ran,
+                f"agent {self._agent_id} stopped before the dispatch ended",
+                run_state=dispatch.run_state,
             )
             self.fail(dispatch, exc)
 
@@ -247,19 +261,20 @@
     def _check_new(self, msg: wire.Open) -> None:
         if not msg.dispatch_id or msg.WhichOneof("work") is None:
             raise WigeonscaleError(
-                ErrorKind.BAD_REQUEST, f"dispatch {msg.dispatch_id!r} names no work"
+                ErrorKind.BAD_REQUEST,
+                f"dispatch {msg.dispatch_id!r} has no id or no work",
             )
-        remembered = self._table.memory.state(msg.dispatch_id)
-        if remembered is not None:
-            raise refusals.not_kept(msg.dispatch_id, remembered)
+        known_state = self._table.history.state(msg.dispatch_id)
+        if known_state is not None:
+            raise refusals.answer_unavailable(msg.dispatch_id, known_state)
         if msg.agent_incarnation not in self._incarnations():
             raise refusals.stale_incarnation(self._agent_id, msg.agent_incarnation)
         self._check_new_work(msg)
         if self._table.is_full:
             raise WigeonscaleError(
                 ErrorKind.OVERLOADED,
-                "the kept answers take all their bytes",
-                retry_after=FULL_RETRY_S,
+                "the memory for kept answers is full",
+                retry_after=TABLE_FULL_RETRY_AFTER_S,
             )
         deadline_s = msg.deadline_ms / 1000 if msg.deadline_ms else None
         self.admission.check(msg.organisation, msg.priority, deadline_s)
@@ -290,11 +305,11 @@
         self, dispatch: Dispatch, organisation: str, index: int, stream: EntryStream
     ) -> None:
         if organisation != dispatch.organisation:
-            exc = refusals.not_kept(dispatch.dispatch_id, None)
+            exc = refusals.answer_unavailable(dispatch.dispatch_id, None)
             stream.send(refused_item(dispatch.dispatch_id, exc))
             return
         reader = stream.attach(dispatch, index)
-        dispatch.given_up = False
+        dispatch.cancel_requested = False
         if dispatch.end is None:
             reader.notices.append(
                 wire.DispatchItem(
@@ -306,16 +321,17 @@
         dispatch = self._table.get(dispatch_id)
         if dispatch is not None and dispatch.state is DispatchState.QUEUED:
             self.fail(
-                dispatch, WigeonscaleError(ErrorKind.CANCELLED, "the entry sealed it")
+                dispatch,
+                WigeonscaleError(ErrorKind.CANCELLED, "the entry sealed the dispatch"),
             )
             return True
-        remembered = self._table.memory.state(dispatch_id)
-        if dispatch is None and remembered is None:
-            if self._table.memory.forgot_early:
+        known_state = self._table.history.state(dispatch_id)
+        if dispatch is None and known_state is None:
+            if self._table.history.evicted_early:
                 return False
-            self._table.never(dispatch_id)
+            self._table.record_not_run(dispatch_id)
             return True
-        return remembered is RunState.NOT_RUN
+        return known_state is RunState.NOT_RUN
 
     def _end(
         self,
@@ -327,10 +343,10 @@
     ) -> None:
         was_running = dispatch.state is DispatchState.RUNNING
         if not_run:
-            # A service that could not be reached never began.
+            # For example a call whose service could not be reached.
             dispatch.state = DispatchState.QUEUED
         self._table.end(dispatch, item)
-        self._count(kind)
+        self._count_end(kind)
         if dispatch.open.once and dispatch.open.claim_key:
             self._report(dispatch, state, not_run)
         logger.info(
@@ -347,7 +363,7 @@
             self.admission.finished(dispatch)
 
     def _report(self, dispatch: Dispatch, state: wire.ClaimState, not_run: bool):
-        self._table.memory.await_report(dispatch.dispatch_id)
+        self._table.history.pin(dispatch.dispatch_id)
         self._outcomes.report(
             wire.Outcome(
                 organisation=dispatch.organisation,
@@ -358,5 +374,5 @@
             )
         )
 
-    def _count(self, kind: str) -> None:
+    def _count_end(self, kind: str) -> None:
         self._metrics.dispatches.add(kind=kind)
--- a/wigeonscale/agent/orders.py
+++ b/wigeonscale/agent/orders.py
@@ -1,6 +1,6 @@
-"""Carries out control's orders and refuses those of an overtaken control VM."""
+"""Executes orders from control and refuses those of a superseded leader."""
 
-__all__ = ["OrderGate"]
+__all__ = ["OrderExecutor"]
 
 import asyncio
 import logging
@@ -15,18 +15,18 @@
 logger = logging.getLogger(__name__)
 
 
-class OrderGate:
-    """Guards every order to the engine by its fencing number.
+class OrderExecutor:
+    """Executes orders one at a time after checking their fencing tokens.
 
-    The guard stands here because some engines ignore the number. After a restart
-    the agent remembers none, so it first asks a majority of control for the
-    position that no order may be older than.
+    The agent checks the fencing token (term, sequence) because some engines ignore
+    it. A restarted agent has no previous token, so it first asks a majority of
+    control replicas for the lowest token that is still valid.
 
     Args:
-        state: The backend server's state.
+        state: State of the backend server.
         engine: The engine; None for a plain service.
-        floor: Asks a majority for the newest (term, index).
-        metrics: Where orders are counted.
+        floor: Asks a majority of control replicas for the newest (term, index).
+        metrics: Counts orders.
     """
 
     def __init__(
@@ -42,14 +42,14 @@
         self._ask_floor = floor
         self._metrics = metrics
         self._floor: tuple[int, int] | None = None
-        self._one_at_a_time = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
-    async def carry_out(self, order: wire.Order) -> wire.OrderResult:
-        """Carry out an order, or say why not."""
-        async with self._one_at_a_time:
+    async def execute(self, order: wire.Order) -> wire.OrderResult:
+        """Execute an order; the result contains the error if it is refused."""
+        async with self._lock:
             try:
                 await self._check_fence(order)
-                await self._do(order)
+                await self._apply(order)
             except WigeonscaleError as exc:
                 logger.warning("order %s refused: %s", order.order_id, exc.message)
                 self._metrics.orders.add(kind=exc.kind)
@@ -62,15 +62,16 @@
     async def _check_fence(self, order: wire.Order) -> None:
         if self._floor is None:
             self._floor = tuple(await self._ask_floor())
-        number = (order.term, order.sequence)
-        if number < self._floor:
+        token = (order.term, order.sequence)
+        if token < self._floor:
             raise WigeonscaleError(
                 ErrorKind.STALE_TERM,
-                f"order {order.order_id} has number {number}, older than {self._floor}",
+                f"fencing token {token} of order {order.order_id} is older than"
+                f" {self._floor}",
             )
-        self._floor = number
+        self._floor = token
 
-    async def _do(self, order: wire.Order) -> None:
+    async def _apply(self, order: wire.Order) -> None:
         body = order.WhichOneof("body")
         if body == "drain":
             self._state.set_draining(order.drain)
@@ -78,14 +79,15 @@
             await self._load(order)
         else:
             raise WigeonscaleError(
-                ErrorKind.BAD_REQUEST, f"order {order.order_id} names {body}"
+                ErrorKind.BAD_REQUEST,
+                f"this agent does not support order {order.order_id} of type {body}",
             )
 
     async def _load(self, order: wire.Order) -> None:
         load = order.load
-        if self._holds(load):
+        if self._is_loaded(load):
             return
-        # Until the engine has said what it holds now, no step may run on it.
+        # No step may run until the engine has reported which layers it has loaded.
         self._state.set_loading(True)
         try:
             await self._order_engine(order)
@@ -108,7 +110,7 @@
             },
         )
 
-    def _holds(self, load: wire.LoadLayers) -> bool:
+    def _is_loaded(self, load: wire.LoadLayers) -> bool:
         info = self._state.info
         if info is None:
             return False
--- a/wigeonscale/agent/prefixes.py
+++ b/wigeonscale/agent/prefixes.py
@@ -1,4 +1,4 @@
-"""Cache events of the own engine, passed on to the entries."""
+"""Forwards the engine's prefix cache events to the entries."""
 
 __all__ = ["PrefixFeed"]
 
@@ -14,31 +14,34 @@
 
 logger = logging.getLogger(__name__)
 
-NAMED_KEPT = 4096
-"""Dispatches whose prompt can still be told from an engine's event."""
+MAX_TRACKED_PROMPTS = 4096
+"""Maximum number of dispatches whose prompt digest is kept to resolve events."""
 
-HELD_KEPT = 1024
-"""Prefixes that one agent tells of; an engine may hold more."""
+MAX_HELD_PREFIXES = 1024
+"""Maximum number of cached prefixes tracked; the engine may hold more."""
 
-FULL_EVENTS = 256
-"""Most prefixes with which a new stream starts, newest last."""
+MAX_SNAPSHOT_EVENTS = 256
+"""Maximum number of cached prefixes sent to a new stream, newest last."""
 
-UNSENT_EVENTS = 256
-"""Most events in one message; where more wait the oldest are lost, as a gap."""
+MAX_UNSENT_EVENTS = 256
+"""Maximum number of events in one message.
+
+If more are pending, the oldest are dropped; entries see a gap in the numbers.
+"""
 
 
 class PrefixFeed:
-    """Turns the engine's cache events into events about prompts.
+    """Translates cache events of the engine into events about prompt digests.
 
-    The engine names a prefix in its own way and by the sequence that stored it;
-    entries know it by the digest of the prompt. Events are numbered here, leaving
-    out a number for each one that the engine lost, so that every loss on the way
-    shows as a gap; a restart of the engine makes every stream start again.
+    The engine identifies a prefix by a name of its own and by the sequence that
+    stored it; entries identify it by the digest of the prompt. The feed numbers its
+    events and skips one number for each event the engine lost, so that entries
+    detect every loss as a gap. After a restart of the engine all streams are reset.
 
     Args:
         engine: The engine.
         clock: Clock port.
-        poll_s: Seconds between two questions to the engine.
+        poll_s: Interval at which the engine is polled, in seconds.
 
     Notes:
         Constant time per event and stream; all memory is bounded.
@@ -52,62 +55,65 @@
         self._held: OrderedDict[str, wire.PrefixEvent] = OrderedDict()
         self._outboxes: set[PrefixOutbox] = set()
         self._is_failing = False
-        self._number = 0
-        self._engine_number = 0
+        self._last_number = 0
+        self._last_engine_number = 0
 
-    def begins(self, dispatch_id: str, prompt: bytes) -> None:
-        """Note the prompt of a dispatch that begins."""
+    def track_prompt(self, dispatch_id: str, prompt: bytes) -> None:
+        """Record the prompt of a starting dispatch, to resolve later events."""
         self._digests[dispatch_id] = prefix_digest(prompt)
-        if len(self._digests) > NAMED_KEPT:
+        if len(self._digests) > MAX_TRACKED_PROMPTS:
             self._digests.popitem(last=False)
 
     def subscribe(self) -> "PrefixOutbox":
-        """Return a new stream's outbox, with the prefixes held now."""
-        held = list(self._held.values())[-FULL_EVENTS:]
-        outbox = PrefixOutbox(held, number=self._number)
+        """Return an outbox for a new stream, filled with the cached prefixes."""
+        held = list(self._held.values())[-MAX_SNAPSHOT_EVENTS:]
+        outbox = PrefixOutbox(held, number=self._last_number)
         self._outboxes.add(outbox)
         return outbox
 
     def unsubscribe(self, outbox: "PrefixOutbox") -> None:
-        """Pass on nothing more to an outbox."""
+        """Stop adding events to an outbox."""
         self._outboxes.discard(outbox)
 
-    def restarted(self) -> None:
-        """Forget what an engine held that is gone."""
+    def reset(self) -> None:
+        """Discard all cached prefixes, after the engine was lost or restarted."""
         self._held.clear()
-        self._engine_number = 0
+        self._last_engine_number = 0
         for outbox in self._outboxes:
-            outbox.start_again(self._number)
+            outbox.reset(self._last_number)
 
     async def watch(self) -> None:
-        """Ask the engine for ever."""
+        """Poll the engine periodically until cancelled."""
         while True:
             await self._clock.sleep(self._poll_s)
             await self.poll()
 
     async def poll(self) -> None:
-        """Ask the engine once and pass on what is new."""
+        """Poll the engine once and forward new events."""
         try:
-            events = await self._engine.cache_events(self._engine_number)
+            events = await self._engine.cache_events(self._last_engine_number)
         except WigeonscaleError as exc:
             if not self._is_failing:
-                logger.info("no cache events: %s", exc.message)
+                logger.info("polling the engine's cache events failed: %s", exc.message)
             self._is_failing = True
             return
         self._is_failing = False
         events.sort(key=lambda event: event.number)
-        told = [event for event in map(self._translate, events) if event is not None]
-        if told:
+        translated = [
+            event for event in map(self._translate, events) if event is not None
+        ]
+        if translated:
             for outbox in self._outboxes:
-                outbox.add(told)
+                outbox.add(translated)
 
     def _translate(self, event: CacheEvent) -> wire.PrefixEvent | None:
-        if event.number <= self._engine_number:
+        if event.number <= self._last_engine_number:
             return None
-        lost = event.number - self._engine_number - 1
-        # A larger gap tells the entries no more.
-        self._number += min(lost, RESET_GAP_EVENTS)
-        self._engine_number = event.number
+        lost = event.number - self._last_engine_number - 1
+        # A gap of this size already makes entries discard what they know, so a larger
+        # one adds no information.
+        self._last_number += min(lost, RESET_GAP_EVENTS)
+        self._last_engine_number = event.number
         if event.held:
             dispatch_id = event.sequence_id.rpartition("#")[0]
             digest = self._digests.get(dispatch_id, b"")
@@ -116,51 +122,53 @@
             digest = known.digest if known is not None else b""
         if not digest:
             return None
-        self._number += 1
-        told = wire.PrefixEvent(number=self._number, digest=digest, held=event.held)
+        self._last_number += 1
+        translated = wire.PrefixEvent(
+            number=self._last_number, digest=digest, held=event.held
+        )
         if event.held:
-            self._held[event.prefix] = told
-            if len(self._held) > HELD_KEPT:
+            self._held[event.prefix] = translated
+            if len(self._held) > MAX_HELD_PREFIXES:
                 self._held.popitem(last=False)
-        return told
+        return translated
 
 
 class PrefixOutbox:
-    """Events that wait for one stream, bounded.
+    """Bounded buffer of events not yet sent on one stream.
 
     Args:
-        held: Events of the prefixes held at its start.
+        held: Events of the prefixes cached when the stream starts.
         number: Number of the newest event.
 
     Attributes:
-        on_added: Called when there is something to take.
+        on_added: Called when there are events to send.
     """
 
     def __init__(self, held: Iterable[wire.PrefixEvent], *, number: int):
         self.on_added: Callable[[], None] = lambda: None
         self._full = True
-        self._number = number
-        self._unsent: deque[wire.PrefixEvent] = deque(held, maxlen=UNSENT_EVENTS)
+        self._last_number = number
+        self._unsent: deque[wire.PrefixEvent] = deque(held, maxlen=MAX_UNSENT_EVENTS)
 
     def add(self, events: Sequence[wire.PrefixEvent]) -> None:
-        """Add events; where too many wait the oldest are lost."""
+        """Add events; the oldest are dropped if the buffer is full."""
         self._unsent.extend(events)
-        self._number = events[-1].number
+        self._last_number = events[-1].number
         self.on_added()
 
-    def start_again(self, number: int) -> None:
-        """Replace what was sent by an empty list."""
+    def reset(self, number: int) -> None:
+        """Discard pending events and start over with an empty full update."""
         self._unsent.clear()
         self._full = True
-        self._number = number
+        self._last_number = number
         self.on_added()
 
-    def take(self) -> wire.PrefixEvents | None:
-        """Return what waits, or None."""
+    def pop_pending(self) -> wire.PrefixEvents | None:
+        """Return and clear the pending events; None if there is nothing to send."""
         if not self._full and not self._unsent:
             return None
         events = wire.PrefixEvents(
-            full=self._full, events=self._unsent, number=self._number
+            full=self._full, events=self._unsent, number=self._last_number
         )
         self._full = False
         self._unsent.clear()
--- a/wigeonscale/agent/tests/support.py
+++ b/wigeonscale/agent/tests/support.py
@@ -1,7 +1,7 @@
-"""A few agents in one process on loopback, with fake engines and a fake control."""
+"""Runs agents in this process on loopback, with fake engines and a fake control."""
 
 __all__ = [
-    "BreakingEngine",
+    "FaultInjectingEngine",
     "EntryClient",
     "FakeControl",
     "Node",
@@ -20,7 +20,7 @@
 from reactivex.subject import Subject
 
 from wigeonscale.adapters.channels import new_server, open_channel
-from wigeonscale.agent import Agent, BackendState, OrderGate
+from wigeonscale.agent import Agent, BackendState, OrderExecutor
 from wigeonscale.config import AgentSettings
 from wigeonscale.ports import EngineInfo, SystemClock
 from wigeonscale.testing import rpcs_ended
@@ -32,44 +32,50 @@
 
 
 async def until(condition):
-    """Wait for a condition that no event tells of."""
+    """Poll until a condition holds; fail after 30 s."""
     async with asyncio.timeout(30):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.002)
 
 
-class BreakingEngine(FakeEngine):
-    """Calls back when it comes to a position, before or after running it."""
+class FaultInjectingEngine(FakeEngine):
+    """Fake engine that awaits ``on_fault`` once, at a given token position.
+
+    Attributes:
+        fault_position: Position of the step at which the fault occurs, or None.
+        fault_after_run: Whether the fault occurs after the step has run, not before.
+        on_fault: Coroutine function that causes the fault.
+    """
 
     def __init__(self, **kwargs):
         super().__init__(**kwargs)
-        self.break_at = None
-        self.break_after = False
-        self.on_break = None
+        self.fault_position = None
+        self.fault_after_run = False
+        self.on_fault = None
 
     async def run(self, steps):
-        due = any(s.position == self.break_at for s in steps)
-        if due and not self.break_after:
-            await self._break()
+        due = any(s.position == self.fault_position for s in steps)
+        if due and not self.fault_after_run:
+            await self._inject_fault()
         results = await super().run(steps)
-        if due and self.break_after:
-            await self._break()
+        if due and self.fault_after_run:
+            await self._inject_fault()
         return results
 
-    async def _break(self):
-        self.break_at = None
-        await self.on_break()
+    async def _inject_fault(self):
+        self.fault_position = None
+        await self.on_fault()
 
 
 class ReachableService:
-    """The part of a plain service that tests of calls take for granted."""
+    """Base class of fake plain services whose probes always succeed."""
 
     async def probe(self):
-        """Take the connection."""
+        """Succeed, as a reachable service does."""
 
 
 class FakeControl:
-    """What agents ask of control, shared by all agents of a test."""
+    """In-memory replacement of the control client, shared by the agents of a test."""
 
     def __init__(self):
         self.changes = Subject()
@@ -105,7 +111,7 @@
 
 
 class Node:
-    """One agent with its server."""
+    """One agent with its gRPC server."""
 
     def __init__(self, *, name, control, engine=None, service=None, **settings):
         self.name = name
@@ -142,7 +148,9 @@
             service=service,
             **links,
         )
-        self.orders = OrderGate(state=self.state, engine=engine, floor=control.floor)
+        self.orders = OrderExecutor(
+            state=self.state, engine=engine, floor=control.floor
+        )
         self.state.on_changed = self.agent.announcement_changed
         self._tasks = []
 
@@ -163,7 +171,7 @@
         await self.agent.close()
 
     async def kill(self):
-        """Break every connection at once; nothing is told to anyone."""
+        """Close all connections at once, without notifying the peers."""
         await self.server.stop(grace=None)
 
     def stage(self, number):
@@ -178,14 +186,14 @@
 
 
 class EntryClient:
-    """A dispatch stream with a record of all that came."""
+    """Client of one dispatch stream that records all received items."""
 
     def __init__(self, node):
         self.node = node
         self.events: list[wire.DispatchEvent] = []
         self._ids = itertools.count(1)
         self._items: dict[str, list[wire.DispatchItem]] = {}
-        self._news = asyncio.Condition()
+        self._changed = asyncio.Condition()
         self._channel = open_channel(node.address)
         self._stream = wire_pb2_grpc.AgentStub(self._channel).Dispatch()
         self._reader = asyncio.create_task(self._read())
@@ -212,20 +220,20 @@
         return [item.WhichOneof("body") for item in self.items(dispatch_id)]
 
     def texts(self, dispatch_id):
-        """Return the token texts; fails on a gap or a doubled index."""
+        """Return the token texts; fail on a missing or repeated index."""
         texts = []
         for item in self.items(dispatch_id):
             if item.WhichOneof("body") == "tokens":
                 start = getattr(item.tokens, "from")
                 if texts and start != self._next:
-                    raise AssertionError(f"token {start} where {self._next} was due")
+                    raise AssertionError(f"token {start}, expected {self._next}")
                 texts += item.tokens.texts
                 self._next = start + len(item.tokens.texts)
         return texts
 
     async def wait(self, condition):
-        async with asyncio.timeout(30), self._news:
-            await self._news.wait_for(condition)
+        async with asyncio.timeout(30), self._changed:
+            await self._changed.wait_for(condition)
 
     async def end(self, dispatch_id):
         """Wait for the last item of a dispatch and return it."""
@@ -233,8 +241,8 @@
         await self.wait(lambda: last & set(self.kinds(dispatch_id)[-1:]))
         return self.items(dispatch_id)[-1]
 
-    def note(self, item):
-        """Take notice of an item; for more than its being kept."""
+    def on_item(self, item):
+        """Called with each received item, for subclasses to override."""
 
     async def close(self):
         self._reader.cancel()
@@ -244,12 +252,12 @@
 
     async def _read(self):
         async for event in self._stream:
-            async with self._news:
+            async with self._changed:
                 self.events.append(event)
                 for item in event.items:
-                    self.note(item)
+                    self.on_item(item)
                     self._items.setdefault(item.dispatch_id, []).append(item)
-                self._news.notify_all()
+                self._changed.notify_all()
 
 
 async def start_chain(
@@ -263,13 +271,13 @@
     position_s=0.0,
     **settings,
 ):
-    """Start agents with loaded engines; returns control, nodes and the chain."""
+    """Start agents with loaded engines; return control, nodes and the chain."""
     case.addCleanup(rpcs_ended)
     control = settings.pop("control", None) or FakeControl()
     nodes = []
     for number in range(stages + spares):
         stage = number if number < stages else settings.get("spare_stage", 1)
-        engine = BreakingEngine(
+        engine = FaultInjectingEngine(
             name=f"a{number}",
             info=EngineInfo(
                 model="m",
--- a/wigeonscale/agent/tests/test_faults.py
+++ b/wigeonscale/agent/tests/test_faults.py
@@ -40,7 +40,7 @@
             for n in range(streams)
         ]
 
-    async def check_whole(self, ids):
+    async def check_complete(self, ids):
         for n, dispatch_id in enumerate(ids):
             last = await self.client.end(dispatch_id)
             self.assertEqual(TOKENS, last.done.tokens, last)
@@ -51,14 +51,14 @@
         self.assertEqual([], [str(v) for v in found])
 
     def repair_with(self, *nodes_of_epochs):
-        """On each newly suspected agent put the next nodes into the chain."""
+        """For each newly suspected agent, publish the chain with the next nodes."""
         epochs = iter(enumerate(nodes_of_epochs, start=2))
         repaired = set()
 
         def repair(agent_id):
             if agent_id not in repaired:
                 repaired.add(agent_id)
-                # Without another spare the chain stays as it is.
+                # The chain stays unchanged when no spare is left.
                 for epoch, nodes in itertools.islice(epochs, 1):
                     self.control.set_chain(make_chain(nodes, epoch=epoch))
 
@@ -76,16 +76,16 @@
         [("before", {"after": False}), ("after", {"after": True})],
     )
 
-    async def test_stream_goes_on_with_a_spare(self):
+    async def test_stream_continues_on_a_spare(self):
         await self.start(spares=1, spare_stage=self.lost)
         lost = self.nodes[self.lost]
         chain = self.nodes[:3]
         chain[self.lost] = self.nodes[3]
         self.repair_with(chain)
-        lost.engine.break_at = self.position
-        lost.engine.break_after = self.after
-        lost.engine.on_break = lost.kill
-        await self.check_whole(await self.send())
+        lost.engine.fault_position = self.position
+        lost.engine.fault_after_run = self.after
+        lost.engine.on_fault = lost.kill
+        await self.check_complete(await self.send())
         self.assertIn(lost.name, self.control.suspected)
 
 
@@ -95,8 +95,8 @@
         n0, n1, n2, spare = self.nodes
         self.repair_with([n0, spare, n2])
         prompt = " ".join(f"w{n}" for n in range(4 * PREFILL_FIRST)).encode()
-        n1.engine.break_at = PREFILL_FIRST
-        n1.engine.on_break = n1.kill
+        n1.engine.fault_position = PREFILL_FIRST
+        n1.engine.on_fault = n1.kill
         ids = [await self.client.generate(self.chain, b"page", TOKENS)]
         ids.append(await self.client.generate(self.chain, prompt, TOKENS))
         for dispatch_id, text in zip(ids, (b"page", prompt), strict=True):
@@ -111,18 +111,18 @@
 
 
 class RepairTest(ChainCase):
-    async def test_second_loss_during_the_repair(self):
+    async def test_second_loss_during_repair(self):
         await self.start(spares=2)
         n0, n1, n2, s1, s2 = self.nodes
         self.repair_with([n0, s1, n2], [n0, s2, n2])
         for node, position in ((n1, PIECES + 2), (s1, 0)):
-            node.engine.break_at = position
-            node.engine.on_break = node.kill
-        await self.check_whole(await self.send())
+            node.engine.fault_position = position
+            node.engine.on_fault = node.kill
+        await self.check_complete(await self.send())
         self.assertIn("a3", self.control.suspected)
 
-    async def test_a_request_that_is_lost_with_stage_after_stage(self):
-        """Each engine that begins to run it crashes; each repair brings a spare."""
+    async def test_request_that_crashes_every_stage_is_refused(self):
+        """Each engine that runs the request crashes and is replaced by a spare."""
         await self.start(spares=4, repair_timeout_s=2)
         n0, n1, n2, *spares = self.nodes
         self.repair_with(*([n0, spare, n2] for spare in spares))
@@ -133,8 +133,8 @@
                 lost.append(node.name)
                 await node.kill()
 
-            node.engine.break_at = 0
-            node.engine.on_break = crash
+            node.engine.fault_position = 0
+            node.engine.on_fault = crash
 
         for node in (n1, *spares):
             crash_under(node)
@@ -142,34 +142,35 @@
         refused = (await self.client.end(dispatch_id)).refused
         self.assertEqual(ErrorKind.BACKEND_FAILED, refused.kind)
         self.assertEqual(RunState.RAN, refused.run_state)
-        # The entry decides by these whether it may go to another chain.
+        # The agent stops after two crashes; from these the entry decides whether to try
+        # another chain.
         self.assertEqual(["a1", "a3"], lost)
 
-    async def test_no_spare_ends_with_an_honest_error(self):
+    async def test_lost_stage_without_spare_ends_with_error(self):
         await self.start(repair_timeout_s=0.3)
         lost = self.nodes[1]
-        lost.engine.break_at = PIECES + 2
-        lost.engine.on_break = lost.kill
+        lost.engine.fault_position = PIECES + 2
+        lost.engine.on_fault = lost.kill
         for dispatch_id in await self.send(2):
             refused = (await self.client.end(dispatch_id)).refused
             self.assertEqual(ErrorKind.BACKEND_FAILED, refused.kind)
             self.assertEqual(RunState.RAN, refused.run_state)
         self.assertEqual(0, self.nodes[0].agent.admission.running)
 
-    async def test_own_engine_of_the_head_dies(self):
+    async def test_engine_of_the_head_fails(self):
         await self.start(spares=1, spare_stage=0)
         n0, n1, n2, spare = self.nodes
 
         async def die():
             n0.engine.failing = True
 
-        n0.engine.break_at = PIECES + 2
-        n0.engine.on_break = die
+        n0.engine.fault_position = PIECES + 2
+        n0.engine.on_fault = die
         ids = await self.send()
-        await until(lambda: n0.state.gone)
+        await until(lambda: n0.state.unreachable)
         self.assertTrue(n0.state.announcement().draining)
         self.control.set_chain(make_chain([spare, n1, n2], epoch=2))
-        await self.check_whole(ids)
+        await self.check_complete(ids)
 
     async def test_one_failed_engine_call(self):
         await self.start()
@@ -177,9 +178,9 @@
         async def fail():
             raise WigeonscaleError(ErrorKind.BACKEND_FAILED, "planted")
 
-        self.nodes[1].engine.break_at = PIECES + 2
-        self.nodes[1].engine.on_break = fail
-        await self.check_whole(await self.send())
+        self.nodes[1].engine.fault_position = PIECES + 2
+        self.nodes[1].engine.on_fault = fail
+        await self.check_complete(await self.send())
 
     async def test_planned_change_of_a_stage(self):
         await self.start(spares=1)
@@ -188,9 +189,9 @@
         async def change():
             self.control.set_chain(make_chain([n0, spare, n2], epoch=2))
 
-        n1.engine.break_at = PIECES + 2
-        n1.engine.on_break = change
-        await self.check_whole(await self.send())
+        n1.engine.fault_position = PIECES + 2
+        n1.engine.on_fault = change
+        await self.check_complete(await self.send())
         await until(lambda: not n1.agent.stage.active)
         self.assertEqual([], self.control.suspected)
 
@@ -201,7 +202,7 @@
         ("requests lost", {"direction": "in"}),
     ]
 
-    async def test_stream_goes_on_over_a_second_connection(self):
+    async def test_stream_continues_on_a_second_connection(self):
         proxies = {}
         await self.start(dial=lambda address: open_channel(proxies[address]))
         for node in self.nodes[1:]:
@@ -211,12 +212,12 @@
         async def mute():
             self.nodes[1].proxy.mute_open(self.direction)
 
-        self.nodes[1].engine.break_at = PIECES + 2
-        self.nodes[1].engine.on_break = mute
-        await self.check_whole(await self.send())
+        self.nodes[1].engine.fault_position = PIECES + 2
+        self.nodes[1].engine.on_fault = mute
+        await self.check_complete(await self.send())
         self.assertGreaterEqual(self.nodes[1].proxy.accepted, 2)
 
-    async def test_dead_silent_peer_is_suspected(self):
+    async def test_peer_silent_on_all_connections_is_suspected(self):
         proxies = {}
         await self.start(
             dial=lambda address: open_channel(proxies.get(address, address)), spares=1
@@ -229,20 +230,20 @@
         async def mute():
             proxy.mute_all()
 
-        n1.engine.break_at = PIECES + 2
-        n1.engine.on_break = mute
-        await self.check_whole(await self.send())
+        n1.engine.fault_position = PIECES + 2
+        n1.engine.on_fault = mute
+        await self.check_complete(await self.send())
         self.assertIn("a1", self.control.suspected)
 
 
 class StopTest(ChainCase):
-    async def test_work_in_progress_ends_and_new_work_is_refused(self):
+    async def test_work_in_progress_completes_and_new_work_is_refused(self):
         await self.start()
         gate = asyncio.Event()
-        self.nodes[2].engine.break_at = PIECES + 2
-        self.nodes[2].engine.on_break = gate.wait
+        self.nodes[2].engine.fault_position = PIECES + 2
+        self.nodes[2].engine.on_fault = gate.wait
         ids = await self.send()
-        await until(lambda: self.nodes[2].engine.break_at is None)
+        await until(lambda: self.nodes[2].engine.fault_position is None)
         drains = [asyncio.create_task(node.agent.drain()) for node in self.nodes]
         await asyncio.sleep(0)
         late = await self.client.generate(self.chain, b"late", 3, dispatch_id="late")
@@ -252,16 +253,16 @@
         )
         self.assertTrue(self.client.events[-1].load.leaving)
         gate.set()
-        await self.check_whole(ids)
+        await self.check_complete(ids)
         await asyncio.gather(*drains)
         self.assertTrue(self.nodes[0].state.announcement().draining)
 
-    async def test_cut_at_the_bound_is_told(self):
+    async def test_work_cut_at_stop_timeout_is_reported(self):
         await self.start(slots=1)
-        self.nodes[2].engine.break_at = 0
-        self.nodes[2].engine.on_break = asyncio.Event().wait
+        self.nodes[2].engine.fault_position = 0
+        self.nodes[2].engine.on_fault = asyncio.Event().wait
         running, queued = await self.send(2)
-        await until(lambda: self.nodes[2].engine.break_at is None)
+        await until(lambda: self.nodes[2].engine.fault_position is None)
         await self.nodes[0].agent.cut()
         states = [
             (await self.client.end(i)).refused.run_state for i in (running, queued)
--- a/wigeonscale/entry/app.py
+++ b/wigeonscale/entry/app.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server of an entry."""
+"""The entry's HTTP server for callers."""
 
 __all__ = ["CallerServer"]
 
@@ -9,25 +9,25 @@
 from wigeonscale.adapters import bound_address
 from wigeonscale.entry.calls import call_service
 from wigeonscale.entry.completions import completions_handler
-from wigeonscale.entry.flow import guarded
-from wigeonscale.entry.rejects import CallerRunner
+from wigeonscale.entry.flow import make_handler
+from wigeonscale.entry.malformed_http import CallerRunner
+from wigeonscale.entry.resume import resume_answer
 from wigeonscale.entry.service import EntryService
 from wigeonscale.entry.sse import Shape
-from wigeonscale.entry.takeup import take_up
 
 BACKLOG = 1024
-# Time for the balancer to see the entry as not ready, in seconds.
+# Time given to the load balancer to notice that the entry is not ready.
 UNREADY_GRACE_S = 1.0
-# Time for cut answers to write their last event, in seconds.
+# Time given to aborted answers to write their error event.
 CUT_GRACE_S = 0.5
 
 
 class CallerServer:
-    """Serves callers, and stops without cutting what is in progress.
+    """HTTP server for callers with a graceful shutdown.
 
     Args:
         entry: The entry.
-        address: ``ip:port`` to listen on; port 0 takes a free one.
+        address: ``ip:port`` to listen on; port 0 selects a free port.
     """
 
     def __init__(self, *, entry: EntryService, address: str):
@@ -42,12 +42,13 @@
         return bound_address(self._runner)
 
     async def start(self) -> None:
-        """Listen.
+        """Start to listen.
 
         Raises:
             OSError: If the address cannot be bound.
         """
-        # A vanished caller cancels its handler, which sees to its work.
+        # handler_cancellation: when a caller disconnects, its handler is cancelled and
+        # then stops or detaches the work.
         self._runner = CallerRunner(
             _application(self._entry),
             access_log=None,
@@ -61,30 +62,30 @@
         await self._site.start()
 
     async def stop_accepting(self) -> None:
-        """Be unready first, then take no new connection.
+        """Become unready, then stop to accept connections.
 
-        Requests on connections that stand are still served, the last on each.
+        Open connections are still served; each is closed after its next response.
         """
-        self._entry.leaving = True
+        self._entry.draining = True
         await self._entry.clock.sleep(UNREADY_GRACE_S)
         await self._site.stop()
 
     async def finish(self) -> None:
-        """Wait for the answers in progress."""
-        await self._entry.until_idle()
+        """Wait until the answers in progress are complete."""
+        await self._entry.wait_until_idle()
 
     async def cut(self) -> None:
-        """End the answers still in progress by an honest error."""
+        """Abort the answers still in progress with an error event."""
         self._entry.stopping = True
         self._entry.cut()
         try:
             async with asyncio.timeout(CUT_GRACE_S):
-                await self._entry.until_idle()
+                await self._entry.wait_until_idle()
         except TimeoutError:
             return
 
     async def close(self) -> None:
-        """Close every connection; a request that comes now is refused."""
+        """Close all connections; requests that still arrive are refused."""
         self._entry.stopping = True
         if self._runner is not None:
             await self._runner.cleanup()
@@ -95,17 +96,17 @@
     app = web.Application(client_max_size=entry.limits.body_limit_bytes)
 
     async def close_when_leaving(req: web.Request, resp: web.StreamResponse) -> None:
-        if entry.leaving:
+        if entry.draining:
             resp.headers[hdrs.CONNECTION] = "close"
             resp.force_close()
 
     app.on_response_prepare.append(close_when_leaving)
     app.router.add_post(
-        "/v1/completions", guarded(entry, completions_handler(Shape.COMPLETION))
+        "/v1/completions", make_handler(entry, completions_handler(Shape.COMPLETION))
     )
     app.router.add_post(
-        "/v1/chat/completions", guarded(entry, completions_handler(Shape.CHAT))
+        "/v1/chat/completions", make_handler(entry, completions_handler(Shape.CHAT))
     )
-    app.router.add_get("/v1/requests/{id}", guarded(entry, take_up))
-    app.router.add_route("*", "/{path:.*}", guarded(entry, call_service))
+    app.router.add_get("/v1/requests/{id}", make_handler(entry, resume_answer))
+    app.router.add_route("*", "/{path:.*}", make_handler(entry, call_service))
     return app
--- a/wigeonscale/entry/completions.py
+++ b/wigeonscale/entry/completions.py
@@ -9,7 +9,7 @@
 from wigeonscale.entry.flow import (
     Admission,
     Caller,
-    Handle,
+    Handler,
     admit,
     identify,
     request_facts,
@@ -23,7 +23,7 @@
 )
 from wigeonscale.entry.service import EntryService
 from wigeonscale.entry.sse import Shape
-from wigeonscale.entry.streams import AnswerForm, send_answer
+from wigeonscale.entry.streams import ResponseOptions, send_answer
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.rules import RequestFacts
 from wigeonscale.wire import wire_pb2 as wire
@@ -31,11 +31,11 @@
 _BODY_TYPES = {Shape.COMPLETION: CompletionBody, Shape.CHAT: ChatBody}
 
 
-def completions_handler(shape: Shape) -> Handle:
-    """Return the handler of generations in one JSON shape.
+def completions_handler(shape: Shape) -> Handler:
+    """Return the handler of generations for one JSON shape.
 
     Args:
-        shape: Shape of the caller's body and of the answer.
+        shape: JSON shape of request and response.
     """
     body_type = _BODY_TYPES[shape]
 
@@ -54,8 +54,8 @@
             return await forward(entry, req, log, admission, raw)
         work = _work(entry, req, admission, raw, prompt, body.max_tokens)
         answer = await entry.dispatcher.start(work)
-        form = AnswerForm(stream=body.stream, shape=shape, model=body.model)
-        return await send_answer(entry, req, log, answer, form)
+        options = ResponseOptions(stream=body.stream, shape=shape, model=body.model)
+        return await send_answer(entry, req, log, answer, options)
 
     return complete
 
@@ -70,7 +70,7 @@
         unmatched = exc.kind is ErrorKind.NO_MATCHING_RULE
         if unmatched and all(each.model != facts.model for each in pipelines):
             raise WigeonscaleError(
-                ErrorKind.UNKNOWN_MODEL, f"no pipeline has the model {facts.model!r}"
+                ErrorKind.UNKNOWN_MODEL, f"no pipeline serves the model {facts.model!r}"
             ) from exc
         raise
 
--- a/wigeonscale/entry/flow.py
+++ b/wigeonscale/entry/flow.py
@@ -1,11 +1,11 @@
-"""The path of every request: count, admit, handle, answer errors, record."""
+"""Common handling of requests: authentication, admission, errors and records."""
 
 __all__ = [
     "Admission",
     "Caller",
-    "Handle",
+    "Handler",
     "admit",
-    "guarded",
+    "make_handler",
     "identify",
     "request_facts",
 ]
@@ -20,8 +20,8 @@
 from wigeonscale.adapters import log_fields
 from wigeonscale.crashes import request_fingerprint
 from wigeonscale.dispatch import Work
-from wigeonscale.entry.answers import error_response
 from wigeonscale.entry.auth import authenticate
+from wigeonscale.entry.error_responses import error_response
 from wigeonscale.entry.records import RequestLog, record
 from wigeonscale.entry.requests import RequestOptions, read_options, request_digest
 from wigeonscale.entry.service import EntryService
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who sends a request.
+    """The sender of a request.
 
     Attributes:
-        organisation: Holder of the API key.
-        options: What is asked for in headers.
+        organisation: Owner of the API key.
+        options: Options given in headers.
     """
 
     organisation: Organisation
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A request that rules and limits let through.
+    """A request that has passed rules and limits.
 
     Attributes:
-        caller: Who sends it.
-        decision: What the first matching rule decided.
-        priority: Priority to use.
-        deadline: Instant of the clock port at which the whole answer is due.
-        dispatch_ids: Takes the ids of the work's dispatches.
+        caller: The sender.
+        decision: Decision of the first matching rule.
+        priority: Effective priority.
+        deadline: Clock time at which the complete answer is due, in seconds.
+        dispatch_ids: List to which the ids of the work's dispatches are appended.
     """
 
     caller: Caller
@@ -67,8 +67,8 @@
 
         Args:
             req: The request.
-            raw: Its body.
-            **target: Pipeline and generation, or service and call, of the work.
+            raw: Body of the request.
+            **target: ``pipeline`` and ``generate``, or ``service`` and ``call``.
         """
         once = self.decision.once
         return Work(
@@ -90,26 +90,28 @@
         )
 
 
-Handle = Callable[
+Handler = Callable[
     [EntryService, web.Request, RequestLog], Awaitable[web.StreamResponse]
 ]
 
 
-def guarded(
-    entry: EntryService, handle: Handle
+def make_handler(
+    entry: EntryService, handle: Handler
 ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
-    """Return an aiohttp handler that counts, answers errors and records.
+    """Return an aiohttp handler that wraps the handler of one type of request.
+
+    It counts the request, turns errors into responses and records the outcome.
 
     Args:
         entry: The entry.
-        handle: Does the work of one kind of request.
+        handle: The wrapped handler.
     """
 
     async def handler(req: web.Request) -> web.StreamResponse:
         log = RequestLog(started=entry.clock.now())
         entered = False
         try:
-            entry.enter()
+            entry.begin_request()
             entered = True
             return await handle(entry, req, log)
         except WigeonscaleError as exc:
@@ -126,19 +128,19 @@
             return error_response(_internal(log), log.request_id)
         finally:
             if entered:
-                entry.leave()
+                entry.end_request()
             _finish(entry, log)
 
     return handler
 
 
 def identify(entry: EntryService, req: web.Request, log: RequestLog) -> Caller:
-    """Return who sends a request and what its headers ask for.
+    """Return the sender of a request and the options in its headers.
 
     Args:
         entry: The entry.
         req: The request.
-        log: Takes the organisation.
+        log: Record of the request; its organisation is set.
 
     Raises:
         WigeonscaleError: ``UNKNOWN_KEY`` or ``BAD_REQUEST``.
@@ -156,14 +158,14 @@
     model: str = "",
     stream: bool = False,
 ) -> RequestFacts:
-    """Return what rules may look at.
+    """Return the properties of a request that rules can match.
 
     Args:
         req: The request.
-        caller: Who sends it.
-        size: Bytes of the prompt or body.
-        model: Model named by the caller.
-        stream: Whether a stream was asked for.
+        caller: The sender.
+        size: Size of the prompt or body, in bytes.
+        model: Model requested by the caller.
+        stream: Whether a stream was requested.
     """
     return RequestFacts(
         organisation=caller.organisation.name,
@@ -180,16 +182,17 @@
 def admit(
     entry: EntryService, log: RequestLog, caller: Caller, facts: RequestFacts
 ) -> Admission:
-    """Let a request through rules and limits.
+    """Apply rules and limits to a request.
 
     Args:
         entry: The entry.
-        log: Takes the rule, and the permits, which are given back at the end.
-        caller: Who sends it.
-        facts: What the rules look at.
+        log: Record of the request; its rule is set and the acquired permits are
+            added, to be released at the end of the request.
+        caller: The sender.
+        facts: Properties of the request that rules can match.
 
     Raises:
-        WigeonscaleError: Why it is refused.
+        WigeonscaleError: If the request is refused.
     """
     decision = entry.control.ruleset.decide(facts)
     log.rule = decision.rule
@@ -198,15 +201,15 @@
     if decision.once and not caller.options.key:
         raise WigeonscaleError(
             ErrorKind.IDEMPOTENCY_KEY_REQUIRED,
-            f"rule {decision.rule}: work that is not repeated needs the header"
-            " Idempotency-Key",
+            f"rule {decision.rule} requires the header Idempotency-Key because its work"
+            " must not be repeated",
         )
     _take_permits(entry, log, caller.organisation, decision)
-    asked = caller.options.priority
+    requested = caller.options.priority
     return Admission(
         caller=caller,
         decision=decision,
-        priority=asked if decision.priority is None else decision.priority,
+        priority=requested if decision.priority is None else decision.priority,
         deadline=log.started + _deadline_s(entry, caller.options, decision),
         dispatch_ids=log.dispatch_ids,
     )
@@ -230,8 +233,8 @@
 def _deadline_s(
     entry: EntryService, options: RequestOptions, decision: Decision
 ) -> float:
-    asked = options.deadline_s or entry.limits.default_deadline_s
-    limits = [asked]
+    requested = options.deadline_s or entry.limits.default_deadline_s
+    limits = [requested]
     if decision.deadline_s:
         limits.append(decision.deadline_s)
     service = entry.control.document.services.get(decision.service)
@@ -243,7 +246,7 @@
 def _internal(log: RequestLog) -> WigeonscaleError:
     state = RunState.UNKNOWN if log.request_id else RunState.NOT_RUN
     return WigeonscaleError(
-        ErrorKind.INTERNAL, "the entry failed on this request", run_state=state
+        ErrorKind.INTERNAL, "internal error in the entry", run_state=state
     )
 
 
--- a/wigeonscale/entry/rejects.py
+++ b/wigeonscale/entry/malformed_http.py
@@ -1,4 +1,4 @@
-"""What is not HTTP: refused in the form of every other error."""
+"""Error responses for malformed HTTP, in the format of all other errors."""
 
 __all__ = ["CallerRunner"]
 
@@ -7,18 +7,18 @@
 from aiohttp import web
 
 from wigeonscale.adapters import METRICS
-from wigeonscale.entry.answers import error_response
+from wigeonscale.entry.error_responses import error_response
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
 MAX_MESSAGE_LENGTH = 200
 
 
 class CallerRunner(web.AppRunner):
-    """Runs an application whose connections refuse broken HTTP by our own answer."""
+    """Runs an application that answers malformed HTTP with its own error format."""
 
     @property
     def server(self) -> "_ConnectionFactory | None":
-        """What sites call for each connection."""
+        """Factory that sites call for each connection."""
         server = super().server
         return None if server is None else _ConnectionFactory(server=server)
 
@@ -42,13 +42,13 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Return the answer to what never reached a handler, and close."""
+        """Return the response to a request that reached no handler, and close."""
         error = _error(status, message or "")
         METRICS.requests.add(organisation="", kind=error.kind)
         if status >= web.HTTPInternalServerError.status_code:
             self.log_exception("request outside any handler failed", exc_info=exc)
         if request.writer.output_size > 0:
-            raise ConnectionError("part of another answer is written already")
+            raise ConnectionError("another response has already been partly written")
         resp = error_response(error)
         resp.force_close()
         return resp
@@ -58,8 +58,8 @@
     if status >= web.HTTPInternalServerError.status_code:
         return WigeonscaleError(
             ErrorKind.INTERNAL,
-            "the entry failed on this request",
+            "internal error in the entry",
             run_state=RunState.UNKNOWN,
         )
     first_line = message.strip().partition("\n")[0][:MAX_MESSAGE_LENGTH]
-    return WigeonscaleError(ErrorKind.BAD_REQUEST, f"not HTTP: {first_line}")
+    return WigeonscaleError(ErrorKind.BAD_REQUEST, f"malformed HTTP: {first_line}")
