--- a/bench/pipeline.py
+++ b/bench/pipeline.py
@@ -43,7 +43,7 @@
     piped = asyncio.run(_throughput(sequence_s=PER_SEQUENCE_S))
     whole = asyncio.run(_throughput(step_s=ITERATION_S))
     one_in_flight = mock.patch.multiple(
-        head, EXTRA_ITERATIONS=1 - STAGES, FLAT_SHARE_LIMIT=2.0
+        head, EXTRA_ITERATIONS=1 - STAGES, MAX_FIXED_COST_SHARE=2.0
     )
     with one_in_flight:
         plain = asyncio.run(_throughput(sequence_s=PER_SEQUENCE_S))
--- a/bench/prefill.py
+++ b/bench/prefill.py
@@ -25,7 +25,7 @@
     make_chain,
     start_chain,
 )
-from wigeonscale.pipelines.constants import MAX_BATCH_POSITIONS
+from wigeonscale.pipelines.constants import MAX_POSITIONS_PER_ITERATION
 from wigeonscale.pipelines.cost import IterationCost
 
 STEP_S = 0.002
@@ -57,7 +57,9 @@
     rate = asyncio.run(_many_prompts())
     change = asyncio.run(_planned_change())
     whole_prompts = mock.patch.object(
-        IterationCost, "positions_within", lambda cost, seconds: MAX_BATCH_POSITIONS
+        IterationCost,
+        "positions_within",
+        lambda cost, seconds: MAX_POSITIONS_PER_ITERATION,
     )
     with whole_prompts:
         whole = asyncio.run(_beside_long_prompts())
--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -21,8 +21,8 @@
 from wigeonscale.config import AgentSettings
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.membership import Change, ControlClient
-from wigeonscale.pipelines.constants import ENTRY_SILENCE_S
-from wigeonscale.pipelines.head import Head
+from wigeonscale.pipelines.constants import ENTRY_TIMEOUT_S
+from wigeonscale.pipelines.head import ChainHead
 from wigeonscale.pipelines.links import StepLinks
 from wigeonscale.pipelines.stage import StageRunner
 from wigeonscale.ports import Clock, Engine, Service
@@ -105,7 +105,7 @@
         )
         self.dispatcher.admission = self.admission
         self.stage: StageRunner | None = None
-        self.head: Head | None = None
+        self.head: ChainHead | None = None
         self.prefixes: PrefixFeed | None = None
         if engine is not None:
             self._make_pipeline(engine)
@@ -115,7 +115,7 @@
             load=self.load_word,
             clock=clock,
             prefixes=self.prefixes,
-            entry_silence_s=max(ENTRY_SILENCE_S, SILENT_HEARTBEATS * cfg.heartbeat_s),
+            entry_silence_s=max(ENTRY_TIMEOUT_S, SILENT_HEARTBEATS * cfg.heartbeat_s),
         )
         control.changes.subscribe(self._on_change)
 
@@ -132,7 +132,7 @@
     def announcement_changed(self) -> None:
         """Tell control and the entries of a change of the backend server."""
         if self.state.gone and self.stage is not None:
-            self.stage.cut_engine_calls()
+            self.stage.abort_engine_calls()
             self.prefixes.restarted()
         self._control.announce_changed()
         self.servicer.announce_load()
@@ -153,7 +153,7 @@
         """Refuse new work, then wait until the work in progress has ended."""
         self.state.set_stopping()
         await self.dispatcher.drained()
-        while self.stage is not None and self.stage.is_used():
+        while self.stage is not None and self.stage.recently_used():
             await self._clock.sleep(DRAIN_LOOK_S)
         await self.outcomes.flush()
 
@@ -185,10 +185,10 @@
             loaded=self.state.loaded,
             links=self.links,
             clock=self._clock,
-            may_begin=self._check_sequence,
+            check_admission=self._check_sequence,
             on_engine_failed=self.state.probe_soon,
         )
-        self.head = Head(
+        self.head = ChainHead(
             agent_id=self._cfg.name,
             stage=self.stage,
             links=self.links,
@@ -203,7 +203,7 @@
             return
         for chain in self._control.members.chains.values():
             if chain.ready:
-                self.stage.learn_epoch(chain.chain_id, chain.epoch)
+                self.stage.advance_epoch(chain.chain_id, chain.epoch)
         self.head.members_changed()
 
     def _share(self, organisation: str) -> float:
--- a/wigeonscale/agent/answers.py
+++ b/wigeonscale/agent/answers.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 
 from wigeonscale.errors import RunState, WigeonscaleError
-from wigeonscale.pipelines.constants import INITIAL_CREDIT
+from wigeonscale.pipelines.constants import INITIAL_CREDIT_TOKENS
 from wigeonscale.wire import wire_pb2 as wire
 
 TOKENS_PER_RUN = 512
@@ -39,7 +39,7 @@
     dispatch: "Dispatch"
     wake: Callable[["Reader"], None]
     cursor: int
-    credit: int = INITIAL_CREDIT
+    credit: int = INITIAL_CREDIT_TOKENS
     entry: str = ""
     is_heard: Callable[[], bool] = lambda: True
     notices: list[wire.DispatchItem] = field(default_factory=list)
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -14,7 +14,7 @@
 from wigeonscale.agent.stream import EntryStream
 from wigeonscale.agent.table import DispatchTable
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.pipelines.constants import INITIAL_CREDIT
+from wigeonscale.pipelines.constants import INITIAL_CREDIT_TOKENS
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -23,7 +23,7 @@
 FULL_RETRY_S = 2.0
 SWEEP_S = 0.1
 
-PAUSE_TOKENS = INITIAL_CREDIT
+PAUSE_TOKENS = INITIAL_CREDIT_TOKENS
 """Unsent tokens past which a generation pauses while memory is short."""
 
 
--- a/wigeonscale/agent/servicer.py
+++ b/wigeonscale/agent/servicer.py
@@ -11,7 +11,7 @@
 from wigeonscale.agent.dispatch import Dispatcher
 from wigeonscale.agent.prefixes import PrefixFeed
 from wigeonscale.agent.stream import EntryStream
-from wigeonscale.pipelines.constants import ENTRY_SILENCE_S
+from wigeonscale.pipelines.constants import ENTRY_TIMEOUT_S
 from wigeonscale.pipelines.stage import StageRunner
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
@@ -41,7 +41,7 @@
         load: Callable[[], wire.LoadWord],
         clock: Clock,
         prefixes: PrefixFeed | None = None,
-        entry_silence_s: float = ENTRY_SILENCE_S,
+        entry_silence_s: float = ENTRY_TIMEOUT_S,
     ):
         self._dispatcher = dispatcher
         self._stage = stage
--- a/wigeonscale/agent/stream.py
+++ b/wigeonscale/agent/stream.py
@@ -8,7 +8,7 @@
 
 from wigeonscale.agent.answers import Dispatch, Reader
 from wigeonscale.agent.prefixes import PrefixOutbox
-from wigeonscale.pipelines.constants import ENTRY_SILENCE_S, INITIAL_CREDIT
+from wigeonscale.pipelines.constants import ENTRY_TIMEOUT_S, INITIAL_CREDIT_TOKENS
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -33,7 +33,7 @@
         load: Callable[[], wire.LoadWord],
         clock: Clock,
         prefixes: PrefixOutbox | None = None,
-        silence_s: float = ENTRY_SILENCE_S,
+        silence_s: float = ENTRY_TIMEOUT_S,
     ):
         self.name = ""
         self._load = load
@@ -59,7 +59,7 @@
             dispatch=dispatch,
             wake=self._mark,
             cursor=max(from_token, dispatch.first_index),
-            credit=INITIAL_CREDIT,
+            credit=INITIAL_CREDIT_TOKENS,
             entry=self.name,
             is_heard=self.is_heard,
         )
--- a/wigeonscale/agent/tests/test_cancel.py
+++ b/wigeonscale/agent/tests/test_cancel.py
@@ -1,7 +1,7 @@
 """A cancelled dispatch goes on while another caller reads it, and only then."""
 
 from wigeonscale.agent.tests.support import connect, start_chain
-from wigeonscale.pipelines.constants import ENTRY_SILENCE_S
+from wigeonscale.pipelines.constants import ENTRY_TIMEOUT_S
 from wigeonscale.testing import AsyncTestCase, ManualClock
 from wigeonscale.testing.fake_engine import expected_tokens
 from wigeonscale.wire import wire_pb2 as wire
@@ -44,7 +44,7 @@
         first, second, dispatch_id = await self.open_and_attach(*entries)
         await self.cancel(first, dispatch_id)
         for _ in range(10):
-            await self.clock.jump(ENTRY_SILENCE_S / 2)
+            await self.clock.jump(ENTRY_TIMEOUT_S / 2)
             await second.send(ping=wire.Ping(sent_us=8))
             heard = len(second.events)
             await second.wait(lambda heard=heard: len(second.events) > heard)
@@ -54,7 +54,7 @@
 
     async def test_reader_on_a_silent_connection_keeps_no_work_alive(self):
         _, second, dispatch_id = await self.open_and_attach("e1", "e2")
-        await self.clock.jump(ENTRY_SILENCE_S)
+        await self.clock.jump(ENTRY_TIMEOUT_S)
         await self.cancel(second, dispatch_id)
         self.assertEqual([], self.table.live())
         self.held.release()
@@ -62,6 +62,6 @@
     async def test_older_connection_of_the_same_entry_keeps_no_work_alive(self):
         _, second, dispatch_id = await self.open_and_attach("e1", "e1")
         await self.cancel(second, dispatch_id)
-        await self.clock.jump(ENTRY_SILENCE_S)
+        await self.clock.jump(ENTRY_TIMEOUT_S)
         self.assertEqual([], self.table.live())
         self.held.release()
--- a/wigeonscale/agent/tests/test_dispatch.py
+++ b/wigeonscale/agent/tests/test_dispatch.py
@@ -4,7 +4,7 @@
 
 from wigeonscale.agent.tests.support import connect, start_chain, until
 from wigeonscale.errors import ErrorKind, RunState
-from wigeonscale.pipelines.constants import INITIAL_CREDIT
+from wigeonscale.pipelines.constants import INITIAL_CREDIT_TOKENS
 from wigeonscale.testing import AsyncTestCase, ManualClock
 from wigeonscale.testing.fake_engine import expected_tokens
 from wigeonscale.wire import wire_pb2 as wire
@@ -41,23 +41,29 @@
 class CreditTest(GenerateCase):
     async def test_slow_reader_holds_nobody(self):
         await self.start()
-        slow = await self.client.generate(self.chain, b"slow", INITIAL_CREDIT + 50)
+        slow = await self.client.generate(
+            self.chain, b"slow", INITIAL_CREDIT_TOKENS + 50
+        )
         fast = await self.client.generate(self.chain, b"fast", 20)
         await self.client.end(fast)
         table = self.nodes[0].agent.table
         await until(lambda: table.get(slow).end is not None)
-        await self.client.wait(lambda: len(self.client.texts(slow)) >= INITIAL_CREDIT)
+        await self.client.wait(
+            lambda: len(self.client.texts(slow)) >= INITIAL_CREDIT_TOKENS
+        )
         await self.client.send(ping=wire.Ping(sent_us=7))
         await self.client.wait(lambda: self.client.events[-1].pong_us == 7)
-        self.assertEqual(INITIAL_CREDIT, len(self.client.texts(slow)))
+        self.assertEqual(INITIAL_CREDIT_TOKENS, len(self.client.texts(slow)))
         await self.client.send(credits=_credits(slow, 50))
         await self.client.end(slow)
-        want = self.want("slow", INITIAL_CREDIT + 50)
+        want = self.want("slow", INITIAL_CREDIT_TOKENS + 50)
         self.assertEqual(want, self.client.texts(slow))
 
     async def test_stop_waits_until_a_slow_reader_has_the_answer(self):
         await self.start()
-        slow = await self.client.generate(self.chain, b"slow", INITIAL_CREDIT + 50)
+        slow = await self.client.generate(
+            self.chain, b"slow", INITIAL_CREDIT_TOKENS + 50
+        )
         agent = self.nodes[0].agent
         await until(lambda: agent.table.get(slow) and agent.table.get(slow).end)
         drain = asyncio.create_task(agent.drain())
--- a/wigeonscale/agent/tests/test_faults.py
+++ b/wigeonscale/agent/tests/test_faults.py
@@ -12,7 +12,7 @@
 )
 from wigeonscale.agent.tests.tcp_proxy import TcpProxy
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.pipelines.constants import PREFILL_FIRST
+from wigeonscale.pipelines.constants import INITIAL_PREFILL_POSITIONS
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.testing.fake_engine import expected_tokens
 from wigeonscale.testing.traces import layer_order_violations
@@ -94,8 +94,10 @@
         await self.start(spares=1)
         n0, n1, n2, spare = self.nodes
         self.repair_with([n0, spare, n2])
-        prompt = " ".join(f"w{n}" for n in range(4 * PREFILL_FIRST)).encode()
-        n1.engine.break_at = PREFILL_FIRST
+        prompt = " ".join(
+            f"w{n}" for n in range(4 * INITIAL_PREFILL_POSITIONS)
+        ).encode()
+        n1.engine.break_at = INITIAL_PREFILL_POSITIONS
         n1.engine.on_break = n1.kill
         ids = [await self.client.generate(self.chain, b"page", TOKENS)]
         ids.append(await self.client.generate(self.chain, prompt, TOKENS))
@@ -104,7 +106,9 @@
             want = expected_tokens(text, LAYERS, TOKENS)
             self.assertEqual(want, self.client.texts(dispatch_id))
         found = layer_order_violations(
-            self.trace, layers=LAYERS, finished={ids[1]: 4 * PREFILL_FIRST + TOKENS - 1}
+            self.trace,
+            layers=LAYERS,
+            finished={ids[1]: 4 * INITIAL_PREFILL_POSITIONS + TOKENS - 1},
         )
         self.assertEqual([], [str(v) for v in found])
         self.assertIn("a1", self.control.suspected)
--- a/wigeonscale/agent/work.py
+++ b/wigeonscale/agent/work.py
@@ -9,7 +9,7 @@
 from wigeonscale.agent.answers import Dispatch
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 from wigeonscale.pipelines.generation import Generation
-from wigeonscale.pipelines.head import Head
+from wigeonscale.pipelines.head import ChainHead
 from wigeonscale.pipelines.tokens import tokenise
 from wigeonscale.ports import Clock, Service
 from wigeonscale.wire import wire_pb2 as wire
@@ -21,7 +21,7 @@
     dispatch: Dispatch,
     *,
     chain: wire.Chain,
-    head: Head,
+    head: ChainHead,
     on_token: Callable[[Dispatch, wire.Token], None],
     on_end: Callable[[Dispatch, wire.DispatchItem], None],
     on_failed: Callable[[Dispatch, WigeonscaleError], None],
@@ -60,7 +60,7 @@
     def set_paused(paused: bool) -> None:
         if generation.paused != paused:
             generation.paused = paused
-            head.wake()
+            head.reschedule()
 
     dispatch.stop_work = lambda: head.cancel(generation)
     dispatch.set_paused = set_paused
--- a/wigeonscale/dispatch/stream.py
+++ b/wigeonscale/dispatch/stream.py
@@ -9,11 +9,11 @@
 from wigeonscale.dispatch.failures import AgentGoneError, refusal_error
 from wigeonscale.dispatch.targets import AnswerRecord, Target
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.pipelines.constants import INITIAL_CREDIT
+from wigeonscale.pipelines.constants import INITIAL_CREDIT_TOKENS
 from wigeonscale.wire import wire_pb2 as wire
 
 # Credit is granted in batches, not per token.
-CREDIT_BATCH_TOKENS = INITIAL_CREDIT // 2
+CREDIT_BATCH_TOKENS = INITIAL_CREDIT_TOKENS // 2
 # Gaps in the token index, per dispatch, that are repaired by attaching again.
 MAX_GAP_RETRIES = 3
 
--- a/wigeonscale/dispatch/tests/test_stream.py
+++ b/wigeonscale/dispatch/tests/test_stream.py
@@ -5,7 +5,7 @@
 from wigeonscale.dispatch import AnswerRecord, DispatchStream, KeepaliveLimits, Target
 from wigeonscale.dispatch.keepalive import wait_unresponsive
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.pipelines.constants import INITIAL_CREDIT
+from wigeonscale.pipelines.constants import INITIAL_CREDIT_TOKENS
 from wigeonscale.testing import AsyncTestCase, ManualClock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -60,12 +60,12 @@
 class StreamTest(AsyncTestCase):
     async def test_credit_is_granted_only_for_tokens_of_earlier_reads(self):
         stream = new_stream()
-        stream.deliver(token_item(0, INITIAL_CREDIT))
-        self.assertEqual(INITIAL_CREDIT, len(await stream.read()))
+        stream.deliver(token_item(0, INITIAL_CREDIT_TOKENS))
+        self.assertEqual(INITIAL_CREDIT_TOKENS, len(await stream.read()))
         self.assertEqual([], stream.link.credits)
-        stream.deliver(token_item(INITIAL_CREDIT))
+        stream.deliver(token_item(INITIAL_CREDIT_TOKENS))
         await stream.read()
-        self.assertEqual([("d@a1", INITIAL_CREDIT)], stream.link.credits)
+        self.assertEqual([("d@a1", INITIAL_CREDIT_TOKENS)], stream.link.credits)
 
     async def test_overlapping_runs_deliver_every_token_once(self):
         stream = new_stream(base=2)
--- a/wigeonscale/entry/tests/test_failures.py
+++ b/wigeonscale/entry/tests/test_failures.py
@@ -8,7 +8,7 @@
 from wigeonscale.entry.service import EntryLimits
 from wigeonscale.entry.tests.support import EntryCase, read_events, texts_of
 from wigeonscale.errors import ErrorKind
-from wigeonscale.pipelines.constants import INITIAL_CREDIT
+from wigeonscale.pipelines.constants import INITIAL_CREDIT_TOKENS
 from wigeonscale.wire import wire_pb2 as wire
 
 
@@ -125,7 +125,7 @@
         self.assertEqual("error", events[-1]["event"])
 
     async def test_slow_caller_does_not_hold_the_others(self):
-        self.agent.words = ("x" * 30_000,) * INITIAL_CREDIT
+        self.agent.words = ("x" * 30_000,) * INITIAL_CREDIT_TOKENS
         slow = await self.complete(stream=True)
         async with self.complete() as other:
             document = await other.json()
--- a/wigeonscale/pipelines/constants.py
+++ b/wigeonscale/pipelines/constants.py
@@ -4,15 +4,15 @@
     "ENDED_KEPT",
     "ENGINE_CALLS_IN_FLIGHT",
     "ENGINE_STEP_TIMEOUT_S",
-    "ENTRY_SILENCE_S",
+    "ENTRY_TIMEOUT_S",
     "EXTRA_ITERATIONS",
-    "FLAT_SHARE_LIMIT",
-    "INITIAL_CREDIT",
+    "INITIAL_CREDIT_TOKENS",
+    "INITIAL_PREFILL_POSITIONS",
     "LEAVING_GRACE_S",
     "LINK_IDLE_S",
     "MAX_BATCH",
-    "MAX_BATCH_POSITIONS",
-    "PREFILL_FIRST",
+    "MAX_FIXED_COST_SHARE",
+    "MAX_POSITIONS_PER_ITERATION",
     "PREFILL_GAP_S",
     "PREFILL_LEAST",
     "PROBE_AFTER_S",
@@ -22,19 +22,19 @@
     "STILL_USED_S",
 ]
 
-INITIAL_CREDIT = 256
+INITIAL_CREDIT_TOKENS = 256
 """Tokens that an ``Open`` or ``Attach`` allows before the first ``Credit``."""
 
 MAX_BATCH = 256
 """Most sequences in one engine iteration."""
 
-MAX_BATCH_POSITIONS = 65_536
+MAX_POSITIONS_PER_ITERATION = 65_536
 """Most token positions in one iteration.
 
 At some 20 bytes a position an iteration stays far below the message limit.
 """
 
-ENTRY_SILENCE_S = 3.0
+ENTRY_TIMEOUT_S = 3.0
 """Seconds without a message after which an entry no longer counts as a reader.
 
 Entries that wait for answers ask for a word about once a second.
@@ -43,7 +43,7 @@
 EXTRA_ITERATIONS = 1
 """Iterations in flight beyond one per stage, so that no stage waits for a hop."""
 
-FLAT_SHARE_LIMIT = 0.2
+MAX_FIXED_COST_SHARE = 0.2
 """Share of an iteration's time that its size does not change, above which none are.
 
 An extra iteration over three stages makes each a quarter smaller. That hides hops
@@ -62,7 +62,7 @@
 The delay is that of one round of the iterations in flight, at any stage.
 """
 
-PREFILL_FIRST = 128
+INITIAL_PREFILL_POSITIONS = 128
 """Positions of a prompt in one iteration while their cost is not known."""
 
 PREFILL_LEAST = 32
--- a/wigeonscale/pipelines/cost.py
+++ b/wigeonscale/pipelines/cost.py
@@ -2,7 +2,7 @@
 
 __all__ = ["TRUSTED_FACTOR", "IterationCost"]
 
-from wigeonscale.pipelines.constants import PREFILL_FIRST, PREFILL_LEAST
+from wigeonscale.pipelines.constants import INITIAL_PREFILL_POSITIONS, PREFILL_LEAST
 
 WEIGHT = 0.1
 
@@ -72,9 +72,9 @@
             At least ``PREFILL_LEAST``.
         """
         if len(self._means) < 2:
-            return PREFILL_FIRST
+            return INITIAL_PREFILL_POSITIONS
         largest, _ = self._means[max(self._means)]
-        trusted = max(PREFILL_FIRST, int(TRUSTED_FACTOR * largest))
+        trusted = max(INITIAL_PREFILL_POSITIONS, int(TRUSTED_FACTOR * largest))
         position_s = self._position_s()
         if position_s * trusted <= seconds:
             return trusted
--- a/wigeonscale/pipelines/head.py
+++ b/wigeonscale/pipelines/head.py
@@ -1,6 +1,6 @@
 """The head of chains: gathers sequences into iterations and keeps several going."""
 
-__all__ = ["Head"]
+__all__ = ["ChainHead"]
 
 import asyncio
 import logging
@@ -11,9 +11,9 @@
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.pipelines.constants import (
     EXTRA_ITERATIONS,
-    FLAT_SHARE_LIMIT,
     MAX_BATCH,
-    MAX_BATCH_POSITIONS,
+    MAX_FIXED_COST_SHARE,
+    MAX_POSITIONS_PER_ITERATION,
     PREFILL_GAP_S,
     PREFILL_LEAST,
     REPAIR_BACKOFF_S,
@@ -28,7 +28,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Head:
+class ChainHead:
     """Drives the generations of this agent through their chains.
 
     Args:
@@ -83,7 +83,7 @@
         for driver in list(self._drivers.values()):
             driver.drop(generation)
 
-    def wake(self) -> None:
+    def reschedule(self) -> None:
         """Look again at every sequence, after a pause was lifted."""
         for driver in list(self._drivers.values()):
             driver.pump()
@@ -91,7 +91,7 @@
     def members_changed(self) -> None:
         """Take up changed chains."""
         self._recovery.members_changed()
-        self.wake()
+        self.reschedule()
 
     async def close(self) -> None:
         """Cancel every iteration and repair."""
@@ -142,7 +142,7 @@
 class _ChainDriver:
     """The iterations of one chain in one epoch."""
 
-    def __init__(self, *, head: Head, chain: wire.Chain):
+    def __init__(self, *, head: ChainHead, chain: wire.Chain):
         self.chain = chain
         self._head = head
         self._members: set[Generation] = set()
@@ -194,7 +194,7 @@
         """Return how many iterations should be in flight."""
         stages = len(self.chain.stages)
         flat = self._head.flat_share(len(self._members) // stages)
-        return stages if flat > FLAT_SHARE_LIMIT else stages + EXTRA_ITERATIONS
+        return stages if flat > MAX_FIXED_COST_SHARE else stages + EXTRA_ITERATIONS
 
     def _take_batch(self, depth: int) -> list[tuple[Generation, int]]:
         """Return generations for one iteration, each with its most positions."""
@@ -225,7 +225,7 @@
         A token waits for one round: for the parts of prompts in every iteration in
         flight, or for one part at every stage. A prompt that is alone delays nobody.
         """
-        most = MAX_BATCH_POSITIONS - MAX_BATCH
+        most = MAX_POSITIONS_PER_ITERATION - MAX_BATCH
         if len(self._members) == 1:
             return most
         return min(most, self._head.positions_within(PREFILL_GAP_S / depth))
--- a/wigeonscale/pipelines/records.py
+++ b/wigeonscale/pipelines/records.py
@@ -44,7 +44,7 @@
 
     Args:
         clock: Clock port.
-        may_begin: Raises when no new sequence may begin here.
+        check_admission: Raises when no new sequence may begin here.
         on_ended: Called with the id of a sequence that the engine may forget.
     """
 
@@ -52,11 +52,11 @@
         self,
         *,
         clock: Clock,
-        may_begin: Callable[[], None],
+        check_admission: Callable[[], None],
         on_ended: Callable[[str], None],
     ):
         self._clock = clock
-        self._may_begin = may_begin
+        self._may_begin = check_admission
         self._on_ended = on_ended
         self._running: dict[str, SequenceRecord] = {}
         self._ended: OrderedDict[str, SequenceRecord] = OrderedDict()
@@ -66,12 +66,12 @@
     def __len__(self) -> int:
         return len(self._running)
 
-    def is_used(self) -> bool:
+    def recently_used(self) -> bool:
         """Return whether a head drove a sequence here a short while ago."""
         oldest = self._clock.now() - STILL_USED_S
         return any(r.runs or r.used_at > oldest for r in self._running.values())
 
-    def learn_epoch(self, chain_id: str, epoch: int) -> None:
+    def advance_epoch(self, chain_id: str, epoch: int) -> None:
         """Begin no sequence of an older epoch of this chain from now on."""
         self._epochs[chain_id] = max(epoch, self._epochs.get(chain_id, 0))
 
@@ -102,7 +102,7 @@
         if known is None:
             known = SequenceRecord(step.epoch, 0, self._clock.now())
             self._running[step.sequence_id] = known
-            self.learn_epoch(req.chain_id, req.epoch)
+            self.advance_epoch(req.chain_id, req.epoch)
         known.position = step.position
         known.next_position = step.position + step.count
         known.used_at = self._clock.now()
--- a/wigeonscale/pipelines/stage.py
+++ b/wigeonscale/pipelines/stage.py
@@ -38,7 +38,7 @@
         loaded: Returns what the engine last said of itself, or None.
         links: Links to further stages.
         clock: Clock port.
-        may_begin: Raises when no new sequence may begin here.
+        check_admission: Raises when no new sequence may begin here.
         step_timeout_s: Seconds after which an engine call counts as failed.
         on_engine_failed: Called when an engine call failed.
 
@@ -55,7 +55,7 @@
         loaded: Callable[[], EngineInfo | None],
         links: StepLinks,
         clock: Clock,
-        may_begin: Callable[[], None] = lambda: None,
+        check_admission: Callable[[], None] = lambda: None,
         step_timeout_s: float = ENGINE_STEP_TIMEOUT_S,
         on_engine_failed: Callable[[], None] = lambda: None,
     ):
@@ -67,7 +67,9 @@
         self._step_timeout_s = step_timeout_s
         self._on_engine_failed = on_engine_failed
         self._records = SequenceRecords(
-            clock=clock, may_begin=may_begin, on_ended=self._cancel_on_engine
+            clock=clock,
+            check_admission=check_admission,
+            on_ended=self._cancel_on_engine,
         )
         self._engine_calls = asyncio.Semaphore(ENGINE_CALLS_IN_FLIGHT)
         self.cost = IterationCost()
@@ -82,15 +84,15 @@
         """Sequences that this stage holds."""
         return len(self._records)
 
-    def is_used(self) -> bool:
+    def recently_used(self) -> bool:
         """Return whether a head drove a sequence here a short while ago."""
-        return self._records.is_used()
+        return self._records.recently_used()
 
-    def learn_epoch(self, chain_id: str, epoch: int) -> None:
+    def advance_epoch(self, chain_id: str, epoch: int) -> None:
         """Begin no sequence of an older epoch of this chain from now on."""
-        self._records.learn_epoch(chain_id, epoch)
+        self._records.advance_epoch(chain_id, epoch)
 
-    def cut_engine_calls(self) -> None:
+    def abort_engine_calls(self) -> None:
         """Fail the engine calls in progress: the engine gives no sign of life."""
         now = asyncio.get_running_loop().time()
         for limit in self._call_limits:
--- a/wigeonscale/pipelines/tests/test_cost.py
+++ b/wigeonscale/pipelines/tests/test_cost.py
@@ -1,6 +1,6 @@
 import testscenarios
 
-from wigeonscale.pipelines.constants import PREFILL_FIRST, PREFILL_LEAST
+from wigeonscale.pipelines.constants import INITIAL_PREFILL_POSITIONS, PREFILL_LEAST
 from wigeonscale.pipelines.cost import TRUSTED_FACTOR, IterationCost
 from wigeonscale.testing import AsyncTestCase
 
@@ -29,13 +29,15 @@
 
     def test_room_grows_with_the_sizes_seen(self):
         cost = IterationCost()
-        self.assertEqual(PREFILL_FIRST, cost.positions_within(0.01))
+        self.assertEqual(INITIAL_PREFILL_POSITIONS, cost.positions_within(0.01))
         # As on a busy machine: the small sizes say that positions cost nothing.
         for size in (1, 8):
             cost.observe(size, 0.002)
-        self.assertEqual(PREFILL_FIRST, cost.positions_within(0.01))
-        cost.observe(PREFILL_FIRST, 0.002)
-        self.assertEqual(TRUSTED_FACTOR * PREFILL_FIRST, cost.positions_within(0.01))
+        self.assertEqual(INITIAL_PREFILL_POSITIONS, cost.positions_within(0.01))
+        cost.observe(INITIAL_PREFILL_POSITIONS, 0.002)
+        self.assertEqual(
+            TRUSTED_FACTOR * INITIAL_PREFILL_POSITIONS, cost.positions_within(0.01)
+        )
         cost.observe(1001, 0.102)
         self.assertEqual(100, cost.positions_within(0.01))
         self.assertEqual(PREFILL_LEAST, cost.positions_within(0.0001))
--- a/wigeonscale/pipelines/tests/test_head.py
+++ b/wigeonscale/pipelines/tests/test_head.py
@@ -3,10 +3,10 @@
 
 from wigeonscale.agent.tests.support import until
 from wigeonscale.errors import ErrorKind
-from wigeonscale.pipelines.constants import MAX_BATCH_POSITIONS, PREFILL_GAP_S
+from wigeonscale.pipelines.constants import MAX_POSITIONS_PER_ITERATION, PREFILL_GAP_S
 from wigeonscale.pipelines.cost import IterationCost
 from wigeonscale.pipelines.generation import Generation
-from wigeonscale.pipelines.head import Head
+from wigeonscale.pipelines.head import ChainHead
 from wigeonscale.testing import AsyncTestCase, ManualClock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -45,7 +45,7 @@
         self.stage = HeldStage()
         self.ends = []
         self.suspected = []
-        self.head = Head(
+        self.head = ChainHead(
             agent_id="a0",
             stage=self.stage,
             links=None,
@@ -120,8 +120,14 @@
         self.assertGreater(iterations[-1][0], most)
 
     async def test_no_iteration_is_over_the_bound_on_positions(self):
-        half = MAX_BATCH_POSITIONS // 2
-        lengths = [1, 2, 3, MAX_BATCH_POSITIONS + 1, *(half + n for n in range(1, 8))]
+        half = MAX_POSITIONS_PER_ITERATION // 2
+        lengths = [
+            1,
+            2,
+            3,
+            MAX_POSITIONS_PER_ITERATION + 1,
+            *(half + n for n in range(1, 8)),
+        ]
         endless = mock.patch.object(
             IterationCost, "positions_within", lambda cost, seconds: 1 << 30
         )
@@ -131,5 +137,5 @@
             self.stage.gate.set()
             await until(lambda: len(self.ends) == len(lengths))
         iterations = self.stage.iterations
-        self.assertLessEqual(max(map(sum, iterations)), MAX_BATCH_POSITIONS)
+        self.assertLessEqual(max(map(sum, iterations)), MAX_POSITIONS_PER_ITERATION)
         self.assertEqual(sum(lengths), sum(map(sum, iterations)))
--- a/wigeonscale/pipelines/tests/test_stage.py
+++ b/wigeonscale/pipelines/tests/test_stage.py
@@ -76,12 +76,12 @@
             loaded=lambda: self.engine.state,
             links=self.links,
             clock=self.clock,
-            may_begin=self.may_begin,
+            check_admission=self.check_admission,
             on_engine_failed=lambda: self.failed_calls.append(1),
         )
         self.addCleanup(self.stage.close)
 
-    def may_begin(self):
+    def check_admission(self):
         if self.leaving:
             raise self.leaving
 
