--- a/wigeonscale/pipelines/constants.py
+++ b/wigeonscale/pipelines/constants.py
@@ -1,7 +1,6 @@
 """Constants that both ends of a dispatch and of a pipeline step agree on."""
 
 __all__ = [
-    "ENDED_KEPT",
     "ENGINE_CALLS_IN_FLIGHT",
     "ENGINE_STEP_TIMEOUT_S",
     "ENTRY_TIMEOUT_S",
@@ -10,22 +9,23 @@
     "INITIAL_PREFILL_POSITIONS",
     "LEAVING_GRACE_S",
     "LINK_IDLE_S",
-    "MAX_BATCH",
+    "MAX_ENDED_SEQUENCES",
     "MAX_FIXED_COST_SHARE",
     "MAX_POSITIONS_PER_ITERATION",
-    "PREFILL_GAP_S",
-    "PREFILL_LEAST",
+    "MAX_PREFILL_DELAY_S",
+    "MAX_SEQUENCES_PER_ITERATION",
+    "MIN_PREFILL_POSITIONS",
     "PROBE_AFTER_S",
+    "RECENT_USE_S",
+    "RECONNECT_AFTER_S",
     "REPAIR_BACKOFF_S",
     "SEQUENCE_IDLE_S",
-    "SILENCE_S",
-    "STILL_USED_S",
 ]
 
 INITIAL_CREDIT_TOKENS = 256
 """Tokens that an ``Open`` or ``Attach`` allows before the first ``Credit``."""
 
-MAX_BATCH = 256
+MAX_SEQUENCES_PER_ITERATION = 256
 """Most sequences in one engine iteration."""
 
 MAX_POSITIONS_PER_ITERATION = 65_536
@@ -56,7 +56,7 @@
 ENGINE_STEP_TIMEOUT_S = 20.0
 """Seconds after which an engine call counts as failed."""
 
-PREFILL_GAP_S = 0.03
+MAX_PREFILL_DELAY_S = 0.03
 """Seconds by which prompts in work may delay the tokens of running streams.
 
 The delay is that of one round of the iterations in flight, at any stage.
@@ -65,13 +65,13 @@
 INITIAL_PREFILL_POSITIONS = 128
 """Positions of a prompt in one iteration while their cost is not known."""
 
-PREFILL_LEAST = 32
+MIN_PREFILL_POSITIONS = 32
 """Fewest positions that a part of a prompt is cut to."""
 
 PROBE_AFTER_S = 0.2
 """Seconds without a message after which a link asks its peer for a sign of life."""
 
-SILENCE_S = 0.5
+RECONNECT_AFTER_S = 0.5
 """Seconds without a message after which a link opens another connection."""
 
 REPAIR_BACKOFF_S = 0.25
@@ -86,8 +86,8 @@
 LINK_IDLE_S = 60.0
 """Seconds without a step after which a link closes its connection."""
 
-ENDED_KEPT = 4096
+MAX_ENDED_SEQUENCES = 4096
 """Ended sequences whose last answer a stage keeps for a resend."""
 
-STILL_USED_S = 3.0
+RECENT_USE_S = 3.0
 """Seconds after its last step for which a stopping stage waits for a sequence."""
--- a/wigeonscale/pipelines/cost.py
+++ b/wigeonscale/pipelines/cost.py
@@ -1,12 +1,15 @@
 """How the time of an engine iteration depends on its size."""
 
-__all__ = ["TRUSTED_FACTOR", "IterationCost"]
+__all__ = ["MAX_EXTRAPOLATION_FACTOR", "IterationCost"]
 
-from wigeonscale.pipelines.constants import INITIAL_PREFILL_POSITIONS, PREFILL_LEAST
+from wigeonscale.pipelines.constants import (
+    INITIAL_PREFILL_POSITIONS,
+    MIN_PREFILL_POSITIONS,
+)
 
-WEIGHT = 0.1
+SMOOTHING_FACTOR = 0.1
 
-TRUSTED_FACTOR = 4
+MAX_EXTRAPOLATION_FACTOR = 4
 """Times the largest size seen up to which the cost is taken as known."""
 
 
@@ -38,11 +41,11 @@
             return
         size, mean_s = known
         self._means[size_class] = (
-            size + WEIGHT * (positions - size),
-            mean_s + WEIGHT * (seconds - mean_s),
+            size + SMOOTHING_FACTOR * (positions - size),
+            mean_s + SMOOTHING_FACTOR * (seconds - mean_s),
         )
 
-    def flat_share(self, positions: int) -> float:
+    def fixed_cost_share(self, positions: int) -> float:
         """Return the share of an iteration's time that its size does not change.
 
         Args:
@@ -53,11 +56,11 @@
         """
         if len(self._means) < 2:
             return 0.0
-        slope = self._position_s()
+        slope = self._seconds_per_position()
         small, small_s = self._means[min(self._means)]
-        flat_s = max(0.0, small_s - slope * small)
-        whole_s = flat_s + slope * positions
-        return flat_s / whole_s if whole_s > 0 else 0.0
+        fixed_s = max(0.0, small_s - slope * small)
+        total_s = fixed_s + slope * positions
+        return fixed_s / total_s if total_s > 0 else 0.0
 
     def positions_within(self, seconds: float) -> int:
         """Return how many positions an iteration may have to add so many seconds.
@@ -69,18 +72,20 @@
             seconds: Time that the positions may take.
 
         Returns:
-            At least ``PREFILL_LEAST``.
+            At least ``MIN_PREFILL_POSITIONS``.
         """
         if len(self._means) < 2:
             return INITIAL_PREFILL_POSITIONS
         largest, _ = self._means[max(self._means)]
-        trusted = max(INITIAL_PREFILL_POSITIONS, int(TRUSTED_FACTOR * largest))
-        position_s = self._position_s()
-        if position_s * trusted <= seconds:
-            return trusted
-        return max(PREFILL_LEAST, int(seconds / position_s))
+        max_positions = max(
+            INITIAL_PREFILL_POSITIONS, int(MAX_EXTRAPOLATION_FACTOR * largest)
+        )
+        position_s = self._seconds_per_position()
+        if position_s * max_positions <= seconds:
+            return max_positions
+        return max(MIN_PREFILL_POSITIONS, int(seconds / position_s))
 
-    def _position_s(self) -> float:
+    def _seconds_per_position(self) -> float:
         small, small_s = self._means[min(self._means)]
         large, large_s = self._means[max(self._means)]
         return max(0.0, (large_s - small_s) / (large - small))
--- a/wigeonscale/pipelines/generation.py
+++ b/wigeonscale/pipelines/generation.py
@@ -47,11 +47,11 @@
         self.failures = 0
         self._pieces = list(pieces)
         self._produced = produced
-        self._first = produced
+        self._initial_count = produced
         self._lost_epochs: set[int] = set()
         self._run = 1
         self._position = 0
-        self._asked = 0
+        self._step_end = 0
         self._on_token = on_token
         self._on_end = on_end
         self._on_failed = on_failed
@@ -61,7 +61,7 @@
         """Id of the current run on the engines."""
         return f"{self.dispatch_id}#{self._run}"
 
-    def note_lost(self, epoch: int) -> int:
+    def record_chain_loss(self, epoch: int) -> int:
         """Take in that a chain was lost under it; returns on how many epochs.
 
         Args:
@@ -70,33 +70,33 @@
         Returns:
             Epochs lost before its first token; 0 once it has one.
         """
-        if self._produced > self._first:
+        if self._produced > self._initial_count:
             return 0
         self._lost_epochs.add(epoch)
         return len(self._lost_epochs)
 
     @property
-    def waiting_positions(self) -> int:
+    def remaining_positions(self) -> int:
         """Token positions up to its next token."""
         return len(self._pieces) - self._position
 
-    def begin_again(self) -> str:
+    def restart(self) -> str:
         """Start a new run from position 0; returns the old run's sequence id."""
         old = self.sequence_id
         self._run += 1
         self._position = 0
         return old
 
-    def next_step(self, epoch: int, most: int) -> wire.SequenceStep:
+    def next_step(self, epoch: int, max_positions: int) -> wire.SequenceStep:
         """Return the next step, of a part of the prompt or for the next token.
 
         Args:
             epoch: Epoch of the chain.
-            most: Most positions of the step.
+            max_positions: Most positions of the step.
         """
-        inputs = self._pieces[self._position : self._position + most]
-        self._asked = self._position + len(inputs)
-        is_part = self._asked < len(self._pieces)
+        inputs = self._pieces[self._position : self._position + max_positions]
+        self._step_end = self._position + len(inputs)
+        is_partial = self._step_end < len(self._pieces)
         return wire.SequenceStep(
             sequence_id=self.sequence_id,
             epoch=epoch,
@@ -104,17 +104,17 @@
             count=len(inputs),
             attempt=1,
             first=self._position == 0,
-            last=not is_part and self._produced + 1 >= self.max_tokens,
+            last=not is_partial and self._produced + 1 >= self.max_tokens,
             hidden=encode_pieces(inputs),
             priority=self.priority,
         )
 
-    def take(self, result: wire.StepResult) -> None:
+    def apply_result(self, result: wire.StepResult) -> None:
         """Count one token; ends the generation when it is the last.
 
         After a part of the prompt there is none yet.
         """
-        self._position = self._asked
+        self._position = self._step_end
         if self._position < len(self._pieces):
             return
         self._pieces.append(result.token.text)
--- a/wigeonscale/pipelines/head.py
+++ b/wigeonscale/pipelines/head.py
@@ -11,11 +11,11 @@
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.pipelines.constants import (
     EXTRA_ITERATIONS,
-    MAX_BATCH,
     MAX_FIXED_COST_SHARE,
     MAX_POSITIONS_PER_ITERATION,
-    PREFILL_GAP_S,
-    PREFILL_LEAST,
+    MAX_PREFILL_DELAY_S,
+    MAX_SEQUENCES_PER_ITERATION,
+    MIN_PREFILL_POSITIONS,
     REPAIR_BACKOFF_S,
 )
 from wigeonscale.pipelines.generation import Generation
@@ -81,12 +81,12 @@
         """Take a generation that has ended out of its chain."""
         generation.ended = True
         for driver in list(self._drivers.values()):
-            driver.drop(generation)
+            driver.remove(generation)
 
     def reschedule(self) -> None:
         """Look again at every sequence, after a pause was lifted."""
         for driver in list(self._drivers.values()):
-            driver.pump()
+            driver.schedule()
 
     def members_changed(self) -> None:
         """Take up changed chains."""
@@ -99,9 +99,9 @@
         for driver in list(self._drivers.values()):
             await driver.close()
 
-    def flat_share(self, positions: int) -> float:
+    def fixed_cost_share(self, positions: int) -> float:
         """Return the flat share of an iteration, as seen on the own stage."""
-        return self._stage.cost.flat_share(positions)
+        return self._stage.cost.fixed_cost_share(positions)
 
     def positions_within(self, seconds: float) -> int:
         """Return the positions that take so long, as seen on the own stage."""
@@ -121,13 +121,13 @@
             return await self._stage.run(req)
         return await self._links.call(first.address, req)
 
-    def failed(
+    def recover(
         self, generations: list[Generation], chain: wire.Chain, unreachable: set[str]
     ) -> None:
         """Hand generations whose step failed to the recovery."""
         self._recovery.start(generations, chain, unreachable - {self._agent_id})
 
-    def emptied(self, driver: "_ChainDriver") -> None:
+    def discard_driver(self, driver: "_ChainDriver") -> None:
         """Forget a driver that has nothing left to do."""
         key = (driver.chain.chain_id, driver.chain.epoch)
         if self._drivers.get(key) is driver:
@@ -147,113 +147,122 @@
         self._head = head
         self._members: set[Generation] = set()
         self._ready: deque[Generation] = deque()
-        self._to_forget: list[str] = []
+        self._cancelled_ids: list[str] = []
         self._iterations: set[asyncio.Task] = set()
 
     def add(self, generation: Generation) -> None:
         self._members.add(generation)
         self._ready.append(generation)
-        self.pump()
+        self.schedule()
 
-    def drop(self, generation: Generation) -> None:
+    def remove(self, generation: Generation) -> None:
         if generation in self._members:
             self._members.discard(generation)
-            self._to_forget.append(generation.sequence_id)
-            self.pump()
+            self._cancelled_ids.append(generation.sequence_id)
+            self.schedule()
 
-    def pump(self) -> None:
+    def schedule(self) -> None:
         """Begin as many iterations as may be in flight."""
-        self._hand_over()
+        self._move_to_newer_epoch()
         depth = self._depth()
         while len(self._iterations) < depth:
-            batch = self._take_batch(depth)
-            if not batch and not self._flush_due():
+            batch = self._next_batch(depth)
+            if not batch and not self._has_unsent_cancellations():
                 break
-            self._begin(batch)
+            self._start_iteration(batch)
         if not self._members and not self._iterations:
-            self._head.emptied(self)
+            self._head.discard_driver(self)
 
     async def close(self) -> None:
         for task in self._iterations:
             task.cancel()
         await asyncio.gather(*self._iterations, return_exceptions=True)
 
-    def _hand_over(self) -> None:
+    def _move_to_newer_epoch(self) -> None:
         """Move waiting sequences to the chain's next epoch once it is ready."""
         newer = self._head.newer_chain(self.chain)
         if newer is None:
             return
-        waiting, self._ready = self._ready, deque()
-        for generation in waiting:
+        ready, self._ready = self._ready, deque()
+        for generation in ready:
             if generation in self._members:
                 self._members.discard(generation)
-                self._to_forget.append(generation.begin_again())
+                self._cancelled_ids.append(generation.restart())
                 self._head.start(generation, newer)
 
     def _depth(self) -> int:
         """Return how many iterations should be in flight."""
         stages = len(self.chain.stages)
-        flat = self._head.flat_share(len(self._members) // stages)
-        return stages if flat > MAX_FIXED_COST_SHARE else stages + EXTRA_ITERATIONS
+        fixed_share = self._head.fixed_cost_share(len(self._members) // stages)
+        return (
+            stages if fixed_share > MAX_FIXED_COST_SHARE else stages + EXTRA_ITERATIONS
+        )
 
-    def _take_batch(self, depth: int) -> list[tuple[Generation, int]]:
+    def _next_batch(self, depth: int) -> list[tuple[Generation, int]]:
         """Return generations for one iteration, each with its most positions."""
         # Even parts, so that each stage has one to work on.
         size = -(-len(self._members) // depth)
-        size = max(1, min(size, MAX_BATCH))
+        size = max(1, min(size, MAX_SEQUENCES_PER_ITERATION))
         batch: list[tuple[Generation, int]] = []
-        room = self._prefill_room(depth)
+        prefill_budget = self._prefill_budget(depth)
         for _ in range(len(self._ready)):
             generation = self._ready.popleft()
             if generation not in self._members:
                 continue
-            waiting = generation.waiting_positions
-            no_room = waiting > 1 and room < min(waiting, PREFILL_LEAST)
-            if generation.paused or no_room:
+            remaining = generation.remaining_positions
+            over_budget = remaining > 1 and prefill_budget < min(
+                remaining, MIN_PREFILL_POSITIONS
+            )
+            if generation.paused or over_budget:
                 self._ready.append(generation)
                 continue
-            count = 1 if waiting == 1 else min(waiting, room)
+            count = 1 if remaining == 1 else min(remaining, prefill_budget)
             batch.append((generation, count))
-            room -= count if waiting > 1 else 0
+            prefill_budget -= count if remaining > 1 else 0
             if len(batch) == size:
                 break
         return batch
 
-    def _prefill_room(self, depth: int) -> int:
+    def _prefill_budget(self, depth: int) -> int:
         """Return the positions of prompts that one iteration may take.
 
         A token waits for one round: for the parts of prompts in every iteration in
         flight, or for one part at every stage. A prompt that is alone delays nobody.
         """
-        most = MAX_POSITIONS_PER_ITERATION - MAX_BATCH
+        max_positions = MAX_POSITIONS_PER_ITERATION - MAX_SEQUENCES_PER_ITERATION
         if len(self._members) == 1:
-            return most
-        return min(most, self._head.positions_within(PREFILL_GAP_S / depth))
+            return max_positions
+        return min(
+            max_positions, self._head.positions_within(MAX_PREFILL_DELAY_S / depth)
+        )
 
-    def _flush_due(self) -> bool:
-        return bool(self._to_forget) and not self._iterations
+    def _has_unsent_cancellations(self) -> bool:
+        return bool(self._cancelled_ids) and not self._iterations
 
-    def _begin(self, batch: list[tuple[Generation, int]]) -> None:
-        task = asyncio.create_task(self._iterate(batch))
+    def _start_iteration(self, batch: list[tuple[Generation, int]]) -> None:
+        task = asyncio.create_task(self._run_iteration(batch))
         self._iterations.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_iteration_done)
 
-    def _finished(self, task: asyncio.Task) -> None:
+    def _on_iteration_done(self, task: asyncio.Task) -> None:
         self._iterations.discard(task)
         if task.cancelled():
             return
         if task.exception() is not None:
             logger.error("iteration failed", exc_info=task.exception())
-        self.pump()
+        self.schedule()
 
-    async def _iterate(self, batch: list[tuple[Generation, int]]) -> None:
-        cancelled, self._to_forget = self._to_forget, []
+    async def _run_iteration(self, batch: list[tuple[Generation, int]]) -> None:
+        cancelled, self._cancelled_ids = self._cancelled_ids, []
         epoch = self.chain.epoch
         req = wire.StepRequest(
             chain_id=self.chain.chain_id,
             epoch=epoch,
             rest=self.chain.stages,
-            steps=[generation.next_step(epoch, most) for generation, most in batch],
+            steps=[
+                generation.next_step(epoch, max_positions)
+                for generation, max_positions in batch
+            ],
             cancelled=cancelled,
         )
         began_at = self._head.clock.now()
@@ -263,9 +272,9 @@
             results = {result.sequence_id: result for result in reply.results}
         except PeerLostError as exc:
             results = _all_failed(req, exc)
-        self._take_results([generation for generation, _ in batch], results)
+        self._apply_results([generation for generation, _ in batch], results)
 
-    def _take_results(
+    def _apply_results(
         self, batch: list[Generation], results: dict[str, wire.StepResult]
     ) -> None:
         failed: list[Generation] = []
@@ -281,9 +290,9 @@
                 if result.unreachable:
                     unreachable.add(result.failed_agent)
                 self._members.discard(generation)
-                self._to_forget.append(generation.begin_again())
+                self._cancelled_ids.append(generation.restart())
                 continue
-            self._take_token(generation, result)
+            self._apply_token(generation, result)
         if failed:
             logger.warning(
                 "%d sequences failed on chain %s epoch %d at %s",
@@ -292,16 +301,16 @@
                 self.chain.epoch,
                 sorted(failed_agents),
             )
-            self._head.failed(failed, self.chain, unreachable)
+            self._head.recover(failed, self.chain, unreachable)
 
-    def _take_token(self, generation: Generation, result: wire.StepResult) -> None:
-        generation.take(result)
+    def _apply_token(self, generation: Generation, result: wire.StepResult) -> None:
+        generation.apply_result(result)
         if not generation.ended:
             self._ready.append(generation)
             return
         self._members.discard(generation)
         if result.end:
-            self._to_forget.append(generation.sequence_id)
+            self._cancelled_ids.append(generation.sequence_id)
 
 
 def _all_failed(
--- a/wigeonscale/pipelines/links.py
+++ b/wigeonscale/pipelines/links.py
@@ -12,7 +12,11 @@
 import grpc
 
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.pipelines.constants import LINK_IDLE_S, PROBE_AFTER_S, SILENCE_S
+from wigeonscale.pipelines.constants import (
+    LINK_IDLE_S,
+    PROBE_AFTER_S,
+    RECONNECT_AFTER_S,
+)
 from wigeonscale.pipelines.waiting import wait_event
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
@@ -20,7 +24,7 @@
 
 logger = logging.getLogger(__name__)
 
-FRUITLESS_LIMIT = 2
+MAX_SILENT_CONNECTIONS = 2
 """Connections in a row that brought nothing before the peer counts as lost."""
 
 
@@ -56,12 +60,12 @@
         dial: Returns a new channel to an address.
         clock: Clock port.
         probe_after_s: Seconds of silence before asking for a sign of life.
-        silence_s: Seconds of silence before the next connection is opened.
+        reconnect_after_s: Seconds of silence before the next connection is opened.
         idle_s: Seconds without requests before the connection is closed.
 
     Attributes:
-        heard_at: Reading of the clock when the peer last sent a message; pauses of
-            this process put it off.
+        last_message_at: Reading of the clock when the peer last sent a message;
+            pauses of this process put it off.
     """
 
     def __init__(
@@ -71,22 +75,22 @@
         dial: Callable[[str], grpc.aio.Channel],
         clock: Clock,
         probe_after_s: float = PROBE_AFTER_S,
-        silence_s: float = SILENCE_S,
+        reconnect_after_s: float = RECONNECT_AFTER_S,
         idle_s: float = LINK_IDLE_S,
     ):
         self.address = address
         self._dial = dial
         self._clock = clock
         self._probe_after_s = probe_after_s
-        self._silence_s = silence_s
+        self._reconnect_after_s = reconnect_after_s
         self._idle_s = idle_s
         self._ids = itertools.count(1)
         self._calls: dict[int, _Call] = {}
         self._unsent: deque[wire.StepRequest] = deque()
-        self._to_send = asyncio.Event()
+        self._has_unsent = asyncio.Event()
         self._changed = asyncio.Event()
-        self.heard_at = 0.0
-        self._fruitless = 0
+        self.last_message_at = 0.0
+        self._silent_connections = 0
         self._task: asyncio.Task | None = None
 
     async def call(self, req: wire.StepRequest) -> wire.StepReply:
@@ -99,7 +103,7 @@
             PeerLostError: When two connections in a row brought nothing.
         """
         if not self._calls:
-            self.heard_at = self._clock.now()
+            self.last_message_at = self._clock.now()
         req.batch_id = next(self._ids)
         call = _Call(req, asyncio.get_running_loop().create_future())
         self._calls[req.batch_id] = call
@@ -128,18 +132,18 @@
         try:
             while self._calls:
                 await self._connect()
-                self._fruitless += 1
-                if self._fruitless >= FRUITLESS_LIMIT:
+                self._silent_connections += 1
+                if self._silent_connections >= MAX_SILENT_CONNECTIONS:
                     self._fail_all()
-                    self._fruitless = 0
+                    self._silent_connections = 0
         finally:
             self._task = None
 
     async def _connect(self) -> None:
         channel = self._dial(self.address)
         stream = wire_pb2_grpc.AgentStub(channel).Steps()
-        self.heard_at = self._clock.now()
-        self._queue_all()
+        self.last_message_at = self._clock.now()
+        self._requeue_calls()
         tasks = [
             asyncio.create_task(self._write(stream)),
             asyncio.create_task(self._read(stream)),
@@ -156,7 +160,7 @@
             await channel.close()
 
     async def _supervise(self, tasks: list[asyncio.Task]) -> None:
-        looked_at = self._clock.now()
+        last_check_at = self._clock.now()
         while not any(task.done() for task in tasks):
             self._changed.clear()
             if not self._calls:
@@ -165,11 +169,11 @@
                 continue
             now = self._clock.now()
             # A pause of this very process is no silence of the peer.
-            paused_s = max(0.0, now - looked_at - self._probe_after_s)
-            self.heard_at = min(now, self.heard_at + paused_s)
-            looked_at = now
-            silent_s = now - self.heard_at
-            if silent_s >= self._silence_s:
+            paused_s = max(0.0, now - last_check_at - self._probe_after_s)
+            self.last_message_at = min(now, self.last_message_at + paused_s)
+            last_check_at = now
+            silent_s = now - self.last_message_at
+            if silent_s >= self._reconnect_after_s:
                 logger.warning("stage at %s silent for %.2f s", self.address, silent_s)
                 return
             if silent_s >= self._probe_after_s:
@@ -178,16 +182,16 @@
 
     async def _write(self, stream) -> None:
         while True:
-            await self._to_send.wait()
+            await self._has_unsent.wait()
             while self._unsent:
                 await stream.write(self._unsent.popleft())
-            self._to_send.clear()
+            self._has_unsent.clear()
 
     async def _read(self, stream) -> None:
         try:
             async for reply in stream:
-                self.heard_at = self._clock.now()
-                self._fruitless = 0
+                self.last_message_at = self._clock.now()
+                self._silent_connections = 0
                 call = self._calls.get(reply.batch_id)
                 if call is not None and not call.fut.done():
                     call.fut.set_result(reply)
@@ -196,14 +200,14 @@
 
     def _send(self, req: wire.StepRequest) -> None:
         self._unsent.append(req)
-        self._to_send.set()
+        self._has_unsent.set()
 
-    def _queue_all(self) -> None:
+    def _requeue_calls(self) -> None:
         """Queue every open request for a new connection, as a further attempt."""
-        fresh = {id(req) for req in self._unsent}
+        unsent_ids = {id(req) for req in self._unsent}
         self._unsent.clear()
         for call in self._calls.values():
-            if id(call.req) not in fresh:
+            if id(call.req) not in unsent_ids:
                 for step in call.req.steps:
                     step.attempt += 1
             self._send(call.req)
--- a/wigeonscale/pipelines/records.py
+++ b/wigeonscale/pipelines/records.py
@@ -8,7 +8,11 @@
 from dataclasses import dataclass
 
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.pipelines.constants import ENDED_KEPT, SEQUENCE_IDLE_S, STILL_USED_S
+from wigeonscale.pipelines.constants import (
+    MAX_ENDED_SEQUENCES,
+    RECENT_USE_S,
+    SEQUENCE_IDLE_S,
+)
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -20,7 +24,7 @@
     Attributes:
         epoch: Epoch of the chain that it runs in.
         next_position: The only position that may run next.
-        used_at: Reading of the clock at its last step.
+        last_step_at: Reading of the clock at its last step.
         position: Position of its last step; -1 before the first.
         answer: Result of the last step, perhaps still to come.
         broken: Whether a step failed, so that none may follow.
@@ -28,15 +32,15 @@
 
     epoch: int
     next_position: int
-    used_at: float
+    last_step_at: float
     position: int = -1
-    answer: asyncio.Future | None = None
-    broken: bool = False
+    result_future: asyncio.Future | None = None
+    failed: bool = False
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Whether its last step still runs."""
-        return self.answer is not None and not self.answer.done()
+        return self.result_future is not None and not self.result_future.done()
 
 
 class SequenceRecords:
@@ -56,20 +60,22 @@
         on_ended: Callable[[str], None],
     ):
         self._clock = clock
-        self._may_begin = check_admission
+        self._check_admission = check_admission
         self._on_ended = on_ended
         self._running: dict[str, SequenceRecord] = {}
         self._ended: OrderedDict[str, SequenceRecord] = OrderedDict()
         self._epochs: dict[str, int] = {}
-        self._swept_at = clock.now()
+        self._last_expiry_at = clock.now()
 
     def __len__(self) -> int:
         return len(self._running)
 
     def recently_used(self) -> bool:
         """Return whether a head drove a sequence here a short while ago."""
-        oldest = self._clock.now() - STILL_USED_S
-        return any(r.runs or r.used_at > oldest for r in self._running.values())
+        oldest = self._clock.now() - RECENT_USE_S
+        return any(
+            r.is_running or r.last_step_at > oldest for r in self._running.values()
+        )
 
     def advance_epoch(self, chain_id: str, epoch: int) -> None:
         """Begin no sequence of an older epoch of this chain from now on."""
@@ -79,16 +85,14 @@
         """Return the record of a running or ended run."""
         return self._running.get(sequence_id) or self._ended.get(sequence_id)
 
-    def answer_to(self, step: wire.SequenceStep) -> asyncio.Future | None:
+    def recorded_result(self, step: wire.SequenceStep) -> asyncio.Future | None:
         """Return the result of a step that was let through before, or None."""
-        known = self.find(step.sequence_id)
-        if known is not None and known.position == step.position:
-            return known.answer
+        record = self.find(step.sequence_id)
+        if record is not None and record.position == step.position:
+            return record.result_future
         return None
 
-    def let_through(
-        self, step: wire.SequenceStep, req: wire.StepRequest
-    ) -> asyncio.Future:
+    def admit(self, step: wire.SequenceStep, req: wire.StepRequest) -> asyncio.Future:
         """Record a step that is to run now.
 
         Returns:
@@ -98,73 +102,74 @@
             WigeonscaleError: When the step must not run.
         """
         self._check(step, req)
-        known = self._running.get(step.sequence_id)
-        if known is None:
-            known = SequenceRecord(step.epoch, 0, self._clock.now())
-            self._running[step.sequence_id] = known
+        record = self._running.get(step.sequence_id)
+        if record is None:
+            record = SequenceRecord(step.epoch, 0, self._clock.now())
+            self._running[step.sequence_id] = record
             self.advance_epoch(req.chain_id, req.epoch)
-        known.position = step.position
-        known.next_position = step.position + step.count
-        known.used_at = self._clock.now()
-        known.answer = asyncio.get_running_loop().create_future()
-        return known.answer
+        record.position = step.position
+        record.next_position = step.position + step.count
+        record.last_step_at = self._clock.now()
+        record.result_future = asyncio.get_running_loop().create_future()
+        return record.result_future
 
-    def settle(self, result: wire.StepResult) -> None:
+    def set_result(self, result: wire.StepResult) -> None:
         """Set the result of the step that was let through last."""
-        known = self.find(result.sequence_id)
-        if known is None or known.answer is None:
+        record = self.find(result.sequence_id)
+        if record is None or record.result_future is None:
             return
-        known.broken = known.broken or bool(result.kind)
-        if not known.answer.done():
-            known.answer.set_result(result)
+        record.failed = record.failed or bool(result.kind)
+        if not record.result_future.done():
+            record.result_future.set_result(result)
 
     def end(self, sequence_id: str) -> None:
         """End a run but keep its last answer; it never begins again."""
-        known = self._running.pop(sequence_id, None)
-        if known is not None:
-            self._ended[sequence_id] = known
+        record = self._running.pop(sequence_id, None)
+        if record is not None:
+            self._ended[sequence_id] = record
             self._on_ended(sequence_id)
         elif sequence_id not in self._ended:
             self._ended[sequence_id] = SequenceRecord(0, 0, 0.0)
-        while len(self._ended) > ENDED_KEPT:
+        while len(self._ended) > MAX_ENDED_SEQUENCES:
             self._ended.popitem(last=False)
 
-    def sweep(self) -> None:
+    def expire_idle(self) -> None:
         """End sequences whose head is gone."""
         now = self._clock.now()
-        if now - self._swept_at < SEQUENCE_IDLE_S / 4:
+        if now - self._last_expiry_at < SEQUENCE_IDLE_S / 4:
             return
-        self._swept_at = now
-        for sequence_id, known in list(self._running.items()):
-            if now - known.used_at > SEQUENCE_IDLE_S and not known.runs:
+        self._last_expiry_at = now
+        for sequence_id, record in list(self._running.items()):
+            if now - record.last_step_at > SEQUENCE_IDLE_S and not record.is_running:
                 self.end(sequence_id)
 
     def _check(self, step: wire.SequenceStep, req: wire.StepRequest) -> None:
-        name = f"sequence {step.sequence_id}"
-        known = self._running.get(step.sequence_id)
+        label = f"sequence {step.sequence_id}"
+        record = self._running.get(step.sequence_id)
         if step.sequence_id in self._ended:
-            raise WigeonscaleError(ErrorKind.CANCELLED, f"{name} was ended here")
-        if step.epoch != req.epoch or (known and known.epoch != step.epoch):
+            raise WigeonscaleError(ErrorKind.CANCELLED, f"{label} was ended here")
+        if step.epoch != req.epoch or (record and record.epoch != step.epoch):
             raise WigeonscaleError(
-                ErrorKind.STALE_EPOCH, f"{name} does not run in epoch {step.epoch}"
+                ErrorKind.STALE_EPOCH, f"{label} does not run in epoch {step.epoch}"
             )
-        if known is None:
-            self._check_first(step, req, name)
+        if record is None:
+            self._check_first(step, req, label)
             return
-        if known.runs:
+        if record.is_running:
             raise WigeonscaleError(
-                ErrorKind.BAD_REQUEST, f"{name}: position {known.position} still runs"
+                ErrorKind.BAD_REQUEST, f"{label}: position {record.position} still runs"
             )
-        if known.broken:
-            raise WigeonscaleError(ErrorKind.BACKEND_FAILED, f"{name} broke here")
-        if step.first or step.position != known.next_position or step.count < 1:
+        if record.failed:
+            raise WigeonscaleError(ErrorKind.BACKEND_FAILED, f"{label} broke here")
+        if step.first or step.position != record.next_position or step.count < 1:
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"{name}: position {step.position} where {known.next_position} is next",
+                f"{label}: position {step.position} where"
+                f" {record.next_position} is next",
             )
 
     def _check_first(
-        self, step: wire.SequenceStep, req: wire.StepRequest, name: str
+        self, step: wire.SequenceStep, req: wire.StepRequest, label: str
     ) -> None:
         newest = self._epochs.get(req.chain_id, 0)
         if req.epoch < newest:
@@ -175,6 +180,6 @@
         if not step.first or step.position != 0 or step.count < 1:
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"{name} is not known here at position {step.position}",
+                f"{label} is not known here at position {step.position}",
             )
-        self._may_begin()
+        self._check_admission()
--- a/wigeonscale/pipelines/recovery.py
+++ b/wigeonscale/pipelines/recovery.py
@@ -20,7 +20,7 @@
 # what crashes the engines, as may any other that begins with it; the entry, which knows
 # of other attempts, decides whether it goes on elsewhere. Without the limit five
 # engines crash under one dispatch where a chain is repaired four times.
-LOST_BEFORE_A_TOKEN = 2
+MAX_LOST_EPOCHS_BEFORE_TOKEN = 2
 
 
 class Recovery:
@@ -83,7 +83,7 @@
         for stage in chain.stages:
             if stage.agent_id in unreachable:
                 self._suspect(stage.agent_id, stage.incarnation)
-        generations = self._fail_often_lost(generations, chain)
+        generations = self._fail_after_lost_epochs(generations, chain)
         if not generations:
             return
         task = asyncio.create_task(self._recover(generations, chain))
@@ -108,25 +108,25 @@
                     self._resume(waiting, newest)
                     return
             oldest = min(generation.failing_since for generation in waiting)
-            left_s = oldest + self._timeout_s - now
+            remaining_s = oldest + self._timeout_s - now
             pause_s = retry_at - now if now < retry_at else self._backoff_s
-            await wait_event(changed, self._clock, min(pause_s, left_s))
+            await wait_event(changed, self._clock, min(pause_s, remaining_s))
 
-    def _fail_often_lost(
+    def _fail_after_lost_epochs(
         self, generations: list[Generation], chain: wire.Chain
     ) -> list[Generation]:
         """Fail those that were lost too often before a token; return the others."""
-        left: list[Generation] = []
+        remaining: list[Generation] = []
         for generation in generations:
-            epochs = generation.note_lost(chain.epoch)
-            if epochs < LOST_BEFORE_A_TOKEN:
-                left.append(generation)
+            epochs = generation.record_chain_loss(chain.epoch)
+            if epochs < MAX_LOST_EPOCHS_BEFORE_TOKEN:
+                remaining.append(generation)
                 continue
             _fail(
                 generation,
                 f"{epochs} epochs of chain {chain.chain_id} were lost before a token",
             )
-        return left
+        return remaining
 
     def _pause_s(self, waiting: list[Generation]) -> float:
         failures = min(generation.failures for generation in waiting)
@@ -135,19 +135,19 @@
     def _fail_overdue(
         self, waiting: list[Generation], chain: wire.Chain
     ) -> list[Generation]:
-        oldest_allowed = self._clock.now() - self._timeout_s
-        left: list[Generation] = []
+        overdue_since = self._clock.now() - self._timeout_s
+        remaining: list[Generation] = []
         for generation in waiting:
             if generation.ended:
                 continue
-            if generation.failing_since > oldest_allowed:
-                left.append(generation)
+            if generation.failing_since > overdue_since:
+                remaining.append(generation)
                 continue
             _fail(
                 generation,
                 f"chain {chain.chain_id} gave no token for {self._timeout_s:g} s",
             )
-        return left
+        return remaining
 
 
 def _fail(generation: Generation, message: str) -> None:
--- a/wigeonscale/pipelines/stage.py
+++ b/wigeonscale/pipelines/stage.py
@@ -76,7 +76,7 @@
         self._clock = clock
         self._engine_done_at = 0.0
         self._to_cancel: list[str] = []
-        self._call_limits: set[asyncio.Timeout] = set()
+        self._call_timeouts: set[asyncio.Timeout] = set()
         self._tasks: set[asyncio.Task] = set()
 
     @property
@@ -95,8 +95,8 @@
     def abort_engine_calls(self) -> None:
         """Fail the engine calls in progress: the engine gives no sign of life."""
         now = asyncio.get_running_loop().time()
-        for limit in self._call_limits:
-            limit.reschedule(now)
+        for call_timeout in self._call_timeouts:
+            call_timeout.reschedule(now)
 
     async def run(self, req: wire.StepRequest) -> wire.StepReply:
         """Run one iteration through this stage and all after it.
@@ -110,17 +110,15 @@
         """
         for sequence_id in req.cancelled:
             self._records.end(sequence_id)
-        self._records.sweep()
+        self._records.expire_idle()
         refusal = self._refusal(req)
-        answers = [self._enter(step, req, refusal) for step in req.steps]
-        fresh = [
-            step
-            for step, (_, is_fresh) in zip(req.steps, answers, strict=True)
-            if is_fresh
+        pending = [self._admit_step(step, req, refusal) for step in req.steps]
+        new_steps = [
+            step for step, (_, is_new) in zip(req.steps, pending, strict=True) if is_new
         ]
-        if fresh or (req.cancelled and len(req.rest) > 1):
-            await self._run_fresh(req, fresh)
-        results = [await fut for fut, _ in answers]
+        if new_steps or (req.cancelled and len(req.rest) > 1):
+            await self._run_new_steps(req, new_steps)
+        results = [await fut for fut, _ in pending]
         for step in req.steps:
             if step.last:
                 self._records.end(step.sequence_id)
@@ -160,91 +158,93 @@
             )
         return None
 
-    def _enter(
+    def _admit_step(
         self,
         step: wire.SequenceStep,
         req: wire.StepRequest,
         refusal: WigeonscaleError | None,
     ) -> tuple[asyncio.Future, bool]:
         """Return the future of a step's result and whether it must run now."""
-        answer = self._records.answer_to(step)
-        if answer is not None:
-            return answer, False
+        recorded = self._records.recorded_result(step)
+        if recorded is not None:
+            return recorded, False
         try:
             if refusal is not None:
                 raise refusal
-            return self._records.let_through(step, req), True
+            return self._records.admit(step, req), True
         except WigeonscaleError as exc:
-            return _settled(self._failed(step, exc.kind, exc.message)), False
+            return _completed_future(
+                self._failed_result(step, exc.kind, exc.message)
+            ), False
 
-    async def _run_fresh(
-        self, req: wire.StepRequest, fresh: list[wire.SequenceStep]
+    async def _run_new_steps(
+        self, req: wire.StepRequest, new_steps: list[wire.SequenceStep]
     ) -> None:
         """Run fresh steps and settle their futures, whatever happens."""
         results: dict[str, wire.StepResult] = {}
         try:
-            outputs = await self._run_engine(req, fresh, results)
-            await self._pass_on(req, fresh, outputs, results)
+            outputs = await self._run_engine(req, new_steps, results)
+            await self._forward(req, new_steps, outputs, results)
         except Exception as exc:
             logger.exception("iteration of chain %s failed", req.chain_id)
-            for step in fresh:
-                failure = self._failed(step, ErrorKind.INTERNAL, repr(exc))
+            for step in new_steps:
+                failure = self._failed_result(step, ErrorKind.INTERNAL, repr(exc))
                 results.setdefault(step.sequence_id, failure)
         finally:
-            for step in fresh:
-                missing = self._failed(step, ErrorKind.INTERNAL, NO_RESULT)
-                self._records.settle(results.get(step.sequence_id, missing))
+            for step in new_steps:
+                missing = self._failed_result(step, ErrorKind.INTERNAL, NO_RESULT)
+                self._records.set_result(results.get(step.sequence_id, missing))
 
     async def _run_engine(
         self,
         req: wire.StepRequest,
-        fresh: list[wire.SequenceStep],
+        new_steps: list[wire.SequenceStep],
         results: dict[str, wire.StepResult],
     ) -> list[EngineResult]:
-        if not fresh:
+        if not new_steps:
             return []
-        steps = [_engine_step(step, req.rest[0]) for step in fresh]
+        steps = [_engine_step(step, req.rest[0]) for step in new_steps]
         METRICS.iterations.add()
         try:
             async with self._engine_calls:
                 began_at = self._clock.now()
                 outputs = await self._call_engine(steps)
-                self._observe(fresh, began_at)
+                self._observe(new_steps, began_at)
         except (WigeonscaleError, TimeoutError) as exc:
             logger.warning("engine call failed: %r", exc)
             self._on_engine_failed()
-            for step in fresh:
-                results[step.sequence_id] = self._failed(
+            for step in new_steps:
+                results[step.sequence_id] = self._failed_result(
                     step, ErrorKind.BACKEND_FAILED, f"engine call failed: {exc!r}"
                 )
             return []
-        for step, output in zip(fresh, outputs, strict=True):
+        for step, output in zip(new_steps, outputs, strict=True):
             if output.error:
-                results[step.sequence_id] = self._failed(
+                results[step.sequence_id] = self._failed_result(
                     step, ErrorKind.BACKEND_FAILED, output.error
                 )
         return [output for output in outputs if not output.error]
 
     async def _call_engine(self, steps: list[EngineStep]) -> list[EngineResult]:
-        async with asyncio.timeout(self._step_timeout_s) as limit:
-            self._call_limits.add(limit)
+        async with asyncio.timeout(self._step_timeout_s) as call_timeout:
+            self._call_timeouts.add(call_timeout)
             try:
                 return await self._engine.run(steps)
             finally:
-                self._call_limits.discard(limit)
+                self._call_timeouts.discard(call_timeout)
 
-    def _observe(self, fresh: list[wire.SequenceStep], began_at: float) -> None:
+    def _observe(self, new_steps: list[wire.SequenceStep], began_at: float) -> None:
         # The engine works on one iteration at a time, so the time spent waiting
         # for the one before is not this one's.
         now = self._clock.now()
         seconds = now - max(began_at, self._engine_done_at)
         self._engine_done_at = now
-        self.cost.observe(sum(step.count for step in fresh), seconds)
+        self.cost.observe(sum(step.count for step in new_steps), seconds)
 
-    async def _pass_on(
+    async def _forward(
         self,
         req: wire.StepRequest,
-        fresh: list[wire.SequenceStep],
+        new_steps: list[wire.SequenceStep],
         outputs: list[EngineResult],
         results: dict[str, wire.StepResult],
     ) -> None:
@@ -253,32 +253,32 @@
                 results[output.sequence_id] = _token_result(output)
             return
         hidden = {output.sequence_id: output.hidden for output in outputs}
-        onward = wire.StepRequest(
+        forwarded = wire.StepRequest(
             chain_id=req.chain_id,
             epoch=req.epoch,
             rest=req.rest[1:],
             cancelled=req.cancelled,
         )
-        for step in fresh:
+        for step in new_steps:
             if step.sequence_id in hidden:
-                copy = onward.steps.add()
+                copy = forwarded.steps.add()
                 copy.CopyFrom(step)
                 copy.hidden = hidden[step.sequence_id]
                 copy.attempt = 1
-        if not onward.steps and not onward.cancelled:
+        if not forwarded.steps and not forwarded.cancelled:
             return
-        following = req.rest[1]
+        next_stage = req.rest[1]
         try:
-            reply = await self._links.call(following.address, onward)
+            reply = await self._links.call(next_stage.address, forwarded)
         except PeerLostError as exc:
-            for step in onward.steps:
-                results[step.sequence_id] = self._failed(
-                    step, exc.kind, exc.message, following.agent_id
+            for step in forwarded.steps:
+                results[step.sequence_id] = self._failed_result(
+                    step, exc.kind, exc.message, next_stage.agent_id
                 )
             return
         results.update({result.sequence_id: result for result in reply.results})
 
-    def _failed(
+    def _failed_result(
         self,
         step: wire.SequenceStep,
         kind: ErrorKind,
@@ -311,7 +311,7 @@
             logger.warning("engine did not cancel %s: %s", sequence_ids, exc)
 
 
-def _settled(result: wire.StepResult) -> asyncio.Future:
+def _completed_future(result: wire.StepResult) -> asyncio.Future:
     fut = asyncio.get_running_loop().create_future()
     fut.set_result(result)
     return fut
--- a/wigeonscale/pipelines/tests/test_cost.py
+++ b/wigeonscale/pipelines/tests/test_cost.py
@@ -1,7 +1,10 @@
 import testscenarios
 
-from wigeonscale.pipelines.constants import INITIAL_PREFILL_POSITIONS, PREFILL_LEAST
-from wigeonscale.pipelines.cost import TRUSTED_FACTOR, IterationCost
+from wigeonscale.pipelines.constants import (
+    INITIAL_PREFILL_POSITIONS,
+    MIN_PREFILL_POSITIONS,
+)
+from wigeonscale.pipelines.cost import MAX_EXTRAPOLATION_FACTOR, IterationCost
 from wigeonscale.testing import AsyncTestCase
 
 
@@ -14,10 +17,10 @@
 
     def test_share_is_learnt_from_two_sizes(self):
         cost = IterationCost()
-        self.assertEqual(0.0, cost.flat_share(16))
+        self.assertEqual(0.0, cost.fixed_cost_share(16))
         for size in (1, 5, 16, 17, 16, 1):
             cost.observe(size, self.flat_s + self.each_s * size)
-        self.assertAlmostEqual(self.share, cost.flat_share(16), places=6)
+        self.assertAlmostEqual(self.share, cost.fixed_cost_share(16), places=6)
 
 
 class LearningTest(AsyncTestCase):
@@ -25,7 +28,7 @@
         cost = IterationCost()
         cost.observe(8, 1.0)
         cost.observe(9, 1.0)
-        self.assertEqual(0.0, cost.flat_share(8))
+        self.assertEqual(0.0, cost.fixed_cost_share(8))
 
     def test_room_grows_with_the_sizes_seen(self):
         cost = IterationCost()
@@ -36,11 +39,12 @@
         self.assertEqual(INITIAL_PREFILL_POSITIONS, cost.positions_within(0.01))
         cost.observe(INITIAL_PREFILL_POSITIONS, 0.002)
         self.assertEqual(
-            TRUSTED_FACTOR * INITIAL_PREFILL_POSITIONS, cost.positions_within(0.01)
+            MAX_EXTRAPOLATION_FACTOR * INITIAL_PREFILL_POSITIONS,
+            cost.positions_within(0.01),
         )
         cost.observe(1001, 0.102)
         self.assertEqual(100, cost.positions_within(0.01))
-        self.assertEqual(PREFILL_LEAST, cost.positions_within(0.0001))
+        self.assertEqual(MIN_PREFILL_POSITIONS, cost.positions_within(0.0001))
 
     def test_later_times_replace_earlier_ones(self):
         cost = IterationCost()
@@ -49,4 +53,4 @@
         for _ in range(200):
             cost.observe(16, 0.32)
             cost.observe(1, 0.02)
-        self.assertAlmostEqual(0.0, cost.flat_share(16), places=3)
+        self.assertAlmostEqual(0.0, cost.fixed_cost_share(16), places=3)
--- a/wigeonscale/pipelines/tests/test_fuzz.py
+++ b/wigeonscale/pipelines/tests/test_fuzz.py
@@ -12,7 +12,7 @@
 
 GOOD_STAGE = wire.Stage(agent_id="a0", incarnation=7, last_layer=3)
 # Most steps fit, so that many come past the first checks; each oddity spoils one.
-ODDITIES = (
+MUTATIONS = (
     {"first": True},
     {"first": False},
     {"count": 2},
@@ -31,7 +31,7 @@
 )
 
 
-def build_step(sequence, position, oddity):
+def build_step(sequence, position, mutation):
     fields = {
         "sequence_id": sequence,
         "epoch": 1,
@@ -40,14 +40,14 @@
         "first": position == 0,
         "hidden": b'["x"]',
     }
-    return wire.SequenceStep(**{**fields, **oddity})
+    return wire.SequenceStep(**{**fields, **mutation})
 
 
 steps = st.builds(
     build_step,
     st.sampled_from(["a#1", "b#1"]),
     st.sampled_from([0, 0, 1, 2]),
-    st.sampled_from([{}] * len(ODDITIES) + list(ODDITIES)),
+    st.sampled_from([{}] * len(MUTATIONS) + list(MUTATIONS)),
 )
 stages = st.sampled_from([GOOD_STAGE] * 12 + list(BAD_STAGES))
 requests = st.builds(
--- a/wigeonscale/pipelines/tests/test_head.py
+++ b/wigeonscale/pipelines/tests/test_head.py
@@ -3,7 +3,10 @@
 
 from wigeonscale.agent.tests.support import until
 from wigeonscale.errors import ErrorKind
-from wigeonscale.pipelines.constants import MAX_POSITIONS_PER_ITERATION, PREFILL_GAP_S
+from wigeonscale.pipelines.constants import (
+    MAX_POSITIONS_PER_ITERATION,
+    MAX_PREFILL_DELAY_S,
+)
 from wigeonscale.pipelines.cost import IterationCost
 from wigeonscale.pipelines.generation import Generation
 from wigeonscale.pipelines.head import ChainHead
@@ -18,7 +21,7 @@
 )
 
 
-class HeldStage:
+class BlockingStage:
     """Records iterations and answers them once it is let go."""
 
     def __init__(self):
@@ -42,7 +45,7 @@
 
 class BatchTest(AsyncTestCase):
     async def prepare(self):
-        self.stage = HeldStage()
+        self.stage = BlockingStage()
         self.ends = []
         self.suspected = []
         self.head = ChainHead(
@@ -106,7 +109,7 @@
         for size in (1, 101):
             self.stage.cost.observe(size, 0.0002 * size)
         # Three iterations are in flight, so each may take a third of the gap.
-        most = int(PREFILL_GAP_S / 3 / 0.0002)
+        most = int(MAX_PREFILL_DELAY_S / 3 / 0.0002)
         lengths = (1, 1, 1, 500, 900, 2000)
         for pieces in lengths:
             self.start(pieces, tokens=1)
--- a/wigeonscale/pipelines/tests/test_links.py
+++ b/wigeonscale/pipelines/tests/test_links.py
@@ -7,7 +7,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-SILENCE_S = 0.5
+RECONNECT_AFTER_S = 0.5
 PROBE_S = 0.2
 
 
@@ -49,7 +49,7 @@
             dial=open_channel,
             clock=self.clock,
             probe_after_s=PROBE_S,
-            silence_s=SILENCE_S,
+            reconnect_after_s=RECONNECT_AFTER_S,
         )
         self.addCleanup(link.close)
         return link
@@ -60,7 +60,7 @@
 
     async def go_silent(self, attempts):
         await until(lambda: self.peer.attempts == attempts)
-        await self.clock.advance(SILENCE_S + PROBE_S)
+        await self.clock.advance(RECONNECT_AFTER_S + PROBE_S)
 
     async def test_many_requests_share_one_stream(self):
         await asyncio.gather(*(self.call() for _ in range(20)))
@@ -87,7 +87,7 @@
         self.peer.holds_steps = True
         call = self.call()
         await until(lambda: self.peer.attempts == [1])
-        await self.clock.jump(20 * SILENCE_S)
+        await self.clock.jump(20 * RECONNECT_AFTER_S)
         await until(lambda: self.peer.probes or self.peer.streams > 1)
         self.assertEqual((1, [1]), (self.peer.streams, self.peer.attempts))
         call.cancel()
@@ -105,8 +105,8 @@
         for probes in range(1, 9):
             await self.clock.advance(PROBE_S)
             await until(lambda probes=probes: self.peer.probes >= probes)
-            heard_at = self.clock.now()
-            await until(lambda at=heard_at: self.link.heard_at >= at)
+            last_message_at = self.clock.now()
+            await until(lambda at=last_message_at: self.link.last_message_at >= at)
         self.assertEqual((1, [1]), (self.peer.streams, self.peer.attempts))
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
--- a/wigeonscale/rules/checks.py
+++ b/wigeonscale/rules/checks.py
@@ -12,114 +12,114 @@
 from wigeonscale.rules.sections import SectionParts, key_line
 
 # Rules with more terms are not searched for shadowing: subsets double each time.
-MAX_SHADOW_TERMS = 8
+MAX_SHADOW_CHECK_TERMS = 8
 ALWAYS = ""
 
 
 def cross_check(
     document: Document,
-    touched: Iterable[str],
+    changed_names: Iterable[str],
     line_of: Callable[[str], int],
-    broken: Container[str] = (),
+    invalid: Container[str] = (),
 ) -> list[Problem]:
     """Return what is wrong between sections, as far as changed ones are involved.
 
     Args:
         document: The changed document.
-        touched: Names of the sections that were put or removed.
+        changed_names: Names of the sections that were put or removed.
         line_of: Gives the line at which a section begins; only asked for problems.
-        broken: Names of sections left out because they are wrong by themselves.
+        invalid: Names of sections left out because they are wrong by themselves.
     """
-    check = _Check(document=document, line_of=line_of, broken=broken)
-    for section_name in touched:
-        check.section(section_name)
-    return check.problems
+    checker = _CrossChecker(document=document, line_of=line_of, invalid=invalid)
+    for section_name in changed_names:
+        checker.check_section(section_name)
+    return checker.problems
 
 
-class _Check:
+class _CrossChecker:
     def __init__(
         self,
         *,
         document: Document,
         line_of: Callable[[str], int],
-        broken: Container[str],
+        invalid: Container[str],
     ):
         self.problems: list[Problem] = []
         self._document = document
         self._tables = document.tables
         self._line_of = line_of
-        self._broken = broken
+        self._invalid = invalid
 
-    def section(self, section_name: str) -> None:
+    def check_section(self, section_name: str) -> None:
         kind, _, name = section_name.partition(" ")
         parsed = getattr(self._tables, f"{kind}s", {}).get(name)
         if parsed is None:
-            self._dangling_uses(section_name)
+            self._check_references_to(section_name)
         elif isinstance(parsed, Organisation):
-            self._shared_keys(parsed)
+            self._check_shared_keys(parsed)
         elif isinstance(parsed, Pipeline):
-            self._too_many_stages(parsed)
+            self._check_stage_count(parsed)
         elif isinstance(parsed, Rule):
-            self._missing_targets(parsed)
-            self._unreachable(parsed)
+            self._check_targets(parsed)
+            self._check_reachable(parsed)
 
-    def _found(self, section: str, key: str, value: str, allowed: str) -> None:
+    def _add_problem(self, section: str, key: str, value: str, allowed: str) -> None:
         text = self._tables.sections[section].text
         parts = SectionParts(section, text, self._line_of(section))
         line = key_line(parts, key) or parts.line
         self.problems.append(Problem(section, key, line, value, allowed))
 
-    def _dangling_uses(self, removed: str) -> None:
-        if not self._tables.uses.get(removed) or removed in self._broken:
+    def _check_references_to(self, removed: str) -> None:
+        if not self._tables.uses.get(removed) or removed in self._invalid:
             return
         for rule in self._document.rules:
             for key, target in rule.targets:
                 if target == removed:
-                    self._missing_target(rule, key, target)
+                    self._add_missing_target(rule, key, target)
 
-    def _missing_targets(self, rule: Rule) -> None:
+    def _check_targets(self, rule: Rule) -> None:
         for key, target in rule.targets:
-            known = target in self._tables.sections or target in self._broken
+            known = target in self._tables.sections or target in self._invalid
             if not known:
-                self._missing_target(rule, key, target)
+                self._add_missing_target(rule, key, target)
 
-    def _missing_target(self, rule: Rule, key: str, target: str) -> None:
+    def _add_missing_target(self, rule: Rule, key: str, target: str) -> None:
         kind, _, name = target.partition(" ")
         allowed = f"the name of a [{kind} NAME] section of this document"
-        self._found(f"rule {rule.name}", key, name, allowed)
+        self._add_problem(f"rule {rule.name}", key, name, allowed)
 
-    def _shared_keys(self, organisation: Organisation) -> None:
+    def _check_shared_keys(self, organisation: Organisation) -> None:
         section = f"organisation {organisation.name}"
         for digest in organisation.key_digests:
             owners = self._tables.key_owners[digest]
             if len(owners) > 1:
                 allowed = f"a key held once; held by {', '.join(owners)}"
-                self._found(section, "keys", f"sha256:{digest}", allowed)
+                self._add_problem(section, "keys", f"sha256:{digest}", allowed)
 
-    def _too_many_stages(self, pipeline: Pipeline) -> None:
+    def _check_stage_count(self, pipeline: Pipeline) -> None:
         if pipeline.stages > pipeline.layers:
             section = f"pipeline {pipeline.name}"
             allowed = f"at most one stage a layer, {pipeline.layers}"
-            self._found(section, "stages", str(pipeline.stages), allowed)
+            self._add_problem(section, "stages", str(pipeline.stages), allowed)
 
-    def _unreachable(self, rule: Rule) -> None:
+    def _check_reachable(self, rule: Rule) -> None:
         for other in self._tables.conditions[rule.condition]:
-            self._shadowed(*sorted((rule.name, other), key=self._label))
+            self._add_shadowed(*sorted((rule.name, other), key=self._label))
         for always in self._tables.conditions.get(ALWAYS, ()):
             if self._label(always) < self._label(rule.name):
-                self._shadowed(always, rule.name)
+                self._add_shadowed(always, rule.name)
         if rule.condition == ALWAYS:
-            self._rules_after(rule.name)
+            self._check_rules_after(rule.name)
 
-    def _rules_after(self, always: str) -> None:
+    def _check_rules_after(self, always: str) -> None:
         for name in self._tables.rules:
             if self._label(name) > self._label(always):
-                self._shadowed(always, name)
+                self._add_shadowed(always, name)
 
-    def _shadowed(self, earlier: str, later: str) -> None:
+    def _add_shadowed(self, earlier: str, later: str) -> None:
         if earlier != later:
             allowed = f"a condition that rule {earlier} before it does not always meet"
-            self._found(f"rule {later}", "when", later, allowed)
+            self._add_problem(f"rule {later}", "when", later, allowed)
 
     def _label(self, rule_name: str) -> int:
         return self._tables.sections[f"rule {rule_name}"].label
@@ -137,13 +137,13 @@
     seen: dict[frozenset[str], str] = {}
     for rule in document.rules:
         terms = sorted({str(term) for term in rule.terms})
-        earlier = _seen_subset(seen, terms[:MAX_SHADOW_TERMS])
+        earlier = _find_subset(seen, terms[:MAX_SHADOW_CHECK_TERMS])
         if earlier is not None:
             yield rule.name, earlier
         seen.setdefault(frozenset(terms), rule.name)
 
 
-def _seen_subset(seen: dict[frozenset[str], str], terms: list[str]) -> str | None:
+def _find_subset(seen: dict[frozenset[str], str], terms: list[str]) -> str | None:
     for size in range(len(terms) + 1):
         for subset in itertools.combinations(terms, size):
             if frozenset(subset) in seen:
--- a/wigeonscale/rules/conditions.py
+++ b/wigeonscale/rules/conditions.py
@@ -97,13 +97,13 @@
     return list(lexer)[::-1]
 
 
-def _take(tokens: list[str]) -> str:
+def _next_token(tokens: list[str]) -> str:
     if not tokens:
         raise ValueError("ends too early")
     return tokens.pop()
 
 
-def _take_if(tokens: list[str], word: str) -> bool:
+def _accept(tokens: list[str], word: str) -> bool:
     found = tokens[-1:] == [word]
     if found:
         tokens.pop()
@@ -111,14 +111,14 @@
 
 
 def _expect(tokens: list[str], *words: str) -> str:
-    word = _take(tokens)
+    word = _next_token(tokens)
     if word not in words:
         raise ValueError(f"{word!r} where {' or '.join(words)} is due")
     return word
 
 
 def _parse_term(tokens: list[str]) -> Term:
-    negated = _take_if(tokens, "not")
+    negated = _accept(tokens, "not")
     field = _expect(tokens, *TEXT_FIELDS, *NUMBER_FIELDS, "header", "stream")
     if field in NUMBER_FIELDS:
         return _number_term(field, negated, tokens)
@@ -133,15 +133,15 @@
     relations = ("is", "in", "under") if field == "path" else ("is", "in")
     relation = _expect(tokens, *relations)
     if relation == "under":
-        return Term(field, relation, (_checked_prefix(_take(tokens)),), negated)
-    values = _value_list(tokens) if relation == "in" else (_take_value(tokens),)
+        return Term(field, relation, (_checked_prefix(_next_token(tokens)),), negated)
+    values = _value_list(tokens) if relation == "in" else (_next_value(tokens),)
     if field == "method":
         values = tuple(value.upper() for value in values)
     return Term(field, "is", values, negated, header)
 
 
 def _header_name(tokens: list[str]) -> str:
-    name = _take(tokens).lower()
+    name = _next_token(tokens).lower()
     if not HEADER_NAME.fullmatch(name):
         raise ValueError(f"{name!r} is not a header name")
     return name
@@ -149,20 +149,20 @@
 
 def _number_term(field: str, negated: bool, tokens: list[str]) -> Term:
     relation = _expect(tokens, "is", "above", "below")
-    return Term(field, relation, (str(int(_take(tokens))),), negated)
+    return Term(field, relation, (str(int(_next_token(tokens))),), negated)
 
 
-def _take_value(tokens: list[str]) -> str:
-    value = _take(tokens)
+def _next_value(tokens: list[str]) -> str:
+    value = _next_token(tokens)
     if set(value) <= {","}:
         raise ValueError("a value is missing")
     return value
 
 
 def _value_list(tokens: list[str]) -> tuple[str, ...]:
-    values = [_take_value(tokens)]
-    while _take_if(tokens, ","):
-        values.append(_take_value(tokens))
+    values = [_next_value(tokens)]
+    while _accept(tokens, ","):
+        values.append(_next_value(tokens))
     return tuple(sorted(set(values)))
 
 
--- a/wigeonscale/rules/diff.py
+++ b/wigeonscale/rules/diff.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-from wigeonscale.rules.document import ENDS, Document
+from wigeonscale.rules.document import SENTINEL, Document
 from wigeonscale.wire import wire_pb2
 
 
@@ -22,7 +22,7 @@
 
     name: str
     text: str | None
-    after: str = ENDS
+    after: str = SENTINEL
 
 
 def plan_edits(old: Document, texts: Mapping[str, str]) -> Iterator[Edit]:
@@ -41,8 +41,8 @@
     for name in old_names:
         if name not in texts:
             yield Edit(name, None)
-    kept = _kept_in_place(old_names, list(texts))
-    previous = ENDS
+    kept = _unmoved_names(old_names, list(texts))
+    previous = SENTINEL
     for name, text in texts.items():
         if name not in kept or sections[name].text != text:
             yield Edit(name, text, previous)
@@ -72,26 +72,26 @@
     ]
 
 
-def _kept_in_place(old_names: Sequence[str], new_names: Sequence[str]) -> set[str]:
-    places = {name: place for place, name in enumerate(old_names)}
-    common = [name for name in new_names if name in places]
-    order = [places[name] for name in common]
-    return {common[place] for place in _longest_increasing(order)}
+def _unmoved_names(old_names: Sequence[str], new_names: Sequence[str]) -> set[str]:
+    positions = {name: index for index, name in enumerate(old_names)}
+    common = [name for name in new_names if name in positions]
+    order = [positions[name] for name in common]
+    return {common[index] for index in _longest_increasing(order)}
 
 
 def _longest_increasing(numbers: Sequence[int]) -> list[int]:
     """Return the places of a longest increasing subsequence (patience sorting)."""
     tails: list[int] = []
-    tail_places: list[int] = []
-    before: list[int] = []
-    for place, number in enumerate(numbers):
+    tail_indices: list[int] = []
+    predecessors: list[int] = []
+    for index, number in enumerate(numbers):
         pile = bisect.bisect_left(tails, number)
-        before.append(tail_places[pile - 1] if pile else -1)
+        predecessors.append(tail_indices[pile - 1] if pile else -1)
         tails[pile : pile + 1] = [number]
-        tail_places[pile : pile + 1] = [place]
+        tail_indices[pile : pile + 1] = [index]
     found = []
-    place = tail_places[-1] if tail_places else -1
-    while place >= 0:
-        found.append(place)
-        place = before[place]
+    index = tail_indices[-1] if tail_indices else -1
+    while index >= 0:
+        found.append(index)
+        index = predecessors[index]
     return found[::-1]
--- a/wigeonscale/rules/document.py
+++ b/wigeonscale/rules/document.py
@@ -11,7 +11,7 @@
 from wigeonscale.rules.schema import Rule
 
 # Name of the ring's sentinel: before the first section and after the last.
-ENDS = ""
+SENTINEL = ""
 DIGEST_BITS = 256
 
 
@@ -30,8 +30,8 @@
 
     name: str
     text: str
-    previous: str = ENDS
-    following: str = ENDS
+    previous: str = SENTINEL
+    following: str = SENTINEL
     label: int = 0
     digest: int = 0
 
@@ -40,8 +40,8 @@
     return PersistentMap()
 
 
-def _empty_ring() -> PersistentMap:
-    return PersistentMap(entries={ENDS: Section(name=ENDS, text="")})
+def _empty_section_list() -> PersistentMap:
+    return PersistentMap(entries={SENTINEL: Section(name=SENTINEL, text="")})
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -61,7 +61,7 @@
         header_names: Number of rules indexed by a header, by its name.
     """
 
-    sections: PersistentMap = field(default_factory=_empty_ring)
+    sections: PersistentMap = field(default_factory=_empty_section_list)
     organisations: PersistentMap = field(default_factory=_empty_map)
     pipelines: PersistentMap = field(default_factory=_empty_map)
     services: PersistentMap = field(default_factory=_empty_map)
@@ -124,8 +124,8 @@
     def section_names(self) -> Iterator[str]:
         """Yield the names of the sections in order."""
         sections = self.tables.sections
-        name = sections[ENDS].following
-        while name != ENDS:
+        name = sections[SENTINEL].following
+        while name != SENTINEL:
             yield name
             name = sections[name].following
 
--- a/wigeonscale/rules/draft.py
+++ b/wigeonscale/rules/draft.py
@@ -8,7 +8,7 @@
 
 from wigeonscale.rules.document import (
     DIGEST_BITS,
-    ENDS,
+    SENTINEL,
     Document,
     Section,
     Tables,
@@ -20,7 +20,7 @@
 # Distance of the labels of two sections that are appended one after the other.
 LABEL_GAP = 1 << 64
 # Distance that labels get when a crowded stretch is spread out again.
-SPREAD_GAP = 1 << 20
+RESPACED_GAP = 1 << 20
 
 
 class Draft:
@@ -39,7 +39,7 @@
             field.name: MapDraft(base=getattr(base.tables, field.name))
             for field in dataclasses.fields(Tables)
         }
-        self.touched: dict[str, None] = {}
+        self.changed_names: dict[str, None] = {}
         self._sections = self.tables["sections"]
         self._digest_sum = base.digest_sum
 
@@ -52,7 +52,7 @@
             after: Name of the section it follows; ``ENDS`` to be the first.
             parsed: What the text describes.
         """
-        self.touched[name] = None
+        self.changed_names[name] = None
         old = self._sections.get(name)
         if old is not None:
             self._unregister(name)
@@ -66,7 +66,7 @@
 
     def remove(self, name: str) -> None:
         """Remove a section that exists."""
-        self.touched[name] = None
+        self.changed_names[name] = None
         self._unregister(name)
         self._unlink(name)
 
@@ -90,9 +90,9 @@
         old = self._sections[name]
         text = old.text if text is None else text
         digest = old.digest
-        if name != ENDS and (text != old.text or previous is not None):
-            place = old.previous if previous is None else previous
-            digest = _section_digest(name, place, text)
+        if name != SENTINEL and (text != old.text or previous is not None):
+            predecessor = old.previous if previous is None else previous
+            digest = _section_digest(name, predecessor, text)
             self._add_digest(digest - old.digest)
         self._sections[name] = Section(
             name,
@@ -124,27 +124,27 @@
 
     def _label_between(self, previous: str, following: str) -> int:
         low, high = self._sections[previous].label, self._sections[following].label
-        if previous == ENDS:
-            return 0 if following == ENDS else high - LABEL_GAP
-        if following == ENDS:
+        if previous == SENTINEL:
+            return 0 if following == SENTINEL else high - LABEL_GAP
+        if following == SENTINEL:
             return low + LABEL_GAP
         if high - low < 2:
-            self._spread(previous)
+            self._respace_labels(previous)
             return self._label_between(previous, following)
         return (low + high) // 2
 
-    def _spread(self, start: str) -> None:
+    def _respace_labels(self, start: str) -> None:
         """Make room after a section; cost is amortised over the puts that used it."""
         crowded = []
         low = self._sections[start].label
         name = self._sections[start].following
-        while name != ENDS:
-            if self._sections[name].label - low >= (len(crowded) + 2) * SPREAD_GAP:
+        while name != SENTINEL:
+            if self._sections[name].label - low >= (len(crowded) + 2) * RESPACED_GAP:
                 break
             crowded.append(name)
             name = self._sections[name].following
-        for place, other in enumerate(crowded, start=1):
-            self._relabel(other, low + place * SPREAD_GAP)
+        for index, other in enumerate(crowded, start=1):
+            self._relabel(other, low + index * RESPACED_GAP)
 
     def _relabel(self, name: str, label: int) -> None:
         rule = self._rule(name)
--- a/wigeonscale/rules/editing.py
+++ b/wigeonscale/rules/editing.py
@@ -6,7 +6,7 @@
 
 from wigeonscale.rules.checks import cross_check
 from wigeonscale.rules.diff import Edit, plan_edits
-from wigeonscale.rules.document import EMPTY_DOCUMENT, ENDS, Document
+from wigeonscale.rules.document import EMPTY_DOCUMENT, SENTINEL, Document
 from wigeonscale.rules.draft import Draft
 from wigeonscale.rules.problems import InvalidDocument, Problem
 from wigeonscale.rules.sections import SectionParts, parse_section, split_sections
@@ -34,16 +34,16 @@
         >>> [rule.name for rule in doc.rules]
         ['none']
     """
-    _raise_any(list(_text_problems(text)))
+    _raise_if_any(list(_text_problems(text)))
     parts_of, problems = _unique_sections(text)
     draft = Draft(base=base)
-    broken: dict[str, str] = {}
+    invalid: dict[str, str] = {}
     for edit in plan_edits(base, _texts(parts_of)):
-        problems += _apply_edit(draft, edit, parts_of, broken)
+        problems += _apply_edit(draft, edit, parts_of, invalid)
     document = draft.freeze()
     lines = {name: parts.line for name, parts in parts_of.items()}
-    problems += cross_check(document, draft.touched, lines.__getitem__, broken)
-    _raise_any(problems)
+    problems += cross_check(document, draft.changed_names, lines.__getitem__, invalid)
+    _raise_if_any(problems)
     return document
 
 
@@ -64,7 +64,7 @@
     draft: Draft,
     edit: Edit,
     parts_of: dict[str, SectionParts],
-    broken: dict[str, str],
+    invalid: dict[str, str],
 ) -> list[Problem]:
     """Make one edit; a section that is wrong by itself goes into ``broken``."""
     if edit.text is None:
@@ -72,22 +72,22 @@
         return []
     parsed = parse_section(parts_of[edit.name])
     if isinstance(parsed, list):
-        broken[edit.name] = edit.after
+        invalid[edit.name] = edit.after
         return parsed
-    after = _standing(draft, broken, edit.after)
+    after = _nearest_present(draft, invalid, edit.after)
     draft.put(edit.name, edit.text, after, parsed)
     return []
 
 
-def _standing(draft: Draft, broken: dict[str, str], name: str) -> str:
+def _nearest_present(draft: Draft, invalid: dict[str, str], name: str) -> str:
     """Return the nearest section before a broken one that the draft has."""
-    while name in broken and name not in draft.tables["sections"]:
-        name = broken[name]
+    while name in invalid and name not in draft.tables["sections"]:
+        name = invalid[name]
     return name
 
 
 def _texts(parts_of: dict[str, SectionParts]) -> dict[str, str]:
-    return {name: _ended(parts.text) for name, parts in parts_of.items()}
+    return {name: _with_final_newline(parts.text) for name, parts in parts_of.items()}
 
 
 def patch_document(
@@ -115,15 +115,15 @@
     for change in changes:
         problems += _apply_change(draft, change)
     document = draft.freeze()
-    problems += cross_check(document, draft.touched, document.section_line)
-    _raise_any(problems)
+    problems += cross_check(document, draft.changed_names, document.section_line)
+    _raise_if_any(problems)
     return document
 
 
 def _apply_change(draft: Draft, change: wire_pb2.SectionChange) -> list[Problem]:
     sections = draft.tables["sections"]
     if change.removed:
-        if change.name == ENDS or change.name not in sections:
+        if change.name == SENTINEL or change.name not in sections:
             return [Problem(change.name, "", 0, change.name, "a section that exists")]
         draft.remove(change.name)
         return []
@@ -135,11 +135,11 @@
     parsed = parse_section(parts[0])
     if isinstance(parsed, list):
         return parsed
-    draft.put(change.name, _ended(change.text), change.after, parsed)
+    draft.put(change.name, _with_final_newline(change.text), change.after, parsed)
     return []
 
 
-def _ended(text: str) -> str:
+def _with_final_newline(text: str) -> str:
     return text if text.endswith("\n") else text + "\n"
 
 
@@ -153,6 +153,6 @@
         yield Problem("", "", 1, text.strip()[:80], "sections, each with a header")
 
 
-def _raise_any(problems: list[Problem]) -> None:
+def _raise_if_any(problems: list[Problem]) -> None:
     if problems:
         raise InvalidDocument(dict.fromkeys(problems))
--- a/wigeonscale/rules/persistent.py
+++ b/wigeonscale/rules/persistent.py
@@ -44,10 +44,10 @@
 
     def _leaf(self, key: str) -> dict[str, object]:
         node = self._root
-        code = zlib.crc32(key.encode("utf-8", "surrogatepass"))
+        hash_code = zlib.crc32(key.encode("utf-8", "surrogatepass"))
         while type(node) is tuple:
-            node = node[code % FANOUT]
-            code >>= BITS_PER_LEVEL
+            node = node[hash_code % FANOUT]
+            hash_code >>= BITS_PER_LEVEL
         return node
 
     def __iter__(self) -> Iterator[str]:
@@ -95,11 +95,11 @@
 def _branch_updated(node: tuple, changes: dict, shift: int) -> tuple:
     groups: dict[int, dict] = {}
     for key, value in changes.items():
-        code = zlib.crc32(key.encode("utf-8", "surrogatepass"))
-        groups.setdefault((code >> shift) % FANOUT, {})[key] = value
+        hash_code = zlib.crc32(key.encode("utf-8", "surrogatepass"))
+        groups.setdefault((hash_code >> shift) % FANOUT, {})[key] = value
     children = list(node)
-    for place, group in groups.items():
-        children[place] = _node_updated(children[place], group, shift + BITS_PER_LEVEL)
+    for index, group in groups.items():
+        children[index] = _node_updated(children[index], group, shift + BITS_PER_LEVEL)
     return tuple(children)
 
 
--- a/wigeonscale/rules/problems.py
+++ b/wigeonscale/rules/problems.py
@@ -7,7 +7,7 @@
 
 from wigeonscale.errors import ErrorKind, SettingsError
 
-LONGEST_VALUE_SHOWN = 200
+MAX_VALUE_CHARS = 200
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     def __str__(self) -> str:
         place = f"line {self.line}: [{self.section}]"
         key = f" {self.key} =" if self.key else ""
-        value = self.value[:LONGEST_VALUE_SHOWN]
+        value = self.value[:MAX_VALUE_CHARS]
         reason = f": {self.reason}" if self.reason else ""
         return f"{place}{key} {value!r}{reason}; allowed: {self.allowed}"
 
--- a/wigeonscale/rules/schema.py
+++ b/wigeonscale/rules/schema.py
@@ -29,7 +29,7 @@
 
 DIGEST_KEY = re.compile(r"sha256:[0-9a-f]{64}")
 SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
-LONGEST_DEADLINE_S = 86400.0
+MAX_DEADLINE_S = 86400.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,7 +174,7 @@
     deadline: Annotated[
         float,
         BeforeValidator(_parse_duration),
-        Field(gt=0, le=LONGEST_DEADLINE_S),
+        Field(gt=0, le=MAX_DEADLINE_S),
         Allowed("a duration up to 24h, such as 500ms, 30s or 2m"),
     ] = 0.0
     repeat: Annotated[Literal["never", "allowed"], Allowed("never or allowed")] = (
--- a/wigeonscale/rules/tests/test_editing.py
+++ b/wigeonscale/rules/tests/test_editing.py
@@ -149,7 +149,7 @@
     def test_wrong_changes_are_refused(self):
         doc = parse_document(SMALL)
         solo = "[organisation solo]\n"
-        for planted in (
+        for invalid_change in (
             change("pipeline proof", removed=True),
             change("rule none", removed=True),
             change("", removed=True),
@@ -161,7 +161,7 @@
             change("rule rest", "[rule rest]\nwhen = always\nthen = refuse because x"),
             change("rule new", always_rule("new"), after="rule rest"),
         ):
-            self.assertRaises(InvalidDocument, patch_document, doc, [planted])
+            self.assertRaises(InvalidDocument, patch_document, doc, [invalid_change])
 
     def test_key_moves_between_organisations_in_one_patch(self):
         doc = parse_document(SMALL)
