--- a/wigeonscale/pipelines/__init__.py
+++ b/wigeonscale/pipelines/__init__.py
@@ -1,1 +1,1 @@
-"""The token loop over a chain of stages: steps, order checks and recovery."""
+"""Pipeline execution: batches steps, runs them in order and recovers lost stages."""
--- a/wigeonscale/pipelines/constants.py
+++ b/wigeonscale/pipelines/constants.py
@@ -1,4 +1,4 @@
-"""Constants that both ends of a dispatch and of a pipeline step agree on."""
+"""Limits and timeouts of dispatches and pipeline steps, shared by both ends."""
 
 __all__ = [
     "ENGINE_CALLS_IN_FLIGHT",
@@ -23,71 +23,71 @@
 ]
 
 INITIAL_CREDIT_TOKENS = 256
-"""Tokens that an ``Open`` or ``Attach`` allows before the first ``Credit``."""
+"""Tokens that may be sent after ``Open`` or ``Attach`` before the first ``Credit``."""
 
 MAX_SEQUENCES_PER_ITERATION = 256
-"""Most sequences in one engine iteration."""
+"""Maximum number of sequences in one engine iteration."""
 
 MAX_POSITIONS_PER_ITERATION = 65_536
-"""Most token positions in one iteration.
+"""Maximum number of token positions in one engine iteration.
 
-At some 20 bytes a position an iteration stays far below the message limit.
+A position takes about 20 bytes, so a request stays far below the message size limit.
 """
 
 ENTRY_TIMEOUT_S = 3.0
 """Seconds without a message after which an entry no longer counts as a reader.
 
-Entries that wait for answers ask for a word about once a second.
+Entries that wait for answers send a ping about once a second.
 """
 
 EXTRA_ITERATIONS = 1
-"""Iterations in flight beyond one per stage, so that no stage waits for a hop."""
+"""Iterations in flight beyond one per stage, so that no stage idles during a hop."""
 
 MAX_FIXED_COST_SHARE = 0.2
-"""Share of an iteration's time that its size does not change, above which none are.
+"""Fixed share of the iteration time above which no extra iterations are started.
 
-An extra iteration over three stages makes each a quarter smaller. That hides hops
-worth about 6 % of the time, and wastes a quarter of the share that is flat.
+With three stages, one extra iteration makes each iteration a quarter smaller. This
+hides hops worth about 6 % of the time but wastes a quarter of the fixed share.
 """
 
 ENGINE_CALLS_IN_FLIGHT = 2
-"""Calls open to one engine; the second hides the first one's way back."""
+"""Concurrent calls to one engine; the second hides the latency of the first reply."""
 
 ENGINE_STEP_TIMEOUT_S = 20.0
-"""Seconds after which an engine call counts as failed."""
+"""Timeout of an engine call, in seconds."""
 
 MAX_PREFILL_DELAY_S = 0.03
-"""Seconds by which prompts in work may delay the tokens of running streams.
+"""Maximum delay of the tokens of running streams by prefill, in seconds.
 
-The delay is that of one round of the iterations in flight, at any stage.
+The delay is counted over one round of the iterations in flight, at any stage.
 """
 
 INITIAL_PREFILL_POSITIONS = 128
-"""Positions of a prompt in one iteration while their cost is not known."""
+"""Prompt positions per iteration until the cost of a position has been measured."""
 
 MIN_PREFILL_POSITIONS = 32
-"""Fewest positions that a part of a prompt is cut to."""
+"""Minimum number of positions of a prompt chunk."""
 
 PROBE_AFTER_S = 0.2
-"""Seconds without a message after which a link asks its peer for a sign of life."""
+"""Seconds without a message after which a link sends a probe to its peer."""
 
 RECONNECT_AFTER_S = 0.5
-"""Seconds without a message after which a link opens another connection."""
+"""Seconds without a message after which a link opens a new connection."""
 
 REPAIR_BACKOFF_S = 0.25
-"""Seconds before a failed sequence is tried again on the same chain epoch."""
+"""Initial backoff before a failed sequence is retried on the same epoch, in seconds."""
 
 SEQUENCE_IDLE_S = 120.0
-"""Seconds after which a stage forgets a sequence that got no step."""
+"""Seconds without a step after which a stage drops a sequence."""
 
 LEAVING_GRACE_S = 2.0
-"""Seconds for which a leaving stage still begins sequences of its old chain."""
+"""Seconds for which a leaving stage still starts sequences of its old chain."""
 
 LINK_IDLE_S = 60.0
-"""Seconds without a step after which a link closes its connection."""
+"""Seconds without open requests after which a link closes its connection."""
 
 MAX_ENDED_SEQUENCES = 4096
-"""Ended sequences whose last answer a stage keeps for a resend."""
+"""Ended sequences whose last result a stage keeps to answer resent steps."""
 
 RECENT_USE_S = 3.0
-"""Seconds after its last step for which a stopping stage waits for a sequence."""
+"""Seconds after its last step during which a sequence delays the stop of its stage."""
--- a/wigeonscale/pipelines/cost.py
+++ b/wigeonscale/pipelines/cost.py
@@ -1,4 +1,4 @@
-"""How the time of an engine iteration depends on its size."""
+"""Estimates how the duration of an engine iteration depends on its size."""
 
 __all__ = ["MAX_EXTRAPOLATION_FACTOR", "IterationCost"]
 
@@ -8,31 +8,33 @@
 )
 
 SMOOTHING_FACTOR = 0.1
+"""Weight of a new sample in the moving averages."""
 
 MAX_EXTRAPOLATION_FACTOR = 4
-"""Times the largest size seen up to which the cost is taken as known."""
+"""Largest size, in multiples of the largest one observed, that is extrapolated to."""
 
 
 class IterationCost:
-    """Learns which share of an iteration's time does not depend on its size.
+    """Estimates the fixed cost of an iteration and its cost per token position.
 
-    Where that share is large, fewer and larger iterations serve more tokens, and
-    an iteration kept waiting at a stage costs more than the hop it hides.
+    With a large fixed share, fewer and larger iterations serve more tokens, and an
+    extra iteration that waits at a stage costs more than the hop latency it hides.
 
     Notes:
-        Means of size and time for each power of two of the size; the smallest and
-        the largest size seen give a straight line. Constant time and memory.
+        Keeps moving averages of size and duration per power of two of the size. The
+        line through the smallest and the largest size class is the estimate. Time
+        and memory are constant.
     """
 
     def __init__(self):
         self._means: dict[int, tuple[float, float]] = {}
 
     def observe(self, positions: int, seconds: float) -> None:
-        """Count one iteration.
+        """Record one iteration.
 
         Args:
-            positions: Token positions in it, over all its sequences.
-            seconds: Time for which the engine worked on it.
+            positions: Token positions of the iteration, over all its sequences.
+            seconds: Time that the engine spent on it.
         """
         size_class = positions.bit_length()
         known = self._means.get(size_class)
@@ -46,13 +48,13 @@
         )
 
     def fixed_cost_share(self, positions: int) -> float:
-        """Return the share of an iteration's time that its size does not change.
+        """Return the share of the iteration time that does not depend on its size.
 
         Args:
-            positions: Size of the iteration.
+            positions: Size of the iteration, in token positions.
 
         Returns:
-            Between 0 and 1; 0 while only one size was seen.
+            A share from 0 to 1; 0 until two size classes have been observed.
         """
         if len(self._means) < 2:
             return 0.0
@@ -63,13 +65,14 @@
         return fixed_s / total_s if total_s > 0 else 0.0
 
     def positions_within(self, seconds: float) -> int:
-        """Return how many positions an iteration may have to add so many seconds.
+        """Return how many positions fit into a time budget, without the fixed cost.
 
-        Small sizes may say nothing of large ones, so no more is returned than some
-        times the largest size seen.
+        Small iterations may not predict the cost of large ones, so the result is at
+        most ``MAX_EXTRAPOLATION_FACTOR`` times the largest size observed, or
+        ``INITIAL_PREFILL_POSITIONS`` if that is more.
 
         Args:
-            seconds: Time that the positions may take.
+            seconds: Time budget, in seconds.
 
         Returns:
             At least ``MIN_PREFILL_POSITIONS``.
--- a/wigeonscale/pipelines/generation.py
+++ b/wigeonscale/pipelines/generation.py
@@ -1,4 +1,4 @@
-"""One answer in the making, as the head of a chain sees it."""
+"""State of one answer while the head of a chain generates it."""
 
 __all__ = ["Generation"]
 
@@ -12,17 +12,17 @@
 class Generation:
     """State of one sequence across iterations, chains and epochs.
 
-    Every prefill is a new run with a sequence id of its own, so that a late
-    message of an earlier run can never touch a later one.
+    Every prefill starts a new run with its own sequence id, so that a late message of
+    an earlier run cannot affect a later one.
 
     Args:
         dispatch_id: Id of the dispatch.
-        pieces: Prompt pieces, then the texts of tokens already delivered.
-        produced: Tokens already delivered.
-        max_tokens: Most tokens of the whole answer.
-        priority: Larger goes first where an engine must choose.
+        pieces: Pieces of the prompt, then the texts of the tokens already delivered.
+        produced: Number of tokens already delivered.
+        max_tokens: Maximum number of tokens of the whole answer.
+        priority: Priority on the engines; larger values run first.
         on_token: Called with each new token, in order.
-        on_end: Called once with the finish reason.
+        on_end: Called once with the finish reason, ``"stop"`` or ``"length"``.
         on_failed: Called once with the error instead of ``on_end``.
     """
 
@@ -58,17 +58,17 @@
 
     @property
     def sequence_id(self) -> str:
-        """Id of the current run on the engines."""
+        """Sequence id of the current run on the engines."""
         return f"{self.dispatch_id}#{self._run}"
 
     def record_chain_loss(self, epoch: int) -> int:
-        """Take in that a chain was lost under it; returns on how many epochs.
+        """Record that the chain of this generation was lost.
 
         Args:
-            epoch: Epoch of the chain.
+            epoch: Epoch of the lost chain.
 
         Returns:
-            Epochs lost before its first token; 0 once it has one.
+            Number of epochs lost before the first new token; 0 once there is one.
         """
         if self._produced > self._initial_count:
             return 0
@@ -77,22 +77,22 @@
 
     @property
     def remaining_positions(self) -> int:
-        """Token positions up to its next token."""
+        """Token positions that must be run before the next token."""
         return len(self._pieces) - self._position
 
     def restart(self) -> str:
-        """Start a new run from position 0; returns the old run's sequence id."""
+        """Start a new run at position 0 and return the sequence id of the old run."""
         old = self.sequence_id
         self._run += 1
         self._position = 0
         return old
 
     def next_step(self, epoch: int, max_positions: int) -> wire.SequenceStep:
-        """Return the next step, of a part of the prompt or for the next token.
+        """Return the next step: a chunk of the prompt, or the next token.
 
         Args:
             epoch: Epoch of the chain.
-            max_positions: Most positions of the step.
+            max_positions: Maximum number of positions of the step.
         """
         inputs = self._pieces[self._position : self._position + max_positions]
         self._step_end = self._position + len(inputs)
@@ -110,9 +110,9 @@
         )
 
     def apply_result(self, result: wire.StepResult) -> None:
-        """Count one token; ends the generation when it is the last.
+        """Apply the result of the last step; the last token ends the generation.
 
-        After a part of the prompt there is none yet.
+        A result for a chunk of the prompt that is not the last one has no token.
         """
         self._position = self._step_end
         if self._position < len(self._pieces):
@@ -128,7 +128,7 @@
             self._end("length")
 
     def fail(self, exc: WigeonscaleError) -> None:
-        """End the generation by an error, unless it has ended."""
+        """End the generation with an error, unless it has already ended."""
         if not self.ended:
             self.ended = True
             self._on_failed(exc)
--- a/wigeonscale/pipelines/head.py
+++ b/wigeonscale/pipelines/head.py
@@ -1,4 +1,4 @@
-"""The head of chains: gathers sequences into iterations and keeps several going."""
+"""Head of chains: batches sequences into iterations and pipelines the iterations."""
 
 __all__ = ["ChainHead"]
 
@@ -29,17 +29,17 @@
 
 
 class ChainHead:
-    """Drives the generations of this agent through their chains.
+    """Runs the generations for which this agent is the first stage of the chain.
 
     Args:
-        agent_id: Name of the own backend server.
-        stage: The own stage; used when the agent is a chain's first stage.
-        links: Links to other stages.
-        chains: Returns the newest known chain for an id, or None.
-        suspect: Reports an agent and incarnation that gave no answer.
+        agent_id: Id of this backend server.
+        stage: Stage of this agent, called directly if it is first in a request.
+        links: Connections to other stages.
+        chains: Returns the newest known chain with an id, or None.
+        suspect: Reports an unreachable agent by its id and incarnation.
         clock: Clock port.
         repair_timeout_s: Seconds without a token before a generation fails.
-        backoff_s: Seconds before a retry on the same epoch.
+        backoff_s: Initial backoff before a retry on the same epoch, in seconds.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         )
 
     def start(self, generation: Generation, chain: wire.Chain) -> None:
-        """Begin a generation on a chain."""
+        """Start a generation on a chain."""
         key = (chain.chain_id, chain.epoch)
         driver = self._drivers.get(key)
         if driver is None:
@@ -78,33 +78,33 @@
         driver.add(generation)
 
     def cancel(self, generation: Generation) -> None:
-        """Take a generation that has ended out of its chain."""
+        """Remove a generation from its chain and cancel its sequence."""
         generation.ended = True
         for driver in list(self._drivers.values()):
             driver.remove(generation)
 
     def reschedule(self) -> None:
-        """Look again at every sequence, after a pause was lifted."""
+        """Schedule all chains again, for example after a generation was unpaused."""
         for driver in list(self._drivers.values()):
             driver.schedule()
 
     def members_changed(self) -> None:
-        """Take up changed chains."""
+        """Use changed chains from now on."""
         self._recovery.members_changed()
         self.reschedule()
 
     async def close(self) -> None:
-        """Cancel every iteration and repair."""
+        """Cancel all iterations and recoveries."""
         await self._recovery.close()
         for driver in list(self._drivers.values()):
             await driver.close()
 
     def fixed_cost_share(self, positions: int) -> float:
-        """Return the flat share of an iteration, as seen on the own stage."""
+        """Return the fixed share of the iteration time, as measured on this stage."""
         return self._stage.cost.fixed_cost_share(positions)
 
     def positions_within(self, seconds: float) -> int:
-        """Return the positions that take so long, as seen on the own stage."""
+        """Return the positions that fit into a time, as measured on this stage."""
         return self._stage.cost.positions_within(seconds)
 
     def newer_chain(self, chain: wire.Chain) -> wire.Chain | None:
@@ -115,7 +115,7 @@
         return None
 
     async def send(self, req: wire.StepRequest) -> wire.StepReply:
-        """Send an iteration to the first stage, here or elsewhere."""
+        """Send an iteration to the first stage, which may be that of this agent."""
         first = req.rest[0]
         if first.agent_id == self._agent_id:
             return await self._stage.run(req)
@@ -124,11 +124,11 @@
     def recover(
         self, generations: list[Generation], chain: wire.Chain, unreachable: set[str]
     ) -> None:
-        """Hand generations whose step failed to the recovery."""
+        """Start the recovery of generations whose step failed."""
         self._recovery.start(generations, chain, unreachable - {self._agent_id})
 
     def discard_driver(self, driver: "_ChainDriver") -> None:
-        """Forget a driver that has nothing left to do."""
+        """Remove a driver without generations and iterations."""
         key = (driver.chain.chain_id, driver.chain.epoch)
         if self._drivers.get(key) is driver:
             del self._drivers[key]
@@ -140,7 +140,7 @@
 
 
 class _ChainDriver:
-    """The iterations of one chain in one epoch."""
+    """Schedules the iterations of one chain in one epoch."""
 
     def __init__(self, *, head: ChainHead, chain: wire.Chain):
         self.chain = chain
@@ -162,7 +162,7 @@
             self.schedule()
 
     def schedule(self) -> None:
-        """Begin as many iterations as may be in flight."""
+        """Start iterations up to the pipeline depth."""
         self._move_to_newer_epoch()
         depth = self._depth()
         while len(self._iterations) < depth:
@@ -179,7 +179,7 @@
         await asyncio.gather(*self._iterations, return_exceptions=True)
 
     def _move_to_newer_epoch(self) -> None:
-        """Move waiting sequences to the chain's next epoch once it is ready."""
+        """Move generations without a step in flight to a newer ready epoch."""
         newer = self._head.newer_chain(self.chain)
         if newer is None:
             return
@@ -191,7 +191,7 @@
                 self._head.start(generation, newer)
 
     def _depth(self) -> int:
-        """Return how many iterations should be in flight."""
+        """Return the pipeline depth: how many iterations should be in flight."""
         stages = len(self.chain.stages)
         fixed_share = self._head.fixed_cost_share(len(self._members) // stages)
         return (
@@ -199,8 +199,8 @@
         )
 
     def _next_batch(self, depth: int) -> list[tuple[Generation, int]]:
-        """Return generations for one iteration, each with its most positions."""
-        # Even parts, so that each stage has one to work on.
+        """Return generations for one iteration, each with its position limit."""
+        # Iterations of even size, so that each stage has one to run.
         size = -(-len(self._members) // depth)
         size = max(1, min(size, MAX_SEQUENCES_PER_ITERATION))
         batch: list[tuple[Generation, int]] = []
@@ -224,10 +224,11 @@
         return batch
 
     def _prefill_budget(self, depth: int) -> int:
-        """Return the positions of prompts that one iteration may take.
+        """Return how many prompt positions one iteration may contain.
 
-        A token waits for one round: for the parts of prompts in every iteration in
-        flight, or for one part at every stage. A prompt that is alone delays nobody.
+        A token waits for one round: for the prompt chunks of every iteration in
+        flight, or for one chunk at every stage. The limit does not apply to a single
+        generation, which delays no other.
         """
         max_positions = MAX_POSITIONS_PER_ITERATION - MAX_SEQUENCES_PER_ITERATION
         if len(self._members) == 1:
--- a/wigeonscale/pipelines/links.py
+++ b/wigeonscale/pipelines/links.py
@@ -1,4 +1,4 @@
-"""Links to the next stages: open step streams that detect a silent connection."""
+"""gRPC step streams to other stages, with probes, reconnects and resends."""
 
 __all__ = ["PeerLostError", "StepLink", "StepLinks"]
 
@@ -25,11 +25,11 @@
 logger = logging.getLogger(__name__)
 
 MAX_SILENT_CONNECTIONS = 2
-"""Connections in a row that brought nothing before the peer counts as lost."""
+"""Consecutive connections without a reply after which the peer counts as lost."""
 
 
 class PeerLostError(WigeonscaleError):
-    """Two connections in a row brought no word from the peer.
+    """The peer sent no message on two consecutive connections.
 
     Args:
         address: ``ip:port`` of the peer.
@@ -52,20 +52,20 @@
 class StepLink:
     """A step stream to one peer, opened on demand and closed when idle.
 
-    Several requests may be open at once. A request whose reply is lost is sent
-    again with a larger attempt; the peer answers it from its record.
+    Several requests may be open at once. After a reconnect, open requests are resent
+    with a larger attempt number; the peer answers repeated steps from its records.
 
     Args:
         address: ``ip:port`` of the peer's gRPC server.
         dial: Returns a new channel to an address.
         clock: Clock port.
-        probe_after_s: Seconds of silence before asking for a sign of life.
-        reconnect_after_s: Seconds of silence before the next connection is opened.
-        idle_s: Seconds without requests before the connection is closed.
+        probe_after_s: Seconds without a message before a probe is sent.
+        reconnect_after_s: Seconds without a message before a reconnect.
+        idle_s: Seconds without open requests before the connection is closed.
 
     Attributes:
-        last_message_at: Reading of the clock when the peer last sent a message;
-            pauses of this process put it off.
+        last_message_at: Clock time of the last message from the peer, shifted by
+            pauses of this process.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
             req: The request; its batch id is set here.
 
         Raises:
-            PeerLostError: When two connections in a row brought nothing.
+            PeerLostError: Two consecutive connections brought no reply.
         """
         if not self._calls:
             self.last_message_at = self._clock.now()
@@ -117,7 +117,7 @@
             self._calls.pop(req.batch_id, None)
 
     async def close(self) -> None:
-        """Close the connection and fail what is open."""
+        """Close the connection and fail the open requests."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -125,7 +125,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no connection is open and no request waits."""
+        """Whether there is neither a connection nor an open request."""
         return self._task is None and not self._calls
 
     async def _run(self) -> None:
@@ -168,7 +168,7 @@
                     return
                 continue
             now = self._clock.now()
-            # A pause of this very process is no silence of the peer.
+            # Time during which this process was paused does not count as peer silence.
             paused_s = max(0.0, now - last_check_at - self._probe_after_s)
             self.last_message_at = min(now, self.last_message_at + paused_s)
             last_check_at = now
@@ -203,7 +203,7 @@
         self._has_unsent.set()
 
     def _requeue_calls(self) -> None:
-        """Queue every open request for a new connection, as a further attempt."""
+        """Queue all open requests again; those already sent become a new attempt."""
         unsent_ids = {id(req) for req in self._unsent}
         self._unsent.clear()
         for call in self._calls.values():
@@ -221,12 +221,12 @@
 
 
 class StepLinks:
-    """One :class:`StepLink` per peer.
+    """Keeps one :class:`StepLink` per peer.
 
     Args:
         dial: Returns a new channel to an address.
         clock: Clock port.
-        options: Further arguments of :class:`StepLink`.
+        options: Further keyword arguments of :class:`StepLink`.
     """
 
     def __init__(
--- a/wigeonscale/pipelines/records.py
+++ b/wigeonscale/pipelines/records.py
@@ -1,4 +1,4 @@
-"""What a stage remembers of its sequences, and the checks of their order."""
+"""Per-sequence state of a stage, which enforces the order of the steps."""
 
 __all__ = ["SequenceRecord", "SequenceRecords"]
 
@@ -22,12 +22,12 @@
     """One run of a sequence on this stage.
 
     Attributes:
-        epoch: Epoch of the chain that it runs in.
+        epoch: Epoch of the chain in which it runs.
         next_position: The only position that may run next.
-        last_step_at: Reading of the clock at its last step.
+        last_step_at: Clock time of its last step.
         position: Position of its last step; -1 before the first.
-        answer: Result of the last step, perhaps still to come.
-        broken: Whether a step failed, so that none may follow.
+        result_future: Result of the last step; pending while the step runs.
+        failed: Whether a step failed; no further steps are admitted then.
     """
 
     epoch: int
@@ -39,17 +39,17 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether its last step still runs."""
+        """Whether its last step is still running."""
         return self.result_future is not None and not self.result_future.done()
 
 
 class SequenceRecords:
-    """Lets each position of a run through once, directly after the one before.
+    """Admits each position of a run exactly once and in order.
 
     Args:
         clock: Clock port.
-        check_admission: Raises when no new sequence may begin here.
-        on_ended: Called with the id of a sequence that the engine may forget.
+        check_admission: Raises if no new sequence may start on this stage.
+        on_ended: Called with the id of a sequence whose engine state may be freed.
     """
 
     def __init__(
@@ -71,35 +71,36 @@
         return len(self._running)
 
     def recently_used(self) -> bool:
-        """Return whether a head drove a sequence here a short while ago."""
+        """Return whether a step runs or was admitted within ``RECENT_USE_S``."""
         oldest = self._clock.now() - RECENT_USE_S
         return any(
             r.is_running or r.last_step_at > oldest for r in self._running.values()
         )
 
     def advance_epoch(self, chain_id: str, epoch: int) -> None:
-        """Begin no sequence of an older epoch of this chain from now on."""
+        """Refuse new sequences of older epochs of this chain from now on."""
         self._epochs[chain_id] = max(epoch, self._epochs.get(chain_id, 0))
 
     def find(self, sequence_id: str) -> SequenceRecord | None:
-        """Return the record of a running or ended run."""
+        """Return the record of an active or ended run, or None."""
         return self._running.get(sequence_id) or self._ended.get(sequence_id)
 
     def recorded_result(self, step: wire.SequenceStep) -> asyncio.Future | None:
-        """Return the result of a step that was let through before, or None."""
+        """Return the result of a step that was admitted before, or None."""
         record = self.find(step.sequence_id)
         if record is not None and record.position == step.position:
             return record.result_future
         return None
 
     def admit(self, step: wire.SequenceStep, req: wire.StepRequest) -> asyncio.Future:
-        """Record a step that is to run now.
+        """Admit a step that is to run now.
 
         Returns:
-            The future of its result; the caller settles it by :meth:`settle`.
+            The future of its result, which the caller completes by
+            :meth:`set_result`.
 
         Raises:
-            WigeonscaleError: When the step must not run.
+            WigeonscaleError: The step must not run.
         """
         self._check(step, req)
         record = self._running.get(step.sequence_id)
@@ -114,7 +115,7 @@
         return record.result_future
 
     def set_result(self, result: wire.StepResult) -> None:
-        """Set the result of the step that was let through last."""
+        """Complete the step of a sequence that was admitted last."""
         record = self.find(result.sequence_id)
         if record is None or record.result_future is None:
             return
@@ -123,7 +124,7 @@
             record.result_future.set_result(result)
 
     def end(self, sequence_id: str) -> None:
-        """End a run but keep its last answer; it never begins again."""
+        """End a run, which never starts again, but keep its last result for resends."""
         record = self._running.pop(sequence_id, None)
         if record is not None:
             self._ended[sequence_id] = record
@@ -134,7 +135,7 @@
             self._ended.popitem(last=False)
 
     def expire_idle(self) -> None:
-        """End sequences whose head is gone."""
+        """End sequences without a step for ``SEQUENCE_IDLE_S``: their head is gone."""
         now = self._clock.now()
         if now - self._last_expiry_at < SEQUENCE_IDLE_S / 4:
             return
--- a/wigeonscale/pipelines/recovery.py
+++ b/wigeonscale/pipelines/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of sequences whose chain lost a stage."""
+"""Recovers sequences whose chain lost a stage."""
 
 __all__ = ["Recovery"]
 
@@ -16,29 +16,30 @@
 logger = logging.getLogger(__name__)
 
 MAX_BACKOFF_S = 2.0
-# Epochs of a chain that may be lost under a sequence before its first token. It may be
-# what crashes the engines, as may any other that begins with it; the entry, which knows
-# of other attempts, decides whether it goes on elsewhere. Without the limit five
-# engines crash under one dispatch where a chain is repaired four times.
+# Number of chain epochs lost before the first token at which a sequence fails. The
+# sequence itself may crash the engines, as may any other that starts together with it.
+# The entry knows about other attempts and decides whether to retry on another chain.
+# Without the limit, one dispatch crashes five engines if its chain is repaired four
+# times.
 MAX_LOST_EPOCHS_BEFORE_TOKEN = 2
 
 
 class Recovery:
-    """Waits for a usable chain and resumes the sequences on it.
+    """Waits for a usable chain and resumes failed sequences on it.
 
-    A newer ready epoch is used at once. The same epoch is tried again after a
-    growing pause, since a call may fail while its engine lives on. A sequence
-    fails when it got no token for the whole time-out, however often it was
-    resumed in between; so a second loss during the repair does not extend it. One
-    that never got a token fails with its second epoch.
+    A newer ready epoch is used at once. The same epoch is retried with exponential
+    backoff, since a call may fail although its engine is alive. A sequence fails
+    after the timeout without a token, however often it was resumed in between, so
+    that a second loss during the repair does not extend the timeout. A sequence
+    without any token fails when it loses its second epoch.
 
     Args:
-        chains: Returns the newest known chain for an id, or None.
+        chains: Returns the newest known chain with an id, or None.
         resume: Starts sequences on a chain, from position 0.
-        suspect: Reports an agent and incarnation that gave no answer.
+        suspect: Reports an unreachable agent by its id and incarnation.
         clock: Clock port.
         timeout_s: Seconds without a token before a sequence fails.
-        backoff_s: First pause before a retry on the same epoch, in seconds.
+        backoff_s: Initial backoff before a retry on the same epoch, in seconds.
     """
 
     def __init__(
@@ -61,19 +62,19 @@
         self._tasks: set[asyncio.Task] = set()
 
     def members_changed(self) -> None:
-        """Look again at the chains."""
+        """Check for newer chains now."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def start(
         self, generations: list[Generation], chain: wire.Chain, unreachable: set[str]
     ) -> None:
-        """Recover sequences that failed on a chain.
+        """Start the recovery of sequences that failed on a chain.
 
         Args:
-            generations: Sequences, each already begun again.
-            chain: The chain and epoch they failed on.
-            unreachable: Agents that gave no answer.
+            generations: The sequences, already restarted at position 0.
+            chain: Chain and epoch on which they failed.
+            unreachable: Ids of agents that did not answer.
         """
         now = self._clock.now()
         for generation in generations:
@@ -91,7 +92,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """Cancel every recovery."""
+        """Cancel all recoveries."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -115,7 +116,7 @@
     def _fail_after_lost_epochs(
         self, generations: list[Generation], chain: wire.Chain
     ) -> list[Generation]:
-        """Fail those that were lost too often before a token; return the others."""
+        """Fail generations that lost too many epochs; return the others."""
         remaining: list[Generation] = []
         for generation in generations:
             epochs = generation.record_chain_loss(chain.epoch)
--- a/wigeonscale/pipelines/stage.py
+++ b/wigeonscale/pipelines/stage.py
@@ -1,4 +1,4 @@
-"""The stage runner: checks order, runs the engine once per step, passes on."""
+"""Runs the steps of one stage exactly once, in order, and forwards the results."""
 
 __all__ = ["StageRunner"]
 
@@ -24,26 +24,26 @@
 
 
 class StageRunner:
-    """Runs the steps of one engine and hands them to the stages after it.
+    """Runs steps on one engine and forwards them to the following stages.
 
-    A step runs only directly after the one before it. A step seen before is
-    answered from the record, also while it still runs; the engine never runs it
-    again. A step whose engine call failed breaks its run: only a new run, under
-    a new sequence id, goes on.
+    The steps of a sequence run strictly in order. A repeated step is answered from
+    its record, even while it is still running, and never runs on the engine again.
+    After a failed engine call no further steps of the run are accepted; the sequence
+    continues only as a new run under a new sequence id.
 
     Args:
-        agent_id: Name of the own backend server.
+        agent_id: Id of this backend server.
         incarnations: Returns the incarnations of this process, newest last.
-        engine: The own engine.
-        loaded: Returns what the engine last said of itself, or None.
-        links: Links to further stages.
+        engine: Engine of this stage.
+        loaded: Returns the last known state of the engine, or None.
+        links: Connections to the following stages.
         clock: Clock port.
-        check_admission: Raises when no new sequence may begin here.
-        step_timeout_s: Seconds after which an engine call counts as failed.
-        on_engine_failed: Called when an engine call failed.
+        check_admission: Raises if no new sequence may start on this stage.
+        step_timeout_s: Timeout of an engine call, in seconds.
+        on_engine_failed: Called after each failed engine call.
 
     Attributes:
-        cost: What iterations of the own engine were seen to cost.
+        cost: Measured cost of iterations on the engine.
     """
 
     def __init__(
@@ -81,32 +81,32 @@
 
     @property
     def active(self) -> int:
-        """Sequences that this stage holds."""
+        """Number of active sequences on this stage."""
         return len(self._records)
 
     def recently_used(self) -> bool:
-        """Return whether a head drove a sequence here a short while ago."""
+        """Return whether a step runs or was admitted within ``RECENT_USE_S``."""
         return self._records.recently_used()
 
     def advance_epoch(self, chain_id: str, epoch: int) -> None:
-        """Begin no sequence of an older epoch of this chain from now on."""
+        """Refuse new sequences of older epochs of this chain from now on."""
         self._records.advance_epoch(chain_id, epoch)
 
     def abort_engine_calls(self) -> None:
-        """Fail the engine calls in progress: the engine gives no sign of life."""
+        """Fail the engine calls in progress, because the engine does not respond."""
         now = asyncio.get_running_loop().time()
         for call_timeout in self._call_timeouts:
             call_timeout.reschedule(now)
 
     async def run(self, req: wire.StepRequest) -> wire.StepReply:
-        """Run one iteration through this stage and all after it.
+        """Run one iteration on this stage and on all following ones.
 
         Args:
-            req: The iteration; its first remaining stage is this one.
+            req: The iteration; the first entry of ``rest`` must be this stage.
 
         Returns:
-            One result per step, in the order of the request. Never raises for a
-            step that cannot run; its result names the error kind.
+            One result per step, in the order of the request. A step that cannot run
+            raises nothing; its result contains the error kind.
         """
         for sequence_id in req.cancelled:
             self._records.end(sequence_id)
@@ -131,7 +131,7 @@
         )
 
     async def close(self) -> None:
-        """Cancel what still runs."""
+        """Cancel pending cancellations on the engine."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -164,7 +164,7 @@
         req: wire.StepRequest,
         refusal: WigeonscaleError | None,
     ) -> tuple[asyncio.Future, bool]:
-        """Return the future of a step's result and whether it must run now."""
+        """Return the future of the result and whether the step must run now."""
         recorded = self._records.recorded_result(step)
         if recorded is not None:
             return recorded, False
@@ -180,7 +180,7 @@
     async def _run_new_steps(
         self, req: wire.StepRequest, new_steps: list[wire.SequenceStep]
     ) -> None:
-        """Run fresh steps and settle their futures, whatever happens."""
+        """Run new steps and complete their futures, also after an error."""
         results: dict[str, wire.StepResult] = {}
         try:
             outputs = await self._run_engine(req, new_steps, results)
@@ -234,8 +234,8 @@
                 self._call_timeouts.discard(call_timeout)
 
     def _observe(self, new_steps: list[wire.SequenceStep], began_at: float) -> None:
-        # The engine works on one iteration at a time, so the time spent waiting
-        # for the one before is not this one's.
+        # The engine runs one iteration at a time, so the time spent waiting for the
+        # previous iteration does not count.
         now = self._clock.now()
         seconds = now - max(began_at, self._engine_done_at)
         self._engine_done_at = now
@@ -295,7 +295,7 @@
         )
 
     def _cancel_on_engine(self, sequence_id: str) -> None:
-        # Those of one iteration go to the engine in one call.
+        # All cancellations of one iteration are sent to the engine in one call.
         self._to_cancel.append(sequence_id)
         if len(self._to_cancel) > 1:
             return
--- a/wigeonscale/pipelines/tokens.py
+++ b/wigeonscale/pipelines/tokens.py
@@ -1,4 +1,4 @@
-"""Prompts cut into the pieces that a first stage takes as its input."""
+"""Splits prompts into the pieces that the first stage takes as input."""
 
 __all__ = ["encode_pieces", "tokenise"]
 
@@ -7,13 +7,13 @@
 
 
 def tokenise(prompt: bytes) -> list[str]:
-    """Cut a prompt at white space.
+    """Split a prompt at whitespace.
 
     Args:
-        prompt: UTF-8 text; bytes that are not are replaced.
+        prompt: UTF-8 text; invalid bytes are replaced.
 
     Returns:
-        At least one piece; an empty prompt gives one empty piece.
+        The pieces; a prompt without any gives one empty piece.
 
     Example:
         >>> tokenise(b"find  Jana")
@@ -23,5 +23,5 @@
 
 
 def encode_pieces(pieces: Sequence[str]) -> bytes:
-    """Return the first stage's input for pieces at consecutive positions."""
+    """Encode pieces at consecutive positions as input of the first stage."""
     return json.dumps(list(pieces), ensure_ascii=False).encode()
--- a/wigeonscale/pipelines/waiting.py
+++ b/wigeonscale/pipelines/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for an event, but not for ever, on the clock port."""
+"""Waits for an event with a timeout on the clock port."""
 
 __all__ = ["wait_event"]
 
@@ -8,12 +8,12 @@
 
 
 async def wait_event(event: asyncio.Event, clock: Clock, seconds: float) -> bool:
-    """Wait until an event is set or the time has passed.
+    """Wait until an event is set or a timeout expires.
 
     Args:
-        event: The event; it is not cleared.
+        event: The event to wait for; it is not cleared.
         clock: Clock port that measures the time.
-        seconds: Longest wait.
+        seconds: Timeout, in seconds.
 
     Returns:
         Whether the event is set.
