--- a/wigeonscale/pipelines/links.py
+++ b/wigeonscale/pipelines/links.py
@@ -38,7 +38,7 @@
     def __init__(self, *, address: str):
         super().__init__(
             ErrorKind.BACKEND_FAILED,
-            f"no answer from the stage at {address} on two connections",
+            f"no reply from the stage at {address} on two connections",
             run_state=RunState.UNKNOWN,
         )
 
@@ -174,7 +174,11 @@
             last_check_at = now
             silent_s = now - self.last_message_at
             if silent_s >= self._reconnect_after_s:
-                logger.warning("stage at %s silent for %.2f s", self.address, silent_s)
+                logger.warning(
+                    "no message from stage at %s for %.2f s; closing the connection",
+                    self.address,
+                    silent_s,
+                )
                 return
             if silent_s >= self._probe_after_s:
                 self._send(wire.StepRequest())
@@ -196,7 +200,7 @@
                 if call is not None and not call.fut.done():
                     call.fut.set_result(reply)
         except grpc.aio.AioRpcError as exc:
-            logger.info("step stream to %s: %s", self.address, exc.code().name)
+            logger.info("step stream to %s failed: %s", self.address, exc.code().name)
 
     def _send(self, req: wire.StepRequest) -> None:
         self._unsent.append(req)
--- a/wigeonscale/pipelines/records.py
+++ b/wigeonscale/pipelines/records.py
@@ -148,25 +148,27 @@
         label = f"sequence {step.sequence_id}"
         record = self._running.get(step.sequence_id)
         if step.sequence_id in self._ended:
-            raise WigeonscaleError(ErrorKind.CANCELLED, f"{label} was ended here")
+            raise WigeonscaleError(ErrorKind.CANCELLED, f"{label} has already ended")
         if step.epoch != req.epoch or (record and record.epoch != step.epoch):
             raise WigeonscaleError(
-                ErrorKind.STALE_EPOCH, f"{label} does not run in epoch {step.epoch}"
+                ErrorKind.STALE_EPOCH, f"{label} does not belong to epoch {step.epoch}"
             )
         if record is None:
             self._check_first(step, req, label)
             return
         if record.is_running:
             raise WigeonscaleError(
-                ErrorKind.BAD_REQUEST, f"{label}: position {record.position} still runs"
+                ErrorKind.BAD_REQUEST, f"{label}: position {record.position} is running"
             )
         if record.failed:
-            raise WigeonscaleError(ErrorKind.BACKEND_FAILED, f"{label} broke here")
+            raise WigeonscaleError(
+                ErrorKind.BACKEND_FAILED, f"{label} failed at an earlier step"
+            )
         if step.first or step.position != record.next_position or step.count < 1:
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"{label}: position {step.position} where"
-                f" {record.next_position} is next",
+                f"{label}: got position {step.position}, expected"
+                f" {record.next_position}",
             )
 
     def _check_first(
@@ -176,11 +178,11 @@
         if req.epoch < newest:
             raise WigeonscaleError(
                 ErrorKind.STALE_EPOCH,
-                f"epoch {req.epoch} of chain {req.chain_id}, which is at {newest}",
+                f"epoch {req.epoch} of chain {req.chain_id} is older than {newest}",
             )
         if not step.first or step.position != 0 or step.count < 1:
             raise WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"{label} is not known here at position {step.position}",
+                f"{label} is unknown and cannot start at position {step.position}",
             )
         self._check_admission()
--- a/wigeonscale/pipelines/recovery.py
+++ b/wigeonscale/pipelines/recovery.py
@@ -125,7 +125,7 @@
                 continue
             _fail(
                 generation,
-                f"{epochs} epochs of chain {chain.chain_id} were lost before a token",
+                f"chain {chain.chain_id} lost {epochs} epochs before the first token",
             )
         return remaining
 
@@ -146,7 +146,7 @@
                 continue
             _fail(
                 generation,
-                f"chain {chain.chain_id} gave no token for {self._timeout_s:g} s",
+                f"chain {chain.chain_id} produced no token for {self._timeout_s:g} s",
             )
         return remaining
 
--- a/wigeonscale/pipelines/stage.py
+++ b/wigeonscale/pipelines/stage.py
@@ -20,7 +20,7 @@
 
 logger = logging.getLogger(__name__)
 
-NO_RESULT = "stage gave no result"
+NO_RESULT = "stage returned no result"
 
 
 class StageRunner:
@@ -138,12 +138,14 @@
 
     def _refusal(self, req: wire.StepRequest) -> WigeonscaleError | None:
         if not req.rest:
-            return WigeonscaleError(ErrorKind.BAD_REQUEST, "no stage left to run")
+            return WigeonscaleError(
+                ErrorKind.BAD_REQUEST, "request contains no stage to run"
+            )
         stage = req.rest[0]
         if stage.agent_id != self._agent_id:
             return WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"stage {stage.agent_id} was meant, this is {self._agent_id}",
+                f"request for agent {stage.agent_id} reached agent {self._agent_id}",
             )
         if stage.incarnation not in self._incarnations():
             return WigeonscaleError(
@@ -154,7 +156,8 @@
         wanted = (stage.first_layer, stage.last_layer)
         if info is None or (info.first_layer, info.last_layer) != wanted:
             return WigeonscaleError(
-                ErrorKind.STALE_EPOCH, f"layers {wanted} are not loaded, but {info}"
+                ErrorKind.STALE_EPOCH,
+                f"expected layers {wanted} to be loaded, found {info}",
             )
         return None
 
@@ -308,7 +311,9 @@
         try:
             await self._engine.cancel(sequence_ids)
         except WigeonscaleError as exc:
-            logger.warning("engine did not cancel %s: %s", sequence_ids, exc)
+            logger.warning(
+                "engine failed to cancel sequences %s: %s", sequence_ids, exc
+            )
 
 
 def _completed_future(result: wire.StepResult) -> asyncio.Future:
