--- a/wigeonscale/rules/__init__.py
+++ b/wigeonscale/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Ordered when-then rules: the document and its matching."""
+"""Routing rules: parsing, editing and validating the document, matching requests."""
 
 __all__ = [
     "EMPTY_DOCUMENT",
--- a/wigeonscale/rules/checks.py
+++ b/wigeonscale/rules/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a document's sections against each other."""
+"""Validation across the sections of a document."""
 
 __all__ = ["cross_check", "shadowed_rules"]
 
@@ -11,8 +11,10 @@
 from wigeonscale.rules.schema import Rule
 from wigeonscale.rules.sections import SectionParts, key_line
 
-# Rules with more terms are not searched for shadowing: subsets double each time.
+# Only this many terms of a rule are used in the search for shadowing rules, since each
+# further term doubles the number of subsets.
 MAX_SHADOW_CHECK_TERMS = 8
+# Condition of a rule with ``when = always``.
 ALWAYS = ""
 
 
@@ -22,13 +24,13 @@
     line_of: Callable[[str], int],
     invalid: Container[str] = (),
 ) -> list[Problem]:
-    """Return what is wrong between sections, as far as changed ones are involved.
+    """Return conflicts between sections that involve a changed section.
 
     Args:
         document: The changed document.
-        changed_names: Names of the sections that were put or removed.
-        line_of: Gives the line at which a section begins; only asked for problems.
-        invalid: Names of sections left out because they are wrong by themselves.
+        changed_names: Names of the sections that were added, replaced or removed.
+        line_of: Returns the first line of a section; only called for problems.
+        invalid: Names of sections left out of the document as invalid.
     """
     checker = _CrossChecker(document=document, line_of=line_of, invalid=invalid)
     for section_name in changed_names:
@@ -126,13 +128,13 @@
 
 
 def shadowed_rules(document: Document) -> Iterator[tuple[str, str]]:
-    """Yield (rule, earlier rule) where the earlier takes all that the rule would.
+    """Yield (rule, earlier rule) pairs where the earlier rule shadows the rule.
 
-    Such a document is accepted, but operators are warned. Found are rules whose
-    terms are a superset of an earlier rule's.
+    A rule is shadowed if its terms are a superset of the terms of an earlier rule.
+    Such a document is accepted, but operators are warned.
 
     Notes:
-        Costs 2 to the power of the number of terms for each rule.
+        Takes O(2^terms) time per rule, with at most ``MAX_SHADOW_CHECK_TERMS`` terms.
     """
     seen: dict[frozenset[str], str] = {}
     for rule in document.rules:
--- a/wigeonscale/rules/conditions.py
+++ b/wigeonscale/rules/conditions.py
@@ -1,4 +1,4 @@
-"""The ``when`` line of a rule: its terms, their tests and their index keys."""
+"""Parses the ``when`` line of rules into terms, their predicates and index keys."""
 
 __all__ = [
     "MAX_PREFIX_SEGMENTS",
@@ -19,8 +19,9 @@
 
 from wigeonscale.rules.model import RequestFacts
 
-# Bounds the look-ups that one request's path can cause.
+# Bounds the index lookups for the path of one request.
 MAX_PREFIX_SEGMENTS = 16
+# Index key of every request, for rules without an indexable term.
 UNINDEXED = ""
 HEADER_NAME = re.compile(r"[a-z0-9!#$%&'*+.^_`|~-]+")
 TEXT_FIELDS = ("organisation", "model", "path", "method")
@@ -31,7 +32,7 @@
     " NAME) is VALUE or in VALUE, VALUE; path under /PREFIX/; stream is yes|no;"
     " (priority|prompt_bytes) (is|above|below) NUMBER; quote values with spaces"
 )
-# Most selective first: one request has one organisation, but rules share paths.
+# Most selective first: a request has one organisation, while many rules share a path.
 INDEX_PREFERENCE = (
     ("organisation", "is"),
     ("header", "is"),
@@ -46,11 +47,11 @@
     """One condition of a rule.
 
     Attributes:
-        field: What is looked at.
+        field: Request attribute that is compared.
         relation: ``is`` (one of the values), ``under``, ``above`` or ``below``.
-        values: Values compared with.
-        negated: Whether the term holds when the comparison does not.
-        header: Lower-case header name when the field is ``header``.
+        values: Values that the attribute is compared with.
+        negated: Whether the result of the comparison is inverted.
+        header: Lower-case header name if the field is ``header``, otherwise empty.
     """
 
     field: str
@@ -66,10 +67,10 @@
 
 
 def parse_when(text: str) -> tuple[Term, ...]:
-    """Return the terms of a ``when`` line; none for ``always``.
+    """Parse a ``when`` line into its terms; ``always`` has none.
 
     Args:
-        text: The line's value.
+        text: Value of the ``when`` key.
 
     Raises:
         ValueError: The text does not follow the syntax.
@@ -90,7 +91,7 @@
 
 
 def _tokens(text: str) -> list[str]:
-    """Return the tokens of a line, the first one last, so that taking one is cheap."""
+    """Return the tokens of a line in reverse order, so that a pop yields the next."""
     lexer = shlex.shlex(text, posix=True, punctuation_chars=",")
     lexer.whitespace_split = True
     lexer.commenters = ""
@@ -176,7 +177,7 @@
 
 
 def term_test(term: Term) -> Callable[[RequestFacts], bool]:
-    """Return the test of a term, as a function of the request's facts."""
+    """Return a predicate over requests that evaluates a term."""
     test = _plain_test(term)
     if not term.negated:
         return test
@@ -207,14 +208,14 @@
 
 
 def index_keys(terms: Sequence[Term]) -> tuple[str, ...]:
-    """Return the keys of which a request must have one for the terms to hold.
+    """Return index keys of which each matching request has at least one.
 
     Args:
         terms: Terms of one rule.
 
     Returns:
-        Keys of the rule's most selective term; one key that every request has
-        when no term can be indexed.
+        Keys of the most selective term; the key ``UNINDEXED``, which every request
+        has, if no term can be indexed.
     """
     for field, relation in INDEX_PREFERENCE:
         for term in terms:
@@ -228,11 +229,11 @@
 
 
 def fact_keys(facts: RequestFacts, *, headers: bool = True) -> Iterator[str]:
-    """Return every index key that a request has.
+    """Yield all index keys of a request.
 
     Args:
         facts: The request.
-        headers: Whether keys of headers are wanted.
+        headers: Whether to include the keys of headers.
     """
     yield UNINDEXED
     yield f"organisation  is {facts.organisation}"
--- a/wigeonscale/rules/diff.py
+++ b/wigeonscale/rules/diff.py
@@ -1,4 +1,4 @@
-"""The changes that lead from one rules document to another."""
+"""Computes the changes that turn one rules document into another."""
 
 __all__ = ["Edit", "diff_documents", "plan_edits"]
 
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """One step from a document to another.
+    """One change to a section of a document.
 
     Attributes:
         name: Name of the section.
-        text: Whole text of the section; None removes it.
-        after: Name of the section it then follows; ``ENDS`` to be the first.
+        text: Whole text of the section; None to remove it.
+        after: Name of the section to place it after; ``SENTINEL`` to be the first.
     """
 
     name: str
@@ -26,15 +26,15 @@
 
 
 def plan_edits(old: Document, texts: Mapping[str, str]) -> Iterator[Edit]:
-    """Yield the steps that lead from a document to the given sections.
+    """Yield the edits that turn a document into the given sections.
 
     Args:
         old: The document to start from.
-        texts: Text of each section by name, in the order wanted.
+        texts: Text of each section by name, in the target order.
 
     Notes:
-        Removals come first, then changed, moved and new sections in order. Of the
-        sections in both, a longest run that keeps its order stays where it is.
+        Removals come first, then changed, moved and new sections in order. A longest
+        increasing subsequence of the common sections is not moved.
     """
     sections = old.tables.sections
     old_names = list(old.section_names())
@@ -50,14 +50,14 @@
 
 
 def diff_documents(old: Document, new: Document) -> list[wire_pb2.SectionChange]:
-    """Return changes that :func:`patch_document` turns ``old`` into ``new`` with.
+    """Return changes with which :func:`patch_document` turns ``old`` into ``new``.
 
     Args:
         old: The document to start from.
-        new: The document to reach.
+        new: The target document.
 
     Notes:
-        Costs a look at every section; few sections are returned.
+        Compares every section, but returns only sections that differ.
     """
     sections = new.tables.sections
     texts = {name: sections[name].text for name in new.section_names()}
@@ -80,7 +80,7 @@
 
 
 def _longest_increasing(numbers: Sequence[int]) -> list[int]:
-    """Return the places of a longest increasing subsequence (patience sorting)."""
+    """Return the indices of a longest increasing subsequence (patience sorting)."""
     tails: list[int] = []
     tail_indices: list[int] = []
     predecessors: list[int] = []
--- a/wigeonscale/rules/document.py
+++ b/wigeonscale/rules/document.py
@@ -1,4 +1,4 @@
-"""The rules document: its sections in order, and the tables made from them."""
+"""The immutable rules document: its ordered sections and lookup tables."""
 
 __all__ = ["EMPTY_DOCUMENT", "Document", "Section", "Tables"]
 
@@ -10,22 +10,23 @@
 from wigeonscale.rules.persistent import PersistentMap
 from wigeonscale.rules.schema import Rule
 
-# Name of the ring's sentinel: before the first section and after the last.
+# Name of the sentinel of the circular list of sections: it precedes the first section
+# and follows the last.
 SENTINEL = ""
 DIGEST_BITS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """One section as a link of the document's ring.
+    """One section, a node of the circular doubly linked list of sections.
 
     Attributes:
         name: Name in the header.
         text: Whole text of the section.
-        previous: Name of the section before; ``ENDS`` for none.
-        following: Name of the section after; ``ENDS`` for none.
-        label: Number that grows along the document.
-        digest: SHA-256 of name, place and text, as a number.
+        previous: Name of the preceding section; ``SENTINEL`` if there is none.
+        following: Name of the next section; ``SENTINEL`` if there is none.
+        label: Sort key that increases along the document.
+        digest: SHA-256 of name, name of the preceding section and text, as an integer.
     """
 
     name: str
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Tables:
-    """Everything a document holds, in mappings that versions share.
+    """The content of a document, in mappings that share data between versions.
 
     Attributes:
         sections: :class:`Section` by name, the sentinel included.
@@ -55,10 +56,10 @@
         services: Plain service by name.
         rules: :class:`Rule` by name.
         key_owners: Names of the organisations that hold a key, by key digest.
-        uses: Number of rules that name a section, by the section's name.
-        conditions: Names of the rules with a condition, by the condition.
-        candidates: (label, rule) in order, by index key.
-        header_names: Number of rules indexed by a header, by its name.
+        uses: Number of references by rules, by the name of the section.
+        conditions: Names of the rules with equal conditions, by the condition.
+        candidates: (label, rule) pairs in document order, by index key.
+        header_names: Number of rules indexed by a header, by the name of the header.
     """
 
     sections: PersistentMap = field(default_factory=_empty_section_list)
@@ -75,16 +76,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Document:
-    """An accepted rules document; immutable.
+    """A validated, immutable rules document.
 
     Attributes:
-        tables: What the document holds.
-        digest_sum: Sum of the sections' digests, from which ``digest`` is made.
+        tables: Content of the document.
+        digest_sum: Sum of the section digests modulo 2**256; ``digest`` shows it.
 
     Notes:
-        ``organisations`` and ``digest`` cost nothing; ``text`` is put together at
-        each use, since many versions may be held; ``pipelines``, ``services`` and
-        ``rules`` are put in document order on first use and kept.
+        ``organisations`` and ``digest`` take constant time. ``text`` is built on each
+        access, since many versions may be in memory. ``pipelines``, ``services`` and
+        ``rules`` are sorted into document order on first access and cached.
     """
 
     tables: Tables = field(default_factory=Tables)
@@ -92,7 +93,7 @@
 
     @property
     def digest(self) -> str:
-        """Digest of the whole document, as 64 hex digits."""
+        """Digest of the whole document, 64 hexadecimal digits."""
         return f"{self.digest_sum:0{DIGEST_BITS // 4}x}"
 
     @property
@@ -112,17 +113,17 @@
 
     @functools.cached_property
     def rules(self) -> tuple[Rule, ...]:
-        """Rules in the order in which they are tried."""
+        """Rules in document order, which is the order of evaluation."""
         return tuple(self._ordered("rule", self.tables.rules).values())
 
     @property
     def text(self) -> str:
-        """The document as operators write it."""
+        """Text of the whole document, as written by operators."""
         sections = self.tables.sections
         return "".join(sections[name].text for name in self.section_names())
 
     def section_names(self) -> Iterator[str]:
-        """Yield the names of the sections in order."""
+        """Yield the section names in document order."""
         sections = self.tables.sections
         name = sections[SENTINEL].following
         while name != SENTINEL:
@@ -130,7 +131,7 @@
             name = sections[name].following
 
     def section_line(self, name: str) -> int:
-        """Return the line at which a section begins; costs as much as ``text``."""
+        """Return the first line of a section, from 1; takes as long as ``text``."""
         line = 1
         for other in self.section_names():
             if other == name:
--- a/wigeonscale/rules/draft.py
+++ b/wigeonscale/rules/draft.py
@@ -1,4 +1,4 @@
-"""A document being changed, section by section."""
+"""Mutable copy of a document that is edited section by section."""
 
 __all__ = ["Draft"]
 
@@ -17,21 +17,21 @@
 from wigeonscale.rules.persistent import MapDraft
 from wigeonscale.rules.schema import Parsed, Rule
 
-# Distance of the labels of two sections that are appended one after the other.
+# Label distance between consecutively appended sections.
 LABEL_GAP = 1 << 64
-# Distance that labels get when a crowded stretch is spread out again.
+# Label distance after sections with too close labels are relabelled.
 RESPACED_GAP = 1 << 20
 
 
 class Draft:
-    """A document being changed.
+    """Mutable copy of a document, which is not validated.
 
     Args:
-        base: The document to start from; it stays as it is.
+        base: The document to start from; it is not modified.
 
     Attributes:
-        tables: A :class:`MapDraft` for each field of :class:`Tables`, by name.
-        touched: Names of the sections put or removed.
+        tables: A :class:`MapDraft` for each field of :class:`Tables`, by field name.
+        changed_names: Names of the sections added, replaced or removed.
     """
 
     def __init__(self, *, base: Document):
@@ -44,13 +44,13 @@
         self._digest_sum = base.digest_sum
 
     def put(self, name: str, text: str, after: str, parsed: Parsed) -> None:
-        """Insert a section, or replace and move it.
+        """Insert a section, or replace and move an existing one.
 
         Args:
             name: Name of the section.
             text: Whole text of the section.
-            after: Name of the section it follows; ``ENDS`` to be the first.
-            parsed: What the text describes.
+            after: Name of the section to place it after; ``SENTINEL`` to be the first.
+            parsed: Object that the text describes.
         """
         self.changed_names[name] = None
         old = self._sections.get(name)
@@ -65,17 +65,17 @@
         self._register(name, parsed)
 
     def remove(self, name: str) -> None:
-        """Remove a section that exists."""
+        """Remove a section, which must exist."""
         self.changed_names[name] = None
         self._unregister(name)
         self._unlink(name)
 
     def freeze(self) -> Document:
-        """Return the changed document, unchecked."""
+        """Return the edited document without validating it."""
         tables = {name: draft.freeze() for name, draft in self.tables.items()}
         return Document(tables=Tables(**tables), digest_sum=self._digest_sum)
 
-    # The ring of sections.
+    # The circular list of sections.
 
     def _change(
         self,
@@ -86,7 +86,8 @@
         following: str | None = None,
         label: int | None = None,
     ) -> None:
-        # Not dataclasses.replace: this is most of the cost of reading a document.
+        # Avoids dataclasses.replace, which is slower: most of the time of parsing a
+        # document is spent here.
         old = self._sections[name]
         text = old.text if text is None else text
         digest = old.digest
@@ -134,7 +135,7 @@
         return (low + high) // 2
 
     def _respace_labels(self, start: str) -> None:
-        """Make room after a section; cost is amortised over the puts that used it."""
+        """Relabel sections to make room after one; amortised over the insertions."""
         crowded = []
         low = self._sections[start].label
         name = self._sections[start].following
@@ -154,7 +155,7 @@
         if rule is not None:
             self._index(rule)
 
-    # What the sections describe.
+    # The tables of parsed objects.
 
     def _rule(self, section_name: str) -> Rule | None:
         kind, _, name = section_name.partition(" ")
--- a/wigeonscale/rules/editing.py
+++ b/wigeonscale/rules/editing.py
@@ -1,4 +1,4 @@
-"""Makes documents from texts and from changes to other documents."""
+"""Creates documents from text and from changes to existing documents."""
 
 __all__ = ["parse_document", "patch_document"]
 
@@ -14,19 +14,19 @@
 
 
 def parse_document(text: str, *, base: Document = EMPTY_DOCUMENT) -> Document:
-    r"""Return the document that a text describes.
+    r"""Parse a text into a document.
 
     Args:
         text: INI text with ``[organisation]``, ``[pipeline]``, ``[service]`` and
-            ``[rule]`` sections; the order of the rules is the order of trial.
-        base: A document to start from: only sections that differ are read.
+            ``[rule]`` sections; rules are evaluated in the order of the text.
+        base: Document to start from; only sections that differ from it are parsed.
 
     Returns:
-        A document in which every section is right by itself and with the others.
+        A document whose sections are valid and consistent with each other.
 
     Raises:
-        InvalidDocument: Names every problem with section, key, line, value and
-            what is allowed.
+        InvalidDocument: The text is invalid; lists all problems with section, key,
+            line, value and what is allowed.
 
     Example:
         >>> text = "[rule none]\nwhen = always\nthen = refuse because closed\n"
@@ -66,7 +66,7 @@
     parts_of: dict[str, SectionParts],
     invalid: dict[str, str],
 ) -> list[Problem]:
-    """Make one edit; a section that is wrong by itself goes into ``broken``."""
+    """Apply one edit; an invalid section is only recorded in ``invalid``."""
     if edit.text is None:
         draft.remove(edit.name)
         return []
@@ -80,7 +80,7 @@
 
 
 def _nearest_present(draft: Draft, invalid: dict[str, str], name: str) -> str:
-    """Return the nearest section before a broken one that the draft has."""
+    """Return the nearest section at or before ``name`` that the draft contains."""
     while name in invalid and name not in draft.tables["sections"]:
         name = invalid[name]
     return name
@@ -93,22 +93,22 @@
 def patch_document(
     old: Document, changes: Iterable[wire_pb2.SectionChange]
 ) -> Document:
-    """Return a document with some sections changed.
+    """Apply changes to sections of a document.
 
     Args:
-        old: The document to change; it stays as it is.
-        changes: Changes in the order in which they are to be made.
+        old: The document to start from; it is not modified.
+        changes: Changes, in the order in which they are applied.
 
     Returns:
-        A new document that shares what did not change.
+        A new document that shares unchanged data with ``old``.
 
     Raises:
-        InvalidDocument: A change does not fit, or the result is invalid.
+        InvalidDocument: A change cannot be applied, or the result is invalid.
 
     Notes:
-        Costs a time that depends on the changes, not on the size of the document,
-        but for a logarithm and for the copying of a list of the rules that share
-        one index key. A change to a rule with ``when = always`` looks at every rule.
+        The time depends on the changes and only logarithmically on the size of the
+        document, except that the list of rules with the same index key is copied. A
+        change to a rule with ``when = always`` visits every rule.
     """
     draft = Draft(base=old)
     problems: list[Problem] = []
--- a/wigeonscale/rules/matching.py
+++ b/wigeonscale/rules/matching.py
@@ -13,10 +13,10 @@
 
 
 class Ruleset:
-    r"""The rules of one document, ready to decide requests.
+    r"""Evaluates the rules of one document for requests.
 
     Args:
-        document: The document; its index is used as it stands.
+        document: The document, whose index is used without a copy.
 
     Example:
         >>> from wigeonscale.rules import parse_document
@@ -34,22 +34,22 @@
 
     @classmethod
     def from_document(cls, document: Document) -> "Ruleset":
-        """Return the ruleset of a document; costs the same for any size."""
+        """Return the ruleset of a document, in constant time."""
         return cls(document=document)
 
     def decide(self, facts: RequestFacts) -> Decision:
-        """Return what the first matching rule decides.
+        """Return the decision of the first matching rule.
 
         Args:
             facts: The request.
 
         Raises:
-            WigeonscaleError: ``NO_MATCHING_RULE``.
+            WigeonscaleError: No rule matches (``NO_MATCHING_RULE``).
 
         Notes:
-            Looks at the rules that share an index key with the request, in order,
-            until one matches: the number of organisations and of rules for others
-            does not count.
+            Evaluates only rules that share an index key with the request, in document
+            order, so that the number of organisations and of rules for other
+            organisations does not affect the time.
         """
         for rule in self._in_order(facts):
             if all(test(facts) for test in rule.tests):
@@ -67,6 +67,6 @@
             yield rule
 
     def organisation_for_key(self, api_key: str) -> Organisation | None:
-        """Return the organisation that holds an API key, or None."""
+        """Return the organisation to which an API key belongs, or None."""
         owners = self._key_owners.get(key_digest(api_key))
         return self.document.organisations[owners[0]] if owners else None
--- a/wigeonscale/rules/model.py
+++ b/wigeonscale/rules/model.py
@@ -1,4 +1,4 @@
-"""Plain data of the rules document and of the decision for one request."""
+"""Data classes of the rules document and of the decision for a request."""
 
 __all__ = [
     "Action",
@@ -23,14 +23,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """A customer.
+    """A customer organisation.
 
     Attributes:
         name: Name used in rules and reports.
         key_digests: SHA-256 hex digests of its API keys.
-        share: Weight for fair sharing of engines.
-        concurrency: Requests in progress over all entries; 0 for no limit.
-        rate: Requests per second over all entries; 0 for no limit.
+        share: Weight in the fair sharing of engines.
+        concurrency: Maximum number of concurrent requests over all entries; 0 for no
+            limit.
+        rate: Maximum number of requests per second over all entries; 0 for no limit.
     """
 
     name: str
@@ -42,16 +43,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Pipeline:
-    """A model to be served by chains of engines.
+    """A model that is served by chains of engines.
 
     Attributes:
-        name: Name used as a rule's target.
-        model: Name that callers give as ``model``.
+        name: Name that rules use as target.
+        model: Name that callers pass as ``model``.
         layers: Number of layers of the model.
-        replicas: Chains wanted.
-        version: Model version to load; empty for the engine's own.
+        replicas: Target number of chains.
+        version: Model version to load; empty for the default of the engine.
         adapter: Adapter to load; empty for none.
-        stages: Stages per chain; 0 lets placement choose.
+        stages: Number of stages per chain; 0 if placement chooses it.
     """
 
     name: str
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainService:
-    """A plain service that requests may be routed to."""
+    """A plain HTTP service to which requests can be routed."""
 
     name: str
     timeout_s: float = 30.0
@@ -73,15 +74,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What rules may look at.
+    """Attributes of a request that rules can match.
 
     Attributes:
-        organisation: Name of the caller's organisation.
+        organisation: Name of the organisation of the caller.
         method: HTTP method in upper case.
-        path: Path without query string.
-        model: Model named by the caller; empty for calls to plain services.
-        stream: Whether a stream was asked for.
-        priority: Priority asked for.
+        path: Path without the query string.
+        model: Model in the request; empty for calls to plain services.
+        stream: Whether the request asks for a streamed response.
+        priority: Priority in the request.
         prompt_bytes: Size of the prompt or body, in bytes.
         headers: Header values by lower-case name.
     """
@@ -98,19 +99,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What the first matching rule decided.
+    """The decision of the first matching rule.
 
     Attributes:
         rule: Name of the rule.
         action: Route or refuse.
         pipeline: Target pipeline, or empty.
         service: Target plain service, or empty.
-        reason: Text for the caller of a refusal.
-        limit: Requests in progress under this rule per organisation; 0: none.
-        priority: Priority to use; None keeps the caller's.
-        deadline_s: Longest deadline in seconds; 0 for none.
-        once: The work must not be repeated.
-        attempts: Most dispatches for one request.
+        reason: Reason for a refusal, which is sent to the caller.
+        limit: Maximum number of concurrent requests per organisation under this rule;
+            0 for no limit.
+        priority: Priority to use; None keeps the priority in the request.
+        deadline_s: Maximum deadline in seconds; 0 for none.
+        once: Whether the request must not run more than once.
+        attempts: Maximum number of dispatches per request.
     """
 
     rule: str
--- a/wigeonscale/rules/persistent.py
+++ b/wigeonscale/rules/persistent.py
@@ -1,4 +1,4 @@
-"""A mapping that shares its unchanged parts with the mappings made from it."""
+"""A persistent hash map, whose versions share unchanged nodes."""
 
 __all__ = ["MapDraft", "PersistentMap"]
 
@@ -8,21 +8,23 @@
 BITS_PER_LEVEL = 4
 FANOUT = 1 << BITS_PER_LEVEL
 HASH_BITS = 32
-# Entries in a leaf before it splits: small enough that copying one is cheap.
+# Maximum number of entries in a leaf before it is split. Small enough to make copying
+# a leaf cheap.
 LEAF_SIZE = 16
+# Value that marks a removed key in a set of changes.
 REMOVED = object()
 
 
 class PersistentMap(Mapping):
-    """An immutable mapping from text keys, as a hash trie.
+    """An immutable mapping with string keys, implemented as a hash trie.
 
     Args:
-        entries: First contents.
+        entries: Initial entries.
 
     Notes:
-        Lookup and :meth:`updated` cost O(log n) a key; see Bagwell, "Ideal Hash
-        Trees" (2001). The hash is CRC-32, so that the shape does not depend on the
-        process.
+        Lookup and :meth:`updated` take O(log n) time per key; see Bagwell, "Ideal
+        Hash Trees" (2001). The hash is CRC-32, so that the structure is the same in
+        all processes.
     """
 
     __slots__ = ("_root", "_size")
@@ -37,7 +39,7 @@
     def __contains__(self, key: object) -> bool:
         return isinstance(key, str) and key in self._leaf(key)
 
-    # Mapping's own would raise and catch an exception for each key it misses.
+    # Mapping.get raises and catches an exception for each missing key.
     def get(self, key: str, default: object = None) -> object:
         """Return the value under a key, or the default."""
         return self._leaf(key).get(key, default)
@@ -63,13 +65,13 @@
         return self._size
 
     def updated(self, changes: Mapping[str, object]) -> "PersistentMap":
-        """Return this mapping with changes applied.
+        """Return a copy with changes applied.
 
         Args:
-            changes: New value by key, or ``REMOVED``.
+            changes: New values by key; ``REMOVED`` removes the key.
 
         Returns:
-            A new mapping; this one stays as it is.
+            A new mapping, or this one without changes; this one is not modified.
         """
         if not changes:
             return self
@@ -139,7 +141,7 @@
         self._changes[key] = REMOVED
 
     def values(self) -> Iterator[object]:
-        """Return all values; costs as much as the mapping is large."""
+        """Iterate over all values; takes O(n) time."""
         return iter(self.freeze().values())
 
     def freeze(self) -> PersistentMap:
--- a/wigeonscale/rules/problems.py
+++ b/wigeonscale/rules/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a rules document, and the error that says so."""
+"""Validation problems of a rules document and the error that reports them."""
 
 __all__ = ["InvalidDocument", "Problem"]
 
@@ -12,15 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong with a document.
+    """One validation problem of a document.
 
     Attributes:
         section: Name of the section, such as ``"rule urgent"``; may be empty.
-        key: Key within the section; empty when the section itself is wrong.
-        line: Line number in the document, from 1; 0 when there is none.
-        value: The offending value.
-        allowed: What would be accepted.
-        reason: Why the value does not fit, where that is not plain; may be empty.
+        key: Key within the section; empty for a problem of the section itself.
+        line: Line number in the document, from 1; 0 if there is none.
+        value: The invalid value.
+        allowed: Description of valid values.
+        reason: Why the value is invalid, if ``allowed`` does not say so; may be empty.
     """
 
     section: str
@@ -38,11 +38,11 @@
         return f"{place}{key} {value!r}{reason}; allowed: {self.allowed}"
 
 
-class InvalidDocument(SettingsError):  # noqa: N818 - names the document's state
-    """A rules document or a change to one that cannot be accepted.
+class InvalidDocument(SettingsError):  # noqa: N818 - describes the document
+    """A rules document, or a change to one, is invalid.
 
     Args:
-        problems: Everything found wrong, at least one.
+        problems: All problems found, at least one.
     """
 
     def __init__(self, problems: Iterable[Problem]):
--- a/wigeonscale/rules/schema.py
+++ b/wigeonscale/rules/schema.py
@@ -1,4 +1,4 @@
-"""The keys that each kind of section may have, checked at the border."""
+"""Schema of the sections of a rules document, validated with pydantic."""
 
 __all__ = ["KINDS", "Parsed", "Rule", "SectionModel", "key_digest"]
 
@@ -39,10 +39,10 @@
     Attributes:
         name: Name of the rule.
         terms: Conditions that must all hold.
-        tests: The conditions as functions of the request.
-        decision: What the rule decides.
-        targets: Section names that must exist, by the key that names them.
-        index_keys: Keys under which the rule is found; see ``conditions``.
+        tests: Predicates over requests, one per term.
+        decision: Decision for matching requests.
+        targets: Pairs of a key and the name of the section that it refers to.
+        index_keys: Keys under which the rule is indexed; see ``conditions``.
     """
 
     name: str
@@ -54,18 +54,18 @@
 
     @property
     def index_headers(self) -> set[str]:
-        """Names of the headers under which the rule is found."""
+        """Names of the headers under which the rule is indexed."""
         header_keys = (key for key in self.index_keys if key.startswith("header "))
         return {key.split(" ")[1] for key in header_keys}
 
     @property
     def condition(self) -> str:
-        """The terms in one text that is equal for equal conditions."""
+        """Canonical text of the terms, independent of their order."""
         return " and ".join(sorted(str(term) for term in self.terms))
 
 
 def key_digest(api_key: str) -> str:
-    """Return the SHA-256 hex digest under which an API key is looked up."""
+    """Return the SHA-256 hex digest by which an API key is looked up."""
     return hashlib.sha256(api_key.encode("utf-8", "surrogatepass")).hexdigest()
 
 
@@ -109,9 +109,10 @@
 
 
 class SectionModel(BaseModel):
-    """Base of the keys of each kind of section; an unknown key is an error."""
+    """Base class of the section schemas; unknown keys are errors."""
 
-    # Built at the first use: a daemon that reads no rules starts 40 ms sooner.
+    # Validators are built on first use, so that a daemon without rules starts 40 ms
+    # faster.
     model_config = ConfigDict(
         extra="forbid", arbitrary_types_allowed=True, defer_build=True
     )
--- a/wigeonscale/rules/sections.py
+++ b/wigeonscale/rules/sections.py
@@ -1,4 +1,4 @@
-"""Reads the text of one section of a rules document into its object."""
+"""Splits a rules document into sections and parses single sections."""
 
 __all__ = ["SectionParts", "key_line", "parse_section", "split_sections"]
 
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SectionParts:
-    """One section cut out of a document.
+    """The text of one section and its location in the document.
 
     Attributes:
         name: Name in the header, such as ``"rule urgent"``.
-        text: The header with the comments above it and the lines below it.
-        line: Line of the document at which the text begins, from 1.
+        text: The header, the comments directly above it and the lines below it.
+        line: First line of the text in the document, from 1.
     """
 
     name: str
@@ -36,12 +36,12 @@
 
 
 def split_sections(text: str) -> Iterator[SectionParts]:
-    """Cut a document into its sections.
+    """Split a document into its sections.
 
     Args:
-        text: Text of the document. Comment lines directly above a header belong
-            to its section; what stands before the first section's belongs to the
-            first.
+        text: Text of the document. Comment lines directly above a header belong to
+            its section; any text before them at the start belongs to the first
+            section.
     """
     headers = list(HEADER.finditer(text))
     starts = [_start_with_comments(text, header.start()) for header in headers]
@@ -64,13 +64,13 @@
 
 
 def parse_section(parts: SectionParts) -> Parsed | list[Problem]:
-    """Return the object that a section describes.
+    """Parse a section into the object that it describes.
 
     Args:
         parts: The section.
 
     Returns:
-        The object, or every problem of a section that describes none.
+        The object, or all problems of an invalid section.
     """
     kind, _, name = parts.name.partition(" ")
     header_line = parts.line + _line_of(parts.text, HEADER, 0)
@@ -112,7 +112,7 @@
 
 
 class _Parsers(threading.local):
-    """One parser a thread: making one costs more than reading a section."""
+    """One parser per thread, since creating one takes longer than parsing a section."""
 
     def __init__(self):
         self.parser = configparser.RawConfigParser(
@@ -137,7 +137,7 @@
 ) -> Iterator[Problem]:
     fields = section_cls.model_fields
     annotations = typing.get_type_hints(section_cls, include_extras=True)
-    # A list or a union has one error an item: name the key once.
+    # Lists and unions have one error per item, but each key is reported once.
     reasons: dict[str, str] = {}
     for error in exc.errors():
         reason = str(error.get("ctx", {}).get("error", ""))
@@ -156,11 +156,11 @@
 
 
 def key_line(parts: SectionParts, key: str) -> int:
-    """Return the document's line on which a key stands, or 0.
+    """Return the line of a key in the document, or 0 if there is none.
 
     Args:
         parts: The section that holds the key.
-        key: Key in lower case.
+        key: Key to find, in lower case.
     """
     for match in KEY_LINE.finditer(parts.text):
         if match["key"].lower() == key:
