--- a/wigeonscale/rules/editing.py
+++ b/wigeonscale/rules/editing.py
@@ -53,7 +53,7 @@
     for parts in split_sections(text):
         first = parts_of.setdefault(parts.name, parts)
         if first is not parts:
-            allowed = f"each section once; it stands in line {first.line} too"
+            allowed = f"each section once; already defined in line {first.line}"
             problems.append(
                 Problem(parts.name, "", parts.line, f"[{parts.name}]", allowed)
             )
@@ -124,14 +124,18 @@
     sections = draft.tables["sections"]
     if change.removed:
         if change.name == SENTINEL or change.name not in sections:
-            return [Problem(change.name, "", 0, change.name, "a section that exists")]
+            return [Problem(change.name, "", 0, change.name, "the name of a section")]
         draft.remove(change.name)
         return []
     if change.after not in sections or change.after == change.name:
-        return [Problem(change.name, "", 0, change.after, "another section to follow")]
+        return [
+            Problem(change.name, "", 0, change.after, "the name of another section")
+        ]
     parts = list(split_sections(change.text))
     if [part.name for part in parts] != [change.name]:
-        return [Problem(change.name, "", 0, change.text[:80], "one section's text")]
+        return [
+            Problem(change.name, "", 0, change.text[:80], "the text of one section")
+        ]
     parsed = parse_section(parts[0])
     if isinstance(parsed, list):
         return parsed
@@ -148,7 +152,9 @@
         text.encode()
     except UnicodeEncodeError as exc:
         line = text.count("\n", 0, exc.start) + 1
-        yield Problem("", "", line, text[exc.start], "text that UTF-8 can hold")
+        yield Problem(
+            "", "", line, text[exc.start], "text that can be encoded as UTF-8"
+        )
     if text.strip() and next(split_sections(text), None) is None:
         yield Problem("", "", 1, text.strip()[:80], "sections, each with a header")
 
