--- a/wigeonscale/pipelines/tests/test_cost.py
+++ b/wigeonscale/pipelines/tests/test_cost.py
@@ -15,7 +15,7 @@
         ("mixed", {"flat_s": 0.016, "each_s": 0.001, "share": 0.5}),
     ]
 
-    def test_share_is_learnt_from_two_sizes(self):
+    def test_fixed_share_is_estimated_from_two_sizes(self):
         cost = IterationCost()
         self.assertEqual(0.0, cost.fixed_cost_share(16))
         for size in (1, 5, 16, 17, 16, 1):
@@ -23,17 +23,17 @@
         self.assertAlmostEqual(self.share, cost.fixed_cost_share(16), places=6)
 
 
-class LearningTest(AsyncTestCase):
-    def test_one_size_says_nothing(self):
+class EstimateTest(AsyncTestCase):
+    def test_one_size_class_gives_no_estimate(self):
         cost = IterationCost()
         cost.observe(8, 1.0)
         cost.observe(9, 1.0)
         self.assertEqual(0.0, cost.fixed_cost_share(8))
 
-    def test_room_grows_with_the_sizes_seen(self):
+    def test_position_limit_grows_with_observed_sizes(self):
         cost = IterationCost()
         self.assertEqual(INITIAL_PREFILL_POSITIONS, cost.positions_within(0.01))
-        # As on a busy machine: the small sizes say that positions cost nothing.
+        # On a busy machine, small sizes may suggest that positions cost nothing.
         for size in (1, 8):
             cost.observe(size, 0.002)
         self.assertEqual(INITIAL_PREFILL_POSITIONS, cost.positions_within(0.01))
--- a/wigeonscale/pipelines/tests/test_fuzz.py
+++ b/wigeonscale/pipelines/tests/test_fuzz.py
@@ -11,7 +11,8 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 GOOD_STAGE = wire.Stage(agent_id="a0", incarnation=7, last_layer=3)
-# Most steps fit, so that many come past the first checks; each oddity spoils one.
+# Most steps are valid, so that many pass the first checks; a mutation makes a step
+# invalid or unusual.
 MUTATIONS = (
     {"first": True},
     {"first": False},
--- a/wigeonscale/pipelines/tests/test_head.py
+++ b/wigeonscale/pipelines/tests/test_head.py
@@ -22,7 +22,7 @@
 
 
 class BlockingStage:
-    """Records iterations and answers them once it is let go."""
+    """Records iterations and blocks them until ``gate`` is set."""
 
     def __init__(self):
         self.cost = IterationCost()
@@ -72,17 +72,17 @@
         self.head.start(generation, CHAIN)
         return generation
 
-    async def test_one_iteration_a_stage_and_one_more_are_in_flight(self):
+    async def test_one_iteration_per_stage_and_one_extra_are_in_flight(self):
         for pieces in range(1, 10):
             self.start(pieces)
         await until(lambda: len(self.stage.iterations) == 3)
         self.stage.gate.set()
         await until(lambda: len(self.ends) == 9)
         self.assertEqual(["length"] * 9, self.ends)
-        # Nine sequences go in three even parts once the first ones are back.
+        # Nine sequences form three even batches after the first iterations return.
         self.assertEqual(3, max(len(counts) for counts in self.stage.iterations))
 
-    async def test_flat_cost_takes_the_extra_iteration_away(self):
+    async def test_high_fixed_cost_disables_the_extra_iteration(self):
         for size in (1, 8):
             self.stage.cost.observe(size, 0.02)
         for pieces in range(1, 5):
@@ -90,7 +90,7 @@
         await until(lambda: self.stage.iterations)
         self.assertEqual([[1], [2]], self.stage.iterations)
 
-    async def test_only_a_stage_that_gave_no_answer_is_suspected(self):
+    async def test_only_an_unreachable_stage_is_suspected(self):
         self.stage.gate.set()
         for unreachable in (False, True):
             self.stage.failure = {
@@ -105,11 +105,11 @@
             self.assertEqual(["a1"] if unreachable else [], self.suspected)
             self.head.cancel(generation)
 
-    async def test_long_prompts_go_in_parts_beside_others(self):
+    async def test_long_prompts_are_split_while_others_run(self):
         for size in (1, 101):
             self.stage.cost.observe(size, 0.0002 * size)
-        # Three iterations are in flight, so each may take a third of the gap.
-        most = int(MAX_PREFILL_DELAY_S / 3 / 0.0002)
+        # Three iterations are in flight, so each gets a third of the maximum delay.
+        max_positions = int(MAX_PREFILL_DELAY_S / 3 / 0.0002)
         lengths = (1, 1, 1, 500, 900, 2000)
         for pieces in lengths:
             self.start(pieces, tokens=1)
@@ -118,11 +118,11 @@
         iterations = self.stage.iterations
         self.assertEqual(sum(lengths), sum(map(sum, iterations)))
         for counts in iterations[:10]:
-            self.assertLessEqual(sum(counts) - counts.count(1), most, counts)
-        # Once it is alone, nothing waits for the rest of the longest.
-        self.assertGreater(iterations[-1][0], most)
+            self.assertLessEqual(sum(counts) - counts.count(1), max_positions, counts)
+        # The longest prompt is not limited any more once it is the only one left.
+        self.assertGreater(iterations[-1][0], max_positions)
 
-    async def test_no_iteration_is_over_the_bound_on_positions(self):
+    async def test_iterations_respect_the_position_limit(self):
         half = MAX_POSITIONS_PER_ITERATION // 2
         lengths = [
             1,
--- a/wigeonscale/pipelines/tests/test_links.py
+++ b/wigeonscale/pipelines/tests/test_links.py
@@ -12,7 +12,7 @@
 
 
 class Peer(wire_pb2_grpc.AgentServicer):
-    """Answers probes, and steps while it is told to."""
+    """Fake peer that answers probes, and steps unless ``holds_steps`` is set."""
 
     def __init__(self):
         self.streams = 0
@@ -58,7 +58,7 @@
         req = wire.StepRequest(steps=[wire.SequenceStep(sequence_id="d", attempt=1)])
         return asyncio.create_task(self.link.call(req))
 
-    async def go_silent(self, attempts):
+    async def wait_for_reconnect(self, attempts):
         await until(lambda: self.peer.attempts == attempts)
         await self.clock.advance(RECONNECT_AFTER_S + PROBE_S)
 
@@ -66,24 +66,24 @@
         await asyncio.gather(*(self.call() for _ in range(20)))
         self.assertEqual((1, [1] * 20), (self.peer.streams, self.peer.attempts))
 
-    async def test_silent_stream_is_replaced_and_the_step_sent_again(self):
+    async def test_silent_stream_is_replaced_and_the_step_resent(self):
         self.peer.silent_streams = {1}
         call = self.call()
-        await self.go_silent([1])
+        await self.wait_for_reconnect([1])
         await call
         self.assertEqual((2, [1, 2]), (self.peer.streams, self.peer.attempts))
 
     async def test_peer_silent_on_two_connections_is_lost(self):
         self.peer.silent_streams = {1, 2}
         call = self.call()
-        await self.go_silent([1])
-        await self.go_silent([1, 2])
+        await self.wait_for_reconnect([1])
+        await self.wait_for_reconnect([1, 2])
         with self.assertRaisesRegex(PeerLostError, "on two connections"):
             await call
         await self.call()
         self.assertEqual(3, self.peer.streams)
 
-    async def test_pause_of_this_process_is_no_silence_of_the_peer(self):
+    async def test_local_pause_does_not_count_as_peer_silence(self):
         self.peer.holds_steps = True
         call = self.call()
         await until(lambda: self.peer.attempts == [1])
@@ -93,12 +93,12 @@
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
 
-    async def test_refused_connection_is_lost_without_a_wait(self):
+    async def test_refused_connection_fails_immediately(self):
         self.link = self.new_link("127.0.0.1:1")
         with self.assertRaises(PeerLostError):
             await self.call()
 
-    async def test_slow_step_on_a_live_stream_is_not_sent_again(self):
+    async def test_slow_step_on_a_live_stream_is_not_resent(self):
         self.peer.holds_steps = True
         call = self.call()
         await until(lambda: self.peer.attempts == [1])
--- a/wigeonscale/pipelines/tests/test_stage.py
+++ b/wigeonscale/pipelines/tests/test_stage.py
@@ -13,8 +13,8 @@
 from wigeonscale.testing.fake_engine import FakeEngine
 from wigeonscale.wire import wire_pb2 as wire
 
-ME = wire.Stage(agent_id="a0", incarnation=7, first_layer=0, last_layer=3)
-NEXT = wire.Stage(
+THIS_STAGE = wire.Stage(agent_id="a0", incarnation=7, first_layer=0, last_layer=3)
+NEXT_STAGE = wire.Stage(
     agent_id="a1", incarnation=8, address="x", first_layer=4, last_layer=7
 )
 
@@ -32,7 +32,7 @@
     )
 
 
-def request(*steps, rest=(ME,), epoch=1, cancelled=()):
+def request(*steps, rest=(THIS_STAGE,), epoch=1, cancelled=()):
     return wire.StepRequest(
         batch_id=1,
         chain_id="c",
@@ -116,13 +116,13 @@
         self.assertEqual(["", "bad-request"], [r.kind for r in reply.results])
         self.assertEqual([("d#1", 0)], self.positions())
 
-    async def test_last_step_is_remembered_for_a_resend(self):
+    async def test_last_step_is_kept_for_a_resend(self):
         first = await self.run_one(step(last=True))
         again = await self.run_one(step(last=True, attempt=2))
         self.assertEqual(first.token, again.token)
         self.assertEqual((0, 1), (self.stage.active, len(self.trace)))
 
-    async def test_forgotten_run_never_begins_again(self):
+    async def test_cancelled_run_never_restarts(self):
         await self.run_one(step())
         await self.stage.run(request(cancelled=["d#1", "d#2"]))
         late = [await self.run_one(step(1)), await self.run_one(step(sequence="d#2"))]
@@ -131,15 +131,15 @@
         await asyncio.sleep(0)
         self.assertEqual({}, self.engine.caches)
 
-    async def test_engine_that_was_loaded_anew_runs_nothing(self):
-        # The agent has not heard of it yet.
+    async def test_reloaded_engine_runs_nothing(self):
+        # The agent has not yet noticed that the engine was reloaded.
         known = self.engine.state
         self.stage._loaded = lambda: known
         self.engine.state = dataclasses.replace(known, first_layer=4, last_layer=7)
         result = await self.run_one(step())
         self.assertEqual((ErrorKind.BACKEND_FAILED, []), (result.kind, self.trace))
 
-    async def test_broken_run_stays_broken(self):
+    async def test_failed_run_accepts_no_further_step(self):
         await self.run_one(step())
         self.engine.failing = True
         broken = await self.run_one(step(1))
@@ -150,7 +150,7 @@
         self.assertFalse(broken.unreachable)
         self.assertEqual([("d#1", 0)], self.positions())
 
-    async def test_abandoned_sequence_is_forgotten(self):
+    async def test_idle_sequence_is_ended(self):
         await self.run_one(step())
         await self.clock.advance(SEQUENCE_IDLE_S + 1)
         await self.run_one(step(sequence="d2#1"))
@@ -178,7 +178,7 @@
         ),
         (
             "agent",
-            {"steps": [step(1)], "rest": [NEXT], "kind": "bad-request"},
+            {"steps": [step(1)], "rest": [NEXT_STAGE], "kind": "bad-request"},
         ),
         (
             "layers",
@@ -190,7 +190,7 @@
         ),
     ]
     epoch = 1
-    rest = (ME,)
+    rest = (THIS_STAGE,)
     kind = "stale-epoch"
 
     async def test_refused_and_not_run(self):
@@ -204,20 +204,22 @@
         self.assertEqual("", (await self.run_one(step(len(before)))).kind)
 
 
-class PassOnTest(StageCase):
-    async def test_hidden_state_and_cancellations_go_on(self):
-        await self.stage.run(request(step(), rest=[ME, NEXT], cancelled=["old#1"]))
+class ForwardTest(StageCase):
+    async def test_hidden_state_and_cancellations_are_forwarded(self):
+        await self.stage.run(
+            request(step(), rest=[THIS_STAGE, NEXT_STAGE], cancelled=["old#1"])
+        )
         onward = self.links.requests[0]
         self.assertEqual(["old#1"], list(onward.cancelled))
         self.assertEqual(["a1"], [s.agent_id for s in onward.rest])
         self.assertNotEqual(step().hidden, onward.steps[0].hidden)
 
-    async def test_lost_next_stage_is_named(self):
+    async def test_lost_next_stage_is_reported(self):
         self.links.lost = True
-        result = await self.run_one(step(), rest=[ME, NEXT])
+        result = await self.run_one(step(), rest=[THIS_STAGE, NEXT_STAGE])
         self.assertEqual(("a1", True), (result.failed_agent, result.unreachable))
 
-    async def test_leaving_stage_begins_nothing_but_goes_on(self):
+    async def test_leaving_stage_continues_but_starts_no_sequence(self):
         await self.run_one(step())
         self.leaving = WigeonscaleError(ErrorKind.BACKEND_LEAVING, "leaving")
         refused = await self.run_one(step(sequence="d2#1"))
--- a/wigeonscale/rules/tests/samples.py
+++ b/wigeonscale/rules/tests/samples.py
@@ -1,4 +1,4 @@
-"""Rules documents that several tests start from."""
+"""Sample rules documents for tests."""
 
 SMALL = """\
 # The model of the marketplace.
--- a/wigeonscale/rules/tests/test_editing.py
+++ b/wigeonscale/rules/tests/test_editing.py
@@ -46,7 +46,7 @@
     def test_empty(self):
         self.assertEqual((), parse_document("").rules)
 
-    def test_every_problem_at_once_and_none_that_only_follows(self):
+    def test_all_problems_are_reported_without_consequential_ones(self):
         text = SMALL.replace("layers = 12", "layers = x").replace("90s", "soon")
         exc = self.assertRaises(InvalidDocument, parse_document, text)
         found = [(item.section, item.key, item.line) for item in exc.problems]
@@ -64,8 +64,8 @@
         )
 
 
-def wrong(old, new, section, key, line, allowed):
-    """Return a scenario: what is wrong in SMALL, and what must be named."""
+def invalid_variant(old, new, section, key, line, allowed):
+    """Return a scenario: an invalid variant of SMALL and the expected problem."""
     assert old in SMALL
     named = (section, key, line)
     return f"{section} {key} {new!r}", {
@@ -75,48 +75,74 @@
     }
 
 
-class WrongDocumentTest(WithScenarios, AsyncTestCase):
+class InvalidDocumentTest(WithScenarios, AsyncTestCase):
     scenarios = [
-        wrong(
+        invalid_variant(
             "pipeline proof\nd", "pipeline x\nd", "rule press", "then", 24, "pipeline"
         ),
-        wrong("service assign\nr", "service x\nr", "rule notes", "then", 18, "service"),
-        wrong("is press and", "is x and", "rule notes", "when", 17, "[organisation"),
-        wrong(
+        invalid_variant(
+            "service assign\nr", "service x\nr", "rule notes", "then", 18, "service"
+        ),
+        invalid_variant(
+            "is press and", "is x and", "rule notes", "when", 17, "[organisation"
+        ),
+        invalid_variant(
             "solo]", "solo]\nkeys = press-key", "organisation solo", "keys", 15, "once"
         ),
-        wrong("solo]", "press]", "organisation press", "", 14, "line 10"),
-        wrong(
+        invalid_variant("solo]", "press]", "organisation press", "", 14, "line 10"),
+        invalid_variant(
             "solo]", "solo]\nkeys = sha256:x", "organisation solo", "keys", 15, "DIGEST"
         ),
-        wrong("solo]", "solo]\nshare = nan", "organisation solo", "share", 15, "0.01"),
-        wrong("solo]", "so lo]", "organisation so lo", "", 14, "[organisation NAME]"),
-        wrong("[service", "[servce", "servce assign", "", 7, "[service NAME]"),
-        wrong("replicas = 2", "stages = 13", "pipeline proof", "stages", 5, "12"),
-        wrong(
+        invalid_variant(
+            "solo]", "solo]\nshare = nan", "organisation solo", "share", 15, "0.01"
+        ),
+        invalid_variant(
+            "solo]", "so lo]", "organisation so lo", "", 14, "[organisation NAME]"
+        ),
+        invalid_variant(
+            "[service", "[servce", "servce assign", "", 7, "[service NAME]"
+        ),
+        invalid_variant(
+            "replicas = 2", "stages = 13", "pipeline proof", "stages", 5, "12"
+        ),
+        invalid_variant(
             "replicas = 2", "replica = 2", "pipeline proof", "replica", 5, "replicas"
         ),
-        wrong("replicas = 2", "layers = 2", "pipeline proof", "layers", 5, "once"),
-        wrong("replicas = 2", "replicas", "pipeline proof", "", 5, "KEY = VALUE"),
-        wrong("# The", "x = 1\n# The", "pipeline proof", "", 1, "[service NAME]"),
-        wrong("layers = 12\n", "", "pipeline proof", "layers", 2, "missing"),
-        wrong("limit = 40", "attempts = 0", "rule press", "attempts", 27, "1 to 10"),
-        wrong("90s", "90", "rule press", "deadline", 25, "2m"),
-        wrong("priority = 5", "priority = 101", "rule press", "priority", 26, "100"),
-        wrong("never", "Never", "rule notes", "repeat", 19, "never or allowed"),
-        wrong(
+        invalid_variant(
+            "replicas = 2", "layers = 2", "pipeline proof", "layers", 5, "once"
+        ),
+        invalid_variant(
+            "replicas = 2", "replicas", "pipeline proof", "", 5, "KEY = VALUE"
+        ),
+        invalid_variant(
+            "# The", "x = 1\n# The", "pipeline proof", "", 1, "[service NAME]"
+        ),
+        invalid_variant("layers = 12\n", "", "pipeline proof", "layers", 2, "missing"),
+        invalid_variant(
+            "limit = 40", "attempts = 0", "rule press", "attempts", 27, "1 to 10"
+        ),
+        invalid_variant("90s", "90", "rule press", "deadline", 25, "2m"),
+        invalid_variant(
+            "priority = 5", "priority = 101", "rule press", "priority", 26, "100"
+        ),
+        invalid_variant(
+            "never", "Never", "rule notes", "repeat", 19, "never or allowed"
+        ),
+        invalid_variant(
             "route pipeline", "send", "rule press", "then", 24, "route pipeline NAME"
         ),
-        wrong("= always", "= sometimes", "rule rest", "when", 30, "always, or terms"),
-        wrong(
+        invalid_variant(
+            "= always", "= sometimes", "rule rest", "when", 30, "always, or terms"
+        ),
+        invalid_variant(
             "= always", "= organisation is press", "rule rest", "when", 30, "rule press"
         ),
-        wrong(
+        invalid_variant(
             "= organisation is press\n", "= always\n", "rule rest", "when", 30, "press"
         ),
     ]
 
-    def test_is_refused_and_named(self):
+    def test_is_rejected_with_its_location(self):
         exc = self.assertRaises(InvalidDocument, parse_document, self.text)
         self.assertEqual(ErrorKind.INVALID_DOCUMENT, exc.kind)
         found = {(item.section, item.key, item.line): item for item in exc.problems}
@@ -130,13 +156,13 @@
 
 
 def always_rule(name, reason="x"):
-    """Return a rule that matches one organisation's path, unlike any other's."""
+    """Return a rule whose condition differs from that of rules with other names."""
     when = f"when = path is /{name}\n"
     return f"[rule {name}]\n{when}then = refuse because {reason}\n"
 
 
 class PatchTest(AsyncTestCase):
-    def test_old_document_stays(self):
+    def test_old_document_is_not_modified(self):
         old = parse_document(SMALL)
         text = "[organisation solo]\nkeys = solo-key\n"
         new = patch_document(
@@ -146,7 +172,7 @@
         self.assertEqual(1, len(new.organisations["solo"].key_digests))
         self.assertEqual(parse_document(new.text).digest, new.digest)
 
-    def test_wrong_changes_are_refused(self):
+    def test_invalid_changes_are_rejected(self):
         doc = parse_document(SMALL)
         solo = "[organisation solo]\n"
         for invalid_change in (
@@ -171,7 +197,7 @@
         ]
         self.assertEqual(2, len(patch_document(doc, changes).organisations))
 
-    def test_many_insertions_at_one_place_keep_order(self):
+    def test_many_insertions_at_one_position_keep_order(self):
         text = always_rule("first") + always_rule("last")
         doc = parse_document(text)
         for number in range(300):
@@ -185,12 +211,12 @@
             for label, rule in entries:
                 self.assertEqual(doc.tables.sections[f"rule {rule.name}"].label, label)
 
-    def test_random_edits_reach_what_parsing_reaches(self):
+    def test_random_edits_equal_parsing(self):
         rng = random.Random(4)
         old = EMPTY_DOCUMENT
         names: list[str] = []
         for _ in range(150):
-            names = self._shuffled_a_little(rng, names)
+            names = self._randomly_edited(rng, names)
             text = "".join(
                 always_rule(name, rng.choice(["x", "x", "x", "y"])) for name in names
             )
@@ -201,7 +227,7 @@
             self.assertEqual((text, new.digest), (based.text, based.digest))
             old = patched
 
-    def _shuffled_a_little(self, rng, names):
+    def _randomly_edited(self, rng, names):
         names = [name for name in names if rng.random() > 0.1]
         for _ in range(rng.randrange(4)):
             name = f"r{rng.randrange(10**6)}"
@@ -237,7 +263,7 @@
 
 
 class ThreadsTest(AsyncTestCase):
-    async def test_documents_may_be_read_in_several_threads(self):
+    async def test_documents_can_be_parsed_in_several_threads(self):
         interval = sys.getswitchinterval()
         self.addCleanup(sys.setswitchinterval, interval)
         sys.setswitchinterval(1e-6)
--- a/wigeonscale/rules/tests/test_matching.py
+++ b/wigeonscale/rules/tests/test_matching.py
@@ -24,7 +24,7 @@
 
 
 def one_of(field, values):
-    """Return a strategy of terms that compare a field with some values."""
+    """Return a strategy for terms that compare a field with one or more values."""
     quoted = [f'"{value}"' for value in values]
     singles = [f"{field} is {value}" for value in quoted]
     return st.sampled_from([*singles, f"{field} in {', '.join(quoted)}"])
@@ -57,7 +57,7 @@
 
 
 def linear_scan(doc, facts):
-    """Return the first matching rule's name by trying every rule in order."""
+    """Return the name of the first matching rule by evaluating all rules in order."""
     for rule in doc.rules:
         if all(test(facts) for test in rule.tests):
             return rule.name
@@ -73,7 +73,7 @@
 
 
 def change_of(kind, names, bodies, afters):
-    """Return a strategy of changes to sections of one kind."""
+    """Return a strategy for changes to sections of one kind."""
 
     def build(name, body, after):
         section = f"{kind} {name}"
@@ -190,17 +190,17 @@
         self.assertIsNone(rules.organisation_for_key("ab" * 32))
         self.assertIsNone(rules.organisation_for_key("\ud800"))
 
-    def test_rules_of_others_are_not_tried(self):
-        tried = []
+    def test_rules_of_other_organisations_are_not_evaluated(self):
+        evaluated = []
         doc = parse_document(SMALL)
         for rule in doc.rules:
             seen = tuple(
                 lambda facts, name=rule.name, test=test: (
-                    tried.append(name) or test(facts)
+                    evaluated.append(name) or test(facts)
                 )
                 for test in rule.tests
             )
             object.__setattr__(rule, "tests", seen)
         facts = RequestFacts(organisation="solo", method="GET", path="/notes/1")
         self.assertEqual("rest", decided(doc, facts))
-        self.assertEqual([], tried)
+        self.assertEqual([], evaluated)
--- a/wigeonscale/rules/tests/test_persistent.py
+++ b/wigeonscale/rules/tests/test_persistent.py
@@ -7,7 +7,8 @@
 from wigeonscale.testing import AsyncTestCase
 
 KEYS = st.integers(0, 400).map(str) | st.text(max_size=2)
-# More texts with one CRC-32 than a leaf holds: no split by hash tells them apart.
+# More keys with the same CRC-32 than fit in a leaf, so that splitting by hash cannot
+# separate them.
 COLLIDING = ["".join(p) for p in itertools.product(("plumless", "buckeroo"), repeat=5)]
 
 
