--- a/wigeonscale/pipelines/generation.py
+++ b/wigeonscale/pipelines/generation.py
@@ -110,9 +110,9 @@
         )
 
     def apply_result(self, result: wire.StepResult) -> None:
-        """Apply the result of the last step; the last token ends the generation.
+        """Apply the result of the current step; the last token ends the generation.
 
-        A result for a chunk of the prompt that is not the last one has no token.
+        The result of a prompt chunk has no token, except for the last chunk.
         """
         self._position = self._step_end
         if self._position < len(self._pieces):
--- a/wigeonscale/pipelines/head.py
+++ b/wigeonscale/pipelines/head.py
@@ -29,11 +29,11 @@
 
 
 class ChainHead:
-    """Runs the generations for which this agent is the first stage of the chain.
+    """Runs the generations that were dispatched to this agent on their chains.
 
     Args:
         agent_id: Id of this backend server.
-        stage: Stage of this agent, called directly if it is first in a request.
+        stage: Stage of this agent; called directly if it is the first of the chain.
         links: Connections to other stages.
         chains: Returns the newest known chain with an id, or None.
         suspect: Reports an unreachable agent by its id and incarnation.
--- a/wigeonscale/pipelines/links.py
+++ b/wigeonscale/pipelines/links.py
@@ -25,7 +25,7 @@
 logger = logging.getLogger(__name__)
 
 MAX_SILENT_CONNECTIONS = 2
-"""Consecutive connections without a reply after which the peer counts as lost."""
+"""Consecutive connections without a message after which the peer counts as lost."""
 
 
 class PeerLostError(WigeonscaleError):
--- a/wigeonscale/pipelines/records.py
+++ b/wigeonscale/pipelines/records.py
@@ -115,7 +115,7 @@
         return record.result_future
 
     def set_result(self, result: wire.StepResult) -> None:
-        """Complete the step of a sequence that was admitted last."""
+        """Complete the last admitted step of a sequence."""
         record = self.find(result.sequence_id)
         if record is None or record.result_future is None:
             return
--- a/wigeonscale/pipelines/stage.py
+++ b/wigeonscale/pipelines/stage.py
@@ -131,7 +131,7 @@
         )
 
     async def close(self) -> None:
-        """Cancel pending cancellations on the engine."""
+        """Stop the background calls that cancel sequences on the engine."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/wigeonscale/rules/diff.py
+++ b/wigeonscale/rules/diff.py
@@ -33,8 +33,8 @@
         texts: Text of each section by name, in the target order.
 
     Notes:
-        Removals come first, then changed, moved and new sections in order. A longest
-        increasing subsequence of the common sections is not moved.
+        Removals come first, then changed, moved and new sections in order. Of the
+        sections in both documents, a longest run in unchanged order is not moved.
     """
     sections = old.tables.sections
     old_names = list(old.section_names())
--- a/wigeonscale/rules/document.py
+++ b/wigeonscale/rules/document.py
@@ -80,7 +80,7 @@
 
     Attributes:
         tables: Content of the document.
-        digest_sum: Sum of the section digests modulo 2**256; ``digest`` shows it.
+        digest_sum: Sum of the section digests modulo 2**256, the value of ``digest``.
 
     Notes:
         ``organisations`` and ``digest`` take constant time. ``text`` is built on each
