--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -21,8 +21,8 @@
 from wigeonscale.config import AgentSettings
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.membership import Change, ControlClient
-from wigeonscale.pipelines.constants import ENTRY_SILENCE_S
-from wigeonscale.pipelines.head import Head
+from wigeonscale.pipelines.constants import ENTRY_TIMEOUT_S
+from wigeonscale.pipelines.head import ChainHead
 from wigeonscale.pipelines.links import StepLinks
 from wigeonscale.pipelines.stage import StageRunner
 from wigeonscale.ports import Clock, Engine, Service
@@ -106,7 +106,7 @@
         )
         self.dispatcher.admission = self.admission
         self.stage: StageRunner | None = None
-        self.head: Head | None = None
+        self.head: ChainHead | None = None
         self.prefixes: PrefixFeed | None = None
         if engine is not None:
             self._make_pipeline(engine)
@@ -117,7 +117,7 @@
             clock=clock,
             prefixes=self.prefixes,
             entry_silence_s=max(
-                ENTRY_SILENCE_S, MAX_MISSED_HEARTBEATS * cfg.heartbeat_s
+                ENTRY_TIMEOUT_S, MAX_MISSED_HEARTBEATS * cfg.heartbeat_s
             ),
         )
         control.changes.subscribe(self._on_change)
@@ -135,7 +135,7 @@
     def announcement_changed(self) -> None:
         """Publish a change of the backend server's state to control and entries."""
         if self.state.unreachable and self.stage is not None:
-            self.stage.cut_engine_calls()
+            self.stage.abort_engine_calls()
             self.prefixes.reset()
         self._control.announce_changed()
         self.servicer.announce_load()
@@ -156,7 +156,7 @@
         """Refuse new work, then wait until the work in progress has finished."""
         self.state.set_stopping()
         await self.dispatcher.wait_drained()
-        while self.stage is not None and self.stage.is_used():
+        while self.stage is not None and self.stage.recently_used():
             await self._clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self.outcomes.flush()
 
@@ -188,10 +188,10 @@
             loaded=self.state.loaded,
             links=self.links,
             clock=self._clock,
-            may_begin=self._check_sequence,
+            check_admission=self._check_sequence,
             on_engine_failed=self.state.probe_soon,
         )
-        self.head = Head(
+        self.head = ChainHead(
             agent_id=self._cfg.name,
             stage=self.stage,
             links=self.links,
@@ -206,7 +206,7 @@
             return
         for chain in self._control.members.chains.values():
             if chain.ready:
-                self.stage.learn_epoch(chain.chain_id, chain.epoch)
+                self.stage.advance_epoch(chain.chain_id, chain.epoch)
         self.head.members_changed()
 
     def _share(self, organisation: str) -> float:
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -14,7 +14,7 @@
 from wigeonscale.agent.stream import EntryStream
 from wigeonscale.agent.table import DispatchTable
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.pipelines.constants import INITIAL_CREDIT
+from wigeonscale.pipelines.constants import INITIAL_CREDIT_TOKENS
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -26,7 +26,7 @@
 SWEEP_INTERVAL_S = 0.1
 """Interval at which deadlines and limits are enforced."""
 
-MAX_UNSENT_TOKENS = INITIAL_CREDIT
+MAX_UNSENT_TOKENS = INITIAL_CREDIT_TOKENS
 """Unsent tokens above which a generation pauses while the table is full."""
 
 
--- a/wigeonscale/pipelines/cost.py
+++ b/wigeonscale/pipelines/cost.py
@@ -1,35 +1,40 @@
-"""How the time of an engine iteration depends on its size."""
+"""Estimates how the duration of an engine iteration depends on its size."""
 
-__all__ = ["TRUSTED_FACTOR", "IterationCost"]
+__all__ = ["MAX_EXTRAPOLATION_FACTOR", "IterationCost"]
 
-from wigeonscale.pipelines.constants import PREFILL_FIRST, PREFILL_LEAST
+from wigeonscale.pipelines.constants import (
+    INITIAL_PREFILL_POSITIONS,
+    MIN_PREFILL_POSITIONS,
+)
 
-WEIGHT = 0.1
+SMOOTHING_FACTOR = 0.1
+"""Weight of a new sample in the moving averages."""
 
-TRUSTED_FACTOR = 4
-"""Times the largest size seen up to which the cost is taken as known."""
+MAX_EXTRAPOLATION_FACTOR = 4
+"""Largest size, in multiples of the largest one observed, that is extrapolated to."""
 
 
 class IterationCost:
-    """Learns which share of an iteration's time does not depend on its size.
+    """Estimates the fixed cost of an iteration and its cost per token position.
 
-    Where that share is large, fewer and larger iterations serve more tokens, and
-    an iteration kept waiting at a stage costs more than the hop it hides.
+    With a large fixed share, fewer and larger iterations serve more tokens, and an
+    extra iteration that waits at a stage costs more than the hop latency it hides.
 
     Notes:
-        Means of size and time for each power of two of the size; the smallest and
-        the largest size seen give a straight line. Constant time and memory.
+        Keeps moving averages of size and duration per power of two of the size. The
+        line through the smallest and the largest size class is the estimate. Time
+        and memory are constant.
     """
 
     def __init__(self):
         self._means: dict[int, tuple[float, float]] = {}
 
     def observe(self, positions: int, seconds: float) -> None:
-        """Count one iteration.
+        """Record one iteration.
 
         Args:
-            positions: Token positions in it, over all its sequences.
-            seconds: Time for which the engine worked on it.
+            positions: Token positions of the iteration, over all its sequences.
+            seconds: Time that the engine spent on it.
         """
         size_class = positions.bit_length()
         known = self._means.get(size_class)
@@ -38,49 +43,52 @@
             return
         size, mean_s = known
         self._means[size_class] = (
-            size + WEIGHT * (positions - size),
-            mean_s + WEIGHT * (seconds - mean_s),
+            size + SMOOTHING_FACTOR * (positions - size),
+            mean_s + SMOOTHING_FACTOR * (seconds - mean_s),
         )
 
-    def flat_share(self, positions: int) -> float:
-        """Return the share of an iteration's time that its size does not change.
+    def fixed_cost_share(self, positions: int) -> float:
+        """Return the share of the iteration time that does not depend on its size.
 
         Args:
-            positions: Size of the iteration.
+            positions: Size of the iteration, in token positions.
 
         Returns:
-            Between 0 and 1; 0 while only one size was seen.
+            A share from 0 to 1; 0 until two size classes have been observed.
         """
         if len(self._means) < 2:
             return 0.0
-        slope = self._position_s()
+        slope = self._seconds_per_position()
         small, small_s = self._means[min(self._means)]
-        flat_s = max(0.0, small_s - slope * small)
-        whole_s = flat_s + slope * positions
-        return flat_s / whole_s if whole_s > 0 else 0.0
+        fixed_s = max(0.0, small_s - slope * small)
+        total_s = fixed_s + slope * positions
+        return fixed_s / total_s if total_s > 0 else 0.0
 
     def positions_within(self, seconds: float) -> int:
-        """Return how many positions an iteration may have to add so many seconds.
+        """Return how many positions fit into a time budget, without the fixed cost.
 
-        Small sizes may say nothing of large ones, so no more is returned than some
-        times the largest size seen.
+        Small iterations may not predict the cost of large ones, so the result is at
+        most ``MAX_EXTRAPOLATION_FACTOR`` times the largest size observed, or
+        ``INITIAL_PREFILL_POSITIONS`` if that is more.
 
         Args:
-            seconds: Time that the positions may take.
+            seconds: Time budget, in seconds.
 
         Returns:
-            At least ``PREFILL_LEAST``.
+            At least ``MIN_PREFILL_POSITIONS``.
         """
         if len(self._means) < 2:
-            return PREFILL_FIRST
+            return INITIAL_PREFILL_POSITIONS
         largest, _ = self._means[max(self._means)]
-        trusted = max(PREFILL_FIRST, int(TRUSTED_FACTOR * largest))
-        position_s = self._position_s()
-        if position_s * trusted <= seconds:
-            return trusted
-        return max(PREFILL_LEAST, int(seconds / position_s))
+        max_positions = max(
+            INITIAL_PREFILL_POSITIONS, int(MAX_EXTRAPOLATION_FACTOR * largest)
+        )
+        position_s = self._seconds_per_position()
+        if position_s * max_positions <= seconds:
+            return max_positions
+        return max(MIN_PREFILL_POSITIONS, int(seconds / position_s))
 
-    def _position_s(self) -> float:
+    def _seconds_per_position(self) -> float:
         small, small_s = self._means[min(self._means)]
         large, large_s = self._means[max(self._means)]
         return max(0.0, (large_s - small_s) / (large - small))
--- a/wigeonscale/pipelines/generation.py
+++ b/wigeonscale/pipelines/generation.py
@@ -1,4 +1,4 @@
-"""One answer in the making, as the head of a chain sees it."""
+"""State of one answer while the head of a chain generates it."""
 
 __all__ = ["Generation"]
 
@@ -12,17 +12,17 @@
 class Generation:
     """State of one sequence across iterations, chains and epochs.
 
-    Every prefill is a new run with a sequence id of its own, so that a late
-    message of an earlier run can never touch a later one.
+    Every prefill starts a new run with its own sequence id, so that a late message of
+    an earlier run cannot affect a later one.
 
     Args:
         dispatch_id: Id of the dispatch.
-        pieces: Prompt pieces, then the texts of tokens already delivered.
-        produced: Tokens already delivered.
-        max_tokens: Most tokens of the whole answer.
-        priority: Larger goes first where an engine must choose.
+        pieces: Pieces of the prompt, then the texts of the tokens already delivered.
+        produced: Number of tokens already delivered.
+        max_tokens: Maximum number of tokens of the whole answer.
+        priority: Priority on the engines; larger values run first.
         on_token: Called with each new token, in order.
-        on_end: Called once with the finish reason.
+        on_end: Called once with the finish reason, ``"stop"`` or ``"length"``.
         on_failed: Called once with the error instead of ``on_end``.
     """
 
@@ -47,56 +47,56 @@
         self.failures = 0
         self._pieces = list(pieces)
         self._produced = produced
-        self._first = produced
+        self._initial_count = produced
         self._lost_epochs: set[int] = set()
         self._run = 1
         self._position = 0
-        self._asked = 0
+        self._step_end = 0
         self._on_token = on_token
         self._on_end = on_end
         self._on_failed = on_failed
 
     @property
     def sequence_id(self) -> str:
-        """Id of the current run on the engines."""
+        """Sequence id of the current run on the engines."""
         return f"{self.dispatch_id}#{self._run}"
 
-    def note_lost(self, epoch: int) -> int:
-        """Take in that a chain was lost under it; returns on how many epochs.
+    def record_chain_loss(self, epoch: int) -> int:
+        """Record that the chain of this generation was lost.
 
         Args:
-            epoch: Epoch of the chain.
+            epoch: Epoch of the lost chain.
 
         Returns:
-            Epochs lost before its first token; 0 once it has one.
+            Number of epochs lost before the first new token; 0 once there is one.
         """
-        if self._produced > self._first:
+        if self._produced > self._initial_count:
             return 0
         self._lost_epochs.add(epoch)
         return len(self._lost_epochs)
 
     @property
-    def waiting_positions(self) -> int:
-        """Token positions up to its next token."""
+    def remaining_positions(self) -> int:
+        """Token positions that must be run before the next token."""
         return len(self._pieces) - self._position
 
-    def begin_again(self) -> str:
-        """Start a new run from position 0; returns the old run's sequence id."""
+    def restart(self) -> str:
+        """Start a new run at position 0 and return the sequence id of the old run."""
         old = self.sequence_id
         self._run += 1
         self._position = 0
         return old
 
-    def next_step(self, epoch: int, most: int) -> wire.SequenceStep:
-        """Return the next step, of a part of the prompt or for the next token.
+    def next_step(self, epoch: int, max_positions: int) -> wire.SequenceStep:
+        """Return the next step: a chunk of the prompt, or the next token.
 
         Args:
             epoch: Epoch of the chain.
-            most: Most positions of the step.
+            max_positions: Maximum number of positions of the step.
         """
-        inputs = self._pieces[self._position : self._position + most]
-        self._asked = self._position + len(inputs)
-        is_part = self._asked < len(self._pieces)
+        inputs = self._pieces[self._position : self._position + max_positions]
+        self._step_end = self._position + len(inputs)
+        is_partial = self._step_end < len(self._pieces)
         return wire.SequenceStep(
             sequence_id=self.sequence_id,
             epoch=epoch,
@@ -104,17 +104,17 @@
             count=len(inputs),
             attempt=1,
             first=self._position == 0,
-            last=not is_part and self._produced + 1 >= self.max_tokens,
+            last=not is_partial and self._produced + 1 >= self.max_tokens,
             hidden=encode_pieces(inputs),
             priority=self.priority,
         )
 
-    def take(self, result: wire.StepResult) -> None:
-        """Count one token; ends the generation when it is the last.
+    def apply_result(self, result: wire.StepResult) -> None:
+        """Apply the result of the current step; the last token ends the generation.
 
-        After a part of the prompt there is none yet.
+        The result of a prompt chunk has no token, except for the last chunk.
         """
-        self._position = self._asked
+        self._position = self._step_end
         if self._position < len(self._pieces):
             return
         self._pieces.append(result.token.text)
@@ -128,7 +128,7 @@
             self._end("length")
 
     def fail(self, exc: WigeonscaleError) -> None:
-        """End the generation by an error, unless it has ended."""
+        """End the generation with an error, unless it has already ended."""
         if not self.ended:
             self.ended = True
             self._on_failed(exc)
--- a/wigeonscale/pipelines/links.py
+++ b/wigeonscale/pipelines/links.py
@@ -1,4 +1,4 @@
-"""Links to the next stages: open step streams that detect a silent connection."""
+"""gRPC step streams to other stages, with probes, reconnects and resends."""
 
 __all__ = ["PeerLostError", "StepLink", "StepLinks"]
 
@@ -12,7 +12,11 @@
 import grpc
 
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
-from wigeonscale.pipelines.constants import LINK_IDLE_S, PROBE_AFTER_S, SILENCE_S
+from wigeonscale.pipelines.constants import (
+    LINK_IDLE_S,
+    PROBE_AFTER_S,
+    RECONNECT_AFTER_S,
+)
 from wigeonscale.pipelines.waiting import wait_event
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
@@ -20,12 +24,12 @@
 
 logger = logging.getLogger(__name__)
 
-FRUITLESS_LIMIT = 2
-"""Connections in a row that brought nothing before the peer counts as lost."""
+MAX_SILENT_CONNECTIONS = 2
+"""Consecutive connections without a message after which the peer counts as lost."""
 
 
 class PeerLostError(WigeonscaleError):
-    """Two connections in a row brought no word from the peer.
+    """The peer sent no message on two consecutive connections.
 
     Args:
         address: ``ip:port`` of the peer.
@@ -34,7 +38,7 @@
     def __init__(self, *, address: str):
         super().__init__(
             ErrorKind.BACKEND_FAILED,
-            f"no answer from the stage at {address} on two connections",
+            f"no reply from the stage at {address} on two connections",
             run_state=RunState.UNKNOWN,
         )
 
@@ -48,20 +52,20 @@
 class StepLink:
     """A step stream to one peer, opened on demand and closed when idle.
 
-    Several requests may be open at once. A request whose reply is lost is sent
-    again with a larger attempt; the peer answers it from its record.
+    Several requests may be open at once. After a reconnect, open requests are resent
+    with a larger attempt number; the peer answers repeated steps from its records.
 
     Args:
         address: ``ip:port`` of the peer's gRPC server.
         dial: Returns a new channel to an address.
         clock: Clock port.
-        probe_after_s: Seconds of silence before asking for a sign of life.
-        silence_s: Seconds of silence before the next connection is opened.
-        idle_s: Seconds without requests before the connection is closed.
+        probe_after_s: Seconds without a message before a probe is sent.
+        reconnect_after_s: Seconds without a message before a reconnect.
+        idle_s: Seconds without open requests before the connection is closed.
 
     Attributes:
-        heard_at: Reading of the clock when the peer last sent a message; pauses of
-            this process put it off.
+        last_message_at: Clock time of the last message from the peer, shifted by
+            pauses of this process.
     """
 
     def __init__(
@@ -71,22 +75,22 @@
         dial: Callable[[str], grpc.aio.Channel],
         clock: Clock,
         probe_after_s: float = PROBE_AFTER_S,
-        silence_s: float = SILENCE_S,
+        reconnect_after_s: float = RECONNECT_AFTER_S,
         idle_s: float = LINK_IDLE_S,
     ):
         self.address = address
         self._dial = dial
         self._clock = clock
         self._probe_after_s = probe_after_s
-        self._silence_s = silence_s
+        self._reconnect_after_s = reconnect_after_s
         self._idle_s = idle_s
         self._ids = itertools.count(1)
         self._calls: dict[int, _Call] = {}
         self._unsent: deque[wire.StepRequest] = deque()
-        self._to_send = asyncio.Event()
+        self._has_unsent = asyncio.Event()
         self._changed = asyncio.Event()
-        self.heard_at = 0.0
-        self._fruitless = 0
+        self.last_message_at = 0.0
+        self._silent_connections = 0
         self._task: asyncio.Task | None = None
 
     async def call(self, req: wire.StepRequest) -> wire.StepReply:
@@ -96,10 +100,10 @@
             req: The request; its batch id is set here.
 
         Raises:
-            PeerLostError: When two connections in a row brought nothing.
+            PeerLostError: Two consecutive connections brought no reply.
         """
         if not self._calls:
-            self.heard_at = self._clock.now()
+            self.last_message_at = self._clock.now()
         req.batch_id = next(self._ids)
         call = _Call(req, asyncio.get_running_loop().create_future())
         self._calls[req.batch_id] = call
@@ -113,7 +117,7 @@
             self._calls.pop(req.batch_id, None)
 
     async def close(self) -> None:
-        """Close the connection and fail what is open."""
+        """Close the connection and fail the open requests."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -121,25 +125,25 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no connection is open and no request waits."""
+        """Whether there is neither a connection nor an open request."""
         return self._task is None and not self._calls
 
     async def _run(self) -> None:
         try:
             while self._calls:
                 await self._connect()
-                self._fruitless += 1
-                if self._fruitless >= FRUITLESS_LIMIT:
+                self._silent_connections += 1
+                if self._silent_connections >= MAX_SILENT_CONNECTIONS:
                     self._fail_all()
-                    self._fruitless = 0
+                    self._silent_connections = 0
         finally:
             self._task = None
 
     async def _connect(self) -> None:
         channel = self._dial(self.address)
         stream = wire_pb2_grpc.AgentStub(channel).Steps()
-        self.heard_at = self._clock.now()
-        self._queue_all()
+        self.last_message_at = self._clock.now()
+        self._requeue_calls()
         tasks = [
             asyncio.create_task(self._write(stream)),
             asyncio.create_task(self._read(stream)),
@@ -156,7 +160,7 @@
             await channel.close()
 
     async def _supervise(self, tasks: list[asyncio.Task]) -> None:
-        looked_at = self._clock.now()
+        last_check_at = self._clock.now()
         while not any(task.done() for task in tasks):
             self._changed.clear()
             if not self._calls:
@@ -164,13 +168,17 @@
                     return
                 continue
             now = self._clock.now()
-            # A pause of this very process is no silence of the peer.
-            paused_s = max(0.0, now - looked_at - self._probe_after_s)
-            self.heard_at = min(now, self.heard_at + paused_s)
-            looked_at = now
-            silent_s = now - self.heard_at
-            if silent_s >= self._silence_s:
-                logger.warning("stage at %s silent for %.2f s", self.address, silent_s)
+            # Time during which this process was paused does not count as peer silence.
+            paused_s = max(0.0, now - last_check_at - self._probe_after_s)
+            self.last_message_at = min(now, self.last_message_at + paused_s)
+            last_check_at = now
+            silent_s = now - self.last_message_at
+            if silent_s >= self._reconnect_after_s:
+                logger.warning(
+                    "no message from stage at %s for %.2f s; closing the connection",
+                    self.address,
+                    silent_s,
+                )
                 return
             if silent_s >= self._probe_after_s:
                 self._send(wire.StepRequest())
@@ -178,32 +186,32 @@
 
     async def _write(self, stream) -> None:
         while True:
-            await self._to_send.wait()
+            await self._has_unsent.wait()
             while self._unsent:
                 await stream.write(self._unsent.popleft())
-            self._to_send.clear()
+            self._has_unsent.clear()
 
     async def _read(self, stream) -> None:
         try:
             async for reply in stream:
-                self.heard_at = self._clock.now()
-                self._fruitless = 0
+                self.last_message_at = self._clock.now()
+                self._silent_connections = 0
                 call = self._calls.get(reply.batch_id)
                 if call is not None and not call.fut.done():
                     call.fut.set_result(reply)
         except grpc.aio.AioRpcError as exc:
-            logger.info("step stream to %s: %s", self.address, exc.code().name)
+            logger.info("step stream to %s failed: %s", self.address, exc.code().name)
 
     def _send(self, req: wire.StepRequest) -> None:
         self._unsent.append(req)
-        self._to_send.set()
+        self._has_unsent.set()
 
-    def _queue_all(self) -> None:
-        """Queue every open request for a new connection, as a further attempt."""
-        fresh = {id(req) for req in self._unsent}
+    def _requeue_calls(self) -> None:
+        """Queue all open requests again; those already sent become a new attempt."""
+        unsent_ids = {id(req) for req in self._unsent}
         self._unsent.clear()
         for call in self._calls.values():
-            if id(call.req) not in fresh:
+            if id(call.req) not in unsent_ids:
                 for step in call.req.steps:
                     step.attempt += 1
             self._send(call.req)
@@ -217,12 +225,12 @@
 
 
 class StepLinks:
-    """One :class:`StepLink` per peer.
+    """Keeps one :class:`StepLink` per peer.
 
     Args:
         dial: Returns a new channel to an address.
         clock: Clock port.
-        options: Further arguments of :class:`StepLink`.
+        options: Further keyword arguments of :class:`StepLink`.
     """
 
     def __init__(
--- a/wigeonscale/pipelines/stage.py
+++ b/wigeonscale/pipelines/stage.py
@@ -1,4 +1,4 @@
-"""The stage runner: checks order, runs the engine once per step, passes on."""
+"""Runs the steps of one stage exactly once, in order, and forwards the results."""
 
 __all__ = ["StageRunner"]
 
@@ -20,30 +20,30 @@
 
 logger = logging.getLogger(__name__)
 
-NO_RESULT = "stage gave no result"
+NO_RESULT = "stage returned no result"
 
 
 class StageRunner:
-    """Runs the steps of one engine and hands them to the stages after it.
+    """Runs steps on one engine and forwards them to the following stages.
 
-    A step runs only directly after the one before it. A step seen before is
-    answered from the record, also while it still runs; the engine never runs it
-    again. A step whose engine call failed breaks its run: only a new run, under
-    a new sequence id, goes on.
+    The steps of a sequence run strictly in order. A repeated step is answered from
+    its record, even while it is still running, and never runs on the engine again.
+    After a failed engine call no further steps of the run are accepted; the sequence
+    continues only as a new run under a new sequence id.
 
     Args:
-        agent_id: Name of the own backend server.
+        agent_id: Id of this backend server.
         incarnations: Returns the incarnations of this process, newest last.
-        engine: The own engine.
-        loaded: Returns what the engine last said of itself, or None.
-        links: Links to further stages.
+        engine: Engine of this stage.
+        loaded: Returns the last known state of the engine, or None.
+        links: Connections to the following stages.
         clock: Clock port.
-        may_begin: Raises when no new sequence may begin here.
-        step_timeout_s: Seconds after which an engine call counts as failed.
-        on_engine_failed: Called when an engine call failed.
+        check_admission: Raises if no new sequence may start on this stage.
+        step_timeout_s: Timeout of an engine call, in seconds.
+        on_engine_failed: Called after each failed engine call.
 
     Attributes:
-        cost: What iterations of the own engine were seen to cost.
+        cost: Measured cost of iterations on the engine.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         loaded: Callable[[], EngineInfo | None],
         links: StepLinks,
         clock: Clock,
-        may_begin: Callable[[], None] = lambda: None,
+        check_admission: Callable[[], None] = lambda: None,
         step_timeout_s: float = ENGINE_STEP_TIMEOUT_S,
         on_engine_failed: Callable[[], None] = lambda: None,
     ):
@@ -67,58 +67,58 @@
         self._step_timeout_s = step_timeout_s
         self._on_engine_failed = on_engine_failed
         self._records = SequenceRecords(
-            clock=clock, may_begin=may_begin, on_ended=self._cancel_on_engine
+            clock=clock,
+            check_admission=check_admission,
+            on_ended=self._cancel_on_engine,
         )
         self._engine_calls = asyncio.Semaphore(ENGINE_CALLS_IN_FLIGHT)
         self.cost = IterationCost()
         self._clock = clock
         self._engine_done_at = 0.0
         self._to_cancel: list[str] = []
-        self._call_limits: set[asyncio.Timeout] = set()
+        self._call_timeouts: set[asyncio.Timeout] = set()
         self._tasks: set[asyncio.Task] = set()
 
     @property
     def active(self) -> int:
-        """Sequences that this stage holds."""
+        """Number of active sequences on this stage."""
         return len(self._records)
 
-    def is_used(self) -> bool:
-        """Return whether a head drove a sequence here a short while ago."""
-        return self._records.is_used()
+    def recently_used(self) -> bool:
+        """Return whether a step runs or was admitted within ``RECENT_USE_S``."""
+        return self._records.recently_used()
 
-    def learn_epoch(self, chain_id: str, epoch: int) -> None:
-        """Begin no sequence of an older epoch of this chain from now on."""
-        self._records.learn_epoch(chain_id, epoch)
+    def advance_epoch(self, chain_id: str, epoch: int) -> None:
+        """Refuse new sequences of older epochs of this chain from now on."""
+        self._records.advance_epoch(chain_id, epoch)
 
-    def cut_engine_calls(self) -> None:
-        """Fail the engine calls in progress: the engine gives no sign of life."""
+    def abort_engine_calls(self) -> None:
+        """Fail the engine calls in progress, because the engine does not respond."""
         now = asyncio.get_running_loop().time()
-        for limit in self._call_limits:
-            limit.reschedule(now)
+        for call_timeout in self._call_timeouts:
+            call_timeout.reschedule(now)
 
     async def run(self, req: wire.StepRequest) -> wire.StepReply:
-        """Run one iteration through this stage and all after it.
+        """Run one iteration on this stage and on all following ones.
 
         Args:
-            req: The iteration; its first remaining stage is this one.
+            req: The iteration; the first entry of ``rest`` must be this stage.
 
         Returns:
-            One result per step, in the order of the request. Never raises for a
-            step that cannot run; its result names the error kind.
+            One result per step, in the order of the request. A step that cannot run
+            raises nothing; its result contains the error kind.
         """
         for sequence_id in req.cancelled:
             self._records.end(sequence_id)
-        self._records.sweep()
+        self._records.expire_idle()
         refusal = self._refusal(req)
-        answers = [self._enter(step, req, refusal) for step in req.steps]
-        fresh = [
-            step
-            for step, (_, is_fresh) in zip(req.steps, answers, strict=True)
-            if is_fresh
+        pending = [self._admit_step(step, req, refusal) for step in req.steps]
+        new_steps = [
+            step for step, (_, is_new) in zip(req.steps, pending, strict=True) if is_new
         ]
-        if fresh or (req.cancelled and len(req.rest) > 1):
-            await self._run_fresh(req, fresh)
-        results = [await fut for fut, _ in answers]
+        if new_steps or (req.cancelled and len(req.rest) > 1):
+            await self._run_new_steps(req, new_steps)
+        results = [await fut for fut, _ in pending]
         for step in req.steps:
             if step.last:
                 self._records.end(step.sequence_id)
@@ -131,19 +131,21 @@
         )
 
     async def close(self) -> None:
-        """Cancel what still runs."""
+        """Stop the background calls that cancel sequences on the engine."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def _refusal(self, req: wire.StepRequest) -> WigeonscaleError | None:
         if not req.rest:
-            return WigeonscaleError(ErrorKind.BAD_REQUEST, "no stage left to run")
+            return WigeonscaleError(
+                ErrorKind.BAD_REQUEST, "request contains no stage to run"
+            )
         stage = req.rest[0]
         if stage.agent_id != self._agent_id:
             return WigeonscaleError(
                 ErrorKind.BAD_REQUEST,
-                f"stage {stage.agent_id} was meant, this is {self._agent_id}",
+                f"request for agent {stage.agent_id} reached agent {self._agent_id}",
             )
         if stage.incarnation not in self._incarnations():
             return WigeonscaleError(
@@ -154,95 +156,98 @@
         wanted = (stage.first_layer, stage.last_layer)
         if info is None or (info.first_layer, info.last_layer) != wanted:
             return WigeonscaleError(
-                ErrorKind.STALE_EPOCH, f"layers {wanted} are not loaded, but {info}"
+                ErrorKind.STALE_EPOCH,
+                f"expected layers {wanted} to be loaded, found {info}",
             )
         return None
 
-    def _enter(
+    def _admit_step(
         self,
         step: wire.SequenceStep,
         req: wire.StepRequest,
         refusal: WigeonscaleError | None,
     ) -> tuple[asyncio.Future, bool]:
-        """Return the future of a step's result and whether it must run now."""
-        answer = self._records.answer_to(step)
-        if answer is not None:
-            return answer, False
+        """Return the future of the result and whether the step must run now."""
+        recorded = self._records.recorded_result(step)
+        if recorded is not None:
+            return recorded, False
         try:
             if refusal is not None:
                 raise refusal
-            return self._records.let_through(step, req), True
+            return self._records.admit(step, req), True
         except WigeonscaleError as exc:
-            return _settled(self._failed(step, exc.kind, exc.message)), False
+            return _completed_future(
+                self._failed_result(step, exc.kind, exc.message)
+            ), False
 
-    async def _run_fresh(
-        self, req: wire.StepRequest, fresh: list[wire.SequenceStep]
+    async def _run_new_steps(
+        self, req: wire.StepRequest, new_steps: list[wire.SequenceStep]
     ) -> None:
-        """Run fresh steps and settle their futures, whatever happens."""
+        """Run new steps and complete their futures, also after an error."""
         results: dict[str, wire.StepResult] = {}
         try:
-            outputs = await self._run_engine(req, fresh, results)
-            await self._pass_on(req, fresh, outputs, results)
+            outputs = await self._run_engine(req, new_steps, results)
+            await self._forward(req, new_steps, outputs, results)
         except Exception as exc:
             logger.exception("iteration of chain %s failed", req.chain_id)
-            for step in fresh:
-                failure = self._failed(step, ErrorKind.INTERNAL, repr(exc))
+            for step in new_steps:
+                failure = self._failed_result(step, ErrorKind.INTERNAL, repr(exc))
                 results.setdefault(step.sequence_id, failure)
         finally:
-            for step in fresh:
-                missing = self._failed(step, ErrorKind.INTERNAL, NO_RESULT)
-                self._records.settle(results.get(step.sequence_id, missing))
+            for step in new_steps:
+                missing = self._failed_result(step, ErrorKind.INTERNAL, NO_RESULT)
+                self._records.set_result(results.get(step.sequence_id, missing))
 
     async def _run_engine(
         self,
         req: wire.StepRequest,
-        fresh: list[wire.SequenceStep],
+        new_steps: list[wire.SequenceStep],
         results: dict[str, wire.StepResult],
     ) -> list[EngineResult]:
-        if not fresh:
+        if not new_steps:
             return []
-        steps = [_engine_step(step, req.rest[0]) for step in fresh]
+        steps = [_engine_step(step, req.rest[0]) for step in new_steps]
         METRICS.iterations.add()
         try:
             async with self._engine_calls:
                 began_at = self._clock.now()
                 outputs = await self._call_engine(steps)
-                self._observe(fresh, began_at)
+                self._observe(new_steps, began_at)
         except (WigeonscaleError, TimeoutError) as exc:
             logger.warning("engine call failed: %r", exc)
             self._on_engine_failed()
-            for step in fresh:
-                results[step.sequence_id] = self._failed(
+            for step in new_steps:
+                results[step.sequence_id] = self._failed_result(
                     step, ErrorKind.BACKEND_FAILED, f"engine call failed: {exc!r}"
                 )
             return []
-        for step, output in zip(fresh, outputs, strict=True):
+        for step, output in zip(new_steps, outputs, strict=True):
             if output.error:
-                results[step.sequence_id] = self._failed(
+                results[step.sequence_id] = self._failed_result(
                     step, ErrorKind.BACKEND_FAILED, output.error
                 )
         return [output for output in outputs if not output.error]
 
     async def _call_engine(self, steps: list[EngineStep]) -> list[EngineResult]:
-        async with asyncio.timeout(self._step_timeout_s) as limit:
-            self._call_limits.add(limit)
+        async with asyncio.timeout(self._step_timeout_s) as call_timeout:
+            self._call_timeouts.add(call_timeout)
             try:
                 return await self._engine.run(steps)
             finally:
-                self._call_limits.discard(limit)
+                self._call_timeouts.discard(call_timeout)
 
-    def _observe(self, fresh: list[wire.SequenceStep], began_at: float) -> None:
-        # The engine works on one iteration at a time, so the time spent waiting
-        # for the one before is not this one's.
+    def _observe(self, new_steps: list[wire.SequenceStep], began_at: float) -> None:
+        # The engine runs one iteration at a time, so the time spent waiting for the
+        # previous iteration does not count.
         now = self._clock.now()
         seconds = now - max(began_at, self._engine_done_at)
         self._engine_done_at = now
-        self.cost.observe(sum(step.count for step in fresh), seconds)
+        self.cost.observe(sum(step.count for step in new_steps), seconds)
 
-    async def _pass_on(
+    async def _forward(
         self,
         req: wire.StepRequest,
-        fresh: list[wire.SequenceStep],
+        new_steps: list[wire.SequenceStep],
         outputs: list[EngineResult],
         results: dict[str, wire.StepResult],
     ) -> None:
@@ -251,32 +256,32 @@
                 results[output.sequence_id] = _token_result(output)
             return
         hidden = {output.sequence_id: output.hidden for output in outputs}
-        onward = wire.StepRequest(
+        forwarded = wire.StepRequest(
             chain_id=req.chain_id,
             epoch=req.epoch,
             rest=req.rest[1:],
             cancelled=req.cancelled,
         )
-        for step in fresh:
+        for step in new_steps:
             if step.sequence_id in hidden:
-                copy = onward.steps.add()
+                copy = forwarded.steps.add()
                 copy.CopyFrom(step)
                 copy.hidden = hidden[step.sequence_id]
                 copy.attempt = 1
-        if not onward.steps and not onward.cancelled:
+        if not forwarded.steps and not forwarded.cancelled:
             return
-        following = req.rest[1]
+        next_stage = req.rest[1]
         try:
-            reply = await self._links.call(following.address, onward)
+            reply = await self._links.call(next_stage.address, forwarded)
         except PeerLostError as exc:
-            for step in onward.steps:
-                results[step.sequence_id] = self._failed(
-                    step, exc.kind, exc.message, following.agent_id
+            for step in forwarded.steps:
+                results[step.sequence_id] = self._failed_result(
+                    step, exc.kind, exc.message, next_stage.agent_id
                 )
             return
         results.update({result.sequence_id: result for result in reply.results})
 
-    def _failed(
+    def _failed_result(
         self,
         step: wire.SequenceStep,
         kind: ErrorKind,
@@ -293,7 +298,7 @@
         )
 
     def _cancel_on_engine(self, sequence_id: str) -> None:
-        # Those of one iteration go to the engine in one call.
+        # All cancellations of one iteration are sent to the engine in one call.
         self._to_cancel.append(sequence_id)
         if len(self._to_cancel) > 1:
             return
@@ -306,10 +311,12 @@
         try:
             await self._engine.cancel(sequence_ids)
         except WigeonscaleError as exc:
-            logger.warning("engine did not cancel %s: %s", sequence_ids, exc)
+            logger.warning(
+                "engine failed to cancel sequences %s: %s", sequence_ids, exc
+            )
 
 
-def _settled(result: wire.StepResult) -> asyncio.Future:
+def _completed_future(result: wire.StepResult) -> asyncio.Future:
     fut = asyncio.get_running_loop().create_future()
     fut.set_result(result)
     return fut
--- a/wigeonscale/rules/conditions.py
+++ b/wigeonscale/rules/conditions.py
@@ -1,4 +1,4 @@
-"""The ``when`` line of a rule: its terms, their tests and their index keys."""
+"""Parses the ``when`` line of rules into terms, their predicates and index keys."""
 
 __all__ = [
     "MAX_PREFIX_SEGMENTS",
@@ -19,8 +19,9 @@
 
 from wigeonscale.rules.model import RequestFacts
 
-# Bounds the look-ups that one request's path can cause.
+# Bounds the index lookups for the path of one request.
 MAX_PREFIX_SEGMENTS = 16
+# Index key of every request, for rules without an indexable term.
 UNINDEXED = ""
 HEADER_NAME = re.compile(r"[a-z0-9!#$%&'*+.^_`|~-]+")
 TEXT_FIELDS = ("organisation", "model", "path", "method")
@@ -31,7 +32,7 @@
     " NAME) is VALUE or in VALUE, VALUE; path under /PREFIX/; stream is yes|no;"
     " (priority|prompt_bytes) (is|above|below) NUMBER; quote values with spaces"
 )
-# Most selective first: one request has one organisation, but rules share paths.
+# Most selective first: a request has one organisation, while many rules share a path.
 INDEX_PREFERENCE = (
     ("organisation", "is"),
     ("header", "is"),
@@ -46,11 +47,11 @@
     """One condition of a rule.
 
     Attributes:
-        field: What is looked at.
+        field: Request attribute that is compared.
         relation: ``is`` (one of the values), ``under``, ``above`` or ``below``.
-        values: Values compared with.
-        negated: Whether the term holds when the comparison does not.
-        header: Lower-case header name when the field is ``header``.
+        values: Values that the attribute is compared with.
+        negated: Whether the result of the comparison is inverted.
+        header: Lower-case header name if the field is ``header``, otherwise empty.
     """
 
     field: str
@@ -66,10 +67,10 @@
 
 
 def parse_when(text: str) -> tuple[Term, ...]:
-    """Return the terms of a ``when`` line; none for ``always``.
+    """Parse a ``when`` line into its terms; ``always`` has none.
 
     Args:
-        text: The line's value.
+        text: Value of the ``when`` key.
 
     Raises:
         ValueError: The text does not follow the syntax.
@@ -90,20 +91,20 @@
 
 
 def _tokens(text: str) -> list[str]:
-    """Return the tokens of a line, the first one last, so that taking one is cheap."""
+    """Return the tokens of a line in reverse order, so that a pop yields the next."""
     lexer = shlex.shlex(text, posix=True, punctuation_chars=",")
     lexer.whitespace_split = True
     lexer.commenters = ""
     return list(lexer)[::-1]
 
 
-def _take(tokens: list[str]) -> str:
+def _next_token(tokens: list[str]) -> str:
     if not tokens:
-        raise ValueError("ends too early")
+        raise ValueError("unexpected end of the condition")
     return tokens.pop()
 
 
-def _take_if(tokens: list[str], word: str) -> bool:
+def _accept(tokens: list[str], word: str) -> bool:
     found = tokens[-1:] == [word]
     if found:
         tokens.pop()
@@ -111,14 +112,14 @@
 
 
 def _expect(tokens: list[str], *words: str) -> str:
-    word = _take(tokens)
+    word = _next_token(tokens)
     if word not in words:
-        raise ValueError(f"{word!r} where {' or '.join(words)} is due")
+        raise ValueError(f"expected {' or '.join(words)}, found {word!r}")
     return word
 
 
 def _parse_term(tokens: list[str]) -> Term:
-    negated = _take_if(tokens, "not")
+    negated = _accept(tokens, "not")
     field = _expect(tokens, *TEXT_FIELDS, *NUMBER_FIELDS, "header", "stream")
     if field in NUMBER_FIELDS:
         return _number_term(field, negated, tokens)
@@ -133,15 +134,15 @@
     relations = ("is", "in", "under") if field == "path" else ("is", "in")
     relation = _expect(tokens, *relations)
     if relation == "under":
-        return Term(field, relation, (_checked_prefix(_take(tokens)),), negated)
-    values = _value_list(tokens) if relation == "in" else (_take_value(tokens),)
+        return Term(field, relation, (_checked_prefix(_next_token(tokens)),), negated)
+    values = _value_list(tokens) if relation == "in" else (_next_value(tokens),)
     if field == "method":
         values = tuple(value.upper() for value in values)
     return Term(field, "is", values, negated, header)
 
 
 def _header_name(tokens: list[str]) -> str:
-    name = _take(tokens).lower()
+    name = _next_token(tokens).lower()
     if not HEADER_NAME.fullmatch(name):
         raise ValueError(f"{name!r} is not a header name")
     return name
@@ -149,20 +150,20 @@
 
 def _number_term(field: str, negated: bool, tokens: list[str]) -> Term:
     relation = _expect(tokens, "is", "above", "below")
-    return Term(field, relation, (str(int(_take(tokens))),), negated)
+    return Term(field, relation, (str(int(_next_token(tokens))),), negated)
 
 
-def _take_value(tokens: list[str]) -> str:
-    value = _take(tokens)
+def _next_value(tokens: list[str]) -> str:
+    value = _next_token(tokens)
     if set(value) <= {","}:
         raise ValueError("a value is missing")
     return value
 
 
 def _value_list(tokens: list[str]) -> tuple[str, ...]:
-    values = [_take_value(tokens)]
-    while _take_if(tokens, ","):
-        values.append(_take_value(tokens))
+    values = [_next_value(tokens)]
+    while _accept(tokens, ","):
+        values.append(_next_value(tokens))
     return tuple(sorted(set(values)))
 
 
@@ -176,7 +177,7 @@
 
 
 def term_test(term: Term) -> Callable[[RequestFacts], bool]:
-    """Return the test of a term, as a function of the request's facts."""
+    """Return a predicate over requests that evaluates a term."""
     test = _plain_test(term)
     if not term.negated:
         return test
@@ -207,14 +208,14 @@
 
 
 def index_keys(terms: Sequence[Term]) -> tuple[str, ...]:
-    """Return the keys of which a request must have one for the terms to hold.
+    """Return index keys of which each matching request has at least one.
 
     Args:
         terms: Terms of one rule.
 
     Returns:
-        Keys of the rule's most selective term; one key that every request has
-        when no term can be indexed.
+        Keys of the most selective term; the key ``UNINDEXED``, which every request
+        has, if no term can be indexed.
     """
     for field, relation in INDEX_PREFERENCE:
         for term in terms:
@@ -228,11 +229,11 @@
 
 
 def fact_keys(facts: RequestFacts, *, headers: bool = True) -> Iterator[str]:
-    """Return every index key that a request has.
+    """Yield all index keys of a request.
 
     Args:
         facts: The request.
-        headers: Whether keys of headers are wanted.
+        headers: Whether to include the keys of headers.
     """
     yield UNINDEXED
     yield f"organisation  is {facts.organisation}"
--- a/wigeonscale/rules/editing.py
+++ b/wigeonscale/rules/editing.py
@@ -1,4 +1,4 @@
-"""Makes documents from texts and from changes to other documents."""
+"""Creates documents from text and from changes to existing documents."""
 
 __all__ = ["parse_document", "patch_document"]
 
@@ -6,7 +6,7 @@
 
 from wigeonscale.rules.checks import cross_check
 from wigeonscale.rules.diff import Edit, plan_edits
-from wigeonscale.rules.document import EMPTY_DOCUMENT, ENDS, Document
+from wigeonscale.rules.document import EMPTY_DOCUMENT, SENTINEL, Document
 from wigeonscale.rules.draft import Draft
 from wigeonscale.rules.problems import InvalidDocument, Problem
 from wigeonscale.rules.sections import SectionParts, parse_section, split_sections
@@ -14,19 +14,19 @@
 
 
 def parse_document(text: str, *, base: Document = EMPTY_DOCUMENT) -> Document:
-    r"""Return the document that a text describes.
+    r"""Parse a text into a document.
 
     Args:
         text: INI text with ``[organisation]``, ``[pipeline]``, ``[service]`` and
-            ``[rule]`` sections; the order of the rules is the order of trial.
-        base: A document to start from: only sections that differ are read.
+            ``[rule]`` sections; rules are evaluated in the order of the text.
+        base: Document to start from; only sections that differ from it are parsed.
 
     Returns:
-        A document in which every section is right by itself and with the others.
+        A document whose sections are valid and consistent with each other.
 
     Raises:
-        InvalidDocument: Names every problem with section, key, line, value and
-            what is allowed.
+        InvalidDocument: The text is invalid; lists all problems with section, key,
+            line, value and what is allowed.
 
     Example:
         >>> text = "[rule none]\nwhen = always\nthen = refuse because closed\n"
@@ -34,16 +34,16 @@
         >>> [rule.name for rule in doc.rules]
         ['none']
     """
-    _raise_any(list(_text_problems(text)))
+    _raise_if_any(list(_text_problems(text)))
     parts_of, problems = _unique_sections(text)
     draft = Draft(base=base)
-    broken: dict[str, str] = {}
+    invalid: dict[str, str] = {}
     for edit in plan_edits(base, _texts(parts_of)):
-        problems += _apply_edit(draft, edit, parts_of, broken)
+        problems += _apply_edit(draft, edit, parts_of, invalid)
     document = draft.freeze()
     lines = {name: parts.line for name, parts in parts_of.items()}
-    problems += cross_check(document, draft.touched, lines.__getitem__, broken)
-    _raise_any(problems)
+    problems += cross_check(document, draft.changed_names, lines.__getitem__, invalid)
+    _raise_if_any(problems)
     return document
 
 
@@ -53,7 +53,7 @@
     for parts in split_sections(text):
         first = parts_of.setdefault(parts.name, parts)
         if first is not parts:
-            allowed = f"each section once; it stands in line {first.line} too"
+            allowed = f"each section once; already defined in line {first.line}"
             problems.append(
                 Problem(parts.name, "", parts.line, f"[{parts.name}]", allowed)
             )
@@ -64,82 +64,86 @@
     draft: Draft,
     edit: Edit,
     parts_of: dict[str, SectionParts],
-    broken: dict[str, str],
+    invalid: dict[str, str],
 ) -> list[Problem]:
-    """Make one edit; a section that is wrong by itself goes into ``broken``."""
+    """Apply one edit; an invalid section is only recorded in ``invalid``."""
     if edit.text is None:
         draft.remove(edit.name)
         return []
     parsed = parse_section(parts_of[edit.name])
     if isinstance(parsed, list):
-        broken[edit.name] = edit.after
+        invalid[edit.name] = edit.after
         return parsed
-    after = _standing(draft, broken, edit.after)
+    after = _nearest_present(draft, invalid, edit.after)
     draft.put(edit.name, edit.text, after, parsed)
     return []
 
 
-def _standing(draft: Draft, broken: dict[str, str], name: str) -> str:
-    """Return the nearest section before a broken one that the draft has."""
-    while name in broken and name not in draft.tables["sections"]:
-        name = broken[name]
+def _nearest_present(draft: Draft, invalid: dict[str, str], name: str) -> str:
+    """Return the nearest section at or before ``name`` that the draft contains."""
+    while name in invalid and name not in draft.tables["sections"]:
+        name = invalid[name]
     return name
 
 
 def _texts(parts_of: dict[str, SectionParts]) -> dict[str, str]:
-    return {name: _ended(parts.text) for name, parts in parts_of.items()}
+    return {name: _with_final_newline(parts.text) for name, parts in parts_of.items()}
 
 
 def patch_document(
     old: Document, changes: Iterable[wire_pb2.SectionChange]
 ) -> Document:
-    """Return a document with some sections changed.
+    """Apply changes to sections of a document.
 
     Args:
-        old: The document to change; it stays as it is.
-        changes: Changes in the order in which they are to be made.
+        old: The document to start from; it is not modified.
+        changes: Changes, in the order in which they are applied.
 
     Returns:
-        A new document that shares what did not change.
+        A new document that shares unchanged data with ``old``.
 
     Raises:
-        InvalidDocument: A change does not fit, or the result is invalid.
+        InvalidDocument: A change cannot be applied, or the result is invalid.
 
     Notes:
-        Costs a time that depends on the changes, not on the size of the document,
-        but for a logarithm and for the copying of a list of the rules that share
-        one index key. A change to a rule with ``when = always`` looks at every rule.
+        The time depends on the changes and only logarithmically on the size of the
+        document, except that the list of rules with the same index key is copied. A
+        change to a rule with ``when = always`` visits every rule.
     """
     draft = Draft(base=old)
     problems: list[Problem] = []
     for change in changes:
         problems += _apply_change(draft, change)
     document = draft.freeze()
-    problems += cross_check(document, draft.touched, document.section_line)
-    _raise_any(problems)
+    problems += cross_check(document, draft.changed_names, document.section_line)
+    _raise_if_any(problems)
     return document
 
 
 def _apply_change(draft: Draft, change: wire_pb2.SectionChange) -> list[Problem]:
     sections = draft.tables["sections"]
     if change.removed:
-        if change.name == ENDS or change.name not in sections:
-            return [Problem(change.name, "", 0, change.name, "a section that exists")]
+        if change.name == SENTINEL or change.name not in sections:
+            return [Problem(change.name, "", 0, change.name, "the name of a section")]
         draft.remove(change.name)
         return []
     if change.after not in sections or change.after == change.name:
-        return [Problem(change.name, "", 0, change.after, "another section to follow")]
+        return [
+            Problem(change.name, "", 0, change.after, "the name of another section")
+        ]
     parts = list(split_sections(change.text))
     if [part.name for part in parts] != [change.name]:
-        return [Problem(change.name, "", 0, change.text[:80], "one section's text")]
+        return [
+            Problem(change.name, "", 0, change.text[:80], "the text of one section")
+        ]
     parsed = parse_section(parts[0])
     if isinstance(parsed, list):
         return parsed
-    draft.put(change.name, _ended(change.text), change.after, parsed)
+    draft.put(change.name, _with_final_newline(change.text), change.after, parsed)
     return []
 
 
-def _ended(text: str) -> str:
+def _with_final_newline(text: str) -> str:
     return text if text.endswith("\n") else text + "\n"
 
 
@@ -148,11 +152,13 @@
         text.encode()
     except UnicodeEncodeError as exc:
         line = text.count("\n", 0, exc.start) + 1
-        yield Problem("", "", line, text[exc.start], "text that UTF-8 can hold")
+        yield Problem(
+            "", "", line, text[exc.start], "text that can be encoded as UTF-8"
+        )
     if text.strip() and next(split_sections(text), None) is None:
         yield Problem("", "", 1, text.strip()[:80], "sections, each with a header")
 
 
-def _raise_any(problems: list[Problem]) -> None:
+def _raise_if_any(problems: list[Problem]) -> None:
     if problems:
         raise InvalidDocument(dict.fromkeys(problems))
--- a/wigeonscale/rules/schema.py
+++ b/wigeonscale/rules/schema.py
@@ -1,4 +1,4 @@
-"""The keys that each kind of section may have, checked at the border."""
+"""Schema of the sections of a rules document, validated with pydantic."""
 
 __all__ = ["KINDS", "Parsed", "Rule", "SectionModel", "key_digest"]
 
@@ -29,7 +29,7 @@
 
 DIGEST_KEY = re.compile(r"sha256:[0-9a-f]{64}")
 SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
-LONGEST_DEADLINE_S = 86400.0
+MAX_DEADLINE_S = 86400.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,10 +39,10 @@
     Attributes:
         name: Name of the rule.
         terms: Conditions that must all hold.
-        tests: The conditions as functions of the request.
-        decision: What the rule decides.
-        targets: Section names that must exist, by the key that names them.
-        index_keys: Keys under which the rule is found; see ``conditions``.
+        tests: Predicates over requests, one per term.
+        decision: Decision for matching requests.
+        targets: Pairs of a key and the name of the section that it refers to.
+        index_keys: Keys under which the rule is indexed; see ``conditions``.
     """
 
     name: str
@@ -54,18 +54,18 @@
 
     @property
     def index_headers(self) -> set[str]:
-        """Names of the headers under which the rule is found."""
+        """Names of the headers under which the rule is indexed."""
         header_keys = (key for key in self.index_keys if key.startswith("header "))
         return {key.split(" ")[1] for key in header_keys}
 
     @property
     def condition(self) -> str:
-        """The terms in one text that is equal for equal conditions."""
+        """Canonical text of the terms, independent of their order."""
         return " and ".join(sorted(str(term) for term in self.terms))
 
 
 def key_digest(api_key: str) -> str:
-    """Return the SHA-256 hex digest under which an API key is looked up."""
+    """Return the SHA-256 hex digest by which an API key is looked up."""
     return hashlib.sha256(api_key.encode("utf-8", "surrogatepass")).hexdigest()
 
 
@@ -82,7 +82,7 @@
             raise ValueError("not a SHA-256 digest")
         return key.removeprefix("sha256:")
     if not key or not key.isascii() or any(char.isspace() for char in key):
-        raise ValueError("not a key")
+        raise ValueError("not an API key")
     return key_digest(key)
 
 
@@ -109,9 +109,10 @@
 
 
 class SectionModel(BaseModel):
-    """Base of the keys of each kind of section; an unknown key is an error."""
+    """Base class of the section schemas; unknown keys are errors."""
 
-    # Built at the first use: a daemon that reads no rules starts 40 ms sooner.
+    # Validators are built on first use, so that a daemon without rules starts 40 ms
+    # faster.
     model_config = ConfigDict(
         extra="forbid", arbitrary_types_allowed=True, defer_build=True
     )
@@ -121,7 +122,9 @@
     keys: Annotated[
         tuple[str, ...],
         BeforeValidator(_split_keys),
-        Allowed("a comma list of API keys or of sha256:DIGEST, 64 lower-case hex"),
+        Allowed(
+            "comma-separated API keys or sha256:DIGEST of 64 lower-case hex digits"
+        ),
     ] = ()
     share: Annotated[
         float, Field(ge=0.01, le=1000), Allowed("a weight from 0.01 to 1000")
@@ -174,7 +177,7 @@
     deadline: Annotated[
         float,
         BeforeValidator(_parse_duration),
-        Field(gt=0, le=LONGEST_DEADLINE_S),
+        Field(gt=0, le=MAX_DEADLINE_S),
         Allowed("a duration up to 24h, such as 500ms, 30s or 2m"),
     ] = 0.0
     repeat: Annotated[Literal["never", "allowed"], Allowed("never or allowed")] = (
