--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -84,7 +84,7 @@
     else:
         await cluster.kill(stage)
     detected_s = await _elapsed(
-        lambda: not members.holds(stage, incarnation), struck_at
+        lambda: not members.is_announced(stage, incarnation), struck_at
     )
     await task
     rounds = _epoch(cluster) - epoch
--- a/wigeonscale/control/change_feed.py
+++ b/wigeonscale/control/change_feed.py
@@ -47,14 +47,14 @@
         """
         self.index = change.index
         self._members_cache.clear()
-        if change.everything:
+        if change.is_restore:
             self._changes.clear()
             self._complete_after = change.index
             self._config_cache.clear()
             return
         if change.configuration:
             self._evict_old_configs()
-        if not change.is_about_members:
+        if not change.affects_members:
             return
         self._changes.append(change)
         if len(self._changes) > self._max_changes:
@@ -92,7 +92,7 @@
         configuration = self._state.configuration
         if revision >= configuration.revision:
             return []
-        if revision < configuration.oldest_known or revision == 0:
+        if revision < configuration.oldest_base_revision or revision == 0:
             return [self._full_config()]
         return [self._config_update(each) for each in configuration.after(revision)]
 
@@ -139,7 +139,7 @@
             configuration = self._state.configuration
             self._config_cache[0] = wire.ConfigUpdate(
                 revision=configuration.revision,
-                changes=configuration.whole_changes(),
+                changes=configuration.changes_from_empty(),
                 digest=configuration.document.digest,
             )
         return self._config_cache[0]
@@ -156,6 +156,6 @@
 
     def _evict_old_configs(self):
         # Includes key 0, the whole document, which differs after each change.
-        oldest = self._state.configuration.oldest_known
+        oldest = self._state.configuration.oldest_base_revision
         for number in [n for n in self._config_cache if n <= oldest]:
             del self._config_cache[number]
--- a/wigeonscale/control/engine_specs.py
+++ b/wigeonscale/control/engine_specs.py
@@ -35,9 +35,9 @@
         Returns:
             Whether any engine may have changed.
         """
-        self._all_stale |= change.everything
+        self._all_stale |= change.is_restore
         self._stale |= change.backends
-        return bool(change.backends) or change.everything
+        return bool(change.backends) or change.is_restore
 
     def specs(self) -> list[EngineSpec]:
         """Return the specs sorted by agent id; the same list until one changes."""
--- a/wigeonscale/control/hub.py
+++ b/wigeonscale/control/hub.py
@@ -254,7 +254,7 @@
         agent_id = watcher.node_id
         if self.agent(agent_id, watcher.incarnation) is not watcher:
             return
-        if not self._state.members.holds(agent_id, watcher.incarnation):
+        if not self._state.members.is_announced(agent_id, watcher.incarnation):
             return
         load = self._load_orders().get(agent_id)
         is_changed = load != watcher.sent_load
@@ -301,7 +301,7 @@
         changes, self._unpublished_changes = self._unpublished_changes, []
         for change in changes:
             self.feed.add(change)
-        if any(change.is_about_members for change in changes):
+        if any(change.affects_members for change in changes):
             self._released_loads = None
         for change in changes:
             self._check_attachments(change)
@@ -309,7 +309,7 @@
             watcher.wake.set()
 
     def _check_attachments(self, change):
-        ids = list(self._agents) if change.everything else change.backends
+        ids = list(self._agents) if change.is_restore else change.backends
         for agent_id in ids:
             watcher = self._agents.get(agent_id)
             if watcher is not None:
--- a/wigeonscale/control/liveness.py
+++ b/wigeonscale/control/liveness.py
@@ -110,7 +110,7 @@
                 forwarded is not forwarded again.
         """
         agent_id, incarnation = suspicion.agent_id, suspicion.incarnation
-        if not self._state.members.holds(agent_id, incarnation):
+        if not self._state.members.is_announced(agent_id, incarnation):
             return
         replica_id = self._state.members.get(agent_id).replica
         if replica_id == self._node_id:
@@ -169,7 +169,7 @@
 
     def _prune(self, own):
         keys = {_incarnation_key(member) for member in own}
-        self._ending = {n for n in self._ending if self._state.members.holds(*n)}
+        self._ending = {n for n in self._ending if self._state.members.is_announced(*n)}
         self._attached_before &= keys
         for key in self._suspected_at.keys() - keys:
             del self._suspected_at[key]
--- a/wigeonscale/control/orders.py
+++ b/wigeonscale/control/orders.py
@@ -37,7 +37,7 @@
     for chain, stage in ranked:
         if len(orders) >= free_slots:
             break
-        if state.members.holds(stage.agent_id, stage.incarnation):
+        if state.members.is_announced(stage.agent_id, stage.incarnation):
             orders.setdefault(stage.agent_id, _load(chain, stage))
     # A repair must not wait for the load of a spare.
     if not ranked and loads >= MIN_LOADS_FOR_SPARES:
--- a/wigeonscale/control/placement_loop.py
+++ b/wigeonscale/control/placement_loop.py
@@ -108,7 +108,7 @@
 
     def _on_change(self, change: Change):
         self._engine_changes += self._engines.invalidate(change)
-        self._chain_changes += bool(change.chains or change.everything)
+        self._chain_changes += bool(change.chains or change.is_restore)
         self._wake.set()
 
     async def _plan_once(self):
--- a/wigeonscale/control/rule_changes.py
+++ b/wigeonscale/control/rule_changes.py
@@ -67,7 +67,7 @@
         raise WigeonscaleError(
             ErrorKind.NOT_FOUND,
             f"revision {body.revision} is not kept; the oldest kept revision is"
-            f" {configuration.oldest_known}",
+            f" {configuration.oldest_base_revision}",
         )
     return await _document_command(
         configuration,
@@ -90,7 +90,7 @@
         changes = await asyncio.to_thread(diff_documents, base, document)
         apply.changes.extend(changes)
     if apply.changes:
-        configuration.expect(apply, base, document)
+        configuration.set_prepared(apply, base, document)
     else:
         apply.document = document.text
     return _command(operation_id, apply)
@@ -113,7 +113,7 @@
                 f"the changes make a document with digest {document.digest},"
                 f" not {body.digest}",
             )
-        configuration.expect(apply, base, document)
+        configuration.set_prepared(apply, base, document)
     return _command(body.operation_id, apply)
 
 
--- a/wigeonscale/control/tests/test_liveness.py
+++ b/wigeonscale/control/tests/test_liveness.py
@@ -36,7 +36,7 @@
             await self.fixture.clock.advance(CHECK_S)
 
     def is_alive(self, agent_id="a"):
-        return self.fixture.state.members.holds(agent_id, 1)
+        return self.fixture.state.members.is_announced(agent_id, 1)
 
     def suspect(self, agent_id="a", source_role="entry"):
         suspicion = wire.Suspect(agent_id=agent_id, incarnation=1)
--- a/wigeonscale/control/tests/test_service.py
+++ b/wigeonscale/control/tests/test_service.py
@@ -92,7 +92,7 @@
             on_ended=ended.append,
         )
         await client.ready()
-        await self.until(lambda: self.state.members.holds("a", 7))
+        await self.until(lambda: self.state.members.is_announced("a", 7))
         self.assertEqual("c1", self.state.members.get("a").replica)
         await self.fixture.run(drain=wire.DrainBackend(agent_id="a", draining=True))
         await self.until(lambda: orders and orders[-1].drain)
@@ -101,13 +101,13 @@
         await self.until(lambda: 7 in ended)
         client.announce_changed()
         await self.until(lambda: len(ended) == 2)
-        self.assertFalse(self.state.members.holds("a", 7))
+        self.assertFalse(self.state.members.is_announced("a", 7))
 
     async def test_unchanged_announcement_costs_no_command(self):
         backend = engine("a", 7)
         client = self.client("a", "agent", announce=lambda: backend)
         await client.ready()
-        await self.until(lambda: self.state.members.holds("a", 7))
+        await self.until(lambda: self.state.members.is_announced("a", 7))
         count = len(self.fixture.replica.proposed)
         watcher = self.fixture.hub.agent("a", 7)
         first = watcher.announced
@@ -120,7 +120,7 @@
         backend = engine("a", 7)
         client = self.client("a", "agent", announce=lambda: backend)
         await client.ready()
-        await self.until(lambda: self.state.members.holds("a", 7))
+        await self.until(lambda: self.state.members.is_announced("a", 7))
         late = wire.Announce(backend=backend, replica="c2")
         await self.fixture.run(announce=late)
         self.assertEqual("c2", self.state.members.get("a").replica)
--- a/wigeonscale/daemons/crashes.py
+++ b/wigeonscale/daemons/crashes.py
@@ -6,7 +6,7 @@
 
 from wigeonscale.adapters import METRICS
 from wigeonscale.crashes import CrashReport, CrashTracker, report_crashes
-from wigeonscale.membership import ControlClient, command_of, known_crashes
+from wigeonscale.membership import ControlClient, known_crashes, record_crashes_command
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -37,7 +37,7 @@
     """
 
     async def submit(report: CrashReport) -> None:
-        await control.submit(command_of(report))
+        await control.submit(record_crashes_command(report))
 
     with control.changes.subscribe(lambda change: book.confirm_crashes()):
         await report_crashes(book, submit=submit, clock=clock)
--- a/wigeonscale/daemons/direct_entry.py
+++ b/wigeonscale/daemons/direct_entry.py
@@ -97,7 +97,7 @@
     def _take(self, change: Change) -> None:
         if change is Change.MEMBERS:
             self._take_members(list(self._control.members.backends.values()))
-        elif change is Change.NUMBERED:
+        elif change is Change.NUMBERED_DOCUMENT:
             self._take_table()
         # The table comes first. Without the members no backend server is known.
         if self.table.number and self._has_members:
@@ -121,7 +121,7 @@
         self._has_members = True
 
     def _take_table(self) -> None:
-        document = self._control.numbered
+        document = self._control.numbered_document
         try:
             self.table = read_table(decompress(document.content))
         except SettingsError as exc:
--- a/wigeonscale/membership/__init__.py
+++ b/wigeonscale/membership/__init__.py
@@ -5,14 +5,14 @@
     "Change",
     "ControlClient",
     "MembersView",
-    "command_of",
     "known_crashes",
+    "record_crashes_command",
     "within",
 ]
 
 from wigeonscale.membership.backoff import Backoff
 from wigeonscale.membership.client import ControlClient
-from wigeonscale.membership.crash_messages import command_of, known_crashes
+from wigeonscale.membership.crash_messages import known_crashes, record_crashes_command
 from wigeonscale.membership.knowledge import Change
 from wigeonscale.membership.members import MembersView
 from wigeonscale.membership.timeouts import within
--- a/wigeonscale/membership/client.py
+++ b/wigeonscale/membership/client.py
@@ -149,9 +149,9 @@
         return self._members
 
     @property
-    def numbered(self) -> wire.NumberedDocument:
+    def numbered_document(self) -> wire.NumberedDocument:
         """Document under its author's number; number 0 before any."""
-        return self._knowledge.numbered
+        return self._knowledge.numbered_document
 
     @property
     def entries(self) -> int:
@@ -257,7 +257,7 @@
             known_revision=self._knowledge.known_revision,
             http_address=self._http_address,
             known_index=self._members.index,
-            known_document=self._knowledge.numbered.number,
+            known_document=self._knowledge.numbered_document.number,
             known_crashes=self._crashes_index,
         )
         return WatchConnection(
--- a/wigeonscale/membership/crash_messages.py
+++ b/wigeonscale/membership/crash_messages.py
@@ -1,6 +1,6 @@
 """Records of crashes between the messages of control and an entry's own data."""
 
-__all__ = ["command_of", "known_crashes"]
+__all__ = ["known_crashes", "record_crashes_command"]
 
 from wigeonscale.crashes import CrashReport, KnownCrashes
 from wigeonscale.wire import wire_pb2 as wire
@@ -25,7 +25,7 @@
     ]
 
 
-def command_of(report: CrashReport) -> wire.Command:
+def record_crashes_command(report: CrashReport) -> wire.Command:
     """Return the command that makes a report known to all entries.
 
     Args:
--- a/wigeonscale/membership/knowledge.py
+++ b/wigeonscale/membership/knowledge.py
@@ -24,7 +24,7 @@
     DOCUMENT = "document"
     MEMBERS = "members"
     LEASE = "lease"
-    NUMBERED = "numbered"
+    NUMBERED_DOCUMENT = "numbered"
 
 
 class Knowledge:
@@ -35,7 +35,7 @@
         configuration: The configuration in force.
         lease: How long it may be acted on.
         entries: Entries attached to control as last told; 0 before.
-        numbered: Document under its author's number, highest ever told.
+        numbered_document: Document with the highest number received so far.
 
     Args:
         clock: Clock of this process.
@@ -48,7 +48,7 @@
         self.configuration = Configuration()
         self.lease = Lease(clock=clock, lease_s=lease_s)
         self.entries = 0
-        self.numbered = wire.NumberedDocument()
+        self.numbered_document = wire.NumberedDocument()
         self._metrics = metrics
         self._config_lock = asyncio.Lock()
         self._needs_whole_document = False
@@ -112,12 +112,12 @@
         Args:
             document: The document, from any replica.
         """
-        held = self.numbered.number
+        held = self.numbered_document.number
         if document.number <= held:
             return
-        self.numbered = document
+        self.numbered_document = document
         logger.info("document %d replaces %d", document.number, held)
-        self.emit(Change.NUMBERED)
+        self.emit(Change.NUMBERED_DOCUMENT)
 
     def note_lease(self) -> None:
         """Tell the subscribers when the lease began or ran out."""
--- a/wigeonscale/membership/tests/test_crash_messages.py
+++ b/wigeonscale/membership/tests/test_crash_messages.py
@@ -1,5 +1,5 @@
 from wigeonscale.crashes import CrashReport, KnownCrashes
-from wigeonscale.membership import command_of, known_crashes
+from wigeonscale.membership import known_crashes, record_crashes_command
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -20,7 +20,7 @@
         )
 
     def test_report_as_a_command(self):
-        command = command_of(CrashReport(((b"a", "s1"),), (b"b",)))
+        command = record_crashes_command(CrashReport(((b"a", "s1"),), (b"b",)))
         self.assertEqual([b"b"], list(command.record_crashes.cleared))
         (crash,) = command.record_crashes.crashes
         self.assertEqual((b"a", "s1"), (crash.fingerprint, crash.backend))
--- a/wigeonscale/platform/heartbeats.py
+++ b/wigeonscale/platform/heartbeats.py
@@ -15,7 +15,7 @@
 )
 
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.state import UNNUMBERED
+from wigeonscale.state import DEFAULT_INCARNATION
 from wigeonscale.wire import wire_pb2 as wire
 
 DRAINING = "draining"
@@ -105,7 +105,7 @@
     layers = beat.layers or _Layers()
     backend = wire.Backend(
         agent_id=backend_id,
-        incarnation=beat.born or UNNUMBERED,
+        incarnation=beat.born or DEFAULT_INCARNATION,
         started_ms=beat.born or 0,
         address=beat.address,
         domain=beat.zone,
--- a/wigeonscale/state/__init__.py
+++ b/wigeonscale/state/__init__.py
@@ -6,10 +6,10 @@
     "Claims",
     "Configuration",
     "ControlState",
+    "DEFAULT_INCARNATION",
     "Member",
     "Members",
     "Revision",
-    "UNNUMBERED",
 ]
 
 from wigeonscale.state.chains import Chains
@@ -17,4 +17,4 @@
 from wigeonscale.state.claims import Claims
 from wigeonscale.state.configuration import Configuration, Revision
 from wigeonscale.state.members import Member, Members
-from wigeonscale.state.state import UNNUMBERED, ControlState
+from wigeonscale.state.state import DEFAULT_INCARNATION, ControlState
--- a/wigeonscale/state/chains.py
+++ b/wigeonscale/state/chains.py
@@ -163,7 +163,7 @@
     def _stage_problem(self, chain, busy):
         next_layer = 0
         for stage in chain.stages:
-            if not self._members.holds(stage.agent_id, stage.incarnation):
+            if not self._members.is_announced(stage.agent_id, stage.incarnation):
                 return f"{stage.agent_id!r}/{stage.incarnation} is not announced"
             if stage.agent_id in busy:
                 return f"agent {stage.agent_id!r} would be a stage of two chains"
--- a/wigeonscale/state/change.py
+++ b/wigeonscale/state/change.py
@@ -16,7 +16,7 @@
         configuration: Whether there is a new revision.
         document: Whether there is a new numbered document.
         crashes: Whether a record of crashes changed.
-        everything: The whole state was replaced by a snapshot.
+        is_restore: The whole state was replaced by a snapshot.
     """
 
     index: int
@@ -25,9 +25,9 @@
     configuration: bool = False
     document: bool = False
     crashes: bool = False
-    everything: bool = False
+    is_restore: bool = False
 
     @property
-    def is_about_members(self) -> bool:
+    def affects_members(self) -> bool:
         """Whether backends or chains changed."""
-        return bool(self.backends or self.chains or self.everything)
+        return bool(self.backends or self.chains or self.is_restore)
--- a/wigeonscale/state/configuration.py
+++ b/wigeonscale/state/configuration.py
@@ -83,7 +83,7 @@
         return tuple(self._history)
 
     @property
-    def oldest_known(self) -> int:
+    def oldest_base_revision(self) -> int:
         """Oldest revision from which :meth:`after` can lead on."""
         return self._base_revision
 
@@ -91,7 +91,7 @@
         """Return the revisions that follow one which is still known.
 
         Args:
-            revision: At least :attr:`oldest_known`.
+            revision: At least :attr:`oldest_base_revision`.
 
         Returns:
             Later revisions, oldest first.
@@ -115,7 +115,7 @@
             return self._history[position].document
         return None
 
-    def whole_changes(self) -> list[wire.SectionChange]:
+    def changes_from_empty(self) -> list[wire.SectionChange]:
         """Return the changes that make the document in force out of nothing."""
         return diff_documents(EMPTY_DOCUMENT, self.document)
 
@@ -141,7 +141,7 @@
 
         return prepare
 
-    def expect(
+    def set_prepared(
         self, command: wire.ApplyConfig, base: Document, document: Document
     ) -> None:
         """Keep a document that is known to come of a command.
--- a/wigeonscale/state/members.py
+++ b/wigeonscale/state/members.py
@@ -73,7 +73,7 @@
         """
         return [self._members[i] for i in self._by_replica.get(replica, ())]
 
-    def holds(self, agent_id: str, incarnation: int) -> bool:
+    def is_announced(self, agent_id: str, incarnation: int) -> bool:
         """Return whether this very incarnation is announced.
 
         Args:
@@ -230,7 +230,7 @@
             agent_id: Name of the backend server.
             incarnation: Number made at the agent's start.
         """
-        if self.holds(agent_id, incarnation):
+        if self.is_announced(agent_id, incarnation):
             self._remove(agent_id)
         self._ended[agent_id, incarnation] = None
         self._ended_of.setdefault(agent_id, set()).add(incarnation)
--- a/wigeonscale/state/state.py
+++ b/wigeonscale/state/state.py
@@ -1,6 +1,6 @@
 """The replicated state machine of control: commands in, results out."""
 
-__all__ = ["UNNUMBERED", "ControlState"]
+__all__ = ["DEFAULT_INCARNATION", "ControlState"]
 
 from collections.abc import Callable
 
@@ -24,7 +24,7 @@
 # Some hundred sections of the rules; less is read at once.
 LONG_COMMAND_BYTES = 16 * 1024
 # Incarnation of backend servers that do not say when they started.
-UNNUMBERED = 1
+DEFAULT_INCARNATION = 1
 
 
 class ControlState:
@@ -185,7 +185,7 @@
         self.index = snapshot.index
         self.now_ms = snapshot.now_ms
         self.placement_index = snapshot.placement_index
-        self.changes.on_next(Change(self.index, everything=True))
+        self.changes.on_next(Change(self.index, is_restore=True))
 
     def restore_preparation(self, data: bytes) -> Callable[[], None]:
         """Return work for a thread that makes a :meth:`restore` short.
@@ -246,7 +246,7 @@
         standing = self.claims.answer_standing(claim)
         if standing is not None:
             return None, standing
-        if not self.members.holds(claim.agent_id, claim.agent_incarnation):
+        if not self.members.is_announced(claim.agent_id, claim.agent_incarnation):
             return None, refused(
                 ErrorKind.STALE_INCARNATION,
                 f"{claim.agent_id!r}/{claim.agent_incarnation} is not announced",
@@ -294,7 +294,7 @@
 
     def _announced(self, member):
         """Return the incarnation meant where none is named."""
-        return member.backend.incarnation if member is not None else UNNUMBERED
+        return member.backend.incarnation if member is not None else DEFAULT_INCARNATION
 
     def _end(self, agent_id, incarnation):
         self.members.end(agent_id, incarnation)
--- a/wigeonscale/state/tests/test_configuration.py
+++ b/wigeonscale/state/tests/test_configuration.py
@@ -102,7 +102,7 @@
         self.assertEqual({"s1", "s4"}, set(self.configuration.document.services))
         # The same revision of another history: its document is another one.
         foreign = parse_document(document(1))
-        other.configuration.expect(added("s3"), foreign, foreign)
+        other.configuration.set_prepared(added("s3"), foreign, foreign)
         command = wire.Command(apply_config=added("s3"))
         other.apply(2, 1, command.SerializeToString())
         self.assertEqual({"s2", "s3"}, set(other.configuration.document.services))
@@ -136,7 +136,7 @@
     def test_history_is_bounded_and_leads_on(self):
         for number in range(5):
             self.machine.apply(document(number), base=number)
-        self.assertEqual(2, self.configuration.oldest_known)
+        self.assertEqual(2, self.configuration.oldest_base_revision)
         self.assertEqual([4, 5], [r.number for r in self.configuration.after(3)])
         self.assertEqual([], self.configuration.after(5))
         self.assertIsNone(self.configuration.document_at(1))
--- a/wigeonscale/state/tests/test_members.py
+++ b/wigeonscale/state/tests/test_members.py
@@ -32,17 +32,17 @@
         self.machine.announce("a", 2)
         result = self.machine.announce("a", 1)
         self.assertEqual(ErrorKind.STALE_INCARNATION, result.kind)
-        self.assertTrue(self.members.holds("a", 2))
+        self.assertTrue(self.members.is_announced("a", 2))
 
     def test_agent_that_moved_is_not_ended_by_the_replica_it_left(self):
         self.machine.announce("a", 1, replica="c1")
         self.machine.announce("a", 1, replica="c2")
         result = self.end("a", 1, replica="c1")
         self.assertEqual(ErrorKind.REVISION_CONFLICT, result.kind)
-        self.assertTrue(self.members.holds("a", 1))
+        self.assertTrue(self.members.is_announced("a", 1))
         self.assertEqual([], self.members.attached_to("c1"))
         self.end("a", 1, replica="c2")
-        self.assertFalse(self.members.holds("a", 1))
+        self.assertFalse(self.members.is_announced("a", 1))
         self.assertEqual([], self.members.replicas())
 
     def test_announcement_must_be_sound(self):
@@ -211,7 +211,7 @@
         result = self.start(100)
         self.assertEqual(ErrorKind.STALE_INCARNATION, result.kind)
         for machine in (first, other):
-            self.assertTrue(machine.state.members.holds("a", 200))
+            self.assertTrue(machine.state.members.is_announced("a", 200))
 
     def test_what_was_written_before_starts_were_told_is_read(self):
         self.machine.announce("a", 1)
@@ -225,9 +225,9 @@
         self.machine = restored
         self.members = restored.state.members
         self.start(100)
-        self.assertTrue(self.members.holds("a", 100))
+        self.assertTrue(self.members.is_announced("a", 100))
         self.start(100, "b")
-        self.assertTrue(self.members.holds("b", 100))
+        self.assertTrue(self.members.is_announced("b", 100))
 
     def test_a_snapshot_keeps_that_a_start_ended(self):
         self.start(200)
@@ -252,7 +252,7 @@
         self.start(200, address="x:80")
         result = self.start(100, "b", address="x:80")
         self.assertEqual(ErrorKind.STALE_INCARNATION, result.kind)
-        self.assertTrue(self.members.holds("a", 200))
+        self.assertTrue(self.members.is_announced("a", 200))
 
 
 class _Unlisted(dict):
