--- a/wigeonscale/membership/__init__.py
+++ b/wigeonscale/membership/__init__.py
@@ -7,12 +7,12 @@
     "MembersView",
     "known_crashes",
     "record_crashes_command",
-    "within",
+    "with_timeout",
 ]
 
 from wigeonscale.membership.backoff import Backoff
 from wigeonscale.membership.client import ControlClient
 from wigeonscale.membership.crash_messages import known_crashes, record_crashes_command
-from wigeonscale.membership.knowledge import Change
 from wigeonscale.membership.members import MembersView
-from wigeonscale.membership.timeouts import within
+from wigeonscale.membership.timeouts import with_timeout
+from wigeonscale.membership.watch_state import Change
--- a/wigeonscale/membership/announcer.py
+++ b/wigeonscale/membership/announcer.py
@@ -16,7 +16,7 @@
         announce: Returns what to announce.
         send: Sends a message on the attached stream.
         clock: Clock of this process.
-        again_s: Seconds after which a backend that is not shown is announced
+        min_interval_s: Seconds after which a backend that is not shown is announced
             again.
     """
 
@@ -26,18 +26,18 @@
         announce: Callable[[], wire.Backend],
         send: Callable[[wire.WatchRequest], None],
         clock: Clock,
-        again_s: float,
+        min_interval_s: float,
     ):
-        self._announce = announce
+        self._get_backend = announce
         self._send = send
         self._clock = clock
-        self._again_s = again_s
+        self._min_interval_s = min_interval_s
         self._announced_at = float("-inf")
 
     def announce(self) -> None:
         """Announce the backend as it is now."""
         self._announced_at = self._clock.now()
-        self._send(wire.WatchRequest(announce=self._announce()))
+        self._send(wire.WatchRequest(announce=self._get_backend()))
 
     def announce_if_missing(self, members: MembersView) -> None:
         """Announce the backend if control does not show it.
@@ -45,9 +45,9 @@
         Args:
             members: Backends as control tells them.
         """
-        if self._clock.now() - self._announced_at < self._again_s:
+        if self._clock.now() - self._announced_at < self._min_interval_s:
             return
-        own = self._announce()
+        own = self._get_backend()
         shown = members.backends.get(own.agent_id)
         if shown is None or shown.incarnation != own.incarnation:
             self.announce()
--- a/wigeonscale/membership/client.py
+++ b/wigeonscale/membership/client.py
@@ -15,12 +15,12 @@
 from wigeonscale.membership.announcer import Announcer
 from wigeonscale.membership.backoff import CAP_S
 from wigeonscale.membership.connection import DisconnectCause, WatchConnection
-from wigeonscale.membership.floor import ask_floor
-from wigeonscale.membership.knowledge import Change, Knowledge
+from wigeonscale.membership.floor import query_floor
 from wigeonscale.membership.members import MembersView
 from wigeonscale.membership.orders import OrderRunner
 from wigeonscale.membership.submitter import Submitter
-from wigeonscale.membership.suspicions import Suspicions
+from wigeonscale.membership.suspicion_throttle import SuspicionThrottle
+from wigeonscale.membership.watch_state import Change, WatchState
 from wigeonscale.membership.watcher import Watcher
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
@@ -29,7 +29,7 @@
     from wigeonscale import rules
 
 # A backend that its replica does not show is announced again after this long.
-ANNOUNCE_AGAIN_HEARTBEATS = 4
+REANNOUNCE_HEARTBEATS = 4
 LEASE_CHECKS_PER_HEARTBEAT = 4
 
 logger = logging.getLogger(__name__)
@@ -89,8 +89,8 @@
         tls: TlsFiles | None = None,
         reconnect_cap_s: float = CAP_S,
     ):
-        self._knowledge = Knowledge(clock=clock, lease_s=lease_s, metrics=metrics)
-        self.changes: Subject[Change] = self._knowledge.changes
+        self._state = WatchState(clock=clock, lease_s=lease_s, metrics=metrics)
+        self.changes: Subject[Change] = self._state.changes
         self._node_id = node_id
         self._role = role
         self._addresses = tuple(addresses)
@@ -107,7 +107,9 @@
         self._members = MembersView()
         self._ready = asyncio.Event()
         self._announcer = self._new_announcer(announce)
-        self._suspicions = Suspicions(clock=clock, again_s=heartbeat_s)
+        self._suspicion_throttle = SuspicionThrottle(
+            clock=clock, min_interval_s=heartbeat_s
+        )
         self._orders = self._new_order_runner(on_order)
         self._submitter = Submitter(
             addresses=self._addresses, clock=clock, rng=self._rng, tls=tls
@@ -116,11 +118,11 @@
             addresses=self._addresses,
             clock=clock,
             rng=self._rng,
-            lease=self._knowledge.lease,
+            lease=self._state.lease,
             lease_s=lease_s,
             heartbeat_s=heartbeat_s,
             open_connection=self._open_connection,
-            on_attached=self._attached,
+            on_attached=self._on_attached,
             metrics=metrics,
             reconnect_cap_s=reconnect_cap_s,
         )
@@ -128,17 +130,17 @@
     @property
     def revision(self) -> int:
         """Configuration revision in force here; 0 before any."""
-        return self._knowledge.configuration.revision
+        return self._state.configuration.revision
 
     @property
     def document(self) -> "rules.Document":
         """Rules document in force here."""
-        return self._knowledge.configuration.document
+        return self._state.configuration.document
 
     @property
     def ruleset(self) -> "rules.Ruleset":
         """Rules in force here."""
-        return self._knowledge.configuration.ruleset
+        return self._state.configuration.ruleset
 
     @property
     def members(self) -> MembersView:
@@ -151,12 +153,12 @@
     @property
     def numbered_document(self) -> wire.NumberedDocument:
         """Document under its author's number; number 0 before any."""
-        return self._knowledge.numbered_document
+        return self._state.numbered_document
 
     @property
     def entries(self) -> int:
         """Entries attached to control, this one included; 1 while not told."""
-        return max(1, self._knowledge.entries)
+        return max(1, self._state.entries)
 
     def add_addresses(self, addresses: Sequence[str]) -> None:
         """Try further replicas too.
@@ -168,7 +170,7 @@
 
     def lease_valid(self) -> bool:
         """Return whether what this process knows was confirmed recently enough."""
-        return self._knowledge.lease.is_valid()
+        return self._state.lease.is_valid()
 
     async def ready(self) -> None:
         """Wait for the first lease, and with it configuration and members."""
@@ -204,7 +206,7 @@
 
     async def floor(self) -> tuple[int, int]:
         """Return the largest (term, index) over a majority; waits for one."""
-        return await ask_floor(
+        return await query_floor(
             addresses=self._addresses, clock=self._clock, rng=self._rng, tls=self._tls
         )
 
@@ -223,7 +225,9 @@
             incarnation: The incarnation that was asked.
             is_hint: Whether others are to blame as likely.
         """
-        message = self._suspicions.message(agent_id, incarnation, is_hint=is_hint)
+        message = self._suspicion_throttle.message(
+            agent_id, incarnation, is_hint=is_hint
+        )
         if message is not None:
             self._send(message)
 
@@ -236,7 +240,7 @@
             announce=announce,
             send=self._send,
             clock=self._clock,
-            again_s=ANNOUNCE_AGAIN_HEARTBEATS * self._heartbeat_s,
+            min_interval_s=REANNOUNCE_HEARTBEATS * self._heartbeat_s,
         )
 
     def _new_order_runner(
@@ -254,10 +258,10 @@
         hello = wire.Hello(
             node_id=self._node_id,
             role=self._role,
-            known_revision=self._knowledge.known_revision,
+            known_revision=self._state.known_revision,
             http_address=self._http_address,
             known_index=self._members.index,
-            known_document=self._knowledge.numbered_document.number,
+            known_document=self._state.numbered_document.number,
             known_crashes=self._crashes_index,
         )
         return WatchConnection(
@@ -265,56 +269,56 @@
             clock=self._clock,
             heartbeat_s=self._heartbeat_s,
             hello=hello,
-            on_event=self._handle,
-            on_config=self._take_config,
+            on_event=self._handle_event,
+            on_config=self._apply_config,
             applied_revision=lambda: self.revision,
             loads=self._loads,
             known_members=self._members.copy() if self._members.index else None,
             tls=self._tls,
         )
 
-    def _attached(self, conn: WatchConnection) -> None:
+    def _on_attached(self, conn: WatchConnection) -> None:
         self._members = conn.members
         self.announce_changed()
         self._ready.set()
-        self._knowledge.emit(Change.MEMBERS)
+        self._state.emit(Change.MEMBERS)
 
-    async def _take_config(
+    async def _apply_config(
         self, conn: WatchConnection, update: wire.ConfigUpdate
     ) -> DisconnectCause | None:
-        lease = self._knowledge.lease
+        lease = self._state.lease
         confirmed_before = lease.confirmed_at
-        cause = await self._knowledge.take_config(update, conn.address)
-        self._note_confirmed(conn, confirmed_before)
+        cause = await self._state.apply_config(update, conn.address)
+        self._report_confirmation(conn, confirmed_before)
         return cause
 
-    def _handle(
+    def _handle_event(
         self, conn: WatchConnection, event: wire.WatchEvent
     ) -> DisconnectCause | None:
-        confirmed_before = self._knowledge.lease.confirmed_at
-        cause = self._take(conn, event)
-        self._note_confirmed(conn, confirmed_before)
+        confirmed_before = self._state.lease.confirmed_at
+        cause = self._dispatch_event(conn, event)
+        self._report_confirmation(conn, confirmed_before)
         return cause
 
-    def _note_confirmed(
+    def _report_confirmation(
         self, conn: WatchConnection, confirmed_before: float | None
     ) -> None:
-        lease = self._knowledge.lease
+        lease = self._state.lease
         if lease.confirmed_at != confirmed_before and lease.is_valid():
-            self._watcher.confirmed_by(conn)
+            self._watcher.note_confirmation(conn)
 
-    def _take(
+    def _dispatch_event(
         self, conn: WatchConnection, event: wire.WatchEvent
     ) -> DisconnectCause | None:
         match event.WhichOneof("body"):
             case "members":
-                return self._take_members(conn, event.members)
+                return self._apply_members(conn, event.members)
             case "lease":
-                return self._take_grant(conn, event.lease)
+                return self._apply_grant(conn, event.lease)
             case "document":
-                self._knowledge.take_numbered(event.document)
+                self._state.apply_numbered_document(event.document)
             case "crashes":
-                self._take_crashes(event.crashes)
+                self._apply_crashes(event.crashes)
             case "order" if self._orders is not None:
                 self._orders.start(event.order)
             case "ended" if self._on_ended is not None:
@@ -323,7 +327,7 @@
                 logger.warning("event %s from %s ignored", other, conn.address)
         return None
 
-    def _take_members(
+    def _apply_members(
         self, conn: WatchConnection, update: wire.MembersUpdate
     ) -> DisconnectCause | None:
         if conn.members is None:
@@ -333,10 +337,10 @@
             return DisconnectCause.MEMBERS_OUT_OF_ORDER
         conn.members.apply(update)
         if conn is self._watcher.attached:
-            self._knowledge.emit(Change.MEMBERS)
+            self._state.emit(Change.MEMBERS)
         return None
 
-    def _take_crashes(self, update: wire.CrashUpdate) -> None:
+    def _apply_crashes(self, update: wire.CrashUpdate) -> None:
         # Of two connections one may be behind the other.
         if update.index <= self._crashes_index:
             return
@@ -344,10 +348,10 @@
         if self._on_crashes is not None:
             self._on_crashes(update)
 
-    def _take_grant(
+    def _apply_grant(
         self, conn: WatchConnection, grant: wire.LeaseGrant
     ) -> DisconnectCause | None:
-        conn.answered(grant.echo_us)
+        conn.note_answer(grant.echo_us)
         if grant.HasField("loads") and self._on_loads is not None:
             self._on_loads(grant.loads)
         if grant.control:
@@ -355,9 +359,9 @@
             self._submitter.follow_addresses(grant.control)
         if conn is self._watcher.attached and self._announcer is not None:
             self._announcer.announce_if_missing(self._members)
-        return self._knowledge.take_grant(grant, conn.last_sent_us)
+        return self._state.apply_grant(grant, conn.last_sent_us)
 
     async def _check_lease(self) -> None:
         while True:
-            self._knowledge.note_lease()
+            self._state.update_lease()
             await self._clock.sleep(self._heartbeat_s / LEASE_CHECKS_PER_HEARTBEAT)
--- a/wigeonscale/membership/configuration.py
+++ b/wigeonscale/membership/configuration.py
@@ -15,7 +15,7 @@
     from wigeonscale import rules
 
 # Up to as many changed sections are read on the event loop: a few milliseconds.
-INLINE_CHANGES = 50
+MAX_INLINE_CHANGES = 50
 
 logger = logging.getLogger(__name__)
 
@@ -46,13 +46,13 @@
     @property
     def document(self) -> "rules.Document":
         """The rules document in force."""
-        return self._document or _rules().EMPTY_DOCUMENT
+        return self._document or _rules_package().EMPTY_DOCUMENT
 
     @property
     def ruleset(self) -> "rules.Ruleset":
         """The rules made from the document."""
         if self._ruleset is None:
-            self._ruleset = _rules().Ruleset.from_document(self.document)
+            self._ruleset = _rules_package().Ruleset.from_document(self.document)
         return self._ruleset
 
     async def apply(self, update: wire.ConfigUpdate) -> ConfigResult:
@@ -75,24 +75,26 @@
             return self._compare(update)
         if update.base_revision not in (0, self.revision):
             return ConfigResult.WRONG_BASE
-        base = self.document if update.base_revision else _rules().EMPTY_DOCUMENT
-        return await self._install(update, base)
+        base = (
+            self.document if update.base_revision else _rules_package().EMPTY_DOCUMENT
+        )
+        return await self._apply_newer(update, base)
 
     def _compare(self, update: wire.ConfigUpdate) -> ConfigResult:
         # There is but one document before the first revision.
-        is_told = update.revision > 0 and update.digest
-        if is_told and update.digest != self.document.digest:
+        has_digest = update.revision > 0 and update.digest
+        if has_digest and update.digest != self.document.digest:
             return ConfigResult.WRONG_DIGEST
         return ConfigResult.UNCHANGED
 
-    async def _install(
+    async def _apply_newer(
         self, update: wire.ConfigUpdate, base: "rules.Document"
     ) -> ConfigResult:
         try:
-            if len(update.changes) <= INLINE_CHANGES:
-                document, ruleset = _made(base, update)
+            if len(update.changes) <= MAX_INLINE_CHANGES:
+                document, ruleset = _build(base, update)
             else:
-                document, ruleset = await asyncio.to_thread(_made, base, update)
+                document, ruleset = await asyncio.to_thread(_build, base, update)
         except WigeonscaleError as exc:
             logger.error("revision %d refused: %s", update.revision, exc.message)
             return ConfigResult.INVALID
@@ -104,7 +106,7 @@
         return ConfigResult.APPLIED
 
 
-def _rules():
+def _rules_package():
     """Return the package of rules, loaded by the processes that are sent some.
 
     An entry that speaks to backend servers itself is sent none, and takes 38.0 in place
@@ -113,7 +115,7 @@
     return importlib.import_module("wigeonscale.rules")
 
 
-def _made(base, update):
-    rules = _rules()
+def _build(base, update):
+    rules = _rules_package()
     document = rules.patch_document(base, update.changes)
     return document, rules.Ruleset.from_document(document)
--- a/wigeonscale/membership/connection.py
+++ b/wigeonscale/membership/connection.py
@@ -16,7 +16,7 @@
 from wigeonscale.wire import wire_pb2_grpc
 
 MICROSECONDS = 1_000_000
-MAX_QUEUED = 256
+MAX_QUEUED_MESSAGES = 256
 
 logger = logging.getLogger(__name__)
 
@@ -95,8 +95,12 @@
         self._applied_revision = applied_revision
         self._loads = loads
         self._tls = tls
-        self._queue: asyncio.Queue[wire.WatchRequest] = asyncio.Queue(MAX_QUEUED)
-        self._configs: asyncio.Queue[wire.ConfigUpdate] = asyncio.Queue(MAX_QUEUED)
+        self._queue: asyncio.Queue[wire.WatchRequest] = asyncio.Queue(
+            MAX_QUEUED_MESSAGES
+        )
+        self._configs: asyncio.Queue[wire.ConfigUpdate] = asyncio.Queue(
+            MAX_QUEUED_MESSAGES
+        )
         self.send(wire.WatchRequest(hello=hello))
 
     def send(self, req: wire.WatchRequest) -> None:
@@ -111,7 +115,7 @@
         except asyncio.QueueFull:
             logger.warning("watch stream to %s takes no messages", self.address)
 
-    def answered(self, echo_us: int) -> None:
+    def note_answer(self, echo_us: int) -> None:
         """Note that the replica answered a heartbeat.
 
         Args:
@@ -126,11 +130,11 @@
             call = wire_pb2_grpc.ControlStub(channel).Watch()
             readers = [
                 asyncio.create_task(self._read(call)),
-                asyncio.create_task(self._install()),
+                asyncio.create_task(self._apply_configs()),
             ]
             writers = [
                 asyncio.create_task(self._write(call)),
-                asyncio.create_task(self._beat()),
+                asyncio.create_task(self._send_heartbeats()),
             ]
             try:
                 done, _ = await asyncio.wait(
@@ -165,7 +169,7 @@
             logger.exception("event from %s not handled", self.address)
             return None
 
-    async def _install(self) -> DisconnectCause:
+    async def _apply_configs(self) -> DisconnectCause:
         while True:
             update = await self._configs.get()
             try:
@@ -180,13 +184,13 @@
         while True:
             await call.write(await self._queue.get())
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             self.last_sent_us = int(self._clock.now() * MICROSECONDS)
-            beat = wire.Heartbeat(
+            heartbeat = wire.Heartbeat(
                 sent_us=self.last_sent_us, applied_revision=self._applied_revision()
             )
             if self._loads is not None:
-                beat.loads.CopyFrom(self._loads())
-            self.send(wire.WatchRequest(heartbeat=beat))
+                heartbeat.loads.CopyFrom(self._loads())
+            self.send(wire.WatchRequest(heartbeat=heartbeat))
             await self._clock.sleep(self._heartbeat_s)
--- a/wigeonscale/membership/floor.py
+++ b/wigeonscale/membership/floor.py
@@ -1,6 +1,6 @@
 """Asks a majority of control replicas for the floor of fencing numbers."""
 
-__all__ = ["ask_floor"]
+__all__ = ["query_floor"]
 
 import asyncio
 import logging
@@ -11,17 +11,17 @@
 
 from wigeonscale.adapters.channels import TlsFiles, open_channel
 from wigeonscale.membership.backoff import Backoff
-from wigeonscale.membership.timeouts import within
+from wigeonscale.membership.timeouts import with_timeout
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-ASK_TIMEOUT_S = 1.0
+QUERY_TIMEOUT_S = 1.0
 
 logger = logging.getLogger(__name__)
 
 
-async def ask_floor(
+async def query_floor(
     *,
     addresses: Sequence[str],
     clock: Clock,
@@ -46,7 +46,7 @@
     backoff = Backoff(rng=rng)
     while True:
         replies = await asyncio.gather(
-            *(_ask(address, clock, tls) for address in addresses)
+            *(_query(address, clock, tls) for address in addresses)
         )
         # By node, since two addresses may lead to one replica.
         floors = {
@@ -60,13 +60,13 @@
         await clock.sleep(backoff.next_wait())
 
 
-async def _ask(
+async def _query(
     address: str, clock: Clock, tls: TlsFiles | None
 ) -> wire.FloorReply | None:
     async with open_channel(address, tls=tls) as channel:
         stub = wire_pb2_grpc.ControlStub(channel)
         try:
-            return await within(clock, ASK_TIMEOUT_S, _floor(stub))
+            return await with_timeout(clock, QUERY_TIMEOUT_S, _floor(stub))
         except (grpc.aio.AioRpcError, TimeoutError):
             return None
 
--- a/wigeonscale/membership/lease.py
+++ b/wigeonscale/membership/lease.py
@@ -8,7 +8,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 MICROSECONDS = 1_000_000
-MAX_WAITING = 16
+MAX_PENDING_GRANTS = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
         self._clock = clock
         self._lease_s = lease_s
         self._confirmed_at: float | None = None
-        self._waiting: list[_Confirmation] = []
+        self._pending: list[_Confirmation] = []
 
     @property
     def confirmed_at(self) -> float | None:
@@ -49,7 +49,7 @@
             return False
         return self._clock.now() < self._confirmed_at + self._lease_s
 
-    def offer(
+    def add_grant(
         self, grant: wire.LeaseGrant, *, last_sent_us: int, applied_revision: int
     ) -> bool:
         """Take a grant into account.
@@ -67,12 +67,12 @@
             return False
         at = (grant.echo_us - grant.age_us) / MICROSECONDS
         if grant.revision > applied_revision:
-            self._waiting.append(_Confirmation(at, grant.revision))
-            del self._waiting[:-MAX_WAITING]
+            self._pending.append(_Confirmation(at, grant.revision))
+            del self._pending[:-MAX_PENDING_GRANTS]
             return False
         return self._confirm(at)
 
-    def applied(self, revision: int) -> bool:
+    def note_applied(self, revision: int) -> bool:
         """Count the grants that waited for a revision.
 
         Args:
@@ -81,9 +81,9 @@
         Returns:
             Whether the lease now lasts longer and is valid.
         """
-        ripe = [each.at for each in self._waiting if each.revision <= revision]
-        self._waiting = [each for each in self._waiting if each.revision > revision]
-        return self._confirm(max(ripe)) if ripe else False
+        covered = [each.at for each in self._pending if each.revision <= revision]
+        self._pending = [each for each in self._pending if each.revision > revision]
+        return self._confirm(max(covered)) if covered else False
 
     def _confirm(self, at: float) -> bool:
         if self._confirmed_at is not None and at <= self._confirmed_at:
--- a/wigeonscale/membership/orders.py
+++ b/wigeonscale/membership/orders.py
@@ -9,7 +9,7 @@
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.wire import wire_pb2 as wire
 
-MAX_IN_PROGRESS = 16
+MAX_CONCURRENT_ORDERS = 16
 
 logger = logging.getLogger(__name__)
 
@@ -42,9 +42,9 @@
             order: The order; refused as ``OVERLOADED`` when too many are in
                 progress, so that control pushes it again.
         """
-        if len(self._tasks) >= MAX_IN_PROGRESS:
-            text = f"{len(self._tasks)} orders in progress"
-            self._report(_failure(order, ErrorKind.OVERLOADED, text))
+        if len(self._tasks) >= MAX_CONCURRENT_ORDERS:
+            message = f"{len(self._tasks)} orders in progress"
+            self._report(_failure(order, ErrorKind.OVERLOADED, message))
             return
         task = asyncio.create_task(self._run(order))
         self._tasks.add(task)
--- a/wigeonscale/membership/submitter.py
+++ b/wigeonscale/membership/submitter.py
@@ -13,13 +13,13 @@
 from wigeonscale.adapters.channels import TlsFiles, open_channel, wait_connected
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError, error_from_kind
 from wigeonscale.membership.backoff import Backoff
-from wigeonscale.membership.timeouts import within
+from wigeonscale.membership.timeouts import with_timeout
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
 # A stream with a command waiting and no answer for this long counts as silent.
-SILENT_S = 1.0
+SILENCE_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
 BACKOFF_BASE_S = 0.02
 BACKOFF_CAP_S = 0.5
@@ -36,11 +36,11 @@
 
     def __init__(self, *, command: wire.Command):
         self.command = command
-        self.maybe_taken = False
+        self.maybe_received = False
 
     @property
     def run_state(self) -> RunState:
-        return RunState.UNKNOWN if self.maybe_taken else RunState.NOT_RUN
+        return RunState.UNKNOWN if self.maybe_received else RunState.NOT_RUN
 
 
 class _Stream:
@@ -50,9 +50,9 @@
         self.address = address
         self._channel = channel
         self._clock = clock
-        self._heard_at = clock.now()
+        self._last_reply_at = clock.now()
         self._call = wire_pb2_grpc.ControlStub(channel).Submit()
-        self._waiting: dict[int, asyncio.Future[wire.SubmitReply | None]] = {}
+        self._pending: dict[int, asyncio.Future[wire.SubmitReply | None]] = {}
         self._last_id = 0
         self._write_lock = asyncio.Lock()
         self._reader = asyncio.create_task(self._read())
@@ -63,26 +63,26 @@
 
     @property
     def is_silent(self) -> bool:
-        return self._clock.now() - self._heard_at >= SILENT_S
+        return self._clock.now() - self._last_reply_at >= SILENCE_TIMEOUT_S
 
-    async def ask(self, attempt: _Attempt) -> wire.SubmitReply:
+    async def request(self, attempt: _Attempt) -> wire.SubmitReply:
         self._last_id += 1
         req = wire.SubmitRequest(call_id=self._last_id, command=attempt.command)
         fut = asyncio.get_running_loop().create_future()
-        if not self._waiting:
-            self._heard_at = self._clock.now()
-        self._waiting[req.call_id] = fut
+        if not self._pending:
+            self._last_reply_at = self._clock.now()
+        self._pending[req.call_id] = fut
         try:
             async with self._write_lock:
                 if not self.is_open:
                     raise _StreamLostError
-                attempt.maybe_taken = True
+                attempt.maybe_received = True
                 await self._call.write(req)
             reply = await fut
         except (grpc.aio.AioRpcError, asyncio.InvalidStateError) as exc:
             raise _StreamLostError from exc
         finally:
-            self._waiting.pop(req.call_id, None)
+            self._pending.pop(req.call_id, None)
         if reply is None:
             raise _StreamLostError
         return reply
@@ -96,14 +96,14 @@
     async def _read(self) -> None:
         try:
             async for reply in self._call:
-                self._heard_at = self._clock.now()
-                fut = self._waiting.get(reply.call_id)
+                self._last_reply_at = self._clock.now()
+                fut = self._pending.get(reply.call_id)
                 if fut is not None and not fut.done():
                     fut.set_result(reply)
         except grpc.aio.AioRpcError as exc:
             logger.info("submit stream to %s lost: %s", self.address, exc.code())
         finally:
-            for fut in self._waiting.values():
+            for fut in self._pending.values():
                 if not fut.done():
                     # No exception: a command that is still being written does not
                     # look at it.
@@ -134,7 +134,7 @@
         self._tls = tls
         self._target = self._addresses[0]
         self._stream: _Stream | None = None
-        self._connecting = asyncio.Lock()
+        self._connect_lock = asyncio.Lock()
         self._closed = False
 
     def follow_addresses(self, addresses: Sequence[str]) -> None:
@@ -170,12 +170,12 @@
             command.operation_id = uuid.uuid4().hex
         attempt = _Attempt(command=command)
         try:
-            result = await within(
-                self._clock, timeout_s, self._submit_until_done(attempt)
+            result = await with_timeout(
+                self._clock, timeout_s, self._submit_with_retries(attempt)
             )
         except TimeoutError:
-            raise _no_quorum(attempt, timeout_s) from None
-        _raise_refusal(result)
+            raise _no_quorum_error(attempt, timeout_s) from None
+        _raise_if_refused(result)
         return result
 
     async def close(self) -> None:
@@ -185,7 +185,7 @@
             await self._stream.close()
             self._stream = None
 
-    async def _submit_until_done(self, attempt: _Attempt) -> wire.CommandResult:
+    async def _submit_with_retries(self, attempt: _Attempt) -> wire.CommandResult:
         backoff = Backoff(rng=self._rng, base_s=BACKOFF_BASE_S, cap_s=BACKOFF_CAP_S)
         while True:
             if self._closed:
@@ -203,27 +203,29 @@
         stream = await self._open_stream()
         if stream is None:
             return None
-        maybe_taken_before = attempt.maybe_taken
+        maybe_received_before = attempt.maybe_received
         try:
-            reply = await within(self._clock, SILENT_S, stream.ask(attempt))
+            reply = await with_timeout(
+                self._clock, SILENCE_TIMEOUT_S, stream.request(attempt)
+            )
         except _StreamLostError:
-            await self._abandon(stream)
+            await self._switch_to_next(stream)
             return None
         except TimeoutError:
             if stream.is_silent:
-                await self._abandon(stream)
+                await self._switch_to_next(stream)
             return None
         if reply.result.kind == ErrorKind.NOT_LEADER:
-            attempt.maybe_taken = maybe_taken_before
-            await self._follow(stream, reply.leader)
+            attempt.maybe_received = maybe_received_before
+            await self._switch_to_leader(stream, reply.leader)
             return None
         if reply.result.kind == ErrorKind.NO_QUORUM:
-            await self._abandon(stream)
+            await self._switch_to_next(stream)
             return None
         return reply.result
 
     async def _open_stream(self) -> _Stream | None:
-        async with self._connecting:
+        async with self._connect_lock:
             if self._stream is not None and self._stream.is_open:
                 return self._stream
             if self._stream is not None:
@@ -231,15 +233,15 @@
                 self._stream = None
             address = self._target
             channel = open_channel(address, tls=self._tls)
-            if not await self._connects(channel):
-                self._target = self._after(address)
+            if not await self._connect(channel):
+                self._target = self._address_after(address)
                 return None
             self._stream = _Stream(address=address, channel=channel, clock=self._clock)
             return self._stream
 
-    async def _connects(self, channel: grpc.aio.Channel) -> bool:
+    async def _connect(self, channel: grpc.aio.Channel) -> bool:
         try:
-            await within(self._clock, CONNECT_TIMEOUT_S, wait_connected(channel))
+            await with_timeout(self._clock, CONNECT_TIMEOUT_S, wait_connected(channel))
         except (ConnectionError, TimeoutError):
             await channel.close()
             return False
@@ -248,30 +250,30 @@
             raise
         return True
 
-    async def _abandon(self, stream: _Stream) -> None:
+    async def _switch_to_next(self, stream: _Stream) -> None:
         """Leave a stream for the next replica."""
-        await self._leave(stream, self._after(stream.address))
+        await self._switch_to(stream, self._address_after(stream.address))
 
-    async def _follow(self, stream: _Stream, leader: str) -> None:
+    async def _switch_to_leader(self, stream: _Stream, leader: str) -> None:
         """Leave a replica that does not lead for the one that it names."""
-        await self._leave(stream, leader or self._after(stream.address))
+        await self._switch_to(stream, leader or self._address_after(stream.address))
 
-    async def _leave(self, stream: _Stream, target: str) -> None:
-        async with self._connecting:
+    async def _switch_to(self, stream: _Stream, target: str) -> None:
+        async with self._connect_lock:
             if stream is not self._stream:
                 return
             self._stream = None
             self._target = target
         await stream.close()
 
-    def _after(self, address: str) -> str:
+    def _address_after(self, address: str) -> str:
         if address not in self._addresses:
             return self._addresses[0]
-        place = self._addresses.index(address) + 1
-        return self._addresses[place % len(self._addresses)]
+        position = self._addresses.index(address) + 1
+        return self._addresses[position % len(self._addresses)]
 
 
-def _no_quorum(attempt: _Attempt, timeout_s: float) -> WigeonscaleError:
+def _no_quorum_error(attempt: _Attempt, timeout_s: float) -> WigeonscaleError:
     return WigeonscaleError(
         ErrorKind.NO_QUORUM,
         f"command {attempt.command.operation_id}: no leader answered"
@@ -281,13 +283,13 @@
     )
 
 
-def _raise_refusal(result: wire.CommandResult) -> None:
-    if not result.kind or _is_standing_claim(result):
+def _raise_if_refused(result: wire.CommandResult) -> None:
+    if not result.kind or _is_existing_claim(result):
         return
     is_certain = result.kind != ErrorKind.INTERNAL
     run_state = RunState.NOT_RUN if is_certain else RunState.UNKNOWN
     raise error_from_kind(result.kind, result.message, run_state=run_state)
 
 
-def _is_standing_claim(result: wire.CommandResult) -> bool:
+def _is_existing_claim(result: wire.CommandResult) -> bool:
     return result.HasField("claim") and result.kind != ErrorKind.IDEMPOTENCY_KEY_REUSED
--- a/wigeonscale/membership/tests/fake_control.py
+++ b/wigeonscale/membership/tests/fake_control.py
@@ -40,11 +40,11 @@
     def __init__(self, *, node_id, revision=1):
         self.node_id = node_id
         self.revision = revision
-        self.answers = True
+        self.answers_heartbeats = True
         self.age_us = 0
         self.backends = []
         self.first_members = wire.MembersUpdate(full=True, index=1)
-        self.grants_a_stream = 0  # a stream ends after so many; 0: never
+        self.grants_per_stream = 0  # a stream ends after so many; 0: never
         self.received = asyncio.Queue()
         self.hellos = asyncio.Queue()
         self.open_streams = 0
@@ -83,7 +83,7 @@
             async for req in requests:
                 await self._answer(req, context)
                 granted += req.HasField("heartbeat")
-                if granted == self.grants_a_stream > 0:
+                if granted == self.grants_per_stream > 0:
                     return
         finally:
             self.open_streams -= 1
@@ -103,11 +103,11 @@
         else:
             self.received.put_nowait(req)
 
-    async def _grant(self, beat, context):
-        if not self.answers:
+    async def _grant(self, heartbeat, context):
+        if not self.answers_heartbeats:
             return
         grant = wire.LeaseGrant(
-            echo_us=beat.sent_us, age_us=self.age_us, revision=self.revision
+            echo_us=heartbeat.sent_us, age_us=self.age_us, revision=self.revision
         )
         await self._write(context, wire.WatchEvent(lease=grant))
 
@@ -167,7 +167,7 @@
         first.hellos.get_nowait()
         return client, first, [fake for fake in fakes if fake is not first]
 
-    async def answered(self, client):
+    async def wait_for_answer(self, client):
         """Wait until the attached replica answered the latest heartbeat."""
         conn = client._watcher.attached
         await self.until(lambda: conn.answered_at * 1_000_000 >= conn.last_sent_us)
--- a/wigeonscale/membership/tests/test_client.py
+++ b/wigeonscale/membership/tests/test_client.py
@@ -46,7 +46,7 @@
         client, _, _ = await self.attached(fake)
         changes = []
         client.changes.subscribe(changes.append)
-        fake.answers = False
+        fake.answers_heartbeats = False
         await self.clock.advance(2.9)
         self.assertTrue(client.lease_valid())
         await self.clock.advance(0.2)
@@ -64,12 +64,12 @@
         (fake,) = await self.start_fakes()
         client, _, _ = await self.attached(fake)
         fake.revision = 2
-        granted_at = client._knowledge.lease.confirmed_at
+        granted_at = client._state.lease.confirmed_at
         await self.clock.advance(HEARTBEAT_S)
-        await self.until(lambda: client._knowledge.lease._waiting)
-        self.assertEqual(granted_at, client._knowledge.lease.confirmed_at)
+        await self.until(lambda: client._state.lease._pending)
+        self.assertEqual(granted_at, client._state.lease.confirmed_at)
         await fake.push(config_update(2, base=1))
-        await self.until(lambda: client._knowledge.lease.confirmed_at > granted_at)
+        await self.until(lambda: client._state.lease.confirmed_at > granted_at)
 
     async def test_older_revision_is_refused_and_another_replica_tried(self):
         new, old = await self.start_fakes(2)
@@ -79,24 +79,24 @@
         client._watcher._next_address = 0
         await new.stop()
         await self.until(lambda: client._watcher.attached is None)
-        confirmed_at = client._knowledge.lease.confirmed_at
+        confirmed_at = client._state.lease.confirmed_at
         hello = await self.next_hello(client, old)
         self.assertEqual(7, hello.known_revision)
         cause = {"cause": "older-revision"}
         await self.until(lambda: self.metrics.reconnects.value(**cause) > 0)
         self.assertEqual(7, client.revision)
         self.assertEqual(document_of(7).digest, client.document.digest)
-        self.assertEqual(confirmed_at, client._knowledge.lease.confirmed_at)
+        self.assertEqual(confirmed_at, client._state.lease.confirmed_at)
         await self.until(lambda: old.open_streams == 0)
 
     async def test_grant_of_an_older_revision_gives_no_lease(self):
         (fake,) = await self.start_fakes(revision=7)
         client, _, _ = await self.attached(fake)
-        confirmed_at = client._knowledge.lease.confirmed_at
+        confirmed_at = client._state.lease.confirmed_at
         fake.revision = 6
         await self.clock.advance(HEARTBEAT_S)
         await self.until(lambda: fake.open_streams == 0)
-        self.assertEqual(confirmed_at, client._knowledge.lease.confirmed_at)
+        self.assertEqual(confirmed_at, client._state.lease.confirmed_at)
 
     async def test_long_document_holds_up_neither_heartbeats_nor_order(self):
         (fake,) = await self.start_fakes()
@@ -106,12 +106,12 @@
         patch_document = rules.patch_document
 
         def slow_patch(base, changes):
-            if len(changes) > configuration.INLINE_CHANGES:
+            if len(changes) > configuration.MAX_INLINE_CHANGES:
                 loop.call_soon_threadsafe(entered.set)
                 leave.wait(LIMIT_S)
             return patch_document(base, changes)
 
-        count = configuration.INLINE_CHANGES + 1
+        count = configuration.MAX_INLINE_CHANGES + 1
         long = parse_document("".join(f"[service s{n}]\n" for n in range(count)))
         changes = diff_documents(EMPTY_DOCUMENT, long)
         update = config_update(2, changes=changes, digest=long.digest)
@@ -120,7 +120,7 @@
             await fake.push(config_update(3))
             await self.within_limit(entered.wait())
             await self.clock.advance(HEARTBEAT_S)
-            await self.answered(client)
+            await self.wait_for_answer(client)
             self.assertEqual(1, client.revision)
             leave.set()
             await self.until(lambda: client.revision == 3)
@@ -128,7 +128,7 @@
     async def test_older_document_ends_the_connection(self):
         (fake,) = await self.start_fakes(revision=7)
         client, _, _ = await self.attached(fake)
-        fake.answers = False
+        fake.answers_heartbeats = False
         await fake.push(config_update(6))
         await self.until(lambda: fake.open_streams == 0)
         self.assertEqual(document_of(7).digest, client.document.digest)
@@ -153,7 +153,7 @@
         known = client.members
         other.first_members = wire.MembersUpdate(index=9, removed_backends=["n2"])
         other.backends = [wire.Backend(agent_id="n3")]
-        first.answers = False
+        first.answers_heartbeats = False
         hello = await self.next_hello(client, other)
         self.assertEqual(1, hello.known_index)
         await self.advance_until(lambda: client.members is not known)
@@ -171,7 +171,7 @@
         await first.push(wire.WatchEvent(crashes=wire.CrashUpdate(index=8)))
         await self.until(lambda: taken[-1:] == [8])
         self.assertEqual([7, 8], taken)
-        first.answers = False
+        first.answers_heartbeats = False
         hello = await self.next_hello(client, other)
         self.assertEqual(8, hello.known_crashes)
 
@@ -235,7 +235,7 @@
         fake.revision = 2
         for _ in range(8):
             await self.clock.advance(HEARTBEAT_S)
-            await self.answered(client)
+            await self.wait_for_answer(client)
         self.assertTrue(client.lease_valid())
         self.assertEqual(1, fake.open_streams)
 
@@ -276,7 +276,7 @@
         await self.received(fake, "announce")
         for _ in range(20):
             await self.clock.advance(HEARTBEAT_S)
-            await self.answered(client)
+            await self.wait_for_answer(client)
         self.assertTrue(fake.received.empty())
 
     async def test_order_results_come_back(self):
--- a/wigeonscale/membership/tests/test_lease.py
+++ b/wigeonscale/membership/tests/test_lease.py
@@ -13,15 +13,15 @@
         self.clock = ManualClock(start=100.0)
         self.lease = Lease(clock=self.clock, lease_s=3.0)
 
-    def offer(self, echo_s, age_s=0.0, revision=1, applied=1, last_sent_s=100.0):
+    def add_grant(self, echo_s, age_s=0.0, revision=1, applied=1, last_sent_s=100.0):
         grant = wire.LeaseGrant(echo_us=us(echo_s), age_us=us(age_s), revision=revision)
-        return self.lease.offer(
+        return self.lease.add_grant(
             grant, last_sent_us=us(last_sent_s), applied_revision=applied
         )
 
     async def test_lasts_from_the_heartbeat_less_the_age(self):
         self.assertFalse(self.lease.is_valid())
-        self.assertTrue(self.offer(echo_s=100, age_s=1))
+        self.assertTrue(self.add_grant(echo_s=100, age_s=1))
         await self.clock.advance(1.999)
         self.assertTrue(self.lease.is_valid())
         await self.clock.advance(0.001)
@@ -29,37 +29,37 @@
 
     async def test_delayed_grant_does_not_extend(self):
         await self.clock.advance(10)
-        self.assertFalse(self.offer(echo_s=100))
+        self.assertFalse(self.add_grant(echo_s=100))
         self.assertFalse(self.lease.is_valid())
 
     async def test_buffered_grants_count_from_their_heartbeats(self):
-        self.offer(echo_s=100)
+        self.add_grant(echo_s=100)
         await self.clock.advance(2)
         for echo_s in (99.0, 99.5, 100.0):
-            self.assertFalse(self.offer(echo_s=echo_s))
+            self.assertFalse(self.add_grant(echo_s=echo_s))
         await self.clock.advance(1)
         self.assertFalse(self.lease.is_valid())
 
     def test_echo_of_a_heartbeat_never_sent_is_refused(self):
-        self.assertFalse(self.offer(echo_s=200))
+        self.assertFalse(self.add_grant(echo_s=200))
         self.assertFalse(self.lease.is_valid())
 
     def test_negative_age_is_refused(self):
-        self.assertFalse(self.offer(echo_s=100, age_s=-1))
+        self.assertFalse(self.add_grant(echo_s=100, age_s=-1))
         self.assertFalse(self.lease.is_valid())
 
     def test_unapplied_revision_counts_once_applied(self):
-        self.assertFalse(self.offer(echo_s=100, revision=3, applied=1))
+        self.assertFalse(self.add_grant(echo_s=100, revision=3, applied=1))
         self.assertFalse(self.lease.is_valid())
-        self.assertFalse(self.lease.applied(2))
+        self.assertFalse(self.lease.note_applied(2))
         self.assertFalse(self.lease.is_valid())
-        self.assertTrue(self.lease.applied(3))
+        self.assertTrue(self.lease.note_applied(3))
         self.assertTrue(self.lease.is_valid())
 
     async def test_lease_for_the_old_revision_still_runs_out(self):
-        self.offer(echo_s=100)
+        self.add_grant(echo_s=100)
         await self.clock.advance(2)
-        self.offer(echo_s=102, revision=2, applied=1, last_sent_s=102)
+        self.add_grant(echo_s=102, revision=2, applied=1, last_sent_s=102)
         self.assertTrue(self.lease.is_valid())
         await self.clock.advance(1)
         self.assertFalse(self.lease.is_valid())
--- a/wigeonscale/membership/tests/test_submitter.py
+++ b/wigeonscale/membership/tests/test_submitter.py
@@ -48,9 +48,9 @@
 
         def may_advance():
             stream = submitter._stream
-            if submitter._connecting.locked():
+            if submitter._connect_lock.locked():
                 return False
-            if stream is None or not stream._waiting:
+            if stream is None or not stream._pending:
                 return True
             return silent is not None and stream.address == silent.address
 
@@ -63,15 +63,15 @@
 
     async def test_several_in_flight_on_one_stream(self):
         (fake,) = await self.start_fakes()
-        held = []
-        fake.on_command = held.append
+        received = []
+        fake.on_command = received.append
         submitter = self.new_submitter(fake.address)
         tasks = [
             asyncio.create_task(submitter.submit(wire.Command(operation_id=f"op{n}")))
             for n in range(5)
         ]
-        await self.until(lambda: len(held) == 5)
-        for req in reversed(held):
+        await self.until(lambda: len(received) == 5)
+        for req in reversed(received):
             index = int(req.command.operation_id[2:])
             await fake.reply(reply_with(index=index)(req))
         results = await self.within_limit(asyncio.gather(*tasks))
@@ -131,20 +131,20 @@
 
     async def test_slow_command_does_not_end_a_talking_stream(self):
         (fake,) = await self.start_fakes()
-        held = []
-        fake.on_command = held.append
+        received = []
+        fake.on_command = received.append
         submitter = self.new_submitter(fake.address)
         slow = asyncio.create_task(submitter.submit(wire.Command(operation_id="slow")))
-        await self.until(lambda: held)
+        await self.until(lambda: received)
         stream = submitter._stream
         await self.clock.advance(0.9)
         other = asyncio.create_task(submitter.submit(wire.Command()))
-        await self.until(lambda: len(held) == 2)
-        await fake.reply(reply_with(index=2)(held[1]))
+        await self.until(lambda: len(received) == 2)
+        await fake.reply(reply_with(index=2)(received[1]))
         self.assertEqual(2, (await self.within_limit(other)).index)
         await self.clock.advance(0.2)
-        await self.until(lambda: len(held) == 3)
-        await fake.reply(reply_with(index=1)(held[2]))
+        await self.until(lambda: len(received) == 3)
+        await fake.reply(reply_with(index=1)(received[2]))
         self.assertEqual(1, (await self.within_limit(slow)).index)
         self.assertIs(stream, submitter._stream)
         sent = [each.operation_id for each in fake.commands]
--- a/wigeonscale/membership/tests/test_watcher.py
+++ b/wigeonscale/membership/tests/test_watcher.py
@@ -15,26 +15,26 @@
 class SilenceTest(FakeControlCase):
     """Time passes only while no message is awaited, so speed decides nothing."""
 
-    def is_content(self, watcher, first):
+    def uses_only(self, watcher, first):
         """Return whether the watcher looks for no other replica."""
         return watcher._candidate is None and watcher.attached.address == first.address
 
-    async def go_silent(self, client, first, noise=None):
+    async def silence(self, client, first, other_event=None):
         """Silence a replica; return the seconds until another is asked."""
         watcher = client._watcher
         # The attached replica is next in turn, and must be passed over.
         watcher._next_address = watcher._addresses.index(first.address)
-        first.answers = False
+        first.answers_heartbeats = False
         began = self.clock.now()
-        while self.is_content(watcher, first):
-            if noise is not None:
-                await first.push(noise)
+        while self.uses_only(watcher, first):
+            if other_event is not None:
+                await first.push(other_event)
             await self.clock.advance(HEARTBEAT_S / 4)
             self.assertLess(self.clock.now() - began, 10)
         return self.clock.now() - began
 
-    async def expect_change(self, client, first, noise=None):
-        took_s = await self.go_silent(client, first, noise)
+    async def expect_failover(self, client, first, other_event=None):
+        took_s = await self.silence(client, first, other_event)
         # Up to a heartbeat may have passed since the last answered one.
         self.assertGreater(took_s, 1.5 * HEARTBEAT_S)
         self.assertLessEqual(took_s, 2.75 * HEARTBEAT_S)
@@ -45,25 +45,25 @@
     async def test_second_connection_within_three_heartbeats(self):
         fakes = await self.start_fakes(2)
         client, first, _ = await self.attached(*fakes)
-        await self.expect_change(client, first)
+        await self.expect_failover(client, first)
 
     async def test_other_events_do_not_hide_the_silence(self):
-        for noise in (
+        for other_event in (
             wire.WatchEvent(members=wire.MembersUpdate(index=2)),
             wire.WatchEvent(lease=wire.LeaseGrant(echo_us=2**62, revision=1)),
         ):
             fakes = await self.start_fakes(2)
             client, first, _ = await self.attached(*fakes)
-            await self.expect_change(client, first, noise)
+            await self.expect_failover(client, first, other_event)
 
     async def test_recovered_connection_is_kept(self):
         fakes = await self.start_fakes(2)
         client, first, (other,) = await self.attached(*fakes)
-        other.answers = False
-        await self.go_silent(client, first)
-        first.answers = True
+        other.answers_heartbeats = False
+        await self.silence(client, first)
+        first.answers_heartbeats = True
         await self.clock.advance(HEARTBEAT_S)
-        await self.answered(client)
+        await self.wait_for_answer(client)
         await self.clock.advance(HEARTBEAT_S / 4)
         self.assertEqual(1, self.metrics.reconnects.value(cause="superseded"))
         self.assertEqual(first.address, client._watcher.attached.address)
@@ -73,11 +73,11 @@
         fakes = await self.start_fakes(3)
         client, first, others = await self.attached(*fakes)
         for each in others:
-            each.answers = False
-        await self.go_silent(client, first)
+            each.answers_heartbeats = False
+        await self.silence(client, first)
         second = client._watcher._candidate.address
         third = next(each for each in others if each.address != second)
-        third.answers = True
+        third.answers_heartbeats = True
         watcher = client._watcher
         while not any(
             conn is not None and conn.address == third.address
@@ -91,17 +91,17 @@
     async def test_single_replica_gets_a_second_connection(self):
         (fake,) = await self.start_fakes()
         client, _, _ = await self.attached(fake)
-        await self.go_silent(client, fake)
+        await self.silence(client, fake)
         await self.until(lambda: fake.open_streams == 2)
 
     async def test_replica_without_a_majority_is_left(self):
         fakes = await self.start_fakes(2)
         client, first, _ = await self.attached(*fakes)
         isolated_at = self.clock.now()
-        while self.is_content(client._watcher, first):
+        while self.uses_only(client._watcher, first):
             first.age_us = int((self.clock.now() - isolated_at) * 1e6)
             await self.clock.advance(HEARTBEAT_S / 4)
-            await self.answered(client)
+            await self.wait_for_answer(client)
             self.assertLess(self.clock.now() - isolated_at, 10)
         await self.until(lambda: client._watcher.attached.address != first.address)
         self.assertTrue(client.lease_valid())
@@ -118,7 +118,7 @@
                     (self.clock.now() - lost_at + 1) * 1e6
                 )
                 await self.clock.advance(HEARTBEAT_S / 4)
-                await self.answered(client)
+                await self.wait_for_answer(client)
 
         await pass_while(lambda: self.clock.now() < lost_at + 30)
         self.assertLessEqual(other.hellos.qsize(), 7)
@@ -130,11 +130,11 @@
         first.age_us = other.age_us = 0
         await self.clock.advance(HEARTBEAT_S)
         await self.until(client.lease_valid)
-        await self.expect_change(client, first)
+        await self.expect_failover(client, first)
 
     async def test_replica_that_fails_again_and_again_is_asked_less(self):
         (fake,) = await self.start_fakes()
-        fake.grants_a_stream = 2
+        fake.grants_per_stream = 2
         client = self.start_client(fake)
         await self.within_limit(client.ready())
         end = self.clock.now() + 20
--- a/wigeonscale/membership/timeouts.py
+++ b/wigeonscale/membership/timeouts.py
@@ -1,6 +1,6 @@
 """Timeouts by the clock port."""
 
-__all__ = ["within"]
+__all__ = ["with_timeout"]
 
 import asyncio
 from collections.abc import Coroutine
@@ -11,7 +11,9 @@
 T = TypeVar("T")
 
 
-async def within(clock: Clock, seconds: float, coro: Coroutine[object, object, T]) -> T:
+async def with_timeout(
+    clock: Clock, seconds: float, coro: Coroutine[object, object, T]
+) -> T:
     """Await a coroutine for a limited time.
 
     Args:
--- a/wigeonscale/membership/knowledge.py
+++ b/wigeonscale/membership/watch_state.py
@@ -1,6 +1,6 @@
 """The configuration in force, and how freshly it was confirmed."""
 
-__all__ = ["Change", "Knowledge"]
+__all__ = ["Change", "WatchState"]
 
 import asyncio
 import enum
@@ -27,7 +27,7 @@
     NUMBERED_DOCUMENT = "numbered"
 
 
-class Knowledge:
+class WatchState:
     """Takes in updates and grants from any connection, and tells the changes.
 
     Attributes:
@@ -51,15 +51,15 @@
         self.numbered_document = wire.NumberedDocument()
         self._metrics = metrics
         self._config_lock = asyncio.Lock()
-        self._needs_whole_document = False
+        self._needs_full_document = False
         self._lease_was_valid = False
 
     @property
     def known_revision(self) -> int:
         """Revision to ask deltas from; 0 asks for the whole document."""
-        return 0 if self._needs_whole_document else self.configuration.revision
+        return 0 if self._needs_full_document else self.configuration.revision
 
-    async def take_config(
+    async def apply_config(
         self, update: wire.ConfigUpdate, address: str
     ) -> DisconnectCause | None:
         """Put an update in force if it is newer and fits.
@@ -75,18 +75,18 @@
             result = await self.configuration.apply(update)
         match result:
             case ConfigResult.APPLIED:
-                self._needs_whole_document = False
-                self._note_revision()
+                self._needs_full_document = False
+                self._publish_revision()
                 return None
             case ConfigResult.UNCHANGED:
                 return None
             case ConfigResult.OLDER:
                 return DisconnectCause.OLDER_REVISION
         logger.error("revision %d from %s: %s", update.revision, address, result.value)
-        self._needs_whole_document = True
+        self._needs_full_document = True
         return DisconnectCause.CONFIG_MISMATCH
 
-    def take_grant(
+    def apply_grant(
         self, grant: wire.LeaseGrant, last_sent_us: int
     ) -> DisconnectCause | None:
         """Take a lease grant into account.
@@ -102,11 +102,13 @@
         if grant.revision < revision:
             return DisconnectCause.OLDER_REVISION
         self.entries = grant.entries or self.entries
-        self.lease.offer(grant, last_sent_us=last_sent_us, applied_revision=revision)
-        self.note_lease()
+        self.lease.add_grant(
+            grant, last_sent_us=last_sent_us, applied_revision=revision
+        )
+        self.update_lease()
         return None
 
-    def take_numbered(self, document: wire.NumberedDocument) -> None:
+    def apply_numbered_document(self, document: wire.NumberedDocument) -> None:
         """Put a numbered document in force if its number is higher.
 
         Args:
@@ -119,7 +121,7 @@
         logger.info("document %d replaces %d", document.number, held)
         self.emit(Change.NUMBERED_DOCUMENT)
 
-    def note_lease(self) -> None:
+    def update_lease(self) -> None:
         """Tell the subscribers when the lease began or ran out."""
         is_valid = self.lease.is_valid()
         if is_valid == self._lease_was_valid:
@@ -141,10 +143,10 @@
         except Exception:
             logger.exception("a subscriber to %s changes failed", change)
 
-    def _note_revision(self) -> None:
+    def _publish_revision(self) -> None:
         revision = self.configuration.revision
         self._metrics.revision.set(revision)
         logger.info("revision %d in force", revision)
         self.emit(Change.DOCUMENT)
-        self.lease.applied(revision)
-        self.note_lease()
+        self.lease.note_applied(revision)
+        self.update_lease()
--- a/wigeonscale/membership/watcher.py
+++ b/wigeonscale/membership/watcher.py
@@ -17,14 +17,14 @@
 # Heartbeats without an answer after which a connection counts as silent. With those
 # of a second one that is silent too, and the reviews between, they stay below the
 # heartbeats in a lease: see ``HEARTBEATS_PER_LEASE`` of the settings.
-SILENT_HEARTBEATS = 2.5
+SILENCE_TIMEOUT_HEARTBEATS = 2.5
 # A new connection is asked for less patience, since a lease is running out.
-NEW_SILENT_HEARTBEATS = 2
+CANDIDATE_TIMEOUT_HEARTBEATS = 2
 # Share of the lease without confirmation after which another replica is tried,
 # though the current one answers. A leader change takes less than this.
-UNCONFIRMED_SHARE = 2 / 3
-UNCONFIRMED_JITTER = 1 / 6
-REVIEWS_PER_HEARTBEAT = 4
+UNCONFIRMED_LEASE_FRACTION = 2 / 3
+UNCONFIRMED_JITTER_FRACTION = 1 / 6
+CHECKS_PER_HEARTBEAT = 4
 
 logger = logging.getLogger(__name__)
 
@@ -76,8 +76,8 @@
         self._on_attached = on_attached
         self._metrics = metrics
         self._backoff = Backoff(rng=rng, cap_s=reconnect_cap_s)
-        self._unconfirmed_s = lease_s * (
-            UNCONFIRMED_SHARE + rng.uniform(0, UNCONFIRMED_JITTER)
+        self._max_unconfirmed_s = lease_s * (
+            UNCONFIRMED_LEASE_FRACTION + rng.uniform(0, UNCONFIRMED_JITTER_FRACTION)
         )
         self._candidate: WatchConnection | None = None
         self._next_address = 0
@@ -111,7 +111,7 @@
         ticker = asyncio.create_task(self._tick())
         try:
             while True:
-                self._review()
+                self._check()
                 await self._wake.wait()
                 self._wake.clear()
         finally:
@@ -120,7 +120,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def confirmed_by(self, conn: WatchConnection) -> None:
+    def note_confirmation(self, conn: WatchConnection) -> None:
         """Note that a grant on this connection lengthened the lease.
 
         Args:
@@ -139,57 +139,57 @@
 
     async def _tick(self) -> None:
         while True:
-            await self._clock.sleep(self._heartbeat_s / REVIEWS_PER_HEARTBEAT)
+            await self._clock.sleep(self._heartbeat_s / CHECKS_PER_HEARTBEAT)
             self._wake.set()
 
-    def _review(self) -> None:
-        self._drop_ended()
+    def _check(self) -> None:
+        self._remove_ended()
         if self._candidate is not None:
-            self._review_candidate(self._candidate)
-        elif self._needs_another() and self._clock.now() >= self._next_attempt_at:
+            self._check_candidate(self._candidate)
+        elif self._needs_candidate() and self._clock.now() >= self._next_attempt_at:
             self._open_candidate()
 
-    def _drop_ended(self) -> None:
+    def _remove_ended(self) -> None:
         for conn in [conn for conn, task in self._tasks.items() if task.done()]:
             task = self._tasks.pop(conn)
             if not task.cancelled() and task.exception() is not None:
                 logger.error("watch connection failed", exc_info=task.exception())
             if conn in (self.attached, self._candidate):
-                self._lose(conn, conn.cause or DisconnectCause.LOST)
+                self._disconnect(conn, conn.cause or DisconnectCause.LOST)
 
-    def _review_candidate(self, conn: WatchConnection) -> None:
-        if not self._needs_another():
-            self._lose(conn, DisconnectCause.SUPERSEDED)
+    def _check_candidate(self, conn: WatchConnection) -> None:
+        if not self._needs_candidate():
+            self._disconnect(conn, DisconnectCause.SUPERSEDED)
             return
         now = self._clock.now()
-        if now - conn.answered_at > NEW_SILENT_HEARTBEATS * self._heartbeat_s:
-            self._lose(conn, DisconnectCause.SILENT)
-        elif now - conn.opened_at > self._unconfirmed_s:
-            self._lose(conn, DisconnectCause.NO_LEASE)
+        if now - conn.answered_at > CANDIDATE_TIMEOUT_HEARTBEATS * self._heartbeat_s:
+            self._disconnect(conn, DisconnectCause.SILENT)
+        elif now - conn.opened_at > self._max_unconfirmed_s:
+            self._disconnect(conn, DisconnectCause.NO_LEASE)
 
-    def _needs_another(self) -> bool:
+    def _needs_candidate(self) -> bool:
         return self.attached is None or self._is_silent() or self._is_unconfirmed()
 
     def _is_silent(self) -> bool:
-        quiet_s = self._clock.now() - self.attached.answered_at
-        return quiet_s > SILENT_HEARTBEATS * self._heartbeat_s
+        silence_s = self._clock.now() - self.attached.answered_at
+        return silence_s > SILENCE_TIMEOUT_HEARTBEATS * self._heartbeat_s
 
     def _is_unconfirmed(self) -> bool:
-        return self._clock.now() - self._lease.confirmed_at > self._unconfirmed_s
+        return self._clock.now() - self._lease.confirmed_at > self._max_unconfirmed_s
 
     def _open_candidate(self) -> None:
-        conn = self._open_connection(self._take_address())
+        conn = self._open_connection(self._pick_address())
         self._candidate = conn
         task = asyncio.create_task(conn.run())
         task.add_done_callback(lambda _: self._wake.set())
         self._tasks[conn] = task
 
-    def _take_address(self) -> str:
+    def _pick_address(self) -> str:
         address = self._addresses[self._next_address % len(self._addresses)]
         self._next_address += 1
         in_use = self.attached is not None and address == self.attached.address
         if in_use and len(self._addresses) > 1:
-            return self._take_address()
+            return self._pick_address()
         return address
 
     def _attach(self, conn: WatchConnection) -> None:
@@ -199,7 +199,7 @@
         if old is not None:
             self._close(old, DisconnectCause.SUPERSEDED)
 
-    def _lose(self, conn: WatchConnection, cause: DisconnectCause) -> None:
+    def _disconnect(self, conn: WatchConnection, cause: DisconnectCause) -> None:
         self._close(conn, cause)
         if conn is self.attached:
             self.attached = None
--- a/wigeonscale/state/chains.py
+++ b/wigeonscale/state/chains.py
@@ -55,7 +55,7 @@
             for chain_id, chain in sorted(self._chains.items())
         ]
 
-    def of_agent(self, agent_id: str) -> list[wire.Chain]:
+    def chains_of_agent(self, agent_id: str) -> list[wire.Chain]:
         """Return the planned chains that an agent is a stage of.
 
         Args:
@@ -105,22 +105,22 @@
         Returns:
             The result, and the ids of chains that watchers see change.
         """
-        staying = {i for i in command.retired if self._serves(i)}
-        going = (set(command.removed) | set(command.retired)) - staying
-        problem = self._problem(command, going)
-        if problem:
-            return refused(ErrorKind.BAD_REQUEST, problem), set()
-        touched = set()
-        for chain_id in sorted(going):
-            self._drop(chain_id)
-            touched.add(chain_id)
-        for chain_id in sorted(staying):
+        retiring_ids = {i for i in command.retired if self._is_serving(i)}
+        removed_ids = (set(command.removed) | set(command.retired)) - retiring_ids
+        error = self._plan_error(command, removed_ids)
+        if error:
+            return refused(ErrorKind.BAD_REQUEST, error), set()
+        changed_ids = set()
+        for chain_id in sorted(removed_ids):
+            self._remove(chain_id)
+            changed_ids.add(chain_id)
+        for chain_id in sorted(retiring_ids):
             self._retire(chain_id, now_ms)
-            touched.add(chain_id)
+            changed_ids.add(chain_id)
         for chain in command.chains:
-            if self._put(chain):
-                touched.add(chain.chain_id)
-        return done(), touched
+            if self._set(chain):
+                changed_ids.add(chain.chain_id)
+        return done(), changed_ids
 
     def refresh(self, agent_id: str) -> set[str]:
         """Derive readiness again after a change of one agent.
@@ -134,43 +134,43 @@
         ids = list(self._by_agent.get(agent_id, ()))
         return {chain_id for chain_id in ids if self._refresh(chain_id)}
 
-    def _problem(self, command, going):
-        busy = self._busy_agents(command, going)
+    def _plan_error(self, command, removed_ids):
+        assigned = self._agents_of_other_chains(command, removed_ids)
         seen = set()
         for chain in command.chains:
             if chain.chain_id in seen or not chain.stages or not chain.chain_id:
                 return f"chain {chain.chain_id!r} has no id or stages, or stands twice"
             seen.add(chain.chain_id)
-            if chain.chain_id in self._used_ids or chain.chain_id in going:
+            if chain.chain_id in self._used_ids or chain.chain_id in removed_ids:
                 return f"chain id {chain.chain_id!r} was removed; ids are not reused"
-            if chain.chain_id in command.retired or self._retires(chain.chain_id):
+            if chain.chain_id in command.retired or self._is_retiring(chain.chain_id):
                 return f"chain {chain.chain_id!r} is retiring"
             if chain.epoch <= self._last_epoch(chain.chain_id):
                 return f"chain {chain.chain_id!r} has no newer epoch: {chain.epoch}"
-            problem = self._stage_problem(chain, busy)
-            if problem:
-                return problem
+            error = self._stages_error(chain, assigned)
+            if error:
+                return error
         return ""
 
-    def _busy_agents(self, command, going):
-        changed = {chain.chain_id for chain in command.chains} | going
+    def _agents_of_other_chains(self, command, removed_ids):
+        changed = {chain.chain_id for chain in command.chains} | removed_ids
         return {
             agent_id
             for agent_id, ids in self._by_agent.items()
             if any(chain_id not in changed for chain_id in ids)
         }
 
-    def _stage_problem(self, chain, busy):
+    def _stages_error(self, chain, assigned):
         next_layer = 0
         for stage in chain.stages:
             if not self._members.is_announced(stage.agent_id, stage.incarnation):
                 return f"{stage.agent_id!r}/{stage.incarnation} is not announced"
-            if stage.agent_id in busy:
+            if stage.agent_id in assigned:
                 return f"agent {stage.agent_id!r} would be a stage of two chains"
             if stage.first_layer != next_layer or stage.last_layer < next_layer:
                 return f"chain {chain.chain_id!r} misses or repeats layer {next_layer}"
             next_layer = stage.last_layer + 1
-            busy.add(stage.agent_id)
+            assigned.add(stage.agent_id)
         return ""
 
     def _last_epoch(self, chain_id):
@@ -179,30 +179,33 @@
         latest = self._successors.get(chain_id, self._chains[chain_id])
         return latest.epoch
 
-    def _put(self, chain):
+    def _set(self, chain):
         """Return whether watchers see a change."""
         chain_id = chain.chain_id
         chain = _copy(chain, ready=self._is_ready(chain))
         current = self._chains.get(chain_id)
         self._unindex(chain_id)
         self._successors.pop(chain_id, None)
-        waits = (
-            current is not None and not chain.ready and self._can_wait(current, chain)
+        is_deferred = (
+            current is not None
+            and not chain.ready
+            and self._can_serve_until_ready(current, chain)
         )
-        if waits:
+        if is_deferred:
             self._successors[chain_id] = chain
         else:
             self._chains[chain_id] = chain
         self._index(chain_id)
-        return not waits
+        return not is_deferred
 
-    def _can_wait(self, current, successor):
+    def _can_serve_until_ready(self, current, successor):
         """Say whether the current chain goes on working until the successor does."""
         if not self._is_ready(current):
             return False
-        kept = {s.agent_id: s for s in current.stages}
+        current_stages = {s.agent_id: s for s in current.stages}
         return all(
-            stage.agent_id not in kept or _same_layers(stage, kept[stage.agent_id])
+            stage.agent_id not in current_stages
+            or _same_layers(stage, current_stages[stage.agent_id])
             for stage in successor.stages
         )
 
@@ -224,16 +227,16 @@
     def _is_ready(self, chain):
         return all(self.is_loaded(chain, stage) for stage in chain.stages)
 
-    def _serves(self, chain_id):
+    def _is_serving(self, chain_id):
         chain = self._chains.get(chain_id)
         return chain is not None and self._is_ready(chain)
 
-    def _retires(self, chain_id):
+    def _is_retiring(self, chain_id):
         chain = self._chains.get(chain_id)
         return chain is not None and chain.retiring
 
     def _retire(self, chain_id, now_ms):
-        if self._retires(chain_id):
+        if self._is_retiring(chain_id):
             return
         chain = _copy(self._chains[chain_id], ready=True)
         chain.retiring = True
@@ -243,7 +246,7 @@
         self._chains[chain_id] = chain
         self._index(chain_id)
 
-    def _drop(self, chain_id):
+    def _remove(self, chain_id):
         if chain_id not in self._chains:
             return
         self._unindex(chain_id)
--- a/wigeonscale/state/claims.py
+++ b/wigeonscale/state/claims.py
@@ -23,7 +23,7 @@
     def __init__(self):
         self._records: OrderedDict[tuple[str, str], bytes] = OrderedDict()
         # Claims in progress by (agent, incarnation); dicts keep a stable order.
-        self._running: dict[tuple[str, int], dict[tuple[str, str], None]] = {}
+        self._in_progress: dict[tuple[str, int], dict[tuple[str, str], None]] = {}
 
     def __len__(self) -> int:
         return len(self._records)
@@ -41,7 +41,7 @@
         data = self._records.get((organisation, key))
         return None if data is None else wire.ClaimRecord.FromString(data)
 
-    def answer_standing(self, claim: wire.Claim) -> wire.CommandResult | None:
+    def existing_result(self, claim: wire.Claim) -> wire.CommandResult | None:
         """Return the result for a key that is claimed already, or None.
 
         Args:
@@ -59,8 +59,10 @@
                 ErrorKind.IDEMPOTENCY_KEY_REUSED,
                 f"idempotency key {claim.key!r} was used for another request",
             )
-        is_same = record.claim.dispatch_id == claim.dispatch_id
-        return done(claim=record, granted=is_same and record.state == wire.CLAIMED)
+        is_same_dispatch = record.claim.dispatch_id == claim.dispatch_id
+        return done(
+            claim=record, granted=is_same_dispatch and record.state == wire.CLAIMED
+        )
 
     def add(self, claim: wire.Claim, wall_ms: int) -> wire.CommandResult:
         """Record a claim whose key is free.
@@ -94,8 +96,8 @@
         record = self.find(outcome.organisation, outcome.key)
         if record is None:
             return done()
-        is_same = record.claim.dispatch_id == outcome.dispatch_id
-        if not is_same or record.state != wire.CLAIMED:
+        is_same_dispatch = record.claim.dispatch_id == outcome.dispatch_id
+        if not is_same_dispatch or record.state != wire.CLAIMED:
             return done(claim=record)
         self._remove(record)
         if outcome.not_run:
@@ -114,8 +116,8 @@
             incarnation: The incarnation that ended.
             wall_ms: Time inside the state, in milliseconds.
         """
-        for name in list(self._running.get((agent_id, incarnation), ())):
-            record = self.find(*name)
+        for record_key in list(self._in_progress.get((agent_id, incarnation), ())):
+            record = self.find(*record_key)
             self._remove(record)
             record.state = wire.UNKNOWN
             record.wall_ms = wall_ms
@@ -148,7 +150,7 @@
             records: Serialised, oldest first.
         """
         self._records.clear()
-        self._running.clear()
+        self._in_progress.clear()
         for data in records:
             self._insert(wire.ClaimRecord.FromString(data), data)
 
@@ -156,24 +158,24 @@
         return wire.ClaimRecord.FromString(next(iter(self._records.values())))
 
     def _insert(self, record, data=None):
-        name = _name(record)
-        self._records[name] = data or record.SerializeToString()
+        record_key = _record_key(record)
+        self._records[record_key] = data or record.SerializeToString()
         if record.state == wire.CLAIMED:
-            self._running.setdefault(_holder(record), {})[name] = None
+            self._in_progress.setdefault(_incarnation_of(record), {})[record_key] = None
 
     def _remove(self, record):
-        name = _name(record)
-        del self._records[name]
-        running = self._running.get(_holder(record))
-        if running is not None:
-            running.pop(name, None)
-            if not running:
-                del self._running[_holder(record)]
+        record_key = _record_key(record)
+        del self._records[record_key]
+        in_progress = self._in_progress.get(_incarnation_of(record))
+        if in_progress is not None:
+            in_progress.pop(record_key, None)
+            if not in_progress:
+                del self._in_progress[_incarnation_of(record)]
 
 
-def _name(record: wire.ClaimRecord) -> tuple[str, str]:
+def _record_key(record: wire.ClaimRecord) -> tuple[str, str]:
     return record.claim.organisation, record.claim.key
 
 
-def _holder(record: wire.ClaimRecord) -> tuple[str, int]:
+def _incarnation_of(record: wire.ClaimRecord) -> tuple[str, int]:
     return record.claim.agent_id, record.claim.agent_incarnation
--- a/wigeonscale/state/configuration.py
+++ b/wigeonscale/state/configuration.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Prepared:
+class _PreparedChange:
     """What a command makes of a document, worked out before it is applied."""
 
     base: Document
@@ -63,9 +63,9 @@
     def __init__(self, *, history_limit: int = HISTORY_LIMIT):
         self._limit = history_limit
         self._base_revision = 0
-        self._base = EMPTY_DOCUMENT
+        self._base_document = EMPTY_DOCUMENT
         self._history: deque[Revision] = deque()
-        self._prepared: _Prepared | None = None
+        self._prepared: _PreparedChange | None = None
 
     @property
     def revision(self) -> int:
@@ -75,7 +75,7 @@
     @property
     def document(self) -> Document:
         """Document in force."""
-        return self._history[-1].document if self._history else self._base
+        return self._history[-1].document if self._history else self._base_document
 
     @property
     def history(self) -> tuple[Revision, ...]:
@@ -109,7 +109,7 @@
             The document as it stood, or None.
         """
         if revision == self._base_revision:
-            return self._base
+            return self._base_document
         position = revision - self._base_revision - 1
         if 0 <= position < len(self._history):
             return self._history[position].document
@@ -135,7 +135,9 @@
 
         def prepare() -> None:
             try:
-                self._prepared = _Prepared(base, command, *_made(base, command))
+                self._prepared = _PreparedChange(
+                    base, command, *_build_document(base, command)
+                )
             except SettingsError as exc:
                 logger.info("a change of the rules will be refused: %s", exc.message)
 
@@ -152,14 +154,14 @@
             document: What it makes.
         """
         changes = tuple(command.changes)
-        self._prepared = _Prepared(base, command, document, changes)
+        self._prepared = _PreparedChange(base, command, document, changes)
 
     def _is_prepared(self, command):
-        known = self._prepared
+        prepared = self._prepared
         return (
-            known is not None
-            and known.base is self.document
-            and known.command == command
+            prepared is not None
+            and prepared.base is self.document
+            and prepared.command == command
         )
 
     def apply(self, command: wire.ApplyConfig, wall_ms: int) -> wire.CommandResult:
@@ -179,7 +181,7 @@
                 f" but revision {self.revision} is in force",
             )
         try:
-            document, changes = self._next(command)
+            document, changes = self._evaluate(command)
             self._prepared = None
         except SettingsError as exc:
             return refused(ErrorKind.INVALID_DOCUMENT, exc.message)
@@ -190,20 +192,20 @@
                 f" not {command.digest}",
             )
         number = self.revision + 1
-        self._add(Revision(number, wall_ms, command.operator, changes, document))
+        self._append(Revision(number, wall_ms, command.operator, changes, document))
         return done()
 
-    def _next(self, command):
+    def _evaluate(self, command):
         if self._is_prepared(command):
             return self._prepared.document, self._prepared.changes
-        return _made(self.document, command)
+        return _build_document(self.document, command)
 
-    def _add(self, revision):
+    def _append(self, revision):
         self._history.append(revision)
         if len(self._history) > self._limit:
             oldest = self._history.popleft()
             self._base_revision = oldest.number
-            self._base = oldest.document
+            self._base_document = oldest.document
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
         """Write everything into a snapshot.
@@ -212,7 +214,7 @@
             snapshot: Message to fill in.
         """
         snapshot.base_revision = self._base_revision
-        snapshot.base_document = self._base.text
+        snapshot.base_document = self._base_document.text
         for revision in self._history:
             snapshot.history.add(
                 revision=revision.number,
@@ -229,7 +231,7 @@
         """
         self._base_revision = snapshot.base_revision
         text = snapshot.base_document
-        self._base = parse_document(text) if text else EMPTY_DOCUMENT
+        self._base_document = parse_document(text) if text else EMPTY_DOCUMENT
         self._history.clear()
         for record in snapshot.history:
             changes = tuple(record.changes)
@@ -241,7 +243,7 @@
             )
 
 
-def _made(base, command):
+def _build_document(base, command):
     """Return the document that a command makes, and the changes to it."""
     if command.changes and command.document:
         raise SettingsError("both a document and changes given; give one")
--- a/wigeonscale/state/crash_records.py
+++ b/wigeonscale/state/crash_records.py
@@ -53,7 +53,7 @@
             has_changed |= self._clear(fingerprint, index, now_ms)
         if has_changed:
             self.index = index
-            self._forget(now_ms)
+            self._evict(now_ms)
         return has_changed
 
     def after(self, index: int) -> list[wire.CrashRecord]:
@@ -104,14 +104,14 @@
         self._records.move_to_end(fingerprint)
         return record
 
-    def _forget(self, now_ms: int) -> None:
-        old = [
+    def _evict(self, now_ms: int) -> None:
+        expired = [
             fingerprint
             for fingerprint, record in self._records.items()
             if now_ms - record.wall_ms
             > MILLISECONDS * retention_s(len(record.backends))
         ]
-        for fingerprint in old:
+        for fingerprint in expired:
             del self._records[fingerprint]
         while len(self._records) > MAX_TRACKED_REQUESTS:
             counts = {name: len(r.backends) for name, r in self._records.items()}
--- a/wigeonscale/state/entries.py
+++ b/wigeonscale/state/entries.py
@@ -44,7 +44,7 @@
         """Return the control replicas that entries are attached to, sorted."""
         return sorted(set(self._replicas.values()))
 
-    def note(self, command: wire.CountEntries) -> None:
+    def apply(self, command: wire.CountEntries) -> None:
         """Take in what a replica found.
 
         Args:
@@ -74,4 +74,4 @@
         """
         self._replicas.clear()
         for record in snapshot.entries:
-            self.note(record)
+            self.apply(record)
--- a/wigeonscale/state/members.py
+++ b/wigeonscale/state/members.py
@@ -38,7 +38,7 @@
         self._by_replica: dict[str, dict[str, None]] = {}
         self._by_address: dict[str, dict[str, None]] = {}
         self._ended: OrderedDict[tuple[str, int], None] = OrderedDict()
-        self._ended_of: dict[str, set[int]] = {}
+        self._ended_by_agent: dict[str, set[int]] = {}
         self._drained: set[str] = set()
 
     def __iter__(self) -> Iterator[Member]:
@@ -128,7 +128,7 @@
         backend.draining = True
         return backend
 
-    def refusal_of(
+    def announcement_error(
         self, backend: wire.Backend, sequence: int = 0
     ) -> wire.CommandResult | None:
         """Return why an announcement is refused, or None if it is not.
@@ -157,7 +157,7 @@
                 ErrorKind.STALE_INCARNATION,
                 f"incarnation {backend.incarnation} of {backend.agent_id} has ended",
             )
-        stale = self._later_start(backend)
+        stale = self._stale_start_reason(backend)
         if stale is not None:
             return refused(ErrorKind.STALE_INCARNATION, stale)
         member = self._members.get(backend.agent_id)
@@ -173,28 +173,28 @@
             )
         return None
 
-    def _later_start(self, backend: wire.Backend) -> str | None:
+    def _stale_start_reason(self, backend: wire.Backend) -> str | None:
         """Return why a backend's start is not the latest one, or None if it may be.
 
         A heartbeat can come late, after the backend has started again under its name
         or another one listens at its address.
         """
         name, started_ms = backend.agent_id, backend.started_ms
-        if 0 < started_ms <= max(self._ended_of.get(name, ()), default=0):
+        if 0 < started_ms <= max(self._ended_by_agent.get(name, ()), default=0):
             return f"a start of {name} no earlier than {started_ms} has ended"
         member = self._members.get(name)
         if member is not None and started_ms < member.backend.started_ms:
-            held_ms = member.backend.started_ms
-            return f"{name} started at {held_ms}, which is later than {started_ms}"
-        for other, _ in self.others_at(backend):
-            there = self._members[other].backend
+            known_ms = member.backend.started_ms
+            return f"{name} started at {known_ms}, which is later than {started_ms}"
+        for other, _ in self.others_at_address(backend):
+            other_backend = self._members[other].backend
             # One that does not say when it started follows one that fell silent.
-            may_follow = there.silent and not started_ms
-            if started_ms < there.started_ms and not may_follow:
+            may_follow = other_backend.silent and not started_ms
+            if started_ms < other_backend.started_ms and not may_follow:
                 return f"{other} at {backend.address} started later than {name}"
         return None
 
-    def others_at(self, backend: wire.Backend) -> list[tuple[str, int]]:
+    def others_at_address(self, backend: wire.Backend) -> list[tuple[str, int]]:
         """Return the members at a backend's address that go by another name.
 
         Args:
@@ -233,12 +233,12 @@
         if self.is_announced(agent_id, incarnation):
             self._remove(agent_id)
         self._ended[agent_id, incarnation] = None
-        self._ended_of.setdefault(agent_id, set()).add(incarnation)
+        self._ended_by_agent.setdefault(agent_id, set()).add(incarnation)
         if len(self._ended) > ENDED_LIMIT:
             (name, oldest), _ = self._ended.popitem(last=False)
-            self._ended_of[name].discard(oldest)
-            if not self._ended_of[name]:
-                del self._ended_of[name]
+            self._ended_by_agent[name].discard(oldest)
+            if not self._ended_by_agent[name]:
+                del self._ended_by_agent[name]
 
     def drain(self, command: wire.DrainBackend) -> wire.CommandResult:
         """Set or clear an operator's drain.
@@ -288,9 +288,9 @@
         self._ended = OrderedDict(
             ((record.agent_id, record.incarnation), None) for record in snapshot.ended
         )
-        self._ended_of = {}
+        self._ended_by_agent = {}
         for name, incarnation in self._ended:
-            self._ended_of.setdefault(name, set()).add(incarnation)
+            self._ended_by_agent.setdefault(name, set()).add(incarnation)
         self._drained = set(snapshot.drained)
 
     def _insert(self, member):
--- a/wigeonscale/state/numbered.py
+++ b/wigeonscale/state/numbered_document.py
@@ -1,11 +1,11 @@
 """A whole document under a number that its author gave it; the highest is in force."""
 
-__all__ = ["Numbered"]
+__all__ = ["LatestNumberedDocument"]
 
 from wigeonscale.wire import wire_pb2 as wire
 
 
-class Numbered:
+class LatestNumberedDocument:
     """The document in force and its number.
 
     Unlike the rules, whose revisions are counted here, the number comes from
--- a/wigeonscale/state/first_results.py
+++ b/wigeonscale/state/operation_results.py
@@ -1,9 +1,9 @@
 """First results of all commands, so that each takes effect once."""
 
-__all__ = ["FirstResults"]
+__all__ = ["OperationResults"]
 
 from wigeonscale.errors import ErrorKind
-from wigeonscale.state.operations import Operations, operation_digest
+from wigeonscale.state.result_cache import ResultCache, operation_digest
 from wigeonscale.state.results import refused
 from wigeonscale.wire import wire_pb2 as wire
 
@@ -15,14 +15,14 @@
 _OPERATOR_COMMANDS = frozenset({"apply_config", "drain"})
 
 
-class FirstResults:
+class OperationResults:
     """Results by operation id; those of operators are kept for longer."""
 
     def __init__(self):
-        self._of_operators = Operations(
+        self._operator_results = ResultCache(
             limit=OPERATOR_OPERATIONS_LIMIT, age_ms=OPERATOR_OPERATIONS_AGE_MS
         )
-        self._of_peers = Operations(
+        self._peer_results = ResultCache(
             limit=PEER_OPERATIONS_LIMIT, age_ms=PEER_OPERATIONS_AGE_MS
         )
 
@@ -36,7 +36,7 @@
             The first result; ``IDEMPOTENCY_KEY_REUSED`` if the id was used for a
             command that asks for something else.
         """
-        found = self._kept_for(command).find(command.operation_id)
+        found = self._cache_for(command).find(command.operation_id)
         if found is None:
             return None
         digest, result = found
@@ -57,7 +57,7 @@
             result: Its result.
             now_ms: Largest wall time of any command so far, in milliseconds.
         """
-        self._kept_for(command).add(
+        self._cache_for(command).add(
             command.operation_id, operation_digest(command), now_ms, result
         )
 
@@ -67,8 +67,8 @@
         Args:
             snapshot: Message to fill in.
         """
-        snapshot.operator_operations.extend(self._of_operators.save())
-        snapshot.peer_operations.extend(self._of_peers.save())
+        snapshot.operator_operations.extend(self._operator_results.save())
+        snapshot.peer_operations.extend(self._peer_results.save())
 
     def load(self, snapshot: wire.StateSnapshot) -> None:
         """Replace everything by what a snapshot holds.
@@ -79,10 +79,10 @@
         Raises:
             DecodeError: A record cannot be read.
         """
-        self._of_operators.load(snapshot.operator_operations)
-        self._of_peers.load(snapshot.peer_operations)
+        self._operator_results.load(snapshot.operator_operations)
+        self._peer_results.load(snapshot.peer_operations)
 
-    def _kept_for(self, command: wire.Command) -> Operations:
+    def _cache_for(self, command: wire.Command) -> ResultCache:
         if command.WhichOneof("body") in _OPERATOR_COMMANDS:
-            return self._of_operators
-        return self._of_peers
+            return self._operator_results
+        return self._peer_results
--- a/wigeonscale/state/operations.py
+++ b/wigeonscale/state/result_cache.py
@@ -1,6 +1,6 @@
 """Results of commands by operation id, so that a resend gets the first one."""
 
-__all__ = ["Operations", "operation_digest"]
+__all__ = ["ResultCache", "operation_digest"]
 
 import hashlib
 from collections import OrderedDict
@@ -9,7 +9,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 
-class Operations:
+class ResultCache:
     """Remembered results, bounded by count and by age.
 
     Args:
@@ -60,9 +60,9 @@
             operation_id=operation_id, digest=digest, wall_ms=wall_ms, result=result
         )
         self._records[operation_id] = record.SerializeToString()
-        self._forget(wall_ms - self._age_ms)
+        self._evict(wall_ms - self._age_ms)
 
-    def _forget(self, before_ms):
+    def _evict(self, before_ms):
         while len(self._records) > self._limit:
             self._records.popitem(last=False)
         while self._records:
--- a/wigeonscale/state/state.py
+++ b/wigeonscale/state/state.py
@@ -14,9 +14,9 @@
 from wigeonscale.state.configuration import HISTORY_LIMIT, Configuration
 from wigeonscale.state.crash_records import CrashRecords
 from wigeonscale.state.entries import Entries
-from wigeonscale.state.first_results import FirstResults
 from wigeonscale.state.members import Members
-from wigeonscale.state.numbered import Numbered
+from wigeonscale.state.numbered_document import LatestNumberedDocument
+from wigeonscale.state.operation_results import OperationResults
 from wigeonscale.state.results import done, refused
 from wigeonscale.state.snapshots import SNAPSHOT_FORMAT, parse_snapshot
 from wigeonscale.wire import wire_pb2 as wire
@@ -58,14 +58,14 @@
         self.chains = Chains(members=self.members)
         self.claims = Claims()
         self.entries = Entries()
-        self.document = Numbered()
+        self.document = LatestNumberedDocument()
         self.crashes = CrashRecords()
         self.changes: Subject[Change] = Subject()
         self.index = 0
         self.now_ms = 0
         self.placement_index = 0
-        self._read_ahead: tuple[bytes, Configuration] | None = None
-        self._results = FirstResults()
+        self._prepared_restore: tuple[bytes, Configuration] | None = None
+        self._results = OperationResults()
         self._handlers = {
             "apply_config": self._apply_config,
             "claim": self._claim,
@@ -161,9 +161,9 @@
             WigeonscaleError: ``CORRUPT_LOG`` if it cannot be read; nothing changed.
         """
         snapshot = parse_snapshot(data)
-        configuration = self._taken_configuration(data)
+        configuration = self._take_prepared_configuration(data)
         claims = Claims()
-        results = FirstResults()
+        results = OperationResults()
         try:
             if configuration is None:
                 configuration = Configuration(history_limit=self._history_limit)
@@ -203,15 +203,15 @@
                 configuration.load(parse_snapshot(data))
             except (SettingsError, WigeonscaleError):
                 return  # restoring tells what is wrong
-            self._read_ahead = (data, configuration)
+            self._prepared_restore = (data, configuration)
 
         return prepare
 
-    def _taken_configuration(self, data):
-        read_ahead, self._read_ahead = self._read_ahead, None
-        if read_ahead is None or read_ahead[0] is not data:
+    def _take_prepared_configuration(self, data):
+        prepared, self._prepared_restore = self._prepared_restore, None
+        if prepared is None or prepared[0] is not data:
             return None
-        return read_ahead[1]
+        return prepared[1]
 
     def _apply_once(self, command):
         operation_id = command.operation_id
@@ -243,9 +243,9 @@
             return None, refused(
                 ErrorKind.BAD_REQUEST, "a claim needs a key and a dispatch id"
             )
-        standing = self.claims.answer_standing(claim)
-        if standing is not None:
-            return None, standing
+        existing = self.claims.existing_result(claim)
+        if existing is not None:
+            return None, existing
         if not self.members.is_announced(claim.agent_id, claim.agent_incarnation):
             return None, refused(
                 ErrorKind.STALE_INCARNATION,
@@ -258,17 +258,17 @@
 
     def _announce(self, command):
         backend = command.backend
-        refusal = self.members.refusal_of(backend, command.sequence)
+        refusal = self.members.announcement_error(backend, command.sequence)
         if refusal is not None:
             return None, refusal
         before = self.members.get(backend.agent_id)
         if before is not None and before.backend.incarnation != backend.incarnation:
             self._end(backend.agent_id, before.backend.incarnation)
-        followed = self.members.others_at(backend)
-        for agent_id, incarnation in followed:
+        replaced = self.members.others_at_address(backend)
+        for agent_id, incarnation in replaced:
             self._end(agent_id, incarnation)
         self.members.put(backend, command.replica, command.sequence)
-        return self._member_change(backend.agent_id, *(i for i, _ in followed)), done()
+        return self._member_change(backend.agent_id, *(i for i, _ in replaced)), done()
 
     def _end_incarnation(self, command):
         agent_id = command.agent_id
@@ -279,20 +279,23 @@
                 ErrorKind.REVISION_CONFLICT,
                 f"{agent_id!r} is attached to {member.replica!r} now",
             )
-        incarnation = command.incarnation or self._announced(member)
+        incarnation = command.incarnation or self._announced_incarnation(member)
         if not agent_id or self.members.is_ended(agent_id, incarnation):
             return None, done()
         self._end(agent_id, incarnation)
         if member is None:
             return None, done()
-        held = member.backend.incarnation
+        announced_incarnation = member.backend.incarnation
         # A later start than the one announced has ended, so that one has too.
-        if held != incarnation and 0 < member.backend.started_ms < incarnation:
-            self._end(agent_id, held)
+        if (
+            announced_incarnation != incarnation
+            and 0 < member.backend.started_ms < incarnation
+        ):
+            self._end(agent_id, announced_incarnation)
         is_gone = self.members.get(agent_id) is None
         return self._member_change(agent_id) if is_gone else None, done()
 
-    def _announced(self, member):
+    def _announced_incarnation(self, member):
         """Return the incarnation meant where none is named."""
         return member.backend.incarnation if member is not None else DEFAULT_INCARNATION
 
@@ -307,11 +310,11 @@
                 f"planned from placement {command.base_index},"
                 f" but {self.placement_index} is in force",
             )
-        result, touched = self.chains.place(command, self.now_ms)
+        result, changed_ids = self.chains.place(command, self.now_ms)
         if result.kind:
             return None, result
         self.placement_index = self.index
-        return Change(self.index, chains=frozenset(touched)), result
+        return Change(self.index, chains=frozenset(changed_ids)), result
 
     def _drain(self, command):
         result = self.members.drain(command)
@@ -324,7 +327,7 @@
         return None, done()
 
     def _count_entries(self, command):
-        self.entries.note(command)
+        self.entries.apply(command)
         # Nothing to wake watchers for: the count rides on each lease grant.
         return None, done()
 
--- a/wigeonscale/state/tests/test_members.py
+++ b/wigeonscale/state/tests/test_members.py
@@ -255,7 +255,7 @@
         self.assertTrue(self.members.is_announced("a", 200))
 
 
-class _Unlisted(dict):
+class _NoIterationDict(dict):
     """Members that must not be gone through."""
 
     def values(self):
@@ -274,17 +274,17 @@
         self.put("b", "x:1")
         self.put("c", "x:2")
         self.put("d", "")
-        at_one = self.members.others_at(self.backend("a", "x:1"))
+        at_one = self.members.others_at_address(self.backend("a", "x:1"))
         self.assertEqual([("b", 1)], at_one)
-        self.assertEqual([], self.members.others_at(self.backend("e", "")))
+        self.assertEqual([], self.members.others_at_address(self.backend("e", "")))
 
     def test_who_moved_or_ended_is_there_no_more(self):
         self.put("a", "x:1")
         self.put("a", "x:2")
         self.put("b", "x:2")
-        self.assertEqual([], self.members.others_at(self.backend("c", "x:1")))
+        self.assertEqual([], self.members.others_at_address(self.backend("c", "x:1")))
         self.members.end("a", 1)
-        at_two = self.members.others_at(self.backend("c", "x:2"))
+        at_two = self.members.others_at_address(self.backend("c", "x:2"))
         self.assertEqual([("b", 1)], at_two)
 
     def test_kept_by_a_snapshot(self):
@@ -293,12 +293,12 @@
         self.members.save(snapshot)
         self.put("b", "x:1")
         self.members.load(snapshot)
-        at_one = self.members.others_at(self.backend("c", "x:1"))
+        at_one = self.members.others_at_address(self.backend("c", "x:1"))
         self.assertEqual([("a", 1)], at_one)
 
     def test_an_announcement_does_not_look_at_all_members(self):
         # Thousands announce themselves within a heartbeat, at each replica.
         self.put("a", "x:1")
-        self.members._members = _Unlisted(self.members._members)
-        self.assertIsNone(self.members.refusal_of(self.backend("b", "x:2")))
+        self.members._members = _NoIterationDict(self.members._members)
+        self.assertIsNone(self.members.announcement_error(self.backend("b", "x:2")))
         self.put("b", "x:2")
