--- a/wigeonscale/membership/watch_state.py
+++ b/wigeonscale/membership/watch_state.py
@@ -114,11 +114,11 @@
         Args:
             document: The document, from any replica.
         """
-        held = self.numbered_document.number
-        if document.number <= held:
+        known_number = self.numbered_document.number
+        if document.number <= known_number:
             return
         self.numbered_document = document
-        logger.info("document %d replaces %d", document.number, held)
+        logger.info("document %d replaces %d", document.number, known_number)
         self.emit(Change.NUMBERED_DOCUMENT)
 
     def update_lease(self) -> None:
