--- a/wigeonscale/membership/__init__.py
+++ b/wigeonscale/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Watching control: configuration, members, lease and commands."""
+"""Client of the control plane: configuration, members, lease and commands."""
 
 __all__ = [
     "Backoff",
--- a/wigeonscale/membership/announcer.py
+++ b/wigeonscale/membership/announcer.py
@@ -1,4 +1,4 @@
-"""Announces the backend of this process to the attached replica."""
+"""Announces the backend of this process to the attached control replica."""
 
 __all__ = ["Announcer"]
 
@@ -10,14 +10,14 @@
 
 
 class Announcer:
-    """Announces, and announces again when the announcement got lost.
+    """Announces a backend, and repeats announcements that were lost.
 
     Args:
-        announce: Returns what to announce.
+        announce: Returns the backend to announce.
         send: Sends a message on the attached stream.
         clock: Clock of this process.
-        min_interval_s: Seconds after which a backend that is not shown is announced
-            again.
+        min_interval_s: Shortest time between an announcement and its repetition, in
+            seconds.
     """
 
     def __init__(
@@ -35,15 +35,15 @@
         self._announced_at = float("-inf")
 
     def announce(self) -> None:
-        """Announce the backend as it is now."""
+        """Announce the current backend."""
         self._announced_at = self._clock.now()
         self._send(wire.WatchRequest(announce=self._get_backend()))
 
     def announce_if_missing(self, members: MembersView) -> None:
-        """Announce the backend if control does not show it.
+        """Announce the backend again if control does not list it.
 
         Args:
-            members: Backends as control tells them.
+            members: Backends that the attached replica lists.
         """
         if self._clock.now() - self._announced_at < self._min_interval_s:
             return
--- a/wigeonscale/membership/backoff.py
+++ b/wigeonscale/membership/backoff.py
@@ -10,10 +10,10 @@
 
 
 class Backoff:
-    """Gives the waits between attempts.
+    """Computes the waits between retries.
 
-    Each wait is drawn evenly from zero to a bound that doubles with each failure
-    ("full jitter"), so that clients that fail together do not come back together.
+    Each wait is drawn uniformly between zero and a bound that doubles with each failure
+    ("full jitter"), so that clients that fail together do not retry together.
 
     Args:
         rng: Source of the jitter.
@@ -36,5 +36,5 @@
         return self._rng.uniform(0.0, min(self._cap_s, self._base_s * 2**doublings))
 
     def reset(self) -> None:
-        """Begin anew after a success."""
+        """Reset the bound after a success."""
         self._failures = 0
--- a/wigeonscale/membership/client.py
+++ b/wigeonscale/membership/client.py
@@ -1,4 +1,4 @@
-"""A process's link to control: configuration, members, lease and commands."""
+"""Client of the control plane: configuration, members, lease and commands."""
 
 __all__ = ["ControlClient"]
 
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from wigeonscale import rules
 
-# A backend that its replica does not show is announced again after this long.
+# A backend that the attached replica does not list is announced again after this time.
 REANNOUNCE_HEARTBEATS = 4
 LEASE_CHECKS_PER_HEARTBEAT = 4
 
@@ -36,10 +36,11 @@
 
 
 class ControlClient:
-    """Watches control and submits commands to it.
+    """Watches the state of control and submits commands.
 
     Attributes:
-        changes: Subject of :class:`Change`, after the change is in force here.
+        changes: Subject of :class:`Change`; emits after this process applied the
+            change.
 
     Args:
         node_id: Name of this process; an agent's name is its agent id.
@@ -47,20 +48,18 @@
         addresses: gRPC addresses of all control replicas.
         clock: Clock of this process.
         http_address: ``ip:port`` of this process's health page.
-        announce: Returns what an agent announces of its backend; None for an
-            entry.
-        on_order: Carries out an order; None for an entry.
-        on_ended: Called with the incarnation that control declared ended.
-        loads: Returns what this entry has in progress; None where it does not tell.
-        on_loads: Called with what all entries have in progress.
-        on_crashes: Called with records of crashes that changed.
-        lease_s: Time of the freshness lease, in seconds.
+        announce: Returns the backend that an agent announces; None for an entry.
+        on_order: Executes an order; None for an entry.
+        on_ended: Called with an incarnation that control declared ended.
+        loads: Returns the load of this entry; None if it does not report its load.
+        on_loads: Called with the load of all entries.
+        on_crashes: Called with the crash records that changed.
+        lease_s: Duration of the freshness lease, in seconds.
         heartbeat_s: Interval of heartbeats, in seconds.
-        rng: Source of jitter; None for one seeded by the system.
-        metrics: Where lease, revision and connections are counted.
+        rng: Random source for jitter; None for one seeded by the system.
+        metrics: Metrics of lease, revision and reconnects.
         tls: Files for mutual TLS; None for plain TCP.
-        reconnect_cap_s: Longest wait between two attempts to reach control, in
-            seconds.
+        reconnect_cap_s: Longest wait between two connection attempts, in seconds.
 
     Example:
         client = ControlClient(node_id="e1", role="entry", addresses=..., clock=...)
@@ -129,39 +128,39 @@
 
     @property
     def revision(self) -> int:
-        """Configuration revision in force here; 0 before any."""
+        """Configuration revision applied in this process; 0 before the first."""
         return self._state.configuration.revision
 
     @property
     def document(self) -> "rules.Document":
-        """Rules document in force here."""
+        """Rules document applied in this process."""
         return self._state.configuration.document
 
     @property
     def ruleset(self) -> "rules.Ruleset":
-        """Rules in force here."""
+        """Rules of the applied document."""
         return self._state.configuration.ruleset
 
     @property
     def members(self) -> MembersView:
-        """Backends and chains as told by the attached replica.
+        """Backends and chains reported by the attached replica.
 
-        Read it anew each time: another replica brings another view.
+        Do not keep a reference: attaching to another replica replaces the view.
         """
         return self._members
 
     @property
     def numbered_document(self) -> wire.NumberedDocument:
-        """Document under its author's number; number 0 before any."""
+        """Numbered document with the highest number received; number 0 before any."""
         return self._state.numbered_document
 
     @property
     def entries(self) -> int:
-        """Entries attached to control, this one included; 1 while not told."""
+        """Number of entries attached to control, at least 1; 1 until reported."""
         return max(1, self._state.entries)
 
     def add_addresses(self, addresses: Sequence[str]) -> None:
-        """Try further replicas too.
+        """Add replicas to those that are tried.
 
         Args:
             addresses: gRPC addresses of control replicas.
@@ -169,15 +168,15 @@
         self._watcher.add_addresses(addresses)
 
     def lease_valid(self) -> bool:
-        """Return whether what this process knows was confirmed recently enough."""
+        """Return whether the state was confirmed within the duration of the lease."""
         return self._state.lease.is_valid()
 
     async def ready(self) -> None:
-        """Wait for the first lease, and with it configuration and members."""
+        """Wait for the first lease; configuration and members are then known."""
         await self._ready.wait()
 
     async def run(self) -> None:
-        """Watch control until cancelled."""
+        """Watch control until the task is cancelled."""
         try:
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(self._watcher.run())
@@ -194,10 +193,10 @@
 
         Args:
             command: The command; an empty operation id is filled in.
-            timeout_s: Limit of all attempts together, in seconds.
+            timeout_s: Timeout of all attempts together, in seconds.
 
         Returns:
-            The result; for a claim that was not granted, the standing record.
+            The result; for a claim that was not granted, the existing record.
 
         Raises:
             WigeonscaleError: See :meth:`Submitter.submit`.
@@ -205,7 +204,7 @@
         return await self._submitter.submit(command, timeout_s)
 
     async def floor(self) -> tuple[int, int]:
-        """Return the largest (term, index) over a majority; waits for one."""
+        """Wait for a majority of replicas and return their largest (term, index)."""
         return await query_floor(
             addresses=self._addresses, clock=self._clock, rng=self._rng, tls=self._tls
         )
@@ -218,12 +217,12 @@
     def suspect(
         self, agent_id: str, incarnation: int, *, is_hint: bool = False
     ) -> None:
-        """Tell control that an agent does not answer.
+        """Report to control that an agent does not answer.
 
         Args:
             agent_id: The silent agent.
-            incarnation: The incarnation that was asked.
-            is_hint: Whether others are to blame as likely.
+            incarnation: The incarnation that was called.
+            is_hint: Whether other processes are equally likely to be at fault.
         """
         message = self._suspicion_throttle.message(
             agent_id, incarnation, is_hint=is_hint
@@ -341,7 +340,7 @@
         return None
 
     def _apply_crashes(self, update: wire.CrashUpdate) -> None:
-        # Of two connections one may be behind the other.
+        # Two connections may be open, and one replica may lag behind the other.
         if update.index <= self._crashes_index:
             return
         self._crashes_index = update.index
--- a/wigeonscale/membership/configuration.py
+++ b/wigeonscale/membership/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process; it never goes back."""
+"""Configuration applied in this process; its revision never decreases."""
 
 __all__ = ["ConfigResult", "Configuration"]
 
@@ -14,14 +14,15 @@
 if TYPE_CHECKING:
     from wigeonscale import rules
 
-# Up to as many changed sections are read on the event loop: a few milliseconds.
+# Larger updates are parsed in a thread. Up to this many changed sections take the event
+# loop a few milliseconds.
 MAX_INLINE_CHANGES = 50
 
 logger = logging.getLogger(__name__)
 
 
 class ConfigResult(enum.Enum):
-    """What became of an update."""
+    """Result of an update."""
 
     APPLIED = "applied"
     UNCHANGED = "unchanged"
@@ -32,10 +33,10 @@
 
 
 class Configuration:
-    """Document, its revision and the rules made from it.
+    """Rules document, its revision and the rules compiled from it.
 
     Attributes:
-        revision: Revision in force; 0 before any.
+        revision: Applied revision; 0 before the first.
     """
 
     def __init__(self):
@@ -45,29 +46,30 @@
 
     @property
     def document(self) -> "rules.Document":
-        """The rules document in force."""
+        """The applied rules document."""
         return self._document or _rules_package().EMPTY_DOCUMENT
 
     @property
     def ruleset(self) -> "rules.Ruleset":
-        """The rules made from the document."""
+        """The rules compiled from the document."""
         if self._ruleset is None:
             self._ruleset = _rules_package().Ruleset.from_document(self.document)
         return self._ruleset
 
     async def apply(self, update: wire.ConfigUpdate) -> ConfigResult:
-        """Take in an update if it is newer, fits and has the right digest.
+        """Apply an update if it is newer and its base and digest match.
 
         Args:
-            update: Sections changed since ``base_revision``; the whole document
-                when that is 0.
+            update: Sections changed since ``base_revision``; the whole document if that
+                is 0.
 
         Returns:
-            What became of it. Only ``APPLIED`` changed anything.
+            The result. Only ``APPLIED`` changed anything.
 
         Notes:
-            One at a time: the caller waits for one before the next. Many sections
-            are read in a thread, so that heartbeats and requests go on.
+            Not reentrant: the caller must await one call before the next. Large
+            updates are parsed in a thread, so that heartbeats and requests are not
+            delayed.
         """
         if update.revision < self.revision:
             return ConfigResult.OLDER
@@ -81,7 +83,7 @@
         return await self._apply_newer(update, base)
 
     def _compare(self, update: wire.ConfigUpdate) -> ConfigResult:
-        # There is but one document before the first revision.
+        # Revision 0 is always the empty document, so its digest is not compared.
         has_digest = update.revision > 0 and update.digest
         if has_digest and update.digest != self.document.digest:
             return ConfigResult.WRONG_DIGEST
@@ -107,10 +109,10 @@
 
 
 def _rules_package():
-    """Return the package of rules, loaded by the processes that are sent some.
+    """Import the package of rules on first use.
 
-    An entry that speaks to backend servers itself is sent none, and takes 38.0 in place
-    of 38.6 MB without it (anonymous memory after its start).
+    An entry that calls backend servers directly receives no rules. Without the package
+    it uses 38.0 MB instead of 38.6 MB (anonymous memory after its start).
     """
     return importlib.import_module("wigeonscale.rules")
 
--- a/wigeonscale/membership/connection.py
+++ b/wigeonscale/membership/connection.py
@@ -1,4 +1,4 @@
-"""One watch connection to one control replica."""
+"""Watch connection to one control replica."""
 
 __all__ = ["DisconnectCause", "WatchConnection"]
 
@@ -34,32 +34,33 @@
 
 
 class WatchConnection:
-    """State of one watch stream; :meth:`run` is its task.
+    """One watch stream and its state; :meth:`run` is its task.
 
     Attributes:
         address: Replica's ``ip:port``.
-        members: Backends and chains as told on this stream; None until told.
-        known_members: Those known at its opening, from which it may be told what
-            changed; None for none, and once told.
-        opened_at: Own time of opening, in seconds.
-        answered_at: Own sending time of the latest heartbeat that was answered, or
-            the time of opening. A stream that is silent in one direction, or that
-            delivers old answers, falls behind here.
-        last_sent_us: Own time of the latest heartbeat, in microseconds.
-        cause: Why it ended, once it has.
+        members: Backends and chains received on this stream; None before the first
+            update.
+        known_members: Members known when the stream was opened, to which the replica
+            may send a delta; None if there are none and after the first update.
+        opened_at: Local time of opening, in seconds.
+        answered_at: Local send time of the latest answered heartbeat, or the time of
+            opening. Send times are used so that a stream that is silent in one
+            direction, or that delivers old answers, is detected as late.
+        last_sent_us: Local send time of the latest heartbeat, in microseconds.
+        cause: Why the stream ended; None while it is open.
 
     Args:
         address: Replica's ``ip:port``.
         clock: Clock of this process.
         heartbeat_s: Interval of heartbeats, in seconds.
         hello: First message of the stream.
-        on_event: Called with this connection and each event but configurations;
-            returns a cause to end the connection, else None.
-        on_config: Puts a configuration in force, one after another; meanwhile other
-            events are taken. Returns a cause to end the connection, else None.
-        applied_revision: Returns the configuration revision in force here.
-        loads: Returns what this entry has in progress; None where it does not tell.
-        known_members: Own copy of the members that ``hello`` says are known.
+        on_event: Called with this connection and each event except configurations;
+            returns a cause to end the connection, or None.
+        on_config: Applies one configuration update at a time, while other events are
+            still handled; returns a cause to end the connection, or None.
+        applied_revision: Returns the configuration revision applied in this process.
+        loads: Returns the load of this entry; None if it does not report its load.
+        known_members: Copy of the members at the index given in ``hello``.
         tls: Files for mutual TLS; None for plain TCP.
     """
 
@@ -107,8 +108,8 @@
         """Queue a message for the replica.
 
         Args:
-            req: The message; dropped when the stream takes nothing any more, since
-                its silence then ends it.
+            req: The message; dropped if the queue is full. A stream that stops sending
+                then also misses heartbeats and is closed as silent.
         """
         try:
             self._queue.put_nowait(req)
@@ -116,16 +117,16 @@
             logger.warning("watch stream to %s takes no messages", self.address)
 
     def note_answer(self, echo_us: int) -> None:
-        """Note that the replica answered a heartbeat.
+        """Record that the replica answered a heartbeat.
 
         Args:
-            echo_us: Sending time of that heartbeat, in microseconds.
+            echo_us: Local send time of that heartbeat, in microseconds.
         """
         if echo_us <= self.last_sent_us:
             self.answered_at = max(self.answered_at, echo_us / MICROSECONDS)
 
     async def run(self) -> None:
-        """Keep the stream until it ends; then :attr:`cause` tells why."""
+        """Run the stream until it ends, then set :attr:`cause`."""
         async with open_channel(self.address, tls=self._tls) as channel:
             call = wire_pb2_grpc.ControlStub(channel).Watch()
             readers = [
--- a/wigeonscale/membership/crash_messages.py
+++ b/wigeonscale/membership/crash_messages.py
@@ -1,4 +1,4 @@
-"""Records of crashes between the messages of control and an entry's own data."""
+"""Converts crash records between control messages and an entry's data types."""
 
 __all__ = ["known_crashes", "record_crashes_command"]
 
@@ -9,10 +9,10 @@
 
 
 def known_crashes(update: wire.CrashUpdate) -> list[KnownCrashes]:
-    """Return what an update of control tells, in its order.
+    """Convert the records of an update, in its order.
 
     Args:
-        update: The update; ages are by the wall time of control's state.
+        update: The update; ages are relative to the time of control's state machine.
     """
     return [
         KnownCrashes(
@@ -26,10 +26,10 @@
 
 
 def record_crashes_command(report: CrashReport) -> wire.Command:
-    """Return the command that makes a report known to all entries.
+    """Return the command that replicates a report to all entries.
 
     Args:
-        report: What one entry found.
+        report: Findings of one entry.
     """
     crashes = [
         wire.Crash(fingerprint=fingerprint, backend=backend_id)
--- a/wigeonscale/membership/floor.py
+++ b/wigeonscale/membership/floor.py
@@ -1,4 +1,4 @@
-"""Asks a majority of control replicas for the floor of fencing numbers."""
+"""Queries a majority of control replicas for a lower bound of fencing numbers."""
 
 __all__ = ["query_floor"]
 
@@ -28,19 +28,19 @@
     rng: random.Random,
     tls: TlsFiles | None = None,
 ) -> tuple[int, int]:
-    """Return the largest log position over a majority of the replicas.
+    """Return the largest log position of a majority of the replicas.
 
-    Any order that was committed before the call lies at or below the result,
-    since its majority and this one share a replica.
+    Any order committed before the call is at or below the result, because any two
+    majorities share a replica.
 
     Args:
         addresses: Addresses of all voters.
         clock: Clock of this process.
-        rng: Source of jitter between rounds.
+        rng: Random source for jitter between rounds.
         tls: Files for mutual TLS; None for plain TCP.
 
     Returns:
-        Term and index. Waits, round after round, until a majority answers.
+        Term and index. Retries with backoff until a majority answers.
     """
     majority = len(addresses) // 2 + 1
     backoff = Backoff(rng=rng)
@@ -48,7 +48,7 @@
         replies = await asyncio.gather(
             *(_query(address, clock, tls) for address in addresses)
         )
-        # By node, since two addresses may lead to one replica.
+        # Keyed by node id, because two addresses may belong to one replica.
         floors = {
             reply.node_id: (reply.term, reply.index)
             for reply in replies
--- a/wigeonscale/membership/lease.py
+++ b/wigeonscale/membership/lease.py
@@ -1,4 +1,4 @@
-"""The freshness lease of a watcher, by echo and age."""
+"""Freshness lease of a watcher, computed from echoed send times and ages."""
 
 __all__ = ["Lease"]
 
@@ -13,23 +13,23 @@
 
 @dataclass(frozen=True, slots=True)
 class _Confirmation:
-    """A majority confirmed ``revision`` no earlier than ``at`` (own clock)."""
+    """A majority confirmed ``revision`` at local time ``at`` or later."""
 
     at: float
     revision: int
 
 
 class Lease:
-    """Tells whether what this process knows was confirmed recently enough.
+    """Freshness lease: whether the state was confirmed recently enough to act on it.
 
-    A grant echoes the time at which this process sent a heartbeat and says how
-    old the replica's knowledge was when that heartbeat came. Both are readings of
-    one clock each, so clocks of different VMs are never compared, and a grant
-    that was delayed or buffered counts from the sending of its heartbeat.
+    A grant echoes the time at which this process sent a heartbeat, and gives the age of
+    the replica's state when that heartbeat arrived. Each value is measured with a
+    single clock, so clocks of different VMs are never compared, and a grant that was
+    delayed or buffered counts from the time its heartbeat was sent.
 
     Args:
         clock: Clock of this process.
-        lease_s: Time from a confirmation to the end of the lease, in seconds.
+        lease_s: Duration of the lease from a confirmation, in seconds.
     """
 
     def __init__(self, *, clock: Clock, lease_s: float):
@@ -40,11 +40,11 @@
 
     @property
     def confirmed_at(self) -> float | None:
-        """Own time at which the known revision was surely in force, or None."""
+        """Latest local time at which the state is known to be current, or None."""
         return self._confirmed_at
 
     def is_valid(self) -> bool:
-        """Return whether this process may still act on what it knows."""
+        """Return whether this process may still act on its state."""
         if self._confirmed_at is None:
             return False
         return self._clock.now() < self._confirmed_at + self._lease_s
@@ -52,16 +52,17 @@
     def add_grant(
         self, grant: wire.LeaseGrant, *, last_sent_us: int, applied_revision: int
     ) -> bool:
-        """Take a grant into account.
+        """Extend the lease by a grant.
 
         Args:
             grant: Grant received from a replica.
-            last_sent_us: Latest heartbeat sent on the same stream, microseconds.
-            applied_revision: Configuration revision in force in this process.
+            last_sent_us: Send time of the latest heartbeat on the same stream, in
+                microseconds; a later echo is rejected.
+            applied_revision: Configuration revision applied in this process.
 
         Returns:
-            Whether the lease now lasts longer and is valid. A grant for a
-            revision that is not applied yet counts from :meth:`applied`.
+            Whether the lease was extended and is valid. A grant for a revision that is
+            not applied yet is kept until :meth:`note_applied`.
         """
         if grant.echo_us > last_sent_us or grant.age_us < 0:
             return False
@@ -73,13 +74,13 @@
         return self._confirm(at)
 
     def note_applied(self, revision: int) -> bool:
-        """Count the grants that waited for a revision.
+        """Extend the lease by the pending grants for an applied revision.
 
         Args:
-            revision: Revision now in force in this process.
+            revision: Revision that is now applied in this process.
 
         Returns:
-            Whether the lease now lasts longer and is valid.
+            Whether the lease was extended and is valid.
         """
         covered = [each.at for each in self._pending if each.revision <= revision]
         self._pending = [each for each in self._pending if each.revision > revision]
--- a/wigeonscale/membership/members.py
+++ b/wigeonscale/membership/members.py
@@ -1,4 +1,4 @@
-"""What a watcher knows of backends and chains, kept incrementally."""
+"""Watcher's view of backends and chains, updated incrementally."""
 
 __all__ = ["MembersView"]
 
@@ -9,7 +9,7 @@
 
 
 class _Index:
-    """Groups of messages by a key, for example chains by pipeline."""
+    """Messages grouped by a key, for example chains by pipeline."""
 
     def __init__(self):
         self._groups: dict[str, dict[str, object]] = {}
@@ -40,12 +40,11 @@
 
 
 class MembersView:
-    """Backends and chains as of one log index.
+    """Backends and chains at one log index.
 
     Notes:
-        An update costs in proportion to itself. ``chains_of`` and
-        ``backends_of`` build their tuple once after a change of that pipeline or
-        service and then return the same one.
+        Applying an update takes time linear in the size of the update. ``chains_of``
+        and ``backends_of`` cache their tuple until that pipeline or service changes.
     """
 
     def __init__(self):
@@ -67,7 +66,7 @@
 
     @property
     def spares(self) -> list[wire.Backend]:
-        """Engines that stand in no chain, found at the cost of a look at all."""
+        """Engines that are no stage of any chain. Takes time linear in all members."""
         used = {s.agent_id for chain in self._chains.values() for s in chain.stages}
         return [
             backend
@@ -87,7 +86,7 @@
         return self._by_pipeline.list_of(pipeline)
 
     def backends_of(self, service: str) -> tuple[wire.Backend, ...]:
-        """Return the backends of a plain service, draining ones too.
+        """Return the backends of a plain service, including draining ones.
 
         Args:
             service: Name of the service.
@@ -98,7 +97,7 @@
         return self._by_service.list_of(service)
 
     def copy(self) -> "MembersView":
-        """Return a view that changes by itself from now on; shares the messages."""
+        """Return an independent copy that shares the messages."""
         other = MembersView()
         other.index = self.index
         other._backends = dict(self._backends)
@@ -108,10 +107,10 @@
         return other
 
     def apply(self, update: wire.MembersUpdate) -> None:
-        """Take in one update.
+        """Apply one update.
 
         Args:
-            update: A delta, or a full one that replaces all that was known.
+            update: A delta, or a full update that replaces the contents.
         """
         if update.full:
             self.__init__()
--- a/wigeonscale/membership/orders.py
+++ b/wigeonscale/membership/orders.py
@@ -1,4 +1,4 @@
-"""Carries out the orders that control pushes, beside the watch stream."""
+"""Executes the orders of control concurrently with the watch stream."""
 
 __all__ = ["OrderRunner"]
 
@@ -15,13 +15,13 @@
 
 
 class OrderRunner:
-    """Runs each order in a task of its own, since a weight load takes long.
+    """Runs each order in its own task, because loading weights takes long.
 
-    Orders are declarative and fenced, so neither their order of arrival nor a
-    repetition matters here: the one who carries them out compares their numbers.
+    Orders are declarative and fenced, so reordered and repeated orders need no handling
+    here: ``on_order`` compares their fencing numbers.
 
     Args:
-        on_order: Carries out an order.
+        on_order: Executes an order.
         send: Sends a message on the attached stream.
     """
 
@@ -36,11 +36,11 @@
         self._tasks: set[asyncio.Task] = set()
 
     def start(self, order: wire.Order) -> None:
-        """Begin an order; its result is sent when it ends.
+        """Start an order; its result is sent when it finishes.
 
         Args:
-            order: The order; refused as ``OVERLOADED`` when too many are in
-                progress, so that control pushes it again.
+            order: The order; refused as ``OVERLOADED`` if too many are in progress, so
+                that control sends it again.
         """
         if len(self._tasks) >= MAX_CONCURRENT_ORDERS:
             message = f"{len(self._tasks)} orders in progress"
--- a/wigeonscale/membership/submitter.py
+++ b/wigeonscale/membership/submitter.py
@@ -1,4 +1,4 @@
-"""Submits commands to the leader over one open stream."""
+"""Submits commands to the leader over a single stream."""
 
 __all__ = ["Submitter"]
 
@@ -18,7 +18,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-# A stream with a command waiting and no answer for this long counts as silent.
+# A stream with pending commands and no reply for this time counts as silent.
 SILENCE_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
 BACKOFF_BASE_S = 0.02
@@ -28,11 +28,11 @@
 
 
 class _StreamLostError(Exception):
-    """The stream ended; whether the command was taken is not known."""
+    """The stream ended; it is not known whether the command was received."""
 
 
 class _Attempt:
-    """One command over all its attempts."""
+    """A command with its state over all attempts."""
 
     def __init__(self, *, command: wire.Command):
         self.command = command
@@ -44,7 +44,7 @@
 
 
 class _Stream:
-    """One open Submit stream with the commands that wait on it."""
+    """An open Submit stream with its pending commands."""
 
     def __init__(self, *, address: str, channel: grpc.aio.Channel, clock: Clock):
         self.address = address
@@ -105,18 +105,19 @@
         finally:
             for fut in self._pending.values():
                 if not fut.done():
-                    # No exception: a command that is still being written does not
-                    # look at it.
+                    # A result rather than an exception: a command that is still being
+                    # written does not await the future, and asyncio would log an
+                    # exception that was never retrieved.
                     fut.set_result(None)
 
 
 class Submitter:
-    """Submits commands, many at a time, and follows the leader.
+    """Submits commands concurrently and follows changes of the leader.
 
     Args:
         addresses: Replicas' addresses.
         clock: Clock of this process.
-        rng: Source of jitter.
+        rng: Random source for jitter and for the order of the addresses.
         tls: Files for mutual TLS; None for plain TCP.
     """
 
@@ -138,7 +139,7 @@
         self._closed = False
 
     def follow_addresses(self, addresses: Sequence[str]) -> None:
-        """Ask these replicas from now on.
+        """Replace the addresses of the replicas.
 
         Args:
             addresses: gRPC addresses of all replicas.
@@ -151,20 +152,20 @@
     ) -> wire.CommandResult:
         """Submit one command and return its result.
 
-        The command keeps one operation id over all resends, so that it takes
-        effect at most once.
+        The command keeps its operation id over all retries, so that it takes effect at
+        most once.
 
         Args:
             command: The command; an empty operation id is filled in.
-            timeout_s: Limit of all attempts together, in seconds.
+            timeout_s: Timeout of all attempts together, in seconds.
 
         Returns:
-            The result; for a claim that was not granted, the standing record.
+            The result; for a claim that was not granted, the existing record.
 
         Raises:
-            WigeonscaleError: The command's own error, or ``NO_QUORUM`` when no
-                leader answered in time: run state ``NOT_RUN`` only when no replica
-                can have taken the command, else ``UNKNOWN``.
+            WigeonscaleError: The error of the command, or ``NO_QUORUM`` if no leader
+                answered in time, with run state ``NOT_RUN`` if no replica can have
+                accepted the command and ``UNKNOWN`` otherwise.
         """
         if not command.operation_id:
             command.operation_id = uuid.uuid4().hex
@@ -179,7 +180,7 @@
         return result
 
     async def close(self) -> None:
-        """Close the stream; commands in flight end as lost."""
+        """Close the stream; pending commands fail."""
         self._closed = True
         if self._stream is not None:
             await self._stream.close()
@@ -251,11 +252,11 @@
         return True
 
     async def _switch_to_next(self, stream: _Stream) -> None:
-        """Leave a stream for the next replica."""
+        """Close a stream and continue with the next replica."""
         await self._switch_to(stream, self._address_after(stream.address))
 
     async def _switch_to_leader(self, stream: _Stream, leader: str) -> None:
-        """Leave a replica that does not lead for the one that it names."""
+        """Close a stream to a follower and continue with the leader it names."""
         await self._switch_to(stream, leader or self._address_after(stream.address))
 
     async def _switch_to(self, stream: _Stream, target: str) -> None:
--- a/wigeonscale/membership/suspicion_throttle.py
+++ b/wigeonscale/membership/suspicion_throttle.py
@@ -1,4 +1,4 @@
-"""Keeps one silent backend server from being told to control again and again."""
+"""Limits how often the same silent agent is reported to control."""
 
 __all__ = ["SuspicionThrottle"]
 
@@ -9,11 +9,11 @@
 
 
 class SuspicionThrottle:
-    """What was told of agents that do not answer.
+    """Drops repeated reports of the same suspicion.
 
     Args:
-        clock: Clock port.
-        min_interval_s: Shortest time between two equal messages, in seconds.
+        clock: Clock of this process.
+        min_interval_s: Shortest time between two reports of a suspicion, in seconds.
     """
 
     def __init__(self, *, clock: Clock, min_interval_s: float):
@@ -24,16 +24,17 @@
     def message(
         self, agent_id: str, incarnation: int, *, is_hint: bool
     ) -> wire.WatchRequest | None:
-        """Return the message to send, or None where it was told just now.
+        """Return the message to send, or None if it was sent recently.
 
         Args:
             agent_id: The silent agent.
-            incarnation: The incarnation that was asked.
-            is_hint: Whether others are to blame as likely.
+            incarnation: The incarnation that was called.
+            is_hint: Whether other processes are equally likely to be at fault.
         """
         key = (agent_id, incarnation, is_hint)
         now = self._clock.now()
-        # Many requests may miss one agent at once; one word a heartbeat is enough.
+        # Many requests may fail on one agent at the same time; one report per interval
+        # is enough.
         if now - self._sent_at.get(key, float("-inf")) < self._min_interval_s:
             return None
         if len(self._sent_at) >= MAX_TRACKED_SUSPICIONS:
--- a/wigeonscale/membership/timeouts.py
+++ b/wigeonscale/membership/timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts by the clock port."""
+"""Timeouts measured by the clock port."""
 
 __all__ = ["with_timeout"]
 
@@ -14,21 +14,21 @@
 async def with_timeout(
     clock: Clock, seconds: float, coro: Coroutine[object, object, T]
 ) -> T:
-    """Await a coroutine for a limited time.
+    """Await a coroutine with a timeout.
 
     Args:
-        clock: Clock that measures the limit.
-        seconds: The limit.
-        coro: What to await; cancelled when the limit passes.
+        clock: Clock that measures the timeout.
+        seconds: The timeout.
+        coro: The coroutine; cancelled at the timeout.
 
     Returns:
-        What the coroutine returned.
+        The result of the coroutine.
 
     Raises:
-        TimeoutError: If the limit passed first.
+        TimeoutError: If the coroutine did not finish in time.
 
     Notes:
-        Costs two tasks, so it is meant for commands and not for tokens.
+        Creates two tasks, so it is meant for commands and not for single tokens.
     """
     work = asyncio.create_task(coro)
     timer = asyncio.create_task(clock.sleep(seconds))
--- a/wigeonscale/membership/watch_state.py
+++ b/wigeonscale/membership/watch_state.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and how freshly it was confirmed."""
+"""State received from control: configuration, lease and numbered document."""
 
 __all__ = ["Change", "WatchState"]
 
@@ -19,7 +19,7 @@
 
 
 class Change(enum.StrEnum):
-    """What a value of ``changes`` says has changed."""
+    """Kind of change that ``changes`` emits."""
 
     DOCUMENT = "document"
     MEMBERS = "members"
@@ -28,19 +28,19 @@
 
 
 class WatchState:
-    """Takes in updates and grants from any connection, and tells the changes.
+    """Applies updates and lease grants from any connection and emits changes.
 
     Attributes:
-        changes: Subject of :class:`Change`, after the change is in force here.
-        configuration: The configuration in force.
-        lease: How long it may be acted on.
-        entries: Entries attached to control as last told; 0 before.
+        changes: Subject of :class:`Change`; emits after the change was applied.
+        configuration: The applied configuration.
+        lease: Freshness lease; the state may be acted on while it is valid.
+        entries: Last reported number of entries attached to control; 0 before.
         numbered_document: Document with the highest number received so far.
 
     Args:
         clock: Clock of this process.
-        lease_s: Time of the freshness lease, in seconds.
-        metrics: Where lease and revision are shown.
+        lease_s: Duration of the freshness lease, in seconds.
+        metrics: Metrics of lease and revision.
     """
 
     def __init__(self, *, clock: Clock, lease_s: float, metrics: Metrics):
@@ -56,20 +56,20 @@
 
     @property
     def known_revision(self) -> int:
-        """Revision to ask deltas from; 0 asks for the whole document."""
+        """Base revision for deltas; 0 requests the whole document."""
         return 0 if self._needs_full_document else self.configuration.revision
 
     async def apply_config(
         self, update: wire.ConfigUpdate, address: str
     ) -> DisconnectCause | None:
-        """Put an update in force if it is newer and fits.
+        """Apply a configuration update if it is newer and matches.
 
         Args:
             update: The update.
-            address: Replica that sent it, for the log.
+            address: Address of the replica that sent it, for the log.
 
         Returns:
-            Why its connection must end, or None.
+            Why the connection must be closed, or None.
         """
         async with self._config_lock:
             result = await self.configuration.apply(update)
@@ -89,14 +89,15 @@
     def apply_grant(
         self, grant: wire.LeaseGrant, last_sent_us: int
     ) -> DisconnectCause | None:
-        """Take a lease grant into account.
+        """Apply a lease grant.
 
         Args:
             grant: The grant.
-            last_sent_us: Latest heartbeat sent on its connection, microseconds.
+            last_sent_us: Send time of the latest heartbeat on its connection, in
+                microseconds.
 
         Returns:
-            Why its connection must end, or None.
+            Why the connection must be closed, or None.
         """
         revision = self.configuration.revision
         if grant.revision < revision:
@@ -109,7 +110,7 @@
         return None
 
     def apply_numbered_document(self, document: wire.NumberedDocument) -> None:
-        """Put a numbered document in force if its number is higher.
+        """Store a numbered document if its number is higher.
 
         Args:
             document: The document, from any replica.
@@ -122,7 +123,7 @@
         self.emit(Change.NUMBERED_DOCUMENT)
 
     def update_lease(self) -> None:
-        """Tell the subscribers when the lease began or ran out."""
+        """Emit a change if the lease became valid or expired."""
         is_valid = self.lease.is_valid()
         if is_valid == self._lease_was_valid:
             return
@@ -133,7 +134,7 @@
         self.emit(Change.LEASE)
 
     def emit(self, change: Change) -> None:
-        """Tell the subscribers of a change; their failures stay theirs.
+        """Emit a change; exceptions of subscribers are logged and not raised.
 
         Args:
             change: What has changed.
--- a/wigeonscale/membership/watcher.py
+++ b/wigeonscale/membership/watcher.py
@@ -1,4 +1,4 @@
-"""Keeps one good watch connection, opening a second when the first goes quiet."""
+"""Maintains a watch connection and fails over to another replica if needed."""
 
 __all__ = ["Watcher"]
 
@@ -14,14 +14,15 @@
 from wigeonscale.membership.lease import Lease
 from wigeonscale.ports import Clock
 
-# Heartbeats without an answer after which a connection counts as silent. With those
-# of a second one that is silent too, and the reviews between, they stay below the
-# heartbeats in a lease: see ``HEARTBEATS_PER_LEASE`` of the settings.
+# Time without an answered heartbeat, in heartbeats, after which the attached connection
+# counts as silent. The sum of this, of CANDIDATE_TIMEOUT_HEARTBEATS and of the check
+# intervals between them must stay below the length of a lease, which is at least
+# HEARTBEATS_PER_LEASE of the settings.
 SILENCE_TIMEOUT_HEARTBEATS = 2.5
-# A new connection is asked for less patience, since a lease is running out.
+# The same for a candidate; shorter, because the lease is about to expire.
 CANDIDATE_TIMEOUT_HEARTBEATS = 2
-# Share of the lease without confirmation after which another replica is tried,
-# though the current one answers. A leader change takes less than this.
+# Fraction of the lease without confirmation after which another replica is tried even
+# though the attached one answers. A leader election takes less time than this.
 UNCONFIRMED_LEASE_FRACTION = 2 / 3
 UNCONFIRMED_JITTER_FRACTION = 1 / 6
 CHECKS_PER_HEARTBEAT = 4
@@ -30,25 +31,26 @@
 
 
 class Watcher:
-    """Opens watch connections and decides which of them is the attached one.
+    """Opens watch connections and selects the attached one.
 
-    At most two are open: the attached one, and a candidate that is tried when
-    there is none or when it is silent or unconfirmed. The candidate takes over
-    with the first grant that lengthens the lease.
+    At most two connections are open: the attached one, and a candidate. A candidate is
+    opened if there is no attached connection, or if that one is silent or does not
+    extend the lease. The candidate becomes the attached connection with the first grant
+    that extends the lease.
 
     Attributes:
-        attached: The connection in use, or None.
+        attached: The connection in use; None if there is none.
 
     Args:
-        addresses: Replicas' addresses.
+        addresses: Addresses of the control replicas.
         clock: Clock of this process.
-        rng: Source of jitter and of the order in which replicas are tried.
-        lease: Lease that grants lengthen.
-        lease_s: Time of the lease, in seconds.
+        rng: Random source for jitter and for the order in which replicas are tried.
+        lease: Lease that grants extend.
+        lease_s: Duration of the lease, in seconds.
         heartbeat_s: Interval of heartbeats, in seconds.
         open_connection: Returns a new connection to an address.
-        on_attached: Called with each connection that takes over.
-        metrics: Where connections are counted.
+        on_attached: Called with each connection that becomes the attached one.
+        metrics: Metrics of reconnects.
         reconnect_cap_s: Longest wait between two attempts, in seconds.
     """
 
@@ -86,10 +88,10 @@
         self._wake = asyncio.Event()
 
     def follow_addresses(self, addresses: Sequence[str]) -> None:
-        """Try these replicas from now on, the members as a replica told them.
+        """Replace the replicas to try by the members that a replica reported.
 
         Args:
-            addresses: All of them; the order in which they are tried is kept.
+            addresses: Addresses of all replicas; known ones keep their order.
         """
         if set(addresses) == set(self._addresses):
             return
@@ -99,15 +101,15 @@
         self._addresses = [*kept, *added]
 
     def add_addresses(self, addresses: Sequence[str]) -> None:
-        """Try these replicas too, until a grant names the members.
+        """Add replicas to try until a grant names the members.
 
         Args:
-            addresses: Some replicas.
+            addresses: Addresses of further replicas.
         """
         self._addresses = list(dict.fromkeys([*self._addresses, *addresses]))
 
     async def run(self) -> None:
-        """Keep connections until cancelled."""
+        """Maintain connections until the task is cancelled."""
         ticker = asyncio.create_task(self._tick())
         try:
             while True:
@@ -121,16 +123,16 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def note_confirmation(self, conn: WatchConnection) -> None:
-        """Note that a grant on this connection lengthened the lease.
+        """Record that a grant on a connection extended the lease.
 
         Args:
-            conn: The connection; it takes over if it is the candidate and has
-                told its members.
+            conn: The connection; a candidate that has received its members becomes the
+                attached connection.
         """
         if conn is self.attached:
             self._next_attempt_at = min(self._next_attempt_at, self._clock.now())
-            # Not at once, so that a replica that fails again and again is not
-            # asked again and again.
+            # Reset only after a full lease, so that a replica that fails repeatedly
+            # is not retried without backoff.
             if self._clock.now() > conn.opened_at + self._lease_s:
                 self._backoff.reset()
         if conn is self._candidate and conn.members is not None:
@@ -207,8 +209,8 @@
             self._candidate = None
         wait_s = self._backoff.next_wait()
         if self.attached is not None and not self._is_silent():
-            # The attached replica heals by itself after a leader change; all its
-            # watchers asking the others meanwhile would only load these.
+            # The attached replica recovers by itself after a leader change. Until then,
+            # connections of all its watchers would only add load to the others.
             wait_s += self._lease_s
         self._next_attempt_at = self._clock.now() + wait_s
 
--- a/wigeonscale/state/__init__.py
+++ b/wigeonscale/state/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated control state and its commands."""
+"""Replicated state machine of the control plane and its commands."""
 
 __all__ = [
     "Change",
--- a/wigeonscale/state/chains.py
+++ b/wigeonscale/state/chains.py
@@ -1,4 +1,4 @@
-"""Pipeline replicas: their stages, epochs and whether they are ready."""
+"""Pipeline replicas (chains): their stages, epochs and readiness."""
 
 __all__ = ["Chains"]
 
@@ -14,14 +14,14 @@
 
 
 class Chains:
-    """Chains in force, and successors that wait until they are ready.
+    """Active chains, and successors that are not ready yet.
 
-    A changed chain takes force at once unless the chain before it still works:
-    then it waits as its successor until its engines have loaded their layers, so
-    that a planned replacement interrupts no request.
+    A new version of a chain becomes active immediately unless the active version is
+    still ready. In that case it is kept as the successor until its engines have loaded
+    their layers, so that a planned replacement interrupts no request.
 
     Args:
-        members: The announced backend servers; consulted, never changed.
+        members: The announced backend servers; only read.
     """
 
     def __init__(self, *, members: Members):
@@ -38,45 +38,49 @@
         return len(self._chains)
 
     def get(self, chain_id: str) -> wire.Chain | None:
-        """Return the chain in force under an id, or None.
+        """Return the active chain with an id, or None.
 
         Args:
             chain_id: Id of the chain.
 
         Returns:
-            The chain itself, not to be changed.
+            The stored chain; callers must not modify it.
         """
         return self._chains.get(chain_id)
 
     def planned(self) -> list[wire.Chain]:
-        """Return each chain as placement last wanted it, sorted by id."""
+        """Return each chain as last planned by placement, sorted by id.
+
+        A successor stands in for its active chain.
+        """
         return [
             self._successors.get(chain_id, chain)
             for chain_id, chain in sorted(self._chains.items())
         ]
 
     def chains_of_agent(self, agent_id: str) -> list[wire.Chain]:
-        """Return the planned chains that an agent is a stage of.
+        """Return the planned chains that have a stage on an agent.
 
         Args:
             agent_id: Name of the backend server.
 
         Returns:
-            Usually one chain or none.
+            Usually zero or one chain.
         """
         ids = self._by_agent.get(agent_id, ())
         planned = [self._successors.get(i, self._chains[i]) for i in ids]
         return [chain for chain in planned if _stage_of(chain, agent_id) is not None]
 
     def is_loaded(self, chain: wire.Chain, stage: wire.Stage) -> bool:
-        """Return whether a stage's engine holds what the chain needs.
+        """Return whether the engine of a stage has loaded what the chain needs.
 
         Args:
             chain: The chain of the stage.
             stage: One of its stages.
 
         Returns:
-            True if the incarnation is announced with layers, version and adapter.
+            True if the stage's incarnation is announced with the model, layers, version
+            and adapter of the chain.
         """
         member = self._members.get(stage.agent_id)
         if member is None or member.backend.incarnation != stage.incarnation:
@@ -93,17 +97,17 @@
     def place(
         self, command: wire.PlaceChains, now_ms: int
     ) -> tuple[wire.CommandResult, set[str]]:
-        """Carry out a plan as a whole, or refuse it as a whole.
+        """Apply a plan atomically: all of it or nothing.
 
-        A retired chain that is ready stays, so that its work can end; any other is
-        removed at once.
+        A retired chain that is ready is kept as retiring, so that its requests can
+        finish. Any other retired chain is removed immediately.
 
         Args:
             command: New, changed, retired and removed chains.
-            now_ms: Time of the state, in milliseconds.
+            now_ms: Time of the state machine, in milliseconds.
 
         Returns:
-            The result, and the ids of chains that watchers see change.
+            The result, and the ids of chains that changed for watchers.
         """
         retiring_ids = {i for i in command.retired if self._is_serving(i)}
         removed_ids = (set(command.removed) | set(command.retired)) - retiring_ids
@@ -123,13 +127,13 @@
         return done(), changed_ids
 
     def refresh(self, agent_id: str) -> set[str]:
-        """Derive readiness again after a change of one agent.
+        """Recompute readiness after a change of one agent.
 
         Args:
-            agent_id: Name of the backend server that changed or went.
+            agent_id: Name of the backend server that changed or was removed.
 
         Returns:
-            Ids of chains that watchers see change.
+            Ids of chains that changed for watchers.
         """
         ids = list(self._by_agent.get(agent_id, ()))
         return {chain_id for chain_id in ids if self._refresh(chain_id)}
@@ -180,7 +184,7 @@
         return latest.epoch
 
     def _set(self, chain):
-        """Return whether watchers see a change."""
+        """Store a chain and return whether it became active."""
         chain_id = chain.chain_id
         chain = _copy(chain, ready=self._is_ready(chain))
         current = self._chains.get(chain_id)
@@ -199,7 +203,10 @@
         return not is_deferred
 
     def _can_serve_until_ready(self, current, successor):
-        """Say whether the current chain goes on working until the successor does."""
+        """Return whether the current chain can serve until the successor is ready.
+
+        It cannot if the successor needs other layers of one of its engines.
+        """
         if not self._is_ready(current):
             return False
         current_stages = {s.agent_id: s for s in current.stages}
@@ -274,7 +281,7 @@
                     self._by_agent.pop(stage.agent_id, None)
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
-        """Write everything into a snapshot.
+        """Write the contents to a snapshot.
 
         Args:
             snapshot: Message to fill in.
@@ -285,7 +292,7 @@
         snapshot.used_chain_ids.extend(self._used_ids)
 
     def load(self, snapshot: wire.StateSnapshot) -> None:
-        """Replace everything by what a snapshot holds.
+        """Replace the contents by those of a snapshot.
 
         Args:
             snapshot: Message filled by :meth:`save`.
--- a/wigeonscale/state/change.py
+++ b/wigeonscale/state/change.py
@@ -1,4 +1,4 @@
-"""What one command changed for those who watch the state."""
+"""Notification of what one command changed, for subscribers of the state."""
 
 __all__ = ["Change"]
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What one command changed for those who watch the state.
+    """What one command changed in the state.
 
     Attributes:
         index: Log index of the command.
-        backends: Agents whose backend changed, came or went.
-        chains: Chains that changed, came or went.
-        configuration: Whether there is a new revision.
-        document: Whether there is a new numbered document.
-        crashes: Whether a record of crashes changed.
-        is_restore: The whole state was replaced by a snapshot.
+        backends: Ids of agents whose backend was added, changed or removed.
+        chains: Ids of chains that were added, changed or removed.
+        configuration: Whether a new configuration revision was accepted.
+        document: Whether a new numbered document was accepted.
+        crashes: Whether a crash record changed.
+        is_restore: Whether the whole state was replaced by a snapshot.
     """
 
     index: int
@@ -29,5 +29,5 @@
 
     @property
     def affects_members(self) -> bool:
-        """Whether backends or chains changed."""
+        """Whether backends or chains may have changed."""
         return bool(self.backends or self.chains or self.is_restore)
--- a/wigeonscale/state/claims.py
+++ b/wigeonscale/state/claims.py
@@ -1,4 +1,4 @@
-"""Claims of requests that must not run twice."""
+"""Claims on idempotency keys, for requests that must run at most once."""
 
 __all__ = ["Claims"]
 
@@ -13,23 +13,24 @@
 
 
 class Claims:
-    """Records by organisation and idempotency key, oldest change first.
+    """Claim records by organisation and idempotency key, oldest change first.
 
     Notes:
-        Records are kept serialised, which is small and makes snapshots cheap.
-        Ending an incarnation costs its own claims only.
+        Records are kept serialised, which saves memory and makes snapshots cheap.
+        Ending an incarnation costs time in proportion to its own claims only.
     """
 
     def __init__(self):
         self._records: OrderedDict[tuple[str, str], bytes] = OrderedDict()
-        # Claims in progress by (agent, incarnation); dicts keep a stable order.
+        # Claims in progress by (agent, incarnation). Dicts rather than sets, so that
+        # the order is the same on every replica.
         self._in_progress: dict[tuple[str, int], dict[tuple[str, str], None]] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     def find(self, organisation: str, key: str) -> wire.ClaimRecord | None:
-        """Return the standing record of a key, or None.
+        """Return the record of a key, or None.
 
         Args:
             organisation: Name of the organisation.
@@ -48,8 +49,9 @@
             claim: The new claim.
 
         Returns:
-            Granted if it is the same dispatch, the standing record otherwise, or
-            ``IDEMPOTENCY_KEY_REUSED`` for another request under the same key.
+            Granted if the claim in progress is of the same dispatch, otherwise the
+            existing record; ``IDEMPOTENCY_KEY_REUSED`` for a different request under
+            the same key.
         """
         record = self.find(claim.organisation, claim.key)
         if record is None:
@@ -65,11 +67,11 @@
         )
 
     def add(self, claim: wire.Claim, wall_ms: int) -> wire.CommandResult:
-        """Record a claim whose key is free.
+        """Record a claim on a key that is not claimed.
 
         Args:
             claim: The new claim.
-            wall_ms: Time inside the state, in milliseconds.
+            wall_ms: Time of the state machine, in milliseconds.
 
         Returns:
             The new record, granted.
@@ -79,15 +81,15 @@
         return done(claim=record, granted=True)
 
     def end(self, outcome: wire.Outcome, wall_ms: int) -> wire.CommandResult:
-        """Release a claim that never ran, or record how it ended.
+        """Release the claim of a request that did not run, or record its outcome.
 
         Args:
-            outcome: Names the claim and its dispatch.
-            wall_ms: Time inside the state, in milliseconds.
+            outcome: The outcome, with the key and the dispatch of its claim.
+            wall_ms: Time of the state machine, in milliseconds.
 
         Returns:
-            The record standing afterwards, if any; ``BAD_REQUEST`` for an outcome
-            that is none.
+            The record after the call, if any; ``BAD_REQUEST`` for a state that is not
+            final.
         """
         if not outcome.not_run and outcome.state not in _FINAL_STATES:
             return refused(
@@ -109,12 +111,12 @@
         return done(claim=ended)
 
     def end_incarnation(self, agent_id: str, incarnation: int, wall_ms: int) -> None:
-        """Make the claims in progress at an incarnation unknown for good.
+        """Set the claims in progress at an incarnation to the final state UNKNOWN.
 
         Args:
             agent_id: Name of the backend server.
             incarnation: The incarnation that ended.
-            wall_ms: Time inside the state, in milliseconds.
+            wall_ms: Time of the state machine, in milliseconds.
         """
         for record_key in list(self._in_progress.get((agent_id, incarnation), ())):
             record = self.find(*record_key)
@@ -124,7 +126,7 @@
             self._insert(record)
 
     def expire(self, before_wall_ms: int) -> None:
-        """Forget every claim last changed before a time.
+        """Remove every claim last changed before a time.
 
         Args:
             before_wall_ms: Time in milliseconds.
@@ -136,18 +138,18 @@
             self._remove(record)
 
     def oldest_wall_ms(self) -> int | None:
-        """Return the time of the oldest record in milliseconds, or None."""
+        """Return the time of the least recent change in milliseconds, or None."""
         return self._oldest().wall_ms if self._records else None
 
     def save(self) -> list[bytes]:
-        """Return every record for a snapshot, serialised, oldest first."""
+        """Return every record, serialised, least recently changed first."""
         return list(self._records.values())
 
     def load(self, records: Iterable[bytes]) -> None:
-        """Replace everything by the records of a snapshot.
+        """Replace the contents by the records of a snapshot.
 
         Args:
-            records: Serialised, oldest first.
+            records: Serialised, in the order of :meth:`save`.
         """
         self._records.clear()
         self._in_progress.clear()
--- a/wigeonscale/state/configuration.py
+++ b/wigeonscale/state/configuration.py
@@ -1,4 +1,4 @@
-"""The accepted configuration: document, revision and a bounded history."""
+"""Accepted configuration: rules document, revision and bounded history."""
 
 __all__ = ["HISTORY_LIMIT", "Configuration", "Revision"]
 
@@ -20,20 +20,22 @@
 
 logger = logging.getLogger(__name__)
 
-# Half an hour of changes at 46,000 a day; a watcher away for longer gets it all.
+# About half an hour at 46,000 changes a day. A watcher that was disconnected for longer
+# gets the whole document.
 HISTORY_LIMIT = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Revision:
-    """One accepted change.
+    """One accepted change of the configuration.
 
     Attributes:
         number: Revision after the change.
         wall_ms: Wall time of the command, in milliseconds.
-        operator: Who asked for it.
+        operator: Name of the operator who requested it.
         changes: Changed sections, relative to the revision before.
-        document: Document after the change; shares unchanged sections.
+        document: Document after the change; shares unchanged sections with the one
+            before.
     """
 
     number: int
@@ -45,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PreparedChange:
-    """What a command makes of a document, worked out before it is applied."""
+    """Result of a command, computed before the command is applied."""
 
     base: Document
     command: wire.ApplyConfig
@@ -54,7 +56,7 @@
 
 
 class Configuration:
-    """The document in force and how it came about.
+    """The current document and the recent revisions that led to it.
 
     Args:
         history_limit: Revisions kept for watchers and for rollback.
@@ -69,12 +71,12 @@
 
     @property
     def revision(self) -> int:
-        """Number of the revision in force; 0 before the first."""
+        """Number of the current revision; 0 before the first."""
         return self._history[-1].number if self._history else self._base_revision
 
     @property
     def document(self) -> Document:
-        """Document in force."""
+        """Current document."""
         return self._history[-1].document if self._history else self._base_document
 
     @property
@@ -84,11 +86,11 @@
 
     @property
     def oldest_base_revision(self) -> int:
-        """Oldest revision from which :meth:`after` can lead on."""
+        """Oldest revision that :meth:`after` accepts."""
         return self._base_revision
 
     def after(self, revision: int) -> list[Revision]:
-        """Return the revisions that follow one which is still known.
+        """Return the revisions that follow a given one.
 
         Args:
             revision: At least :attr:`oldest_base_revision`.
@@ -106,7 +108,7 @@
             revision: Revision number.
 
         Returns:
-            The document as it stood, or None.
+            The document at that revision, or None.
         """
         if revision == self._base_revision:
             return self._base_document
@@ -116,18 +118,19 @@
         return None
 
     def changes_from_empty(self) -> list[wire.SectionChange]:
-        """Return the changes that make the document in force out of nothing."""
+        """Return the changes that turn an empty document into the current one."""
         return diff_documents(EMPTY_DOCUMENT, self.document)
 
     def preparation(self, command: wire.ApplyConfig) -> Callable[[], None] | None:
-        """Return work for a thread that makes a later :meth:`apply` short.
+        """Return a function that does most of a later :meth:`apply` in a thread.
 
         Args:
             command: The command that will be applied.
 
         Returns:
-            A function that reads the command's sections and changes nothing else;
-            None where that is done, or the command made from another revision.
+            A function that parses the command's sections and stores the result for
+            :meth:`apply`; None if that has been done already or the command is based
+            on another revision.
         """
         base = self.document
         if command.base_revision != self.revision or self._is_prepared(command):
@@ -146,12 +149,12 @@
     def set_prepared(
         self, command: wire.ApplyConfig, base: Document, document: Document
     ) -> None:
-        """Keep a document that is known to come of a command.
+        """Store the known result of a command for a later :meth:`apply`.
 
         Args:
             command: Sections changed from ``base`` to ``document``.
-            base: The document that the command was made from.
-            document: What it makes.
+            base: The document that the command is based on.
+            document: The document after the command.
         """
         changes = tuple(command.changes)
         self._prepared = _PreparedChange(base, command, document, changes)
@@ -165,10 +168,10 @@
         )
 
     def apply(self, command: wire.ApplyConfig, wall_ms: int) -> wire.CommandResult:
-        """Make a new revision if the command was made from the one in force.
+        """Create a new revision if the command is based on the current one.
 
         Args:
-            command: Whole new document, or changed sections only.
+            command: The whole new document, or only the changed sections.
             wall_ms: Time of the command, in milliseconds.
 
         Returns:
@@ -208,7 +211,7 @@
             self._base_document = oldest.document
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
-        """Write everything into a snapshot.
+        """Write the contents to a snapshot.
 
         Args:
             snapshot: Message to fill in.
@@ -224,7 +227,7 @@
             )
 
     def load(self, snapshot: wire.StateSnapshot) -> None:
-        """Replace everything by what a snapshot holds.
+        """Replace the contents by those of a snapshot.
 
         Args:
             snapshot: Message filled by :meth:`save`.
@@ -244,7 +247,7 @@
 
 
 def _build_document(base, command):
-    """Return the document that a command makes, and the changes to it."""
+    """Return the document after a command, and its changes to ``base``."""
     if command.changes and command.document:
         raise SettingsError("both a document and changes given; give one")
     if command.changes:
--- a/wigeonscale/state/crash_records.py
+++ b/wigeonscale/state/crash_records.py
@@ -1,4 +1,4 @@
-"""Requests under which backend servers ended, as control replicas agree on them."""
+"""Replicated records of which requests were running when backend servers crashed."""
 
 __all__ = ["CrashRecords"]
 
@@ -17,29 +17,30 @@
 
 
 class CrashRecords:
-    """Which backend servers ended under which request.
+    """Backend servers that crashed, by the fingerprint of the request they ran.
 
     Attributes:
         index: Log index of the newest change; 0 before any.
 
     Notes:
-        Forgetting depends on commands only, so that all replicas forget alike. A
-        record that was cleared is kept, empty, for watchers that do not know it yet.
+        Eviction depends on commands only, so that it is the same on all replicas. A
+        cleared record is kept with no backends until it expires, so that watchers
+        learn that it was cleared.
     """
 
     def __init__(self):
         self.index = 0
-        # In the order of their last change, the newest last.
+        # Ordered by last change, newest last.
         self._records: OrderedDict[bytes, wire.CrashRecord] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._records)
 
     def record(self, found: wire.RecordCrashes, *, index: int, now_ms: int) -> bool:
-        """Take in what an entry found.
+        """Apply the findings of an entry.
 
         Args:
-            found: Crashes, and requests that ran without one.
+            found: New crashes, and fingerprints of requests that ran without one.
             index: Log index of the command.
             now_ms: Largest wall time of any command so far, in milliseconds.
 
@@ -57,10 +58,10 @@
         return has_changed
 
     def after(self, index: int) -> list[wire.CrashRecord]:
-        """Return the records that changed after a log index, the oldest first.
+        """Return the records that changed after a log index, oldest change first.
 
         Args:
-            index: What a watcher holds; 0 for nothing.
+            index: Log index up to which the caller knows the records; 0 for none.
         """
         changed = []
         for record in reversed(self._records.values()):
@@ -118,7 +119,7 @@
             del self._records[next_to_evict(counts)]
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
-        """Write everything into a snapshot.
+        """Write the contents to a snapshot.
 
         Args:
             snapshot: Message to fill in.
@@ -126,10 +127,10 @@
         snapshot.crashes.extend(self._records.values())
 
     def load(self, records: Iterable[wire.CrashRecord]) -> None:
-        """Replace everything by the records of a snapshot.
+        """Replace the contents by the records of a snapshot.
 
         Args:
-            records: In the order of their last change.
+            records: Ordered by last change, newest last.
         """
         self._records.clear()
         for record in records:
--- a/wigeonscale/state/entries.py
+++ b/wigeonscale/state/entries.py
@@ -1,4 +1,4 @@
-"""Entries attached to control, over all replicas."""
+"""Entries attached to any control replica."""
 
 __all__ = ["Entries"]
 
@@ -6,10 +6,10 @@
 
 
 class Entries:
-    """Which control replica each entry is attached to.
+    """The control replica that each entry is attached to.
 
-    An entry stands here once, with the replica that named it last, so that one
-    which moves between replicas is never counted twice.
+    An entry is recorded once, with the replica that reported it last, so that an entry
+    that moves between replicas is not counted twice.
     """
 
     def __init__(self):
@@ -36,7 +36,7 @@
             replica: Node id of the control replica.
 
         Returns:
-            Their names, at a cost that grows with the number of all entries.
+            Their names. Takes time linear in the number of all entries.
         """
         return {entry for entry, at in self._replicas.items() if at == replica}
 
@@ -45,10 +45,10 @@
         return sorted(set(self._replicas.values()))
 
     def apply(self, command: wire.CountEntries) -> None:
-        """Take in what a replica found.
+        """Apply a report of one replica.
 
         Args:
-            command: Entries attached to it, and gone from it.
+            command: Entries that attached to the replica, and entries that left it.
         """
         for entry in command.gone:
             if self._replicas.get(entry) == command.replica:
@@ -57,7 +57,7 @@
             self._replicas[entry] = command.replica
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
-        """Write everything into a snapshot.
+        """Write the contents to a snapshot.
 
         Args:
             snapshot: Message to fill in.
@@ -67,7 +67,7 @@
             snapshot.entries.add(replica=replica, attached=attached)
 
     def load(self, snapshot: wire.StateSnapshot) -> None:
-        """Replace everything by what a snapshot holds.
+        """Replace the contents by those of a snapshot.
 
         Args:
             snapshot: Message filled by :meth:`save`.
--- a/wigeonscale/state/members.py
+++ b/wigeonscale/state/members.py
@@ -1,4 +1,4 @@
-"""Backend servers that announced themselves, and incarnations that ended."""
+"""Announced backend servers, and incarnations that have ended."""
 
 __all__ = ["Member", "Members"]
 
@@ -11,7 +11,7 @@
 from wigeonscale.state.results import done, refused
 from wigeonscale.wire import wire_pb2 as wire
 
-# 900 restarts a day for more than a month.
+# Enough for more than a month at 900 restarts a day.
 ENDED_LIMIT = 32_768
 
 
@@ -20,9 +20,10 @@
     """One backend server as announced.
 
     Attributes:
-        backend: What its agent announced, not to be changed.
+        backend: Announcement of its agent; must not be modified.
         replica: Control replica the agent is attached to.
-        sequence: Number of its announcement; 0 where they are not numbered.
+        sequence: Sequence number of the announcement; 0 if announcements are not
+            numbered.
     """
 
     backend: wire.Backend
@@ -31,7 +32,10 @@
 
 
 class Members:
-    """The announced backend servers, by the name of their agent."""
+    """Announced backend servers by agent id.
+
+    Also records ended incarnations and the drains set by operators.
+    """
 
     def __init__(self):
         self._members: dict[str, Member] = {}
@@ -54,7 +58,7 @@
             agent_id: Name of the backend server.
 
         Returns:
-            The member as announced; see :meth:`effective` for operators' drains.
+            The member as announced; :meth:`effective` adds drains by operators.
         """
         return self._members.get(agent_id)
 
@@ -69,16 +73,16 @@
             replica: Node id of the control replica.
 
         Returns:
-            Its members, at a cost that grows with their number only.
+            Its members. Takes time linear in their number.
         """
         return [self._members[i] for i in self._by_replica.get(replica, ())]
 
     def is_announced(self, agent_id: str, incarnation: int) -> bool:
-        """Return whether this very incarnation is announced.
+        """Return whether an incarnation is the one announced.
 
         Args:
             agent_id: Name of the backend server.
-            incarnation: Number made at the agent's start.
+            incarnation: Number that the agent chose at its start.
 
         Returns:
             True if it is announced and has not ended.
@@ -91,7 +95,7 @@
 
         Args:
             agent_id: Name of the backend server.
-            incarnation: Number made at the agent's start.
+            incarnation: Number that the agent chose at its start.
 
         Returns:
             True if it must not be announced again.
@@ -105,18 +109,18 @@
             agent_id: Name of the backend server.
 
         Returns:
-            True until an operator undoes it, also over restarts of the agent.
+            True until an operator undoes it; restarts of the agent do not clear it.
         """
         return agent_id in self._drained
 
     def effective(self, agent_id: str) -> wire.Backend | None:
-        """Return a backend as watchers shall see it, or None.
+        """Return a backend as shown to watchers, or None.
 
         Args:
             agent_id: Name of the backend server.
 
         Returns:
-            The announcement, draining if its agent or an operator says so.
+            The announcement, marked as draining if its agent or an operator drains it.
         """
         member = self._members.get(agent_id)
         if member is None:
@@ -131,15 +135,15 @@
     def announcement_error(
         self, backend: wire.Backend, sequence: int = 0
     ) -> wire.CommandResult | None:
-        """Return why an announcement is refused, or None if it is not.
+        """Return the error for an invalid or outdated announcement, or None.
 
         Args:
             backend: The announcement.
-            sequence: Its number; 0 where they are not numbered.
+            sequence: Its sequence number; 0 if announcements are not numbered.
 
         Returns:
-            ``BAD_REQUEST``, ``STALE_INCARNATION``, ``REVISION_CONFLICT`` for one
-            that a later one has overtaken, or None.
+            ``BAD_REQUEST``, ``STALE_INCARNATION``, ``REVISION_CONFLICT`` if a later
+            announcement of the incarnation was applied before, or None.
         """
         if not backend.agent_id or not backend.incarnation:
             return refused(
@@ -174,10 +178,10 @@
         return None
 
     def _stale_start_reason(self, backend: wire.Backend) -> str | None:
-        """Return why a backend's start is not the latest one, or None if it may be.
+        """Return why a backend's start is outdated, or None if it is not.
 
-        A heartbeat can come late, after the backend has started again under its name
-        or another one listens at its address.
+        A heartbeat may be delayed until after the backend has restarted, or until
+        another backend listens at its address.
         """
         name, started_ms = backend.agent_id, backend.started_ms
         if 0 < started_ms <= max(self._ended_by_agent.get(name, ()), default=0):
@@ -188,21 +192,21 @@
             return f"{name} started at {known_ms}, which is later than {started_ms}"
         for other, _ in self.others_at_address(backend):
             other_backend = self._members[other].backend
-            # One that does not say when it started follows one that fell silent.
+            # A backend without a start time may replace one that is silent.
             may_follow = other_backend.silent and not started_ms
             if started_ms < other_backend.started_ms and not may_follow:
                 return f"{other} at {backend.address} started later than {name}"
         return None
 
     def others_at_address(self, backend: wire.Backend) -> list[tuple[str, int]]:
-        """Return the members at a backend's address that go by another name.
+        """Return the members at a backend's address that have another name.
 
         Args:
-            backend: The announcement; without an address nobody is there.
+            backend: The announcement; without an address the result is empty.
 
         Returns:
-            Name and incarnation of each. An address belongs to one process, so they
-            have ended. Costs nothing for the members at other addresses.
+            Name and incarnation of each. Only one process can listen at an address,
+            so these have ended. Does not iterate over members at other addresses.
         """
         if not backend.address:
             return []
@@ -213,22 +217,22 @@
         ]
 
     def put(self, backend: wire.Backend, replica: str, sequence: int = 0) -> None:
-        """Record an announcement that was not refused.
+        """Store an announcement for which :meth:`announcement_error` is None.
 
         Args:
             backend: The announcement.
             replica: Control replica the agent is attached to.
-            sequence: Its number; 0 where they are not numbered.
+            sequence: Its sequence number; 0 if announcements are not numbered.
         """
         self._remove(backend.agent_id)
         self._insert(Member(backend, replica, sequence))
 
     def end(self, agent_id: str, incarnation: int) -> None:
-        """Declare an incarnation ended for good.
+        """Record that an incarnation has ended; it cannot be announced again.
 
         Args:
             agent_id: Name of the backend server.
-            incarnation: Number made at the agent's start.
+            incarnation: Number that the agent chose at its start.
         """
         if self.is_announced(agent_id, incarnation):
             self._remove(agent_id)
@@ -244,7 +248,7 @@
         """Set or clear an operator's drain.
 
         Args:
-            command: Names the backend server.
+            command: Name of the backend server, and whether to drain it.
 
         Returns:
             Done, or ``NOT_FOUND`` for a drain of an unknown backend server.
@@ -259,7 +263,7 @@
         return done()
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
-        """Write everything into a snapshot.
+        """Write the contents to a snapshot.
 
         Args:
             snapshot: Message to fill in.
@@ -275,7 +279,7 @@
         snapshot.drained.extend(sorted(self._drained))
 
     def load(self, snapshot: wire.StateSnapshot) -> None:
-        """Replace everything by what a snapshot holds.
+        """Replace the contents by those of a snapshot.
 
         Args:
             snapshot: Message filled by :meth:`save`.
@@ -308,7 +312,7 @@
 
 
 def _discard(index: dict[str, dict[str, None]], key: str, name: str) -> None:
-    """Take a name out of an index, and the key with its last one."""
+    """Remove a name from an index, and the key if no name is left."""
     names = index[key]
     del names[name]
     if not names:
--- a/wigeonscale/state/numbered_document.py
+++ b/wigeonscale/state/numbered_document.py
@@ -1,4 +1,4 @@
-"""A whole document under a number that its author gave it; the highest is in force."""
+"""Document that its author numbers; the highest number wins."""
 
 __all__ = ["LatestNumberedDocument"]
 
@@ -6,21 +6,22 @@
 
 
 class LatestNumberedDocument:
-    """The document in force and its number.
+    """The numbered document with the highest number so far.
 
-    Unlike the rules, whose revisions are counted here, the number comes from
-    outside. A document with the same or a lower number changes nothing, whatever it
-    holds, so that neither a resend nor an overtaken change takes anything back.
+    Unlike revisions of the rules, which control assigns, the number is assigned by the
+    author of the document. A document with the same or a lower number is ignored,
+    whatever its content, so that neither a retry nor a reordered update reverts a
+    newer one.
 
     Attributes:
-        number: Number of the document in force; 0 for none.
-        content: The document as it was sent, compressed.
+        number: Number of the document; 0 for none.
+        content: The document as sent, compressed.
 
     Example:
-        >>> held = Numbered()
-        >>> held.put(wire.NumberedDocument(number=7, content=b"a"))
+        >>> latest = LatestNumberedDocument()
+        >>> latest.put(wire.NumberedDocument(number=7, content=b"a"))
         True
-        >>> held.put(wire.NumberedDocument(number=7, content=b"b"))
+        >>> latest.put(wire.NumberedDocument(number=7, content=b"b"))
         False
     """
 
@@ -29,13 +30,13 @@
         self.content = b""
 
     def put(self, document: wire.NumberedDocument) -> bool:
-        """Take in a document if its number is higher.
+        """Store a document if its number is higher.
 
         Args:
             document: The document.
 
         Returns:
-            Whether it is in force now and was not before.
+            Whether it was stored.
         """
         if document.number <= self.number:
             return False
@@ -44,11 +45,11 @@
         return True
 
     def message(self) -> wire.NumberedDocument:
-        """Return the document in force as a message."""
+        """Return the document and its number as a message."""
         return wire.NumberedDocument(number=self.number, content=self.content)
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
-        """Write everything into a snapshot.
+        """Write the contents to a snapshot.
 
         Args:
             snapshot: Message to fill in.
@@ -57,7 +58,7 @@
             snapshot.document.CopyFrom(self.message())
 
     def load(self, snapshot: wire.StateSnapshot) -> None:
-        """Replace everything by what a snapshot holds.
+        """Replace the contents by those of a snapshot.
 
         Args:
             snapshot: Message filled by :meth:`save`.
--- a/wigeonscale/state/operation_results.py
+++ b/wigeonscale/state/operation_results.py
@@ -1,4 +1,4 @@
-"""First results of all commands, so that each takes effect once."""
+"""Results of commands by operation id, so that each command takes effect once."""
 
 __all__ = ["OperationResults"]
 
@@ -16,7 +16,7 @@
 
 
 class OperationResults:
-    """Results by operation id; those of operators are kept for longer."""
+    """Results by operation id; those of operators' commands are kept longer."""
 
     def __init__(self):
         self._operator_results = ResultCache(
@@ -34,7 +34,7 @@
 
         Returns:
             The first result; ``IDEMPOTENCY_KEY_REUSED`` if the id was used for a
-            command that asks for something else.
+            different command.
         """
         found = self._cache_for(command).find(command.operation_id)
         if found is None:
@@ -50,7 +50,7 @@
     def add(
         self, command: wire.Command, result: wire.CommandResult, *, now_ms: int
     ) -> None:
-        """Remember the result of a command.
+        """Store the result of a command.
 
         Args:
             command: A command with an operation id.
@@ -62,7 +62,7 @@
         )
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
-        """Write everything into a snapshot.
+        """Write the contents to a snapshot.
 
         Args:
             snapshot: Message to fill in.
@@ -71,7 +71,7 @@
         snapshot.peer_operations.extend(self._peer_results.save())
 
     def load(self, snapshot: wire.StateSnapshot) -> None:
-        """Replace everything by what a snapshot holds.
+        """Replace the contents by those of a snapshot.
 
         Args:
             snapshot: Message filled by :meth:`save`.
--- a/wigeonscale/state/result_cache.py
+++ b/wigeonscale/state/result_cache.py
@@ -1,4 +1,4 @@
-"""Results of commands by operation id, so that a resend gets the first one."""
+"""Bounded cache of command results, so that a retry gets the first result."""
 
 __all__ = ["ResultCache", "operation_digest"]
 
@@ -10,16 +10,16 @@
 
 
 class ResultCache:
-    """Remembered results, bounded by count and by age.
+    """Results by operation id, bounded by count and by age.
 
     Args:
-        limit: Most results kept.
-        age_ms: Age at which a result is forgotten, in milliseconds of the
-            commands' wall time.
+        limit: Largest number of results kept.
+        age_ms: Age at which a result is evicted, in milliseconds of the commands'
+            wall time.
 
     Notes:
-        Records are kept serialised, which is small and makes snapshots cheap.
-        Forgetting depends on commands only, so that all replicas forget alike.
+        Records are kept serialised, which saves memory and makes snapshots cheap.
+        Eviction depends on commands only, so that it is the same on all replicas.
     """
 
     def __init__(self, *, limit: int, age_ms: int):
@@ -34,7 +34,7 @@
         """Return the digest and first result of an operation, or None.
 
         Args:
-            operation_id: As the command carried it.
+            operation_id: Operation id of the command.
 
         Returns:
             Digest of the first command's body, and its result.
@@ -48,10 +48,10 @@
     def add(
         self, operation_id: str, digest: bytes, wall_ms: int, result: wire.CommandResult
     ) -> None:
-        """Remember a result and forget what is too old or too much.
+        """Store a result and evict results beyond the age or count limit.
 
         Args:
-            operation_id: Not empty.
+            operation_id: Operation id of the command; not empty.
             digest: Digest of the command's body.
             wall_ms: Largest wall time of any command so far, in milliseconds.
             result: The command's result.
@@ -72,11 +72,11 @@
             self._records.popitem(last=False)
 
     def save(self) -> list[bytes]:
-        """Return every record for a snapshot, serialised, oldest first."""
+        """Return every record, serialised, oldest first."""
         return list(self._records.values())
 
     def load(self, records: Iterable[bytes]) -> None:
-        """Replace everything by the records of a snapshot.
+        """Replace the contents by the records of a snapshot.
 
         Args:
             records: Serialised, oldest first.
@@ -88,16 +88,16 @@
 
 
 def operation_digest(command: wire.Command) -> bytes:
-    """Return a digest of what a command asks for.
+    """Return a digest that identifies the effect of a command.
 
-    A configuration is what its document's digest says, where that is given: a
-    resend may be worked out as other changes from another base revision.
+    If a configuration command has a document digest, only that digest counts: a retry
+    may reach the same document by other changes from another base revision.
 
     Args:
         command: Any command.
 
     Returns:
-        A SHA-256 digest, cut to 16 bytes.
+        The first 16 bytes of a SHA-256 digest.
     """
     body = wire.Command()
     body.CopyFrom(command)
--- a/wigeonscale/state/results.py
+++ b/wigeonscale/state/results.py
@@ -1,4 +1,4 @@
-"""Short ways to a :class:`CommandResult`."""
+"""Constructors for :class:`CommandResult`."""
 
 __all__ = ["done", "refused"]
 
@@ -7,11 +7,11 @@
 
 
 def done(*, claim: wire.ClaimRecord | None = None, granted: bool = False):
-    """Return the result of a command that was carried out.
+    """Return the result of a command that was applied.
 
     Args:
-        claim: Record now standing, for commands on claims.
-        granted: Whether the command's own claim holds.
+        claim: Record after the command, for commands on claims.
+        granted: Whether the claim of the command was granted.
 
     Returns:
         A result without an error kind.
@@ -24,7 +24,7 @@
 
     Args:
         kind: Why it was refused.
-        message: Text for people, naming the offending value.
+        message: Human-readable reason with the offending value.
 
     Returns:
         A result with an error kind.
--- a/wigeonscale/state/snapshots.py
+++ b/wigeonscale/state/snapshots.py
@@ -1,4 +1,4 @@
-"""The format of a snapshot of the whole state."""
+"""Parsing and format version of snapshots of the whole state."""
 
 __all__ = ["SNAPSHOT_FORMAT", "parse_snapshot"]
 
@@ -11,13 +11,14 @@
 
 
 def parse_snapshot(data: bytes) -> wire.StateSnapshot:
-    """Return a snapshot that can be read and is of the known format.
+    """Parse a snapshot and check its format version.
 
     Args:
-        data: As :meth:`ControlState.snapshot` made it.
+        data: Bytes from :meth:`ControlState.snapshot`.
 
     Raises:
-        WigeonscaleError: ``CORRUPT_LOG``.
+        WigeonscaleError: ``CORRUPT_LOG`` if the data cannot be parsed or the format is
+            unknown.
     """
     try:
         snapshot = wire.StateSnapshot.FromString(data)
--- a/wigeonscale/state/state.py
+++ b/wigeonscale/state/state.py
@@ -1,4 +1,4 @@
-"""The replicated state machine of control: commands in, results out."""
+"""Replicated state machine of the control plane."""
 
 __all__ = ["DEFAULT_INCARNATION", "ControlState"]
 
@@ -21,34 +21,35 @@
 from wigeonscale.state.snapshots import SNAPSHOT_FORMAT, parse_snapshot
 from wigeonscale.wire import wire_pb2 as wire
 
-# Some hundred sections of the rules; less is read at once.
+# A few hundred sections of the rules. Shorter commands are not prepared in a thread.
 LONG_COMMAND_BYTES = 16 * 1024
-# Incarnation of backend servers that do not say when they started.
+# Incarnation of backend servers that do not report a start time.
 DEFAULT_INCARNATION = 1
 
 
 class ControlState:
-    """All that control replicas agree on; a replication state machine.
+    """State that control replicas agree on; a replication state machine.
 
-    No clock is read here: time inside is the largest ``wall_ms`` of any command.
-    Every replica gets the same results from the same commands.
+    Applying commands is deterministic: the same commands give the same results on every
+    replica. No clock is read; the time of the state machine is the largest ``wall_ms``
+    of any command so far.
 
     Args:
         history_limit: Revisions of the configuration kept.
 
     Attributes:
-        configuration: Document, revision and history.
+        configuration: Rules document, revision and history.
         members: Announced backend servers.
         chains: Pipeline replicas.
         claims: Claims of requests that must not run twice.
         entries: Entries attached to any replica.
-        document: Document under its author's number, highest in force.
-        crashes: Requests under which backend servers ended.
-        changes: Subject of :class:`Change`, one after each command that changed
-            something to watch.
+        document: Numbered document with the highest number.
+        crashes: Records of requests under which backend servers crashed.
+        changes: Subject of :class:`Change`; emits after each command that changed
+            anything that watchers are sent.
         index: Log index of the last command applied.
-        now_ms: Time inside, in milliseconds.
-        placement_index: Log index of the last change of the chains by placement.
+        now_ms: Time of the state machine, in milliseconds.
+        placement_index: Log index of the last accepted placement plan.
     """
 
     def __init__(self, *, history_limit: int = HISTORY_LIMIT):
@@ -81,11 +82,11 @@
         }
 
     def apply(self, index: int, term: int, data: bytes) -> wire.CommandResult:
-        """Carry out one committed command.
+        """Apply one committed command.
 
         Args:
-            index: Its log index.
-            term: Its term; not looked at.
+            index: Log index of the command.
+            term: Term of the command; ignored.
             data: A serialised command; anything else is refused.
 
         Returns:
@@ -103,13 +104,13 @@
         return result
 
     def preparation(self, data: bytes) -> Callable[[], None] | None:
-        """Return work for a thread that makes applying a long command short.
+        """Return a function that does most of applying a long command in a thread.
 
         Args:
             data: The serialised command.
 
         Returns:
-            A function that changes nothing the results depend on, or None.
+            A function that does not change any result, or None if not needed.
         """
         if len(data) < LONG_COMMAND_BYTES:
             return None
@@ -122,19 +123,19 @@
         return self.configuration.preparation(command.apply_config)
 
     def first_result(self, command: wire.Command) -> wire.CommandResult | None:
-        """Return the result that an operation had before, or None if it is new.
+        """Return the stored result of an operation, or None if it is new.
 
         Args:
             command: A command with an operation id.
 
         Returns:
             The first result; ``IDEMPOTENCY_KEY_REUSED`` if the id was used for a
-            command that asks for something else.
+            different command.
         """
         return self._results.find(command)
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes, equal on equal states."""
+        """Return the whole state as bytes; equal states give equal bytes."""
         snapshot = wire.StateSnapshot(
             format=SNAPSHOT_FORMAT,
             index=self.index,
@@ -155,10 +156,10 @@
         """Replace the whole state by a snapshot.
 
         Args:
-            data: What :meth:`snapshot` returned, here or on another replica.
+            data: Bytes from :meth:`snapshot` of this or another replica.
 
         Raises:
-            WigeonscaleError: ``CORRUPT_LOG`` if it cannot be read; nothing changed.
+            WigeonscaleError: ``CORRUPT_LOG`` if it is invalid; nothing changed.
         """
         snapshot = parse_snapshot(data)
         configuration = self._take_prepared_configuration(data)
@@ -188,13 +189,13 @@
         self.changes.on_next(Change(self.index, is_restore=True))
 
     def restore_preparation(self, data: bytes) -> Callable[[], None]:
-        """Return work for a thread that makes a :meth:`restore` short.
+        """Return a function that does most of a :meth:`restore` in a thread.
 
         Args:
-            data: The snapshot; the same object is given to :meth:`restore`.
+            data: The snapshot; the same object must be passed to :meth:`restore`.
 
         Returns:
-            A function that changes nothing the results depend on.
+            A function that does not change any result.
         """
 
         def prepare() -> None:
@@ -202,7 +203,7 @@
             try:
                 configuration.load(parse_snapshot(data))
             except (SettingsError, WigeonscaleError):
-                return  # restoring tells what is wrong
+                return  # restore() raises the error
             self._prepared_restore = (data, configuration)
 
         return prepare
@@ -286,7 +287,8 @@
         if member is None:
             return None, done()
         announced_incarnation = member.backend.incarnation
-        # A later start than the one announced has ended, so that one has too.
+        # The ended incarnation started later than the announced one, so the announced
+        # one has ended too.
         if (
             announced_incarnation != incarnation
             and 0 < member.backend.started_ms < incarnation
@@ -296,7 +298,7 @@
         return self._member_change(agent_id) if is_gone else None, done()
 
     def _announced_incarnation(self, member):
-        """Return the incarnation meant where none is named."""
+        """Return the incarnation to end if the command names none."""
         return member.backend.incarnation if member is not None else DEFAULT_INCARNATION
 
     def _end(self, agent_id, incarnation):
@@ -328,7 +330,7 @@
 
     def _count_entries(self, command):
         self.entries.apply(command)
-        # Nothing to wake watchers for: the count rides on each lease grant.
+        # No change is emitted: each lease grant carries the count to the watchers.
         return None, done()
 
     def _put_document(self, document):
