--- a/wigeonscale/membership/configuration.py
+++ b/wigeonscale/membership/configuration.py
@@ -98,7 +98,7 @@
             else:
                 document, ruleset = await asyncio.to_thread(_build, base, update)
         except WigeonscaleError as exc:
-            logger.error("revision %d refused: %s", update.revision, exc.message)
+            logger.error("revision %d is invalid: %s", update.revision, exc.message)
             return ConfigResult.INVALID
         if document.digest != update.digest:
             return ConfigResult.WRONG_DIGEST
--- a/wigeonscale/membership/connection.py
+++ b/wigeonscale/membership/connection.py
@@ -114,7 +114,10 @@
         try:
             self._queue.put_nowait(req)
         except asyncio.QueueFull:
-            logger.warning("watch stream to %s takes no messages", self.address)
+            logger.warning(
+                "send queue of the watch stream to %s is full; message dropped",
+                self.address,
+            )
 
     def note_answer(self, echo_us: int) -> None:
         """Record that the replica answered a heartbeat.
@@ -167,7 +170,7 @@
         try:
             return self._on_event(self, event)
         except Exception:
-            logger.exception("event from %s not handled", self.address)
+            logger.exception("handler of an event from %s failed", self.address)
             return None
 
     async def _apply_configs(self) -> DisconnectCause:
@@ -176,7 +179,7 @@
             try:
                 cause = await self._on_config(self, update)
             except Exception:
-                logger.exception("revision %d not handled", update.revision)
+                logger.exception("handler of revision %d failed", update.revision)
                 continue
             if cause is not None:
                 return cause
--- a/wigeonscale/membership/floor.py
+++ b/wigeonscale/membership/floor.py
@@ -56,7 +56,11 @@
         }
         if len(floors) >= majority:
             return max(floors.values())
-        logger.info("floor: %d of %d replicas answered", len(floors), len(addresses))
+        logger.info(
+            "fencing floor: only %d of %d replicas answered; retrying",
+            len(floors),
+            len(addresses),
+        )
         await clock.sleep(backoff.next_wait())
 
 
--- a/wigeonscale/membership/watch_state.py
+++ b/wigeonscale/membership/watch_state.py
@@ -119,7 +119,7 @@
         if document.number <= known_number:
             return
         self.numbered_document = document
-        logger.info("document %d replaces %d", document.number, known_number)
+        logger.info("numbered document %d replaces %d", document.number, known_number)
         self.emit(Change.NUMBERED_DOCUMENT)
 
     def update_lease(self) -> None:
@@ -130,7 +130,7 @@
         self._lease_was_valid = is_valid
         self._metrics.lease_valid.set(int(is_valid))
         level = logging.INFO if is_valid else logging.WARNING
-        logger.log(level, "lease %s", "holds" if is_valid else "is out")
+        logger.log(level, "lease %s", "is valid" if is_valid else "has expired")
         self.emit(Change.LEASE)
 
     def emit(self, change: Change) -> None:
@@ -147,7 +147,7 @@
     def _publish_revision(self) -> None:
         revision = self.configuration.revision
         self._metrics.revision.set(revision)
-        logger.info("revision %d in force", revision)
+        logger.info("revision %d applied", revision)
         self.emit(Change.DOCUMENT)
         self.lease.note_applied(revision)
         self.update_lease()
--- a/wigeonscale/membership/watcher.py
+++ b/wigeonscale/membership/watcher.py
@@ -97,7 +97,7 @@
             return
         kept = [address for address in self._addresses if address in addresses]
         added = [address for address in addresses if address not in kept]
-        logger.info("control replicas are %s", ", ".join([*kept, *added]))
+        logger.info("control replicas are now %s", ", ".join([*kept, *added]))
         self._addresses = [*kept, *added]
 
     def add_addresses(self, addresses: Sequence[str]) -> None:
--- a/wigeonscale/state/configuration.py
+++ b/wigeonscale/state/configuration.py
@@ -142,7 +142,9 @@
                     base, command, *_build_document(base, command)
                 )
             except SettingsError as exc:
-                logger.info("a change of the rules will be refused: %s", exc.message)
+                logger.info(
+                    "the change of the rules cannot be applied: %s", exc.message
+                )
 
         return prepare
 
@@ -180,8 +182,8 @@
         if command.base_revision != self.revision:
             return refused(
                 ErrorKind.REVISION_CONFLICT,
-                f"made from revision {command.base_revision},"
-                f" but revision {self.revision} is in force",
+                f"the change is based on revision {command.base_revision},"
+                f" but the current one is revision {self.revision}",
             )
         try:
             document, changes = self._evaluate(command)
@@ -191,8 +193,8 @@
         if command.digest not in ("", document.digest):
             return refused(
                 ErrorKind.INVALID_DOCUMENT,
-                f"the changes make a document with digest {document.digest},"
-                f" not {command.digest}",
+                f"the resulting document has digest {document.digest},"
+                f" expected {command.digest}",
             )
         number = self.revision + 1
         self._append(Revision(number, wall_ms, command.operator, changes, document))
@@ -249,7 +251,9 @@
 def _build_document(base, command):
     """Return the document after a command, and its changes to ``base``."""
     if command.changes and command.document:
-        raise SettingsError("both a document and changes given; give one")
+        raise SettingsError(
+            "the command has both a document and changes; only one is allowed"
+        )
     if command.changes:
         changes = tuple(command.changes)
         return patch_document(base, changes), changes
--- a/wigeonscale/state/snapshots.py
+++ b/wigeonscale/state/snapshots.py
@@ -24,10 +24,10 @@
         snapshot = wire.StateSnapshot.FromString(data)
     except DecodeError as exc:
         raise WigeonscaleError(
-            ErrorKind.CORRUPT_LOG, "the snapshot cannot be read"
+            ErrorKind.CORRUPT_LOG, "the snapshot cannot be parsed"
         ) from exc
     if snapshot.format != SNAPSHOT_FORMAT:
         raise WigeonscaleError(
-            ErrorKind.CORRUPT_LOG, f"snapshot format {snapshot.format} is not known"
+            ErrorKind.CORRUPT_LOG, f"unknown snapshot format {snapshot.format}"
         )
     return snapshot
--- a/wigeonscale/state/state.py
+++ b/wigeonscale/state/state.py
@@ -173,7 +173,7 @@
             results.load(snapshot)
         except (SettingsError, DecodeError) as exc:
             raise WigeonscaleError(
-                ErrorKind.CORRUPT_LOG, f"a record of the snapshot is broken: {exc}"
+                ErrorKind.CORRUPT_LOG, f"the snapshot has an invalid record: {exc}"
             ) from exc
         self.configuration = configuration
         self.claims = claims
@@ -230,7 +230,7 @@
         name = command.WhichOneof("body")
         handler = self._handlers.get(name)
         if handler is None:
-            return None, refused(ErrorKind.BAD_REQUEST, "unknown or garbled command")
+            return None, refused(ErrorKind.BAD_REQUEST, "unknown or malformed command")
         return handler(getattr(command, name))
 
     def _apply_config(self, command):
@@ -309,8 +309,8 @@
         if command.base_index != self.placement_index:
             return None, refused(
                 ErrorKind.REVISION_CONFLICT,
-                f"planned from placement {command.base_index},"
-                f" but {self.placement_index} is in force",
+                f"the plan is based on placement {command.base_index},"
+                f" but the current one is {self.placement_index}",
             )
         result, changed_ids = self.chains.place(command, self.now_ms)
         if result.kind:
