--- a/wigeonscale/membership/tests/fake_control.py
+++ b/wigeonscale/membership/tests/fake_control.py
@@ -1,4 +1,4 @@
-"""A scripted control replica and a client, for tests on loopback."""
+"""Scripted control replica for tests over loopback."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 def document_of(revision):
-    """A document that differs in each revision."""
+    """Return a document that differs for each revision."""
     if revision == 0:
         return EMPTY_DOCUMENT
     return parse_document(
@@ -25,7 +25,7 @@
 
 
 def config_update(revision, base=0, **changed):
-    """The update from one of these documents to another."""
+    """Return the update event from one of these documents to another."""
     new = document_of(revision)
     values = {
         "base_revision": base,
@@ -44,7 +44,7 @@
         self.age_us = 0
         self.backends = []
         self.first_members = wire.MembersUpdate(full=True, index=1)
-        self.grants_per_stream = 0  # a stream ends after so many; 0: never
+        self.grants_per_stream = 0  # Closes a stream after this many; 0: never.
         self.received = asyncio.Queue()
         self.hellos = asyncio.Queue()
         self.open_streams = 0
@@ -71,7 +71,7 @@
         await self._write(self._submit_context, reply)
 
     async def _write(self, context, message):
-        # gRPC refuses a second write on one stream while the first is under way.
+        # gRPC rejects concurrent writes on one stream.
         async with self._write_lock:
             await context.write(message)
 
@@ -125,7 +125,7 @@
 
 
 class FakeControlCase(AsyncTestCase):
-    """Starts fakes and clients, and stops them at the end."""
+    """Starts fake replicas and clients, and stops them after the test."""
 
     async def prepare(self):
         self.clock = ManualClock()
@@ -173,7 +173,7 @@
         await self.until(lambda: conn.answered_at * 1_000_000 >= conn.last_sent_us)
 
     async def next_hello(self, client, fake):
-        """Let time pass until a connection is opened, and return its greeting."""
+        """Advance the clock until a connection opens, and return its Hello."""
         while client._watcher._candidate is None:
             await self.clock.advance(0.025)
             await asyncio.sleep(0)
@@ -187,7 +187,10 @@
         await self.advance_until(condition, step_s=0)
 
     async def advance_until(self, condition, step_s=0.125):
-        """Let time pass in steps, with room for messages, until it holds."""
+        """Advance the clock in steps until a condition holds.
+
+        Sleeps briefly in real time after each step, so that messages are delivered.
+        """
         async with asyncio.timeout(LIMIT_S):
             while not condition():
                 await self.clock.advance(step_s)
--- a/wigeonscale/membership/tests/test_backoff.py
+++ b/wigeonscale/membership/tests/test_backoff.py
@@ -7,7 +7,7 @@
 
 
 class BackoffTest(AsyncTestCase):
-    def test_watchers_do_not_come_back_together(self):
+    def test_retries_of_many_watchers_are_spread_evenly(self):
         backoffs = [Backoff(rng=random.Random(seed)) for seed in range(WATCHERS)]
         for each in backoffs:
             for _ in range(6):
@@ -19,7 +19,7 @@
         self.assertLess(max(tenths), WATCHERS * 0.12)
         self.assertGreater(min(tenths), WATCHERS * 0.08)
 
-    def test_bound_doubles_up_to_the_cap_and_starts_anew(self):
+    def test_bound_doubles_up_to_the_cap_and_is_reset(self):
         rng = random.Random(0)
         rng.uniform = lambda low, high: high
         backoff = Backoff(rng=rng, base_s=0.1, cap_s=0.5)
@@ -28,6 +28,6 @@
         backoff.reset()
         self.assertEqual(0.1, backoff.next_wait())
 
-    def test_endless_failures_do_not_overflow(self):
+    def test_many_failures_do_not_overflow(self):
         backoff = Backoff(rng=random.Random(0), cap_s=5.0)
         self.assertLessEqual(max(backoff.next_wait() for _ in range(5000)), 5.0)
--- a/wigeonscale/membership/tests/test_client.py
+++ b/wigeonscale/membership/tests/test_client.py
@@ -41,7 +41,7 @@
         self.assertFalse(client.lease_valid())
         self.assertFalse(client._ready.is_set())
 
-    async def test_lease_runs_out_and_subscribers_hear_it(self):
+    async def test_lease_expires_and_a_change_is_emitted(self):
         (fake,) = await self.start_fakes()
         client, _, _ = await self.attached(fake)
         changes = []
@@ -53,14 +53,14 @@
         self.assertFalse(client.lease_valid())
         self.assertIn("lease", changes)
 
-    async def test_delta_comes_into_force(self):
+    async def test_delta_is_applied(self):
         (fake,) = await self.start_fakes()
         client, _, _ = await self.attached(fake)
         await fake.push(config_update(2, base=1))
         await self.until(lambda: client.revision == 2)
         self.assertEqual(document_of(2).digest, client.document.digest)
 
-    async def test_grant_ahead_of_the_document_waits_for_it(self):
+    async def test_grant_for_a_newer_revision_is_pending_until_applied(self):
         (fake,) = await self.start_fakes()
         client, _, _ = await self.attached(fake)
         fake.revision = 2
@@ -71,7 +71,7 @@
         await fake.push(config_update(2, base=1))
         await self.until(lambda: client._state.lease.confirmed_at > granted_at)
 
-    async def test_older_revision_is_refused_and_another_replica_tried(self):
+    async def test_replica_with_an_older_revision_is_left(self):
         new, old = await self.start_fakes(2)
         new.revision = 7
         client, _, _ = await self.attached(new, lease_s=3.0)
@@ -98,7 +98,7 @@
         await self.until(lambda: fake.open_streams == 0)
         self.assertEqual(confirmed_at, client._state.lease.confirmed_at)
 
-    async def test_long_document_holds_up_neither_heartbeats_nor_order(self):
+    async def test_large_document_delays_no_heartbeat_and_keeps_the_order(self):
         (fake,) = await self.start_fakes()
         client, _, _ = await self.attached(fake)
         entered, leave = asyncio.Event(), threading.Event()
@@ -125,7 +125,7 @@
             leave.set()
             await self.until(lambda: client.revision == 3)
 
-    async def test_older_document_ends_the_connection(self):
+    async def test_older_document_closes_the_connection(self):
         (fake,) = await self.start_fakes(revision=7)
         client, _, _ = await self.attached(fake)
         fake.answers_heartbeats = False
@@ -133,11 +133,11 @@
         await self.until(lambda: fake.open_streams == 0)
         self.assertEqual(document_of(7).digest, client.document.digest)
 
-    async def test_delta_on_another_base_is_named(self):
+    async def test_delta_on_another_base_gives_wrong_base(self):
         result = await Configuration().apply(config_update(3, base=2).config)
         self.assertEqual(ConfigResult.WRONG_BASE, result)
 
-    async def test_members_must_begin_with_a_full_update(self):
+    async def test_first_members_update_must_be_full(self):
         (fake,) = await self.start_fakes()
         fake.first_members = wire.MembersUpdate(index=1)
         client = self.start_client(fake)
@@ -145,7 +145,7 @@
         await self.until(lambda: self.metrics.reconnects.value(**cause) > 0)
         self.assertFalse(client._ready.is_set())
 
-    async def test_another_replica_tells_only_what_changed(self):
+    async def test_second_replica_sends_a_delta(self):
         fakes = await self.start_fakes(2)
         for fake in fakes:
             fake.backends = [OWN, wire.Backend(agent_id="n2")]
@@ -160,7 +160,7 @@
         self.assertEqual(["n1", "n3"], list(client.members.backends))
         self.assertEqual(["n1", "n2"], list(known.backends))
 
-    async def test_records_of_crashes_are_taken_once_from_any_replica(self):
+    async def test_crash_records_are_applied_once_over_all_replicas(self):
         taken = []
         fakes = await self.start_fakes(2)
         options = {"on_crashes": lambda update: taken.append(update.index)}
@@ -175,7 +175,7 @@
         hello = await self.next_hello(client, other)
         self.assertEqual(8, hello.known_crashes)
 
-    async def test_not_attached_before_members_are_told(self):
+    async def test_not_attached_before_members_are_received(self):
         (fake,) = await self.start_fakes()
         fake.first_members = None
         client = self.start_client(fake)
@@ -262,14 +262,14 @@
         await self.advance_until(lambda: not other.received.empty())
         self.assertTrue((await self.received(other, "announce")).draining)
 
-    async def test_lost_announcement_is_made_again(self):
+    async def test_lost_announcement_is_repeated(self):
         (fake,) = await self.start_fakes()
         await self.attached(fake, role="agent", announce=lambda: OWN)
         await self.received(fake, "announce")
         await self.advance_until(lambda: not fake.received.empty())
         self.assertEqual(OWN, await self.received(fake, "announce"))
 
-    async def test_shown_announcement_is_not_made_again(self):
+    async def test_listed_announcement_is_not_repeated(self):
         (fake,) = await self.start_fakes()
         fake.backends = [OWN]
         client, _, _ = await self.attached(fake, role="agent", announce=lambda: OWN)
@@ -279,7 +279,7 @@
             await self.wait_for_answer(client)
         self.assertTrue(fake.received.empty())
 
-    async def test_order_results_come_back(self):
+    async def test_order_results_are_sent(self):
         async def on_order(order):
             if order.order_id == "broken":
                 raise ValueError("planted")
@@ -297,7 +297,7 @@
                 (order_id, not kind, kind), (result.order_id, result.done, result.kind)
             )
 
-    async def test_long_order_holds_nothing_up(self):
+    async def test_long_order_blocks_no_other_events(self):
         release = asyncio.Event()
 
         async def on_order(order):
@@ -316,7 +316,7 @@
         release.set()
         self.assertTrue((await self.received(fake, "order_result")).done)
 
-    async def test_ended_incarnation_is_told(self):
+    async def test_ended_incarnation_is_reported(self):
         ended = []
         (fake,) = await self.start_fakes()
         await self.attached(fake, role="agent", on_ended=ended.append)
@@ -324,7 +324,7 @@
         await fake.push(event)
         await self.until(lambda: ended == [5])
 
-    async def test_suspicions_are_told_once_a_heartbeat(self):
+    async def test_suspicion_is_sent_once_per_heartbeat(self):
         (fake,) = await self.start_fakes()
         client, _, _ = await self.attached(fake)
         for _ in range(3):
--- a/wigeonscale/membership/tests/test_crash_messages.py
+++ b/wigeonscale/membership/tests/test_crash_messages.py
@@ -5,7 +5,7 @@
 
 
 class CrashMessagesTest(AsyncTestCase):
-    def test_age_is_by_the_time_of_the_state(self):
+    def test_age_is_relative_to_the_state_machine_time(self):
         record = wire.CrashRecord(
             fingerprint=b"a", backends=["s1"], first_ms=700, wall_ms=1500
         )
@@ -19,7 +19,7 @@
             known_crashes(update),
         )
 
-    def test_report_as_a_command(self):
+    def test_report_is_converted_to_a_command(self):
         command = record_crashes_command(CrashReport(((b"a", "s1"),), (b"b",)))
         self.assertEqual([b"b"], list(command.record_crashes.cleared))
         (crash,) = command.record_crashes.crashes
--- a/wigeonscale/membership/tests/test_floor.py
+++ b/wigeonscale/membership/tests/test_floor.py
@@ -14,7 +14,7 @@
         )
         return asyncio.create_task(coro)
 
-    async def test_largest_of_a_majority_term_first(self):
+    async def test_largest_position_by_term_then_index(self):
         fakes = await self.start_fakes(3)
         for fake, floor in zip(fakes, [(2, 50), (3, 7), (1, 99)], strict=True):
             fake.floor = floor
--- a/wigeonscale/membership/tests/test_lease.py
+++ b/wigeonscale/membership/tests/test_lease.py
@@ -19,7 +19,7 @@
             grant, last_sent_us=us(last_sent_s), applied_revision=applied
         )
 
-    async def test_lasts_from_the_heartbeat_less_the_age(self):
+    async def test_lease_starts_at_the_heartbeat_minus_the_age(self):
         self.assertFalse(self.lease.is_valid())
         self.assertTrue(self.add_grant(echo_s=100, age_s=1))
         await self.clock.advance(1.999)
@@ -27,7 +27,7 @@
         await self.clock.advance(0.001)
         self.assertFalse(self.lease.is_valid())
 
-    async def test_delayed_grant_does_not_extend(self):
+    async def test_delayed_grant_does_not_extend_the_lease(self):
         await self.clock.advance(10)
         self.assertFalse(self.add_grant(echo_s=100))
         self.assertFalse(self.lease.is_valid())
@@ -48,7 +48,7 @@
         self.assertFalse(self.add_grant(echo_s=100, age_s=-1))
         self.assertFalse(self.lease.is_valid())
 
-    def test_unapplied_revision_counts_once_applied(self):
+    def test_grant_for_an_unapplied_revision_counts_once_applied(self):
         self.assertFalse(self.add_grant(echo_s=100, revision=3, applied=1))
         self.assertFalse(self.lease.is_valid())
         self.assertFalse(self.lease.note_applied(2))
@@ -56,7 +56,7 @@
         self.assertTrue(self.lease.note_applied(3))
         self.assertTrue(self.lease.is_valid())
 
-    async def test_lease_for_the_old_revision_still_runs_out(self):
+    async def test_pending_grant_does_not_extend_the_lease(self):
         self.add_grant(echo_s=100)
         await self.clock.advance(2)
         self.add_grant(echo_s=102, revision=2, applied=1, last_sent_s=102)
--- a/wigeonscale/membership/tests/test_members.py
+++ b/wigeonscale/membership/tests/test_members.py
@@ -60,7 +60,7 @@
         self.update(chains=[used])
         self.assertEqual([], self.view.spares)
 
-    def test_copy_changes_by_itself(self):
+    def test_copy_is_independent(self):
         other, before = self.view.copy(), self.ids()
         update = wire.MembersUpdate(
             removed_backends=["s1"], removed_chains=["c1"], backends=[service("s7")]
@@ -82,7 +82,7 @@
         self.update(full=True, chains=[chain("c9")])
         self.assertEqual(([], [], ["c9"], []), self.ids())
 
-    def test_delta_leaves_lists_of_other_groups_alone(self):
+    def test_delta_keeps_cached_lists_of_other_groups(self):
         before = self.view.chains_of("p")
         self.update(chains=[chain("c4", "q")], backends=[service("s9")])
         self.assertIs(before, self.view.chains_of("p"))
--- a/wigeonscale/membership/tests/test_submitter.py
+++ b/wigeonscale/membership/tests/test_submitter.py
@@ -34,16 +34,16 @@
             addresses=addresses, clock=self.clock, rng=random.Random(1)
         )
         self.addCleanup(submitter.close)
-        # Known order of addresses, for the scripts below.
+        # The constructor shuffles the addresses; the scripts below need this order.
         submitter._addresses[:] = addresses
         submitter._target = addresses[0]
         return submitter
 
     async def result_of(self, submitter, command=None, *, silent=None):
-        """Submit and return the result or the error.
+        """Submit a command and return the result or the error.
 
-        Time passes only while nothing is connecting or in flight, but for what is
-        in flight to the silent replica, so that speed decides nothing.
+        The clock advances only while nothing is connecting or pending, except commands
+        pending at the silent replica, so that the test does not depend on speed.
         """
 
         def may_advance():
@@ -61,7 +61,7 @@
             await asyncio.sleep(0.002)
         return task.exception() or task.result()
 
-    async def test_several_in_flight_on_one_stream(self):
+    async def test_concurrent_commands_share_one_stream(self):
         (fake,) = await self.start_fakes()
         received = []
         fake.on_command = received.append
@@ -86,7 +86,7 @@
         self.assertEqual(8, (await self.result_of(submitter)).index)
         self.assertEqual((1, 2), (len(follower.commands), len(leader.commands)))
 
-    async def test_resends_with_the_same_operation_id(self):
+    async def test_retries_with_the_same_operation_id(self):
         lost, other = await self.start_fakes(2)
         lost.on_command = lambda req: 1 / 0
         submitter = self.new_submitter(lost.address, other.address)
@@ -96,7 +96,7 @@
         self.assertEqual(1, len(set(sent)))
         self.assertNotEqual("", sent[0])
 
-    async def test_silent_stream_is_left_for_the_next_replica(self):
+    async def test_silent_stream_is_replaced_by_the_next_replica(self):
         silent, other = await self.start_fakes(2)
         silent.on_command = lambda req: None
         submitter = self.new_submitter(silent.address, other.address)
@@ -108,7 +108,7 @@
             [each.operation_id for each in silent.commands + other.commands],
         )
 
-    async def test_stream_that_breaks_during_a_write_leaves_no_error_behind(self):
+    async def test_stream_lost_during_a_write_leaves_no_unretrieved_exception(self):
         broken, other = await self.start_fakes(2)
         submitter = self.new_submitter(broken.address, other.address)
         await self.result_of(submitter)
@@ -129,7 +129,7 @@
         await asyncio.sleep(0)
         self.assertEqual([], unhandled)
 
-    async def test_slow_command_does_not_end_a_talking_stream(self):
+    async def test_slow_command_does_not_close_a_stream_with_replies(self):
         (fake,) = await self.start_fakes()
         received = []
         fake.on_command = received.append
@@ -150,7 +150,7 @@
         sent = [each.operation_id for each in fake.commands]
         self.assertEqual(["slow", "slow"], [sent[0], sent[2]])
 
-    async def test_unreachable_replica_is_passed_over(self):
+    async def test_unreachable_replica_is_skipped(self):
         gone, other = await self.start_fakes(2)
         await gone.stop()
         submitter = self.new_submitter(gone.address, other.address)
@@ -173,7 +173,7 @@
         submitter = self.new_submitter(fake.address)
         await self.expect_no_quorum(submitter, RunState.NOT_RUN)
 
-    async def test_lost_without_an_answer_is_unknown(self):
+    async def test_lost_without_a_reply_is_unknown(self):
         lost, follower = await self.start_fakes(2)
         lost.on_command = lambda req: 1 / 0
         follower.on_command = not_leader()
@@ -194,13 +194,13 @@
         want = (ErrorKind.REVISION_CONFLICT, "3 is not 4", RunState.NOT_RUN)
         self.assertEqual(want, (exc.kind, exc.message, exc.run_state))
 
-    async def test_internal_error_leaves_it_unknown(self):
+    async def test_internal_error_gives_run_state_unknown(self):
         (fake,) = await self.start_fakes()
         fake.on_command = reply_with(kind="internal")
         exc = await self.result_of(self.new_submitter(fake.address))
         self.assertEqual(RunState.UNKNOWN, exc.run_state)
 
-    async def test_standing_claim_is_returned(self):
+    async def test_existing_claim_is_returned(self):
         (fake,) = await self.start_fakes()
         record = wire.ClaimRecord(state=wire.RAN)
         fake.on_command = reply_with(claim=record, granted=False)
--- a/wigeonscale/membership/tests/test_watcher.py
+++ b/wigeonscale/membership/tests/test_watcher.py
@@ -13,16 +13,20 @@
 
 
 class SilenceTest(FakeControlCase):
-    """Time passes only while no message is awaited, so speed decides nothing."""
+    """Failover from silent or unconfirmed replicas.
+
+    The clock advances only while no message is awaited, so that the tests do not depend
+    on the speed of the machine.
+    """
 
     def uses_only(self, watcher, first):
-        """Return whether the watcher looks for no other replica."""
+        """Return whether the watcher uses this replica and tries no other."""
         return watcher._candidate is None and watcher.attached.address == first.address
 
     async def silence(self, client, first, other_event=None):
-        """Silence a replica; return the seconds until another is asked."""
+        """Silence a replica and return the seconds until another is tried."""
         watcher = client._watcher
-        # The attached replica is next in turn, and must be passed over.
+        # The attached replica is next in the list and must be skipped.
         watcher._next_address = watcher._addresses.index(first.address)
         first.answers_heartbeats = False
         began = self.clock.now()
@@ -35,7 +39,7 @@
 
     async def expect_failover(self, client, first, other_event=None):
         took_s = await self.silence(client, first, other_event)
-        # Up to a heartbeat may have passed since the last answered one.
+        # Up to one heartbeat interval may have passed since the last answer.
         self.assertGreater(took_s, 1.5 * HEARTBEAT_S)
         self.assertLessEqual(took_s, 2.75 * HEARTBEAT_S)
         await self.until(lambda: client._watcher.attached.address != first.address)
@@ -69,7 +73,7 @@
         self.assertEqual(first.address, client._watcher.attached.address)
         self.assertTrue(client.lease_valid())
 
-    async def test_silent_second_replica_is_left_for_a_third(self):
+    async def test_silent_candidate_is_replaced_by_a_third_replica(self):
         fakes = await self.start_fakes(3)
         client, first, others = await self.attached(*fakes)
         for each in others:
@@ -94,7 +98,7 @@
         await self.silence(client, fake)
         await self.until(lambda: fake.open_streams == 2)
 
-    async def test_replica_without_a_majority_is_left(self):
+    async def test_replica_without_a_majority_is_replaced(self):
         fakes = await self.start_fakes(2)
         client, first, _ = await self.attached(*fakes)
         isolated_at = self.clock.now()
@@ -106,7 +110,7 @@
         await self.until(lambda: client._watcher.attached.address != first.address)
         self.assertTrue(client.lease_valid())
 
-    async def test_no_leader_sends_watchers_round_slowly_and_heals(self):
+    async def test_without_a_leader_other_replicas_are_tried_slowly(self):
         fakes = await self.start_fakes(2)
         client, first, (other,) = await self.attached(*fakes)
         lost_at = self.clock.now()
@@ -122,8 +126,8 @@
 
         await pass_while(lambda: self.clock.now() < lost_at + 30)
         self.assertLessEqual(other.hellos.qsize(), 7)
-        # Until one more that was asked is given up: how long ago the last one was
-        # depends on how soon connections opened.
+        # Wait until one more candidate is given up, because the time since the last one
+        # depends on how fast connections opened.
         await pass_while(lambda: watcher._candidate is None)
         await pass_while(lambda: watcher._candidate is not None)
         self.assertGreater(watcher._next_attempt_at, self.clock.now() + 2.0)
@@ -132,7 +136,7 @@
         await self.until(client.lease_valid)
         await self.expect_failover(client, first)
 
-    async def test_replica_that_fails_again_and_again_is_asked_less(self):
+    async def test_replica_that_fails_repeatedly_is_tried_less_often(self):
         (fake,) = await self.start_fakes()
         fake.grants_per_stream = 2
         client = self.start_client(fake)
@@ -146,7 +150,7 @@
             await self.until(lambda: client._watcher._candidate is None)
         self.assertLess(fake.hellos.qsize(), 20)
 
-    async def test_watchers_begin_at_different_replicas(self):
+    async def test_watchers_start_at_different_replicas(self):
         fakes = await self.start_fakes(3)
         clients = [
             self.start_client(*fakes, rng=random.Random(seed)) for seed in range(12)
@@ -155,7 +159,7 @@
             await self.within_limit(client.ready())
         self.assertTrue(all(fake.open_streams for fake in fakes))
 
-    async def test_lost_replica_is_replaced_before_the_lease_is_out(self):
+    async def test_lost_replica_is_replaced_before_the_lease_expires(self):
         fakes = await self.start_fakes(3)
         client, first, _ = await self.attached(*fakes)
         await first.stop()
@@ -168,7 +172,7 @@
 
 
 class ReconnectTest(AsyncTestCase):
-    """Control is out of reach for long."""
+    """All control replicas are unreachable for a long time."""
 
     async def longest_wait(self, **fields):
         clock = ManualClock()
@@ -204,7 +208,7 @@
         await asyncio.gather(task, return_exceptions=True)
         return max(b - a for a, b in itertools.pairwise(opened))
 
-    async def test_waits_grow_to_the_cap_that_is_asked_for(self):
+    async def test_waits_grow_to_the_configured_cap(self):
         review_s = HEARTBEAT_S / 4 + 0.1
         self.assertLessEqual(
             await self.longest_wait(reconnect_cap_s=0.8), 0.8 + review_s
--- a/wigeonscale/state/tests/support.py
+++ b/wigeonscale/state/tests/support.py
@@ -1,4 +1,4 @@
-"""Short ways to commands, for tests of the control state."""
+"""Helpers that build and apply commands, for tests of the control state."""
 
 from wigeonscale.state import ControlState
 from wigeonscale.wire import wire_pb2 as wire
@@ -15,7 +15,7 @@
 
 
 class Machine:
-    """A control state with a log of its own."""
+    """A control state that applies commands at consecutive log indexes."""
 
     def __init__(self, *, state: ControlState | None = None):
         self.state = state or ControlState()
--- a/wigeonscale/state/tests/test_claims.py
+++ b/wigeonscale/state/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of claims: granted once, released by their own dispatch only."""
+"""Tests of claims: granted once, released only by their own dispatch."""
 
 from wigeonscale.errors import ErrorKind
 from wigeonscale.state.tests.support import Machine
@@ -15,26 +15,26 @@
     def record(self, key="k"):
         return self.machine.state.claims.find("o", key)
 
-    def test_second_claim_gets_standing_record(self):
+    def test_second_claim_gets_the_existing_record(self):
         first = self.machine.claim(dispatch="d1")
         second = self.machine.claim(dispatch="d2")
         self.assertEqual((True, False), (first.granted, second.granted))
         self.assertEqual("", second.kind)
         self.assertEqual("d1", second.claim.claim.dispatch_id)
 
-    def test_resent_claim_is_still_granted(self):
+    def test_retried_claim_is_granted_until_its_outcome(self):
         self.machine.claim(dispatch="d1")
         self.assertTrue(self.machine.claim(dispatch="d1").granted)
         self.machine.outcome(state=wire.RAN)
         self.assertFalse(self.machine.claim(dispatch="d1").granted)
 
-    def test_another_request_under_the_key_is_refused(self):
+    def test_different_request_with_the_same_key_is_refused(self):
         self.machine.claim(digest=b"x")
         result = self.machine.claim(digest=b"y", dispatch="d2")
         self.assertEqual(ErrorKind.IDEMPOTENCY_KEY_REUSED, result.kind)
         self.assertFalse(result.granted)
 
-    def test_claim_of_an_incarnation_that_is_gone_is_refused(self):
+    def test_claim_by_an_unannounced_incarnation_is_refused(self):
         result = self.machine.claim(incarnation=2)
         self.assertEqual(ErrorKind.STALE_INCARNATION, result.kind)
         self.assertIsNone(self.record())
@@ -52,7 +52,7 @@
         self.assertIsNone(self.record())
         self.assertTrue(self.machine.claim(dispatch="d3").granted)
 
-    def test_nothing_turns_an_ended_claim_back(self):
+    def test_final_state_of_a_claim_does_not_change(self):
         for state in (wire.RAN, wire.FAILED, wire.UNKNOWN):
             key = f"k{state}"
             self.machine.claim(key)
@@ -62,7 +62,7 @@
                 self.assertEqual(state, result.claim.state)
                 self.assertEqual(state, self.record(key).state)
 
-    def test_outcome_must_be_one(self):
+    def test_outcome_needs_a_final_state(self):
         self.machine.claim()
         for state in (wire.CLAIM_STATE_UNSPECIFIED, wire.CLAIMED):
             result = self.machine.outcome(state=state)
@@ -85,7 +85,7 @@
         self.machine.announce("a", 2)
         self.assertEqual(wire.UNKNOWN, self.record().state)
 
-    def test_claims_expire_by_age_alone(self):
+    def test_claims_expire_by_age_in_any_state(self):
         self.machine.run(wall_ms=1000, expire=wire.ExpireClaims())
         self.machine.claim("old")
         self.machine.claim("old-unknown")
@@ -96,7 +96,7 @@
         left = [self.record(k) is not None for k in ("old", "old-unknown", "new")]
         self.assertEqual([False, False, True], left)
 
-    def test_expiry_never_looks_into_the_future(self):
+    def test_expiry_is_bounded_by_the_state_machine_time(self):
         self.machine.run(wall_ms=1000, expire=wire.ExpireClaims())
         self.machine.claim()
         self.machine.run(expire=wire.ExpireClaims(before_wall_ms=9000))
--- a/wigeonscale/state/tests/test_configuration.py
+++ b/wigeonscale/state/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of revisions: races, resends, history."""
+"""Tests of revisions: conflicts, retries, preparation and history."""
 
 from unittest import mock
 
@@ -20,7 +20,7 @@
         self.machine = Machine(state=ControlState(history_limit=3))
         self.configuration = self.machine.state.configuration
 
-    def test_of_two_equal_bases_one_wins(self):
+    def test_second_change_of_the_same_base_conflicts(self):
         first = self.machine.apply(document(1))
         second = self.machine.apply(document(2))
         self.assertEqual(("", 1), (first.kind, first.revision))
@@ -36,7 +36,7 @@
         self.assertEqual(1, self.configuration.revision)
         self.assertEqual({"s1"}, set(self.configuration.document.services))
 
-    def test_changes_that_do_not_fit_are_refused(self):
+    def test_changes_that_cannot_be_applied_are_refused(self):
         self.machine.apply(document(1))
         change = wire.SectionChange(name="rule b", text="[rule b]\n", after="absent")
         config = wire.ApplyConfig(base_revision=1, changes=[change])
@@ -50,7 +50,7 @@
         result = self.machine.run(apply_config=config)
         self.assertEqual(ErrorKind.INVALID_DOCUMENT, result.kind)
 
-    def test_prepared_command_reads_no_section_again_and_gives_the_same(self):
+    def test_prepared_command_is_not_parsed_again_and_gives_the_same_state(self):
         services = "".join(f"[service t{n}]\n" for n in range(2000))
         command = wire.Command(
             apply_config=wire.ApplyConfig(document=DOCUMENT + services)
@@ -100,14 +100,14 @@
         self.configuration.preparation(added("s3"))()
         self.machine.run(apply_config=added("s4"))
         self.assertEqual({"s1", "s4"}, set(self.configuration.document.services))
-        # The same revision of another history: its document is another one.
+        # The same revision number of another history has a different document.
         foreign = parse_document(document(1))
         other.configuration.set_prepared(added("s3"), foreign, foreign)
         command = wire.Command(apply_config=added("s3"))
         other.apply(2, 1, command.SerializeToString())
         self.assertEqual({"s2", "s3"}, set(other.configuration.document.services))
 
-    def test_only_the_snapshot_read_ahead_is_taken(self):
+    def test_preparation_of_another_snapshot_is_not_used(self):
         first, second = ControlState(), ControlState()
         for state, number in ((first, 1), (second, 2)):
             apply = wire.ApplyConfig(document=document(number))
@@ -117,7 +117,7 @@
         state.restore(second.snapshot())
         self.assertEqual({"s2"}, set(state.configuration.document.services))
 
-    def test_snapshot_read_ahead_is_restored_the_same(self):
+    def test_prepared_snapshot_is_not_parsed_again_and_gives_the_same_state(self):
         self.machine.apply(document(1))
         data = self.machine.state.snapshot()
         state = ControlState()
@@ -127,13 +127,13 @@
         parse_section.assert_not_called()
         self.assertEqual(data, state.snapshot())
 
-    def test_document_must_have_the_digest_that_the_operator_meant(self):
+    def test_document_must_have_the_digest_of_the_command(self):
         meant = wire.ApplyConfig(document=document(1), digest="0" * 64)
         result = self.machine.run(apply_config=meant)
         self.assertEqual(ErrorKind.INVALID_DOCUMENT, result.kind)
         self.assertEqual(0, self.configuration.revision)
 
-    def test_history_is_bounded_and_leads_on(self):
+    def test_history_is_bounded_and_contiguous(self):
         for number in range(5):
             self.machine.apply(document(number), base=number)
         self.assertEqual(2, self.configuration.oldest_base_revision)
@@ -161,7 +161,7 @@
 
 
 class OperationsTest(AsyncTestCase):
-    def test_resend_gets_first_result(self):
+    def test_retry_gets_the_first_result(self):
         machine = Machine()
         first = machine.apply(document(1), operation_id="op")
         machine.apply(document(2), base=1, operation_id="later")
@@ -169,14 +169,14 @@
         self.assertEqual(first, again)
         self.assertEqual(2, machine.state.configuration.revision)
 
-    def test_resend_of_refused_command_gets_refusal(self):
+    def test_retry_of_a_refused_command_gets_the_refusal(self):
         machine = Machine()
         machine.apply(document(1))
         first = machine.apply(document(2), operation_id="op")
         self.assertEqual(ErrorKind.REVISION_CONFLICT, first.kind)
         self.assertEqual(first, machine.apply(document(2), operation_id="op"))
 
-    def test_resend_after_snapshot_gets_first_result(self):
+    def test_retry_after_a_snapshot_gets_the_first_result(self):
         machine = Machine()
         first = machine.apply(document(1), operation_id="op")
         machine.announce("a")
@@ -191,7 +191,7 @@
         )
         self.assertEqual(claimed, again)
 
-    def test_same_id_for_another_command_is_refused(self):
+    def test_operation_id_of_another_command_is_refused(self):
         machine = Machine()
         machine.apply(document(1), operation_id="op")
         other = machine.apply(document(2), base=1, operation_id="op")
--- a/wigeonscale/state/tests/test_crash_records.py
+++ b/wigeonscale/state/tests/test_crash_records.py
@@ -29,15 +29,15 @@
         records = self.state.crashes.after(index)
         return {record.fingerprint: list(record.backends) for record in records}
 
-    def test_crashes_under_one_request_add_up(self):
+    def test_crashes_of_one_request_are_collected(self):
         self.record(crash(b"a", "s1"), crash(b"b", "s1"))
         self.record(crash(b"a", "s2"))
         self.assertEqual({b"a": ["s1", "s2"], b"b": ["s1"]}, self.known())
-        # A watcher gets what changed since it was told.
+        # A watcher gets only the records that changed after its index.
         self.assertEqual({b"a": ["s1", "s2"]}, self.known(index=1))
         self.assertEqual([True, True], [change.crashes for change in self.changes])
 
-    def test_instants_of_the_first_and_the_last_crash(self):
+    def test_times_of_the_first_and_the_last_crash(self):
         self.record(crash(b"a", "s1"))
         self.wall_ms += 2500
         self.record(crash(b"a", "s2"))
@@ -51,20 +51,20 @@
             (["s3"], 0), (record.backends, record.wall_ms - record.first_ms)
         )
 
-    def test_the_same_crash_told_by_others_changes_nothing(self):
+    def test_crash_reported_again_changes_nothing(self):
         self.record(crash(b"a", "s1"))
         self.record(crash(b"a", "s1"))
         self.assertEqual(1, self.state.crashes.index)
         self.assertEqual(1, len(self.changes))
 
-    def test_cleared_is_told_to_those_who_know_it(self):
+    def test_cleared_record_is_kept_without_backends(self):
         self.record(crash(b"a", "s1"))
         self.record(cleared=[b"a", b"unknown"])
         self.assertEqual({b"a": []}, self.known(index=1))
         self.record(cleared=[b"a"])
         self.assertEqual(2, self.state.crashes.index)
 
-    def test_a_snapshot_holds_them(self):
+    def test_snapshot_keeps_the_records(self):
         self.record(crash(b"a", "s1"), crash(b"b", "s2"))
         self.record(crash(b"a", "s3"))
         other = ControlState()
@@ -73,19 +73,19 @@
         self.assertEqual(2, other.crashes.index)
         self.assertEqual([b"a"], [r.fingerprint for r in other.crashes.after(1)])
 
-    def test_forgotten_by_age(self):
+    def test_records_expire_by_age(self):
         self.record(crash(b"a", "s1"))
         self.record(*[crash(b"c", f"s{n}") for n in range(3)])
         self.wall_ms += int(1000 * retention_s(1)) + 1
         self.record(crash(b"b", "s2"))
         self.assertEqual({b"b", b"c"}, set(self.known()))
 
-    def test_bounded_in_requests_and_in_servers(self):
+    def test_requests_and_backends_are_bounded(self):
         self.record(*[crash(b"c", f"s{n}") for n in range(2 * MAX_CRASHES_PER_REQUEST)])
         self.record(*[crash(b"%d" % n, "s1") for n in range(2 * MAX_TRACKED_REQUESTS)])
         self.assertEqual(MAX_TRACKED_REQUESTS, len(self.state.crashes))
         self.assertEqual(MAX_CRASHES_PER_REQUEST, len(self.known()[b"c"]))
 
-    def test_without_a_fingerprint_nothing_is_recorded(self):
+    def test_crash_without_a_fingerprint_is_ignored(self):
         self.record(crash(b"", "s1"))
         self.assertEqual(0, len(self.state.crashes))
--- a/wigeonscale/state/tests/test_members.py
+++ b/wigeonscale/state/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Tests of members and chains inside the control state."""
+"""Tests of members and chains in the control state."""
 
 from wigeonscale.errors import ErrorKind
 from wigeonscale.state.tests.support import Machine, chain
@@ -34,7 +34,7 @@
         self.assertEqual(ErrorKind.STALE_INCARNATION, result.kind)
         self.assertTrue(self.members.is_announced("a", 2))
 
-    def test_agent_that_moved_is_not_ended_by_the_replica_it_left(self):
+    def test_previous_replica_cannot_end_an_agent_that_moved(self):
         self.machine.announce("a", 1, replica="c1")
         self.machine.announce("a", 1, replica="c2")
         result = self.end("a", 1, replica="c1")
@@ -45,7 +45,7 @@
         self.assertFalse(self.members.is_announced("a", 1))
         self.assertEqual([], self.members.replicas())
 
-    def test_announcement_must_be_sound(self):
+    def test_invalid_announcement_is_refused(self):
         for agent_id, incarnation in (("", 1), ("a", 0)):
             result = self.machine.announce(agent_id, incarnation)
             self.assertEqual(ErrorKind.BAD_REQUEST, result.kind)
@@ -53,7 +53,7 @@
         result = self.machine.run(announce=wire.Announce(backend=backend))
         self.assertEqual(ErrorKind.BAD_REQUEST, result.kind)
 
-    def test_operators_drain_outlives_a_restart(self):
+    def test_operator_drain_persists_over_a_restart(self):
         self.machine.announce("a", 1)
         self.machine.run(drain=wire.DrainBackend(agent_id="a", draining=True))
         self.machine.announce("a", 2)
@@ -103,7 +103,7 @@
         self.machine.announce("a", layers=(0, 3), version="v2", adapters=["x"])
         self.assertTrue(self.chains.get("c").ready)
 
-    def test_lost_or_restarted_stage_makes_unready(self):
+    def test_restarted_stage_makes_the_chain_unready(self):
         self.place_ready()
         self.machine.announce("b", 2, layers=(2, 3))
         self.assertFalse(self.chains.get("c").ready)
@@ -116,14 +116,14 @@
         self.machine.announce("s", layers=(2, 3))
         self.assertEqual((2, True), self.epoch_and_ready())
 
-    def test_successor_steps_in_when_the_chain_breaks(self):
+    def test_successor_becomes_active_when_the_chain_breaks(self):
         self.place_ready()
         self.machine.place(chain("c", 2, ("a", 0, 1), ("s", 2, 3)))
         end = wire.EndIncarnation(agent_id="b", incarnation=1)
         self.machine.run(end_incarnation=end)
         self.assertEqual((2, False), self.epoch_and_ready())
 
-    def test_chain_that_needs_other_layers_of_an_engine_does_not_wait(self):
+    def test_successor_that_reloads_an_engine_becomes_active_at_once(self):
         self.place_ready()
         self.machine.place(chain("c", 2, ("a", 0, 0), ("s", 1, 3)))
         self.assertEqual((2, False), self.epoch_and_ready())
@@ -131,7 +131,7 @@
     def epoch_and_ready(self):
         return self.chains.get("c").epoch, self.chains.get("c").ready
 
-    def test_unsound_plans_are_refused_whole(self):
+    def test_invalid_plan_is_refused_atomically(self):
         self.place_ready()
         self.machine.place(removed=["gone"])
         good = chain("d", 1, ("s", 0, 3))
@@ -159,7 +159,7 @@
         result = self.machine.place(chain("c", 9, ("a", 0, 1), ("b", 2, 3)))
         self.assertEqual(ErrorKind.BAD_REQUEST, result.kind)
 
-    def test_retired_chain_stays_until_it_breaks_or_is_removed(self):
+    def test_ready_retired_chain_is_kept_until_it_breaks(self):
         self.place_ready()
         self.machine.place(chain("c", 2, ("a", 0, 1), ("s", 2, 3)))
         self.machine.run(wall_ms=7000, place=self.retiring("c"))
@@ -185,7 +185,7 @@
         base = self.machine.state.placement_index
         return wire.PlaceChains(retired=[chain_id], base_index=base)
 
-    def test_plan_from_an_older_placement_is_refused(self):
+    def test_plan_based_on_an_older_placement_is_refused(self):
         base = self.machine.state.placement_index
         self.machine.place(chain("c", 1, ("a", 0, 3)), base=base)
         result = self.machine.place(chain("d", 1, ("b", 0, 3)), base=base)
@@ -194,7 +194,7 @@
 
 
 class RestartTest(MembersCase):
-    """Starts that say when they were, under one name."""
+    """Incarnations that report their start time."""
 
     def start(self, started_ms, name="a", **fields):
         backend = wire.Backend(
@@ -202,7 +202,7 @@
         )
         return self.machine.run(announce=wire.Announce(backend=backend, sequence=1))
 
-    def test_replicas_settle_on_the_later_start_whatever_the_order(self):
+    def test_later_start_wins_in_any_order(self):
         other = Machine()
         self.start(100)
         self.start(200)
@@ -213,7 +213,7 @@
         for machine in (first, other):
             self.assertTrue(machine.state.members.is_announced("a", 200))
 
-    def test_what_was_written_before_starts_were_told_is_read(self):
+    def test_snapshot_without_start_times_is_restored(self):
         self.machine.announce("a", 1)
         self.machine.announce("b", 1)
         self.end("b", 1)
@@ -229,7 +229,7 @@
         self.start(100, "b")
         self.assertTrue(self.members.is_announced("b", 100))
 
-    def test_a_snapshot_keeps_that_a_start_ended(self):
+    def test_snapshot_keeps_ended_starts(self):
         self.start(200)
         self.end("a", 200)
         restored = Machine()
@@ -238,17 +238,17 @@
         self.assertEqual(ErrorKind.STALE_INCARNATION, self.start(150).kind)
         self.assertEqual("", self.start(250).kind)
 
-    def test_no_incarnation_named_means_the_one_announced(self):
+    def test_end_without_an_incarnation_ends_the_announced_one(self):
         self.start(100)
         self.end("a", 0)
         self.assertIsNone(self.members.get("a"))
 
-    def test_a_later_start_that_goes_takes_the_former_one_along(self):
+    def test_end_of_a_later_start_ends_the_announced_one(self):
         self.start(100)
         self.end("a", 200)
         self.assertIsNone(self.members.get("a"))
 
-    def test_an_address_is_not_taken_from_a_later_start(self):
+    def test_earlier_start_cannot_replace_a_later_one_at_its_address(self):
         self.start(200, address="x:80")
         result = self.start(100, "b", address="x:80")
         self.assertEqual(ErrorKind.STALE_INCARNATION, result.kind)
@@ -256,10 +256,10 @@
 
 
 class _NoIterationDict(dict):
-    """Members that must not be gone through."""
+    """A dict that fails when its values are iterated over."""
 
     def values(self):
-        raise AssertionError("all members were looked at")
+        raise AssertionError("iterated over all members")
 
 
 class AddressTest(MembersCase):
@@ -269,7 +269,7 @@
     def put(self, name, address):
         self.members.put(self.backend(name, address), "c1")
 
-    def test_who_else_is_at_an_address(self):
+    def test_other_members_at_an_address(self):
         self.put("a", "x:1")
         self.put("b", "x:1")
         self.put("c", "x:2")
@@ -278,7 +278,7 @@
         self.assertEqual([("b", 1)], at_one)
         self.assertEqual([], self.members.others_at_address(self.backend("e", "")))
 
-    def test_who_moved_or_ended_is_there_no_more(self):
+    def test_moved_or_ended_member_is_not_at_its_old_address(self):
         self.put("a", "x:1")
         self.put("a", "x:2")
         self.put("b", "x:2")
@@ -287,7 +287,7 @@
         at_two = self.members.others_at_address(self.backend("c", "x:2"))
         self.assertEqual([("b", 1)], at_two)
 
-    def test_kept_by_a_snapshot(self):
+    def test_snapshot_keeps_addresses(self):
         self.put("a", "x:1")
         snapshot = wire.StateSnapshot()
         self.members.save(snapshot)
@@ -296,8 +296,8 @@
         at_one = self.members.others_at_address(self.backend("c", "x:1"))
         self.assertEqual([("a", 1)], at_one)
 
-    def test_an_announcement_does_not_look_at_all_members(self):
-        # Thousands announce themselves within a heartbeat, at each replica.
+    def test_announcement_does_not_iterate_over_all_members(self):
+        # Each replica applies thousands of announcements per heartbeat.
         self.put("a", "x:1")
         self.members._members = _NoIterationDict(self.members._members)
         self.assertIsNone(self.members.announcement_error(self.backend("b", "x:2")))
--- a/wigeonscale/state/tests/test_numbered_document.py
+++ b/wigeonscale/state/tests/test_numbered_document.py
@@ -22,12 +22,12 @@
             self.assertEqual("", self.put(number, b"%d" % number).kind)
         self.assertEqual((9, b"9"), self.held())
 
-    def test_other_content_under_the_held_number_changes_nothing(self):
+    def test_different_content_with_the_same_number_is_ignored(self):
         self.put(3, b"first")
         self.assertEqual("", self.put(3, b"other").kind)
         self.assertEqual((3, b"first"), self.held())
 
-    def test_watchers_hear_of_new_ones_only(self):
+    def test_change_is_emitted_for_new_documents_only(self):
         heard = []
         self.machine.state.changes.subscribe(lambda change: heard.append(change))
         self.put(3, b"a")
@@ -35,7 +35,7 @@
         self.put(2, b"c")
         self.assertEqual([True], [change.document for change in heard])
 
-    def test_survives_a_snapshot(self):
+    def test_snapshot_keeps_the_document(self):
         self.put(3, b"a")
         other = ControlState()
         other.restore(self.machine.state.snapshot())
@@ -52,27 +52,27 @@
         command = wire.Announce(backend=backend, replica="c1", sequence=sequence)
         return self.machine.run(announce=command)
 
-    def test_an_overtaken_announcement_changes_nothing(self):
+    def test_reordered_announcement_is_ignored(self):
         self.announce("i-1", 4, draining=True)
         self.assertEqual("revision-conflict", self.announce("i-1", 3).kind)
         self.assertTrue(self.machine.state.members.effective("i-1").draining)
 
-    def test_sequence_survives_a_snapshot(self):
+    def test_snapshot_keeps_the_sequence_number(self):
         self.announce("i-1", 4)
         self.machine.state.restore(self.machine.state.snapshot())
         self.assertEqual("revision-conflict", self.announce("i-1", 3).kind)
 
-    def test_a_new_incarnation_at_an_address_ends_the_one_before(self):
+    def test_new_backend_at_an_address_ends_the_previous_one(self):
         self.announce("i-1", 4, address="10.0.0.1:80")
         self.announce("i-2", 1, address="10.0.0.1:80")
         members = self.machine.state.members
         self.assertTrue(members.is_ended("i-1", 1))
         self.assertIsNone(members.get("i-1"))
-        # A heartbeat of the first one that was held up does not bring it back.
+        # A delayed heartbeat of the first backend does not announce it again.
         self.assertEqual("stale-incarnation", self.announce("i-1", 9).kind)
         self.assertIsNotNone(members.get("i-2"))
 
-    def test_backends_without_an_address_stay_apart(self):
+    def test_backends_without_an_address_are_independent(self):
         self.announce("i-1", 1)
         self.announce("i-2", 1)
         self.assertEqual(2, len(self.machine.state.members))
--- a/wigeonscale/state/tests/test_state.py
+++ b/wigeonscale/state/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Property tests: determinism, snapshots, and input that is no command."""
+"""Property tests of determinism, snapshots and invalid input."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -156,7 +156,7 @@
         self.assertEqual(one.run_bytes(garbled), other.run_bytes(garbled))
         self.assertEqual("", one.apply(base=one.state.configuration.revision).kind)
 
-    def test_what_is_no_command_is_a_bad_request(self):
+    def test_invalid_command_is_a_bad_request(self):
         machine = Machine()
         for data in (b"", b"\xff\xff\xff", b"\x92\x03\x00"):
             result = machine.run_bytes(data)
