--- a/wigeonscale/membership/lease.py
+++ b/wigeonscale/membership/lease.py
@@ -40,7 +40,7 @@
 
     @property
     def confirmed_at(self) -> float | None:
-        """Latest local time at which the state is known to be current, or None."""
+        """Latest local time at which the state was confirmed current, or None."""
         return self._confirmed_at
 
     def is_valid(self) -> bool:
--- a/wigeonscale/state/configuration.py
+++ b/wigeonscale/state/configuration.py
@@ -122,7 +122,7 @@
         return diff_documents(EMPTY_DOCUMENT, self.document)
 
     def preparation(self, command: wire.ApplyConfig) -> Callable[[], None] | None:
-        """Return a function that does most of a later :meth:`apply` in a thread.
+        """Return a function for a worker thread that shortens a later :meth:`apply`.
 
         Args:
             command: The command that will be applied.
--- a/wigeonscale/state/state.py
+++ b/wigeonscale/state/state.py
@@ -104,13 +104,13 @@
         return result
 
     def preparation(self, data: bytes) -> Callable[[], None] | None:
-        """Return a function that does most of applying a long command in a thread.
+        """Return a function for a worker thread that shortens applying a command.
 
         Args:
             data: The serialised command.
 
         Returns:
-            A function that does not change any result, or None if not needed.
+            A function that does not change any result, or None if nothing can be prepared.
         """
         if len(data) < LONG_COMMAND_BYTES:
             return None
@@ -189,7 +189,7 @@
         self.changes.on_next(Change(self.index, is_restore=True))
 
     def restore_preparation(self, data: bytes) -> Callable[[], None]:
-        """Return a function that does most of a :meth:`restore` in a thread.
+        """Return a function for a worker thread that shortens a :meth:`restore`.
 
         Args:
             data: The snapshot; the same object must be passed to :meth:`restore`.
