--- a/wigeonscale/state/state.py
+++ b/wigeonscale/state/state.py
@@ -110,7 +110,7 @@
             data: The serialised command.
 
         Returns:
-            A function that does not change any result, or None if nothing can be prepared.
+            A function that changes no result, or None if nothing can be prepared.
         """
         if len(data) < LONG_COMMAND_BYTES:
             return None
