--- a/wigeonscale/state/chains.py
+++ b/wigeonscale/state/chains.py
@@ -10,7 +10,7 @@
 from wigeonscale.state.results import done, refused
 from wigeonscale.wire import wire_pb2 as wire
 
-USED_IDS_LIMIT = 32_768
+USED_CHAIN_IDS_LIMIT = 32_768
 
 
 class Chains:
@@ -29,7 +29,7 @@
         self._chains: dict[str, wire.Chain] = {}
         self._successors: dict[str, wire.Chain] = {}
         self._by_agent: dict[str, dict[str, None]] = {}
-        self._used_ids: OrderedDict[str, None] = OrderedDict()
+        self._used_chain_ids: OrderedDict[str, None] = OrderedDict()
 
     def __iter__(self) -> Iterator[wire.Chain]:
         return iter(self._chains.values())
@@ -147,7 +147,7 @@
                     f"chain {chain.chain_id!r} has no id or stages, or is listed twice"
                 )
             seen.add(chain.chain_id)
-            if chain.chain_id in self._used_ids or chain.chain_id in removed_ids:
+            if chain.chain_id in self._used_chain_ids or chain.chain_id in removed_ids:
                 return f"chain id {chain.chain_id!r} was removed; ids are not reused"
             if chain.chain_id in command.retired or self._is_retiring(chain.chain_id):
                 return f"chain {chain.chain_id!r} is retiring"
@@ -261,9 +261,9 @@
         self._unindex(chain_id)
         del self._chains[chain_id]
         self._successors.pop(chain_id, None)
-        self._used_ids[chain_id] = None
-        if len(self._used_ids) > USED_IDS_LIMIT:
-            self._used_ids.popitem(last=False)
+        self._used_chain_ids[chain_id] = None
+        if len(self._used_chain_ids) > USED_CHAIN_IDS_LIMIT:
+            self._used_chain_ids.popitem(last=False)
 
     def _versions(self, chain_id):
         versions = (self._chains.get(chain_id), self._successors.get(chain_id))
@@ -291,7 +291,7 @@
         for chain_id, chain in sorted(self._chains.items()):
             successor = self._successors.get(chain_id)
             snapshot.chains.add(chain=chain, successor=successor)
-        snapshot.used_chain_ids.extend(self._used_ids)
+        snapshot.used_chain_ids.extend(self._used_chain_ids)
 
     def load(self, snapshot: wire.StateSnapshot) -> None:
         """Replace the contents by those of a snapshot.
@@ -302,7 +302,7 @@
         self._chains.clear()
         self._successors.clear()
         self._by_agent.clear()
-        self._used_ids = OrderedDict.fromkeys(snapshot.used_chain_ids)
+        self._used_chain_ids = OrderedDict.fromkeys(snapshot.used_chain_ids)
         for record in snapshot.chains:
             chain_id = record.chain.chain_id
             self._chains[chain_id] = record.chain
--- a/wigeonscale/state/crash_records.py
+++ b/wigeonscale/state/crash_records.py
@@ -13,7 +13,7 @@
 )
 from wigeonscale.wire import wire_pb2 as wire
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class CrashRecords:
@@ -110,7 +110,7 @@
             fingerprint
             for fingerprint, record in self._records.items()
             if now_ms - record.wall_ms
-            > MILLISECONDS * retention_s(len(record.backends))
+            > MILLISECONDS_PER_SECOND * retention_s(len(record.backends))
         ]
         for fingerprint in expired:
             del self._records[fingerprint]
--- a/wigeonscale/state/members.py
+++ b/wigeonscale/state/members.py
@@ -12,7 +12,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 # Enough for more than a month at 900 restarts a day.
-ENDED_LIMIT = 32_768
+ENDED_INCARNATIONS_LIMIT = 32_768
 
 
 @dataclass(frozen=True, slots=True)
@@ -240,7 +240,7 @@
             self._remove(agent_id)
         self._ended[agent_id, incarnation] = None
         self._ended_by_agent.setdefault(agent_id, set()).add(incarnation)
-        if len(self._ended) > ENDED_LIMIT:
+        if len(self._ended) > ENDED_INCARNATIONS_LIMIT:
             (name, oldest), _ = self._ended.popitem(last=False)
             self._ended_by_agent[name].discard(oldest)
             if not self._ended_by_agent[name]:
