--- a/wigeonscale/membership/__init__.py
+++ b/wigeonscale/membership/__init__.py
@@ -1,18 +1,18 @@
-"""Watching control: configuration, members, lease and commands."""
+"""Client of the control plane: configuration, members, lease and commands."""
 
 __all__ = [
     "Backoff",
     "Change",
     "ControlClient",
     "MembersView",
-    "command_of",
     "known_crashes",
-    "within",
+    "record_crashes_command",
+    "with_timeout",
 ]
 
 from wigeonscale.membership.backoff import Backoff
 from wigeonscale.membership.client import ControlClient
-from wigeonscale.membership.crash_messages import command_of, known_crashes
-from wigeonscale.membership.knowledge import Change
+from wigeonscale.membership.crash_messages import known_crashes, record_crashes_command
 from wigeonscale.membership.members import MembersView
-from wigeonscale.membership.timeouts import within
+from wigeonscale.membership.timeouts import with_timeout
+from wigeonscale.membership.watch_state import Change
--- a/wigeonscale/membership/client.py
+++ b/wigeonscale/membership/client.py
@@ -1,4 +1,4 @@
-"""A process's link to control: configuration, members, lease and commands."""
+"""Client of the control plane: configuration, members, lease and commands."""
 
 __all__ = ["ControlClient"]
 
@@ -15,12 +15,12 @@
 from wigeonscale.membership.announcer import Announcer
 from wigeonscale.membership.backoff import CAP_S
 from wigeonscale.membership.connection import DisconnectCause, WatchConnection
-from wigeonscale.membership.floor import ask_floor
-from wigeonscale.membership.knowledge import Change, Knowledge
+from wigeonscale.membership.floor import query_floor
 from wigeonscale.membership.members import MembersView
 from wigeonscale.membership.orders import OrderRunner
 from wigeonscale.membership.submitter import Submitter
-from wigeonscale.membership.suspicions import Suspicions
+from wigeonscale.membership.suspicion_throttle import SuspicionThrottle
+from wigeonscale.membership.watch_state import Change, WatchState
 from wigeonscale.membership.watcher import Watcher
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
@@ -28,18 +28,19 @@
 if TYPE_CHECKING:
     from wigeonscale import rules
 
-# A backend that its replica does not show is announced again after this long.
-ANNOUNCE_AGAIN_HEARTBEATS = 4
+# A backend that the attached replica does not list is announced again after this time.
+REANNOUNCE_HEARTBEATS = 4
 LEASE_CHECKS_PER_HEARTBEAT = 4
 
 logger = logging.getLogger(__name__)
 
 
 class ControlClient:
-    """Watches control and submits commands to it.
+    """Watches the state of control and submits commands.
 
     Attributes:
-        changes: Subject of :class:`Change`, after the change is in force here.
+        changes: Subject of :class:`Change`; emits after this process applied the
+            change.
 
     Args:
         node_id: Name of this process; an agent's name is its agent id.
@@ -47,20 +48,18 @@
         addresses: gRPC addresses of all control replicas.
         clock: Clock of this process.
         http_address: ``ip:port`` of this process's health page.
-        announce: Returns what an agent announces of its backend; None for an
-            entry.
-        on_order: Carries out an order; None for an entry.
-        on_ended: Called with the incarnation that control declared ended.
-        loads: Returns what this entry has in progress; None where it does not tell.
-        on_loads: Called with what all entries have in progress.
-        on_crashes: Called with records of crashes that changed.
-        lease_s: Time of the freshness lease, in seconds.
+        announce: Returns the backend that an agent announces; None for an entry.
+        on_order: Executes an order; None for an entry.
+        on_ended: Called with an incarnation that control declared ended.
+        loads: Returns the load of this entry; None if it does not report its load.
+        on_loads: Called with the load of all entries.
+        on_crashes: Called with the crash records that changed.
+        lease_s: Duration of the freshness lease, in seconds.
         heartbeat_s: Interval of heartbeats, in seconds.
-        rng: Source of jitter; None for one seeded by the system.
-        metrics: Where lease, revision and connections are counted.
+        rng: Random source for jitter; None for one seeded by the system.
+        metrics: Metrics of lease, revision and reconnects.
         tls: Files for mutual TLS; None for plain TCP.
-        reconnect_cap_s: Longest wait between two attempts to reach control, in
-            seconds.
+        reconnect_cap_s: Longest wait between two connection attempts, in seconds.
 
     Example:
         client = ControlClient(node_id="e1", role="entry", addresses=..., clock=...)
@@ -89,8 +88,8 @@
         tls: TlsFiles | None = None,
         reconnect_cap_s: float = CAP_S,
     ):
-        self._knowledge = Knowledge(clock=clock, lease_s=lease_s, metrics=metrics)
-        self.changes: Subject[Change] = self._knowledge.changes
+        self._state = WatchState(clock=clock, lease_s=lease_s, metrics=metrics)
+        self.changes: Subject[Change] = self._state.changes
         self._node_id = node_id
         self._role = role
         self._addresses = tuple(addresses)
@@ -107,7 +106,9 @@
         self._members = MembersView()
         self._ready = asyncio.Event()
         self._announcer = self._new_announcer(announce)
-        self._suspicions = Suspicions(clock=clock, again_s=heartbeat_s)
+        self._suspicion_throttle = SuspicionThrottle(
+            clock=clock, min_interval_s=heartbeat_s
+        )
         self._orders = self._new_order_runner(on_order)
         self._submitter = Submitter(
             addresses=self._addresses, clock=clock, rng=self._rng, tls=tls
@@ -116,50 +117,50 @@
             addresses=self._addresses,
             clock=clock,
             rng=self._rng,
-            lease=self._knowledge.lease,
+            lease=self._state.lease,
             lease_s=lease_s,
             heartbeat_s=heartbeat_s,
             open_connection=self._open_connection,
-            on_attached=self._attached,
+            on_attached=self._on_attached,
             metrics=metrics,
             reconnect_cap_s=reconnect_cap_s,
         )
 
     @property
     def revision(self) -> int:
-        """Configuration revision in force here; 0 before any."""
-        return self._knowledge.configuration.revision
+        """Configuration revision applied in this process; 0 before the first."""
+        return self._state.configuration.revision
 
     @property
     def document(self) -> "rules.Document":
-        """Rules document in force here."""
-        return self._knowledge.configuration.document
+        """Rules document applied in this process."""
+        return self._state.configuration.document
 
     @property
     def ruleset(self) -> "rules.Ruleset":
-        """Rules in force here."""
-        return self._knowledge.configuration.ruleset
+        """Rules of the applied document."""
+        return self._state.configuration.ruleset
 
     @property
     def members(self) -> MembersView:
-        """Backends and chains as told by the attached replica.
+        """Backends and chains reported by the attached replica.
 
-        Read it anew each time: another replica brings another view.
+        Do not keep a reference: attaching to another replica replaces the view.
         """
         return self._members
 
     @property
-    def numbered(self) -> wire.NumberedDocument:
-        """Document under its author's number; number 0 before any."""
-        return self._knowledge.numbered
+    def numbered_document(self) -> wire.NumberedDocument:
+        """Numbered document with the highest number received; number 0 before any."""
+        return self._state.numbered_document
 
     @property
     def entries(self) -> int:
-        """Entries attached to control, this one included; 1 while not told."""
-        return max(1, self._knowledge.entries)
+        """Number of entries attached to control, at least 1; 1 until reported."""
+        return max(1, self._state.entries)
 
     def add_addresses(self, addresses: Sequence[str]) -> None:
-        """Try further replicas too.
+        """Add replicas to those that are tried.
 
         Args:
             addresses: gRPC addresses of control replicas.
@@ -167,15 +168,15 @@
         self._watcher.add_addresses(addresses)
 
     def lease_valid(self) -> bool:
-        """Return whether what this process knows was confirmed recently enough."""
-        return self._knowledge.lease.is_valid()
+        """Return whether the state was confirmed within the duration of the lease."""
+        return self._state.lease.is_valid()
 
     async def ready(self) -> None:
-        """Wait for the first lease, and with it configuration and members."""
+        """Wait for the first lease; configuration and members are then known."""
         await self._ready.wait()
 
     async def run(self) -> None:
-        """Watch control until cancelled."""
+        """Watch control until the task is cancelled."""
         try:
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(self._watcher.run())
@@ -192,10 +193,10 @@
 
         Args:
             command: The command; an empty operation id is filled in.
-            timeout_s: Limit of all attempts together, in seconds.
+            timeout_s: Timeout of all attempts together, in seconds.
 
         Returns:
-            The result; for a claim that was not granted, the standing record.
+            The result; for a claim that was not granted, the existing record.
 
         Raises:
             WigeonscaleError: See :meth:`Submitter.submit`.
@@ -203,8 +204,8 @@
         return await self._submitter.submit(command, timeout_s)
 
     async def floor(self) -> tuple[int, int]:
-        """Return the largest (term, index) over a majority; waits for one."""
-        return await ask_floor(
+        """Wait for a majority of replicas and return their largest (term, index)."""
+        return await query_floor(
             addresses=self._addresses, clock=self._clock, rng=self._rng, tls=self._tls
         )
 
@@ -216,14 +217,16 @@
     def suspect(
         self, agent_id: str, incarnation: int, *, is_hint: bool = False
     ) -> None:
-        """Tell control that an agent does not answer.
+        """Report to control that an agent does not answer.
 
         Args:
             agent_id: The silent agent.
-            incarnation: The incarnation that was asked.
-            is_hint: Whether others are to blame as likely.
+            incarnation: The incarnation that was called.
+            is_hint: Whether other processes are equally likely to be at fault.
         """
-        message = self._suspicions.message(agent_id, incarnation, is_hint=is_hint)
+        message = self._suspicion_throttle.message(
+            agent_id, incarnation, is_hint=is_hint
+        )
         if message is not None:
             self._send(message)
 
@@ -236,7 +239,7 @@
             announce=announce,
             send=self._send,
             clock=self._clock,
-            again_s=ANNOUNCE_AGAIN_HEARTBEATS * self._heartbeat_s,
+            min_interval_s=REANNOUNCE_HEARTBEATS * self._heartbeat_s,
         )
 
     def _new_order_runner(
@@ -254,10 +257,10 @@
         hello = wire.Hello(
             node_id=self._node_id,
             role=self._role,
-            known_revision=self._knowledge.known_revision,
+            known_revision=self._state.known_revision,
             http_address=self._http_address,
             known_index=self._members.index,
-            known_document=self._knowledge.numbered.number,
+            known_document=self._state.numbered_document.number,
             known_crashes=self._crashes_index,
         )
         return WatchConnection(
@@ -265,56 +268,56 @@
             clock=self._clock,
             heartbeat_s=self._heartbeat_s,
             hello=hello,
-            on_event=self._handle,
-            on_config=self._take_config,
+            on_event=self._handle_event,
+            on_config=self._apply_config,
             applied_revision=lambda: self.revision,
             loads=self._loads,
             known_members=self._members.copy() if self._members.index else None,
             tls=self._tls,
         )
 
-    def _attached(self, conn: WatchConnection) -> None:
+    def _on_attached(self, conn: WatchConnection) -> None:
         self._members = conn.members
         self.announce_changed()
         self._ready.set()
-        self._knowledge.emit(Change.MEMBERS)
+        self._state.emit(Change.MEMBERS)
 
-    async def _take_config(
+    async def _apply_config(
         self, conn: WatchConnection, update: wire.ConfigUpdate
     ) -> DisconnectCause | None:
-        lease = self._knowledge.lease
+        lease = self._state.lease
         confirmed_before = lease.confirmed_at
-        cause = await self._knowledge.take_config(update, conn.address)
-        self._note_confirmed(conn, confirmed_before)
+        cause = await self._state.apply_config(update, conn.address)
+        self._report_confirmation(conn, confirmed_before)
         return cause
 
-    def _handle(
+    def _handle_event(
         self, conn: WatchConnection, event: wire.WatchEvent
     ) -> DisconnectCause | None:
-        confirmed_before = self._knowledge.lease.confirmed_at
-        cause = self._take(conn, event)
-        self._note_confirmed(conn, confirmed_before)
+        confirmed_before = self._state.lease.confirmed_at
+        cause = self._dispatch_event(conn, event)
+        self._report_confirmation(conn, confirmed_before)
         return cause
 
-    def _note_confirmed(
+    def _report_confirmation(
         self, conn: WatchConnection, confirmed_before: float | None
     ) -> None:
-        lease = self._knowledge.lease
+        lease = self._state.lease
         if lease.confirmed_at != confirmed_before and lease.is_valid():
-            self._watcher.confirmed_by(conn)
+            self._watcher.note_confirmation(conn)
 
-    def _take(
+    def _dispatch_event(
         self, conn: WatchConnection, event: wire.WatchEvent
     ) -> DisconnectCause | None:
         match event.WhichOneof("body"):
             case "members":
-                return self._take_members(conn, event.members)
+                return self._apply_members(conn, event.members)
             case "lease":
-                return self._take_grant(conn, event.lease)
+                return self._apply_grant(conn, event.lease)
             case "document":
-                self._knowledge.take_numbered(event.document)
+                self._state.apply_numbered_document(event.document)
             case "crashes":
-                self._take_crashes(event.crashes)
+                self._apply_crashes(event.crashes)
             case "order" if self._orders is not None:
                 self._orders.start(event.order)
             case "ended" if self._on_ended is not None:
@@ -323,7 +326,7 @@
                 logger.warning("event %s from %s ignored", other, conn.address)
         return None
 
-    def _take_members(
+    def _apply_members(
         self, conn: WatchConnection, update: wire.MembersUpdate
     ) -> DisconnectCause | None:
         if conn.members is None:
@@ -333,21 +336,21 @@
             return DisconnectCause.MEMBERS_OUT_OF_ORDER
         conn.members.apply(update)
         if conn is self._watcher.attached:
-            self._knowledge.emit(Change.MEMBERS)
+            self._state.emit(Change.MEMBERS)
         return None
 
-    def _take_crashes(self, update: wire.CrashUpdate) -> None:
-        # Of two connections one may be behind the other.
+    def _apply_crashes(self, update: wire.CrashUpdate) -> None:
+        # Two connections may be open, and one replica may lag behind the other.
         if update.index <= self._crashes_index:
             return
         self._crashes_index = update.index
         if self._on_crashes is not None:
             self._on_crashes(update)
 
-    def _take_grant(
+    def _apply_grant(
         self, conn: WatchConnection, grant: wire.LeaseGrant
     ) -> DisconnectCause | None:
-        conn.answered(grant.echo_us)
+        conn.note_answer(grant.echo_us)
         if grant.HasField("loads") and self._on_loads is not None:
             self._on_loads(grant.loads)
         if grant.control:
@@ -355,9 +358,9 @@
             self._submitter.follow_addresses(grant.control)
         if conn is self._watcher.attached and self._announcer is not None:
             self._announcer.announce_if_missing(self._members)
-        return self._knowledge.take_grant(grant, conn.last_sent_us)
+        return self._state.apply_grant(grant, conn.last_sent_us)
 
     async def _check_lease(self) -> None:
         while True:
-            self._knowledge.note_lease()
+            self._state.update_lease()
             await self._clock.sleep(self._heartbeat_s / LEASE_CHECKS_PER_HEARTBEAT)
--- a/wigeonscale/membership/connection.py
+++ b/wigeonscale/membership/connection.py
@@ -1,4 +1,4 @@
-"""One watch connection to one control replica."""
+"""Watch connection to one control replica."""
 
 __all__ = ["DisconnectCause", "WatchConnection"]
 
@@ -15,8 +15,8 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-MICROSECONDS = 1_000_000
-MAX_QUEUED = 256
+MICROSECONDS_PER_SECOND = 1_000_000
+MAX_QUEUED_MESSAGES = 256
 
 logger = logging.getLogger(__name__)
 
@@ -34,32 +34,33 @@
 
 
 class WatchConnection:
-    """State of one watch stream; :meth:`run` is its task.
+    """One watch stream and its state; :meth:`run` is its task.
 
     Attributes:
         address: Replica's ``ip:port``.
-        members: Backends and chains as told on this stream; None until told.
-        known_members: Those known at its opening, from which it may be told what
-            changed; None for none, and once told.
-        opened_at: Own time of opening, in seconds.
-        answered_at: Own sending time of the latest heartbeat that was answered, or
-            the time of opening. A stream that is silent in one direction, or that
-            delivers old answers, falls behind here.
-        last_sent_us: Own time of the latest heartbeat, in microseconds.
-        cause: Why it ended, once it has.
+        members: Backends and chains received on this stream; None before the first
+            update.
+        known_members: Members known when the stream was opened, to which the replica
+            may send a delta; None if there are none and after the first update.
+        opened_at: Local time of opening, in seconds.
+        answered_at: Local send time of the latest answered heartbeat, or the time of
+            opening. Send times are used so that a stream that is silent in one
+            direction, or that delivers old answers, is detected as late.
+        last_sent_us: Local send time of the latest heartbeat, in microseconds.
+        cause: Why the stream ended; None while it is open.
 
     Args:
         address: Replica's ``ip:port``.
         clock: Clock of this process.
         heartbeat_s: Interval of heartbeats, in seconds.
         hello: First message of the stream.
-        on_event: Called with this connection and each event but configurations;
-            returns a cause to end the connection, else None.
-        on_config: Puts a configuration in force, one after another; meanwhile other
-            events are taken. Returns a cause to end the connection, else None.
-        applied_revision: Returns the configuration revision in force here.
-        loads: Returns what this entry has in progress; None where it does not tell.
-        known_members: Own copy of the members that ``hello`` says are known.
+        on_event: Called with this connection and each event except configurations;
+            returns a cause to end the connection, or None.
+        on_config: Applies one configuration update at a time, while other events are
+            still handled; returns a cause to end the connection, or None.
+        applied_revision: Returns the configuration revision applied in this process.
+        loads: Returns the load of this entry; None if it does not report its load.
+        known_members: Copy of the members at the index given in ``hello``.
         tls: Files for mutual TLS; None for plain TCP.
     """
 
@@ -95,42 +96,49 @@
         self._applied_revision = applied_revision
         self._loads = loads
         self._tls = tls
-        self._queue: asyncio.Queue[wire.WatchRequest] = asyncio.Queue(MAX_QUEUED)
-        self._configs: asyncio.Queue[wire.ConfigUpdate] = asyncio.Queue(MAX_QUEUED)
+        self._queue: asyncio.Queue[wire.WatchRequest] = asyncio.Queue(
+            MAX_QUEUED_MESSAGES
+        )
+        self._configs: asyncio.Queue[wire.ConfigUpdate] = asyncio.Queue(
+            MAX_QUEUED_MESSAGES
+        )
         self.send(wire.WatchRequest(hello=hello))
 
     def send(self, req: wire.WatchRequest) -> None:
         """Queue a message for the replica.
 
         Args:
-            req: The message; dropped when the stream takes nothing any more, since
-                its silence then ends it.
+            req: The message; dropped if the queue is full. A stream that stops sending
+                then also misses heartbeats and is closed as silent.
         """
         try:
             self._queue.put_nowait(req)
         except asyncio.QueueFull:
-            logger.warning("watch stream to %s takes no messages", self.address)
+            logger.warning(
+                "send queue of the watch stream to %s is full; message dropped",
+                self.address,
+            )
 
-    def answered(self, echo_us: int) -> None:
-        """Note that the replica answered a heartbeat.
+    def note_answer(self, echo_us: int) -> None:
+        """Record that the replica answered a heartbeat.
 
         Args:
-            echo_us: Sending time of that heartbeat, in microseconds.
+            echo_us: Local send time of that heartbeat, in microseconds.
         """
         if echo_us <= self.last_sent_us:
-            self.answered_at = max(self.answered_at, echo_us / MICROSECONDS)
+            self.answered_at = max(self.answered_at, echo_us / MICROSECONDS_PER_SECOND)
 
     async def run(self) -> None:
-        """Keep the stream until it ends; then :attr:`cause` tells why."""
+        """Run the stream until it ends, then set :attr:`cause`."""
         async with open_channel(self.address, tls=self._tls) as channel:
             call = wire_pb2_grpc.ControlStub(channel).Watch()
             readers = [
                 asyncio.create_task(self._read(call)),
-                asyncio.create_task(self._install()),
+                asyncio.create_task(self._apply_configs()),
             ]
             writers = [
                 asyncio.create_task(self._write(call)),
-                asyncio.create_task(self._beat()),
+                asyncio.create_task(self._send_heartbeats()),
             ]
             try:
                 done, _ = await asyncio.wait(
@@ -162,16 +170,16 @@
         try:
             return self._on_event(self, event)
         except Exception:
-            logger.exception("event from %s not handled", self.address)
+            logger.exception("handler of an event from %s failed", self.address)
             return None
 
-    async def _install(self) -> DisconnectCause:
+    async def _apply_configs(self) -> DisconnectCause:
         while True:
             update = await self._configs.get()
             try:
                 cause = await self._on_config(self, update)
             except Exception:
-                logger.exception("revision %d not handled", update.revision)
+                logger.exception("handler of revision %d failed", update.revision)
                 continue
             if cause is not None:
                 return cause
@@ -180,13 +188,13 @@
         while True:
             await call.write(await self._queue.get())
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            self.last_sent_us = int(self._clock.now() * MICROSECONDS)
-            beat = wire.Heartbeat(
+            self.last_sent_us = int(self._clock.now() * MICROSECONDS_PER_SECOND)
+            heartbeat = wire.Heartbeat(
                 sent_us=self.last_sent_us, applied_revision=self._applied_revision()
             )
             if self._loads is not None:
-                beat.loads.CopyFrom(self._loads())
-            self.send(wire.WatchRequest(heartbeat=beat))
+                heartbeat.loads.CopyFrom(self._loads())
+            self.send(wire.WatchRequest(heartbeat=heartbeat))
             await self._clock.sleep(self._heartbeat_s)
--- a/wigeonscale/membership/crash_messages.py
+++ b/wigeonscale/membership/crash_messages.py
@@ -1,35 +1,35 @@
-"""Records of crashes between the messages of control and an entry's own data."""
+"""Converts crash records between control messages and an entry's data types."""
 
-__all__ = ["command_of", "known_crashes"]
+__all__ = ["known_crashes", "record_crashes_command"]
 
 from wigeonscale.crashes import CrashReport, KnownCrashes
 from wigeonscale.wire import wire_pb2 as wire
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 def known_crashes(update: wire.CrashUpdate) -> list[KnownCrashes]:
-    """Return what an update of control tells, in its order.
+    """Convert the records of an update, in its order.
 
     Args:
-        update: The update; ages are by the wall time of control's state.
+        update: The update; ages are relative to the time of control's state machine.
     """
     return [
         KnownCrashes(
             fingerprint=record.fingerprint,
             backends=tuple(record.backends),
-            age_s=max(0, update.now_ms - record.wall_ms) / MILLISECONDS,
-            span_s=(record.wall_ms - record.first_ms) / MILLISECONDS,
+            age_s=max(0, update.now_ms - record.wall_ms) / MILLISECONDS_PER_SECOND,
+            span_s=(record.wall_ms - record.first_ms) / MILLISECONDS_PER_SECOND,
         )
         for record in update.records
     ]
 
 
-def command_of(report: CrashReport) -> wire.Command:
-    """Return the command that makes a report known to all entries.
+def record_crashes_command(report: CrashReport) -> wire.Command:
+    """Return the command that replicates a report to all entries.
 
     Args:
-        report: What one entry found.
+        report: Findings of one entry.
     """
     crashes = [
         wire.Crash(fingerprint=fingerprint, backend=backend_id)
--- a/wigeonscale/membership/tests/test_crash_messages.py
+++ b/wigeonscale/membership/tests/test_crash_messages.py
@@ -1,11 +1,11 @@
 from wigeonscale.crashes import CrashReport, KnownCrashes
-from wigeonscale.membership import command_of, known_crashes
+from wigeonscale.membership import known_crashes, record_crashes_command
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.wire import wire_pb2 as wire
 
 
 class CrashMessagesTest(AsyncTestCase):
-    def test_age_is_by_the_time_of_the_state(self):
+    def test_age_is_relative_to_the_state_machine_time(self):
         record = wire.CrashRecord(
             fingerprint=b"a", backends=["s1"], first_ms=700, wall_ms=1500
         )
@@ -19,8 +19,8 @@
             known_crashes(update),
         )
 
-    def test_report_as_a_command(self):
-        command = command_of(CrashReport(((b"a", "s1"),), (b"b",)))
+    def test_report_is_converted_to_a_command(self):
+        command = record_crashes_command(CrashReport(((b"a", "s1"),), (b"b",)))
         self.assertEqual([b"b"], list(command.record_crashes.cleared))
         (crash,) = command.record_crashes.crashes
         self.assertEqual((b"a", "s1"), (crash.fingerprint, crash.backend))
--- a/wigeonscale/membership/tests/test_floor.py
+++ b/wigeonscale/membership/tests/test_floor.py
@@ -1,20 +1,20 @@
 import asyncio
 import random
 
-from wigeonscale.membership.floor import ask_floor
+from wigeonscale.membership.floor import query_floor
 from wigeonscale.membership.tests.fake_control import FakeControlCase
 
 
 class FloorTest(FakeControlCase):
     def ask(self, *fakes):
-        coro = ask_floor(
+        coro = query_floor(
             addresses=[fake.address for fake in fakes],
             clock=self.clock,
             rng=random.Random(1),
         )
         return asyncio.create_task(coro)
 
-    async def test_largest_of_a_majority_term_first(self):
+    async def test_largest_position_by_term_then_index(self):
         fakes = await self.start_fakes(3)
         for fake, floor in zip(fakes, [(2, 50), (3, 7), (1, 99)], strict=True):
             fake.floor = floor
--- a/wigeonscale/membership/knowledge.py
+++ b/wigeonscale/membership/watch_state.py
@@ -1,6 +1,6 @@
-"""The configuration in force, and how freshly it was confirmed."""
+"""State received from control: configuration, lease and numbered document."""
 
-__all__ = ["Change", "Knowledge"]
+__all__ = ["Change", "WatchState"]
 
 import asyncio
 import enum
@@ -19,28 +19,28 @@
 
 
 class Change(enum.StrEnum):
-    """What a value of ``changes`` says has changed."""
+    """Kind of change that ``changes`` emits."""
 
     DOCUMENT = "document"
     MEMBERS = "members"
     LEASE = "lease"
-    NUMBERED = "numbered"
+    NUMBERED_DOCUMENT = "numbered"
 
 
-class Knowledge:
-    """Takes in updates and grants from any connection, and tells the changes.
+class WatchState:
+    """Applies updates and lease grants from any connection and emits changes.
 
     Attributes:
-        changes: Subject of :class:`Change`, after the change is in force here.
-        configuration: The configuration in force.
-        lease: How long it may be acted on.
-        entries: Entries attached to control as last told; 0 before.
-        numbered: Document under its author's number, highest ever told.
+        changes: Subject of :class:`Change`; emits after the change was applied.
+        configuration: The applied configuration.
+        lease: Freshness lease; the state may be acted on while it is valid.
+        entries: Last reported number of entries attached to control; 0 before.
+        numbered_document: Document with the highest number received so far.
 
     Args:
         clock: Clock of this process.
-        lease_s: Time of the freshness lease, in seconds.
-        metrics: Where lease and revision are shown.
+        lease_s: Duration of the freshness lease, in seconds.
+        metrics: Metrics of lease and revision.
     """
 
     def __init__(self, *, clock: Clock, lease_s: float, metrics: Metrics):
@@ -48,90 +48,93 @@
         self.configuration = Configuration()
         self.lease = Lease(clock=clock, lease_s=lease_s)
         self.entries = 0
-        self.numbered = wire.NumberedDocument()
+        self.numbered_document = wire.NumberedDocument()
         self._metrics = metrics
         self._config_lock = asyncio.Lock()
-        self._needs_whole_document = False
+        self._needs_full_document = False
         self._lease_was_valid = False
 
     @property
     def known_revision(self) -> int:
-        """Revision to ask deltas from; 0 asks for the whole document."""
-        return 0 if self._needs_whole_document else self.configuration.revision
+        """Base revision for deltas; 0 requests the whole document."""
+        return 0 if self._needs_full_document else self.configuration.revision
 
-    async def take_config(
+    async def apply_config(
         self, update: wire.ConfigUpdate, address: str
     ) -> DisconnectCause | None:
-        """Put an update in force if it is newer and fits.
+        """Apply a configuration update if it is newer and matches.
 
         Args:
             update: The update.
-            address: Replica that sent it, for the log.
+            address: Address of the replica that sent it, for the log.
 
         Returns:
-            Why its connection must end, or None.
+            Why the connection must be closed, or None.
         """
         async with self._config_lock:
             result = await self.configuration.apply(update)
         match result:
             case ConfigResult.APPLIED:
-                self._needs_whole_document = False
-                self._note_revision()
+                self._needs_full_document = False
+                self._publish_revision()
                 return None
             case ConfigResult.UNCHANGED:
                 return None
             case ConfigResult.OLDER:
                 return DisconnectCause.OLDER_REVISION
         logger.error("revision %d from %s: %s", update.revision, address, result.value)
-        self._needs_whole_document = True
+        self._needs_full_document = True
         return DisconnectCause.CONFIG_MISMATCH
 
-    def take_grant(
+    def apply_grant(
         self, grant: wire.LeaseGrant, last_sent_us: int
     ) -> DisconnectCause | None:
-        """Take a lease grant into account.
+        """Apply a lease grant.
 
         Args:
             grant: The grant.
-            last_sent_us: Latest heartbeat sent on its connection, microseconds.
+            last_sent_us: Send time of the latest heartbeat on its connection, in
+                microseconds.
 
         Returns:
-            Why its connection must end, or None.
+            Why the connection must be closed, or None.
         """
         revision = self.configuration.revision
         if grant.revision < revision:
             return DisconnectCause.OLDER_REVISION
         self.entries = grant.entries or self.entries
-        self.lease.offer(grant, last_sent_us=last_sent_us, applied_revision=revision)
-        self.note_lease()
+        self.lease.add_grant(
+            grant, last_sent_us=last_sent_us, applied_revision=revision
+        )
+        self.update_lease()
         return None
 
-    def take_numbered(self, document: wire.NumberedDocument) -> None:
-        """Put a numbered document in force if its number is higher.
+    def apply_numbered_document(self, document: wire.NumberedDocument) -> None:
+        """Store a numbered document if its number is higher.
 
         Args:
             document: The document, from any replica.
         """
-        held = self.numbered.number
-        if document.number <= held:
+        known_number = self.numbered_document.number
+        if document.number <= known_number:
             return
-        self.numbered = document
-        logger.info("document %d replaces %d", document.number, held)
-        self.emit(Change.NUMBERED)
+        self.numbered_document = document
+        logger.info("numbered document %d replaces %d", document.number, known_number)
+        self.emit(Change.NUMBERED_DOCUMENT)
 
-    def note_lease(self) -> None:
-        """Tell the subscribers when the lease began or ran out."""
+    def update_lease(self) -> None:
+        """Emit a change if the lease became valid or expired."""
         is_valid = self.lease.is_valid()
         if is_valid == self._lease_was_valid:
             return
         self._lease_was_valid = is_valid
         self._metrics.lease_valid.set(int(is_valid))
         level = logging.INFO if is_valid else logging.WARNING
-        logger.log(level, "lease %s", "holds" if is_valid else "is out")
+        logger.log(level, "lease %s", "is valid" if is_valid else "has expired")
         self.emit(Change.LEASE)
 
     def emit(self, change: Change) -> None:
-        """Tell the subscribers of a change; their failures stay theirs.
+        """Emit a change; exceptions of subscribers are logged and not raised.
 
         Args:
             change: What has changed.
@@ -141,10 +144,10 @@
         except Exception:
             logger.exception("a subscriber to %s changes failed", change)
 
-    def _note_revision(self) -> None:
+    def _publish_revision(self) -> None:
         revision = self.configuration.revision
         self._metrics.revision.set(revision)
-        logger.info("revision %d in force", revision)
+        logger.info("revision %d applied", revision)
         self.emit(Change.DOCUMENT)
-        self.lease.applied(revision)
-        self.note_lease()
+        self.lease.note_applied(revision)
+        self.update_lease()
--- a/wigeonscale/membership/watcher.py
+++ b/wigeonscale/membership/watcher.py
@@ -1,4 +1,4 @@
-"""Keeps one good watch connection, opening a second when the first goes quiet."""
+"""Maintains a watch connection and fails over to another replica if needed."""
 
 __all__ = ["Watcher"]
 
@@ -14,41 +14,43 @@
 from wigeonscale.membership.lease import Lease
 from wigeonscale.ports import Clock
 
-# Heartbeats without an answer after which a connection counts as silent. With those
-# of a second one that is silent too, and the reviews between, they stay below the
-# heartbeats in a lease: see ``MIN_HEARTBEATS_PER_LEASE`` of the settings.
-SILENT_HEARTBEATS = 2.5
-# A new connection is asked for less patience, since a lease is running out.
-NEW_SILENT_HEARTBEATS = 2
-# Share of the lease without confirmation after which another replica is tried,
-# though the current one answers. A leader change takes less than this.
-UNCONFIRMED_SHARE = 2 / 3
-UNCONFIRMED_JITTER = 1 / 6
-REVIEWS_PER_HEARTBEAT = 4
+# Time without an answered heartbeat, in heartbeats, after which the attached connection
+# counts as silent. The sum of this, of CANDIDATE_TIMEOUT_HEARTBEATS and of the check
+# intervals between them must stay below the length of a lease, which is at least
+# MIN_HEARTBEATS_PER_LEASE of the settings.
+SILENCE_TIMEOUT_HEARTBEATS = 2.5
+# The same for a candidate; shorter, because the lease is about to expire.
+CANDIDATE_TIMEOUT_HEARTBEATS = 2
+# Fraction of the lease without confirmation after which another replica is tried even
+# though the attached one answers. A leader election takes less time than this.
+UNCONFIRMED_LEASE_FRACTION = 2 / 3
+UNCONFIRMED_JITTER_FRACTION = 1 / 6
+CHECKS_PER_HEARTBEAT = 4
 
 logger = logging.getLogger(__name__)
 
 
 class Watcher:
-    """Opens watch connections and decides which of them is the attached one.
+    """Opens watch connections and selects the attached one.
 
-    At most two are open: the attached one, and a candidate that is tried when
-    there is none or when it is silent or unconfirmed. The candidate takes over
-    with the first grant that lengthens the lease.
+    At most two connections are open: the attached one, and a candidate. A candidate is
+    opened if there is no attached connection, or if that one is silent or does not
+    extend the lease. The candidate becomes the attached connection with the first grant
+    that extends the lease.
 
     Attributes:
-        attached: The connection in use, or None.
+        attached: The connection in use; None if there is none.
 
     Args:
-        addresses: Replicas' addresses.
+        addresses: Addresses of the control replicas.
         clock: Clock of this process.
-        rng: Source of jitter and of the order in which replicas are tried.
-        lease: Lease that grants lengthen.
-        lease_s: Time of the lease, in seconds.
+        rng: Random source for jitter and for the order in which replicas are tried.
+        lease: Lease that grants extend.
+        lease_s: Duration of the lease, in seconds.
         heartbeat_s: Interval of heartbeats, in seconds.
         open_connection: Returns a new connection to an address.
-        on_attached: Called with each connection that takes over.
-        metrics: Where connections are counted.
+        on_attached: Called with each connection that becomes the attached one.
+        metrics: Metrics of reconnects.
         reconnect_cap_s: Longest wait between two attempts, in seconds.
     """
 
@@ -76,8 +78,8 @@
         self._on_attached = on_attached
         self._metrics = metrics
         self._backoff = Backoff(rng=rng, cap_s=reconnect_cap_s)
-        self._unconfirmed_s = lease_s * (
-            UNCONFIRMED_SHARE + rng.uniform(0, UNCONFIRMED_JITTER)
+        self._max_unconfirmed_s = lease_s * (
+            UNCONFIRMED_LEASE_FRACTION + rng.uniform(0, UNCONFIRMED_JITTER_FRACTION)
         )
         self._candidate: WatchConnection | None = None
         self._next_address = 0
@@ -86,32 +88,32 @@
         self._wake = asyncio.Event()
 
     def follow_addresses(self, addresses: Sequence[str]) -> None:
-        """Try these replicas from now on, the members as a replica told them.
+        """Replace the replicas to try by the members that a replica reported.
 
         Args:
-            addresses: All of them; the order in which they are tried is kept.
+            addresses: Addresses of all replicas; known ones keep their order.
         """
         if set(addresses) == set(self._addresses):
             return
         kept = [address for address in self._addresses if address in addresses]
         added = [address for address in addresses if address not in kept]
-        logger.info("control replicas are %s", ", ".join([*kept, *added]))
+        logger.info("control replicas are now %s", ", ".join([*kept, *added]))
         self._addresses = [*kept, *added]
 
     def add_addresses(self, addresses: Sequence[str]) -> None:
-        """Try these replicas too, until a grant names the members.
+        """Add replicas to try until a grant names the members.
 
         Args:
-            addresses: Some replicas.
+            addresses: Addresses of further replicas.
         """
         self._addresses = list(dict.fromkeys([*self._addresses, *addresses]))
 
     async def run(self) -> None:
-        """Keep connections until cancelled."""
+        """Maintain connections until the task is cancelled."""
         ticker = asyncio.create_task(self._tick())
         try:
             while True:
-                self._review()
+                self._check()
                 await self._wake.wait()
                 self._wake.clear()
         finally:
@@ -120,17 +122,17 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def confirmed_by(self, conn: WatchConnection) -> None:
-        """Note that a grant on this connection lengthened the lease.
+    def note_confirmation(self, conn: WatchConnection) -> None:
+        """Record that a grant on a connection extended the lease.
 
         Args:
-            conn: The connection; it takes over if it is the candidate and has
-                told its members.
+            conn: The connection; a candidate that has received its members becomes the
+                attached connection.
         """
         if conn is self.attached:
             self._next_attempt_at = min(self._next_attempt_at, self._clock.now())
-            # Not at once, so that a replica that fails again and again is not
-            # asked again and again.
+            # Reset only after a full lease, so that a replica that fails repeatedly
+            # is not retried without backoff.
             if self._clock.now() > conn.opened_at + self._lease_s:
                 self._backoff.reset()
         if conn is self._candidate and conn.members is not None:
@@ -139,57 +141,57 @@
 
     async def _tick(self) -> None:
         while True:
-            await self._clock.sleep(self._heartbeat_s / REVIEWS_PER_HEARTBEAT)
+            await self._clock.sleep(self._heartbeat_s / CHECKS_PER_HEARTBEAT)
             self._wake.set()
 
-    def _review(self) -> None:
-        self._drop_ended()
+    def _check(self) -> None:
+        self._remove_ended()
         if self._candidate is not None:
-            self._review_candidate(self._candidate)
-        elif self._needs_another() and self._clock.now() >= self._next_attempt_at:
+            self._check_candidate(self._candidate)
+        elif self._needs_candidate() and self._clock.now() >= self._next_attempt_at:
             self._open_candidate()
 
-    def _drop_ended(self) -> None:
+    def _remove_ended(self) -> None:
         for conn in [conn for conn, task in self._tasks.items() if task.done()]:
             task = self._tasks.pop(conn)
             if not task.cancelled() and task.exception() is not None:
                 logger.error("watch connection failed", exc_info=task.exception())
             if conn in (self.attached, self._candidate):
-                self._lose(conn, conn.cause or DisconnectCause.LOST)
+                self._disconnect(conn, conn.cause or DisconnectCause.LOST)
 
-    def _review_candidate(self, conn: WatchConnection) -> None:
-        if not self._needs_another():
-            self._lose(conn, DisconnectCause.SUPERSEDED)
+    def _check_candidate(self, conn: WatchConnection) -> None:
+        if not self._needs_candidate():
+            self._disconnect(conn, DisconnectCause.SUPERSEDED)
             return
         now = self._clock.now()
-        if now - conn.answered_at > NEW_SILENT_HEARTBEATS * self._heartbeat_s:
-            self._lose(conn, DisconnectCause.SILENT)
-        elif now - conn.opened_at > self._unconfirmed_s:
-            self._lose(conn, DisconnectCause.NO_LEASE)
+        if now - conn.answered_at > CANDIDATE_TIMEOUT_HEARTBEATS * self._heartbeat_s:
+            self._disconnect(conn, DisconnectCause.SILENT)
+        elif now - conn.opened_at > self._max_unconfirmed_s:
+            self._disconnect(conn, DisconnectCause.NO_LEASE)
 
-    def _needs_another(self) -> bool:
+    def _needs_candidate(self) -> bool:
         return self.attached is None or self._is_silent() or self._is_unconfirmed()
 
     def _is_silent(self) -> bool:
-        quiet_s = self._clock.now() - self.attached.answered_at
-        return quiet_s > SILENT_HEARTBEATS * self._heartbeat_s
+        silence_s = self._clock.now() - self.attached.answered_at
+        return silence_s > SILENCE_TIMEOUT_HEARTBEATS * self._heartbeat_s
 
     def _is_unconfirmed(self) -> bool:
-        return self._clock.now() - self._lease.confirmed_at > self._unconfirmed_s
+        return self._clock.now() - self._lease.confirmed_at > self._max_unconfirmed_s
 
     def _open_candidate(self) -> None:
-        conn = self._open_connection(self._take_address())
+        conn = self._open_connection(self._pick_address())
         self._candidate = conn
         task = asyncio.create_task(conn.run())
         task.add_done_callback(lambda _: self._wake.set())
         self._tasks[conn] = task
 
-    def _take_address(self) -> str:
+    def _pick_address(self) -> str:
         address = self._addresses[self._next_address % len(self._addresses)]
         self._next_address += 1
         in_use = self.attached is not None and address == self.attached.address
         if in_use and len(self._addresses) > 1:
-            return self._take_address()
+            return self._pick_address()
         return address
 
     def _attach(self, conn: WatchConnection) -> None:
@@ -199,7 +201,7 @@
         if old is not None:
             self._close(old, DisconnectCause.SUPERSEDED)
 
-    def _lose(self, conn: WatchConnection, cause: DisconnectCause) -> None:
+    def _disconnect(self, conn: WatchConnection, cause: DisconnectCause) -> None:
         self._close(conn, cause)
         if conn is self.attached:
             self.attached = None
@@ -207,8 +209,8 @@
             self._candidate = None
         wait_s = self._backoff.next_wait()
         if self.attached is not None and not self._is_silent():
-            # The attached replica heals by itself after a leader change; all its
-            # watchers asking the others meanwhile would only load these.
+            # The attached replica recovers by itself after a leader change. Until then,
+            # connections of all its watchers would only add load to the others.
             wait_s += self._lease_s
         self._next_attempt_at = self._clock.now() + wait_s
 
--- a/wigeonscale/platform/heartbeats.py
+++ b/wigeonscale/platform/heartbeats.py
@@ -15,7 +15,7 @@
 )
 
 from wigeonscale.errors import ErrorKind, WigeonscaleError
-from wigeonscale.state import UNNUMBERED
+from wigeonscale.state import DEFAULT_INCARNATION
 from wigeonscale.wire import wire_pb2 as wire
 
 DRAINING = "draining"
@@ -106,7 +106,7 @@
     layers = heartbeat.layers or _Layers()
     backend = wire.Backend(
         agent_id=backend_id,
-        incarnation=heartbeat.born or UNNUMBERED,
+        incarnation=heartbeat.born or DEFAULT_INCARNATION,
         started_ms=heartbeat.born or 0,
         address=heartbeat.address,
         domain=heartbeat.zone,
--- a/wigeonscale/state/__init__.py
+++ b/wigeonscale/state/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated control state and its commands."""
+"""Replicated state machine of the control plane and its commands."""
 
 __all__ = [
     "Change",
@@ -6,10 +6,10 @@
     "Claims",
     "Configuration",
     "ControlState",
+    "DEFAULT_INCARNATION",
     "Member",
     "Members",
     "Revision",
-    "UNNUMBERED",
 ]
 
 from wigeonscale.state.chains import Chains
@@ -17,4 +17,4 @@
 from wigeonscale.state.claims import Claims
 from wigeonscale.state.configuration import Configuration, Revision
 from wigeonscale.state.members import Member, Members
-from wigeonscale.state.state import UNNUMBERED, ControlState
+from wigeonscale.state.state import DEFAULT_INCARNATION, ControlState
--- a/wigeonscale/state/claims.py
+++ b/wigeonscale/state/claims.py
@@ -1,4 +1,4 @@
-"""Claims of requests that must not run twice."""
+"""Claims on idempotency keys, for requests that must run at most once."""
 
 __all__ = ["Claims"]
 
@@ -13,23 +13,24 @@
 
 
 class Claims:
-    """Records by organisation and idempotency key, oldest change first.
+    """Claim records by organisation and idempotency key, oldest change first.
 
     Notes:
-        Records are kept serialised, which is small and makes snapshots cheap.
-        Ending an incarnation costs its own claims only.
+        Records are kept serialised, which saves memory and makes snapshots cheap.
+        Ending an incarnation costs time in proportion to its own claims only.
     """
 
     def __init__(self):
         self._records: OrderedDict[tuple[str, str], bytes] = OrderedDict()
-        # Claims in progress by (agent, incarnation); dicts keep a stable order.
-        self._running: dict[tuple[str, int], dict[tuple[str, str], None]] = {}
+        # Claims in progress by (agent, incarnation). Dicts rather than sets, so that
+        # the order is the same on every replica.
+        self._in_progress: dict[tuple[str, int], dict[tuple[str, str], None]] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     def find(self, organisation: str, key: str) -> wire.ClaimRecord | None:
-        """Return the standing record of a key, or None.
+        """Return the record of a key, or None.
 
         Args:
             organisation: Name of the organisation.
@@ -41,15 +42,16 @@
         data = self._records.get((organisation, key))
         return None if data is None else wire.ClaimRecord.FromString(data)
 
-    def answer_standing(self, claim: wire.Claim) -> wire.CommandResult | None:
+    def existing_result(self, claim: wire.Claim) -> wire.CommandResult | None:
         """Return the result for a key that is claimed already, or None.
 
         Args:
             claim: The new claim.
 
         Returns:
-            Granted if it is the same dispatch, the standing record otherwise, or
-            ``IDEMPOTENCY_KEY_REUSED`` for another request under the same key.
+            Granted if the claim in progress is of the same dispatch, otherwise the
+            existing record; ``IDEMPOTENCY_KEY_REUSED`` for a different request under
+            the same key.
         """
         record = self.find(claim.organisation, claim.key)
         if record is None:
@@ -59,15 +61,17 @@
                 ErrorKind.IDEMPOTENCY_KEY_REUSED,
                 f"idempotency key {claim.key!r} was used for another request",
             )
-        is_same = record.claim.dispatch_id == claim.dispatch_id
-        return done(claim=record, granted=is_same and record.state == wire.CLAIMED)
+        is_same_dispatch = record.claim.dispatch_id == claim.dispatch_id
+        return done(
+            claim=record, granted=is_same_dispatch and record.state == wire.CLAIMED
+        )
 
     def add(self, claim: wire.Claim, wall_ms: int) -> wire.CommandResult:
-        """Record a claim whose key is free.
+        """Record a claim on a key that is not claimed.
 
         Args:
             claim: The new claim.
-            wall_ms: Time inside the state, in milliseconds.
+            wall_ms: Time of the state machine, in milliseconds.
 
         Returns:
             The new record, granted.
@@ -77,15 +81,15 @@
         return done(claim=record, granted=True)
 
     def end(self, outcome: wire.Outcome, wall_ms: int) -> wire.CommandResult:
-        """Release a claim that never ran, or record how it ended.
+        """Release the claim of a request that did not run, or record its outcome.
 
         Args:
-            outcome: Names the claim and its dispatch.
-            wall_ms: Time inside the state, in milliseconds.
+            outcome: The outcome, with the key and the dispatch of its claim.
+            wall_ms: Time of the state machine, in milliseconds.
 
         Returns:
-            The record standing afterwards, if any; ``BAD_REQUEST`` for an outcome
-            that is none.
+            The record after the call, if any; ``BAD_REQUEST`` for a state that is not
+            final.
         """
         if not outcome.not_run and outcome.state not in _FINAL_STATES:
             return refused(
@@ -94,8 +98,8 @@
         record = self.find(outcome.organisation, outcome.key)
         if record is None:
             return done()
-        is_same = record.claim.dispatch_id == outcome.dispatch_id
-        if not is_same or record.state != wire.CLAIMED:
+        is_same_dispatch = record.claim.dispatch_id == outcome.dispatch_id
+        if not is_same_dispatch or record.state != wire.CLAIMED:
             return done(claim=record)
         self._remove(record)
         if outcome.not_run:
@@ -107,22 +111,22 @@
         return done(claim=ended)
 
     def end_incarnation(self, agent_id: str, incarnation: int, wall_ms: int) -> None:
-        """Make the claims in progress at an incarnation unknown for good.
+        """Set the claims in progress at an incarnation to the final state UNKNOWN.
 
         Args:
             agent_id: Name of the backend server.
             incarnation: The incarnation that ended.
-            wall_ms: Time inside the state, in milliseconds.
+            wall_ms: Time of the state machine, in milliseconds.
         """
-        for name in list(self._running.get((agent_id, incarnation), ())):
-            record = self.find(*name)
+        for record_key in list(self._in_progress.get((agent_id, incarnation), ())):
+            record = self.find(*record_key)
             self._remove(record)
             record.state = wire.UNKNOWN
             record.wall_ms = wall_ms
             self._insert(record)
 
     def expire(self, before_wall_ms: int) -> None:
-        """Forget every claim last changed before a time.
+        """Remove every claim last changed before a time.
 
         Args:
             before_wall_ms: Time in milliseconds.
@@ -134,21 +138,21 @@
             self._remove(record)
 
     def oldest_wall_ms(self) -> int | None:
-        """Return the time of the oldest record in milliseconds, or None."""
+        """Return the time of the least recent change in milliseconds, or None."""
         return self._oldest().wall_ms if self._records else None
 
     def save(self) -> list[bytes]:
-        """Return every record for a snapshot, serialised, oldest first."""
+        """Return every record, serialised, least recently changed first."""
         return list(self._records.values())
 
     def load(self, records: Iterable[bytes]) -> None:
-        """Replace everything by the records of a snapshot.
+        """Replace the contents by the records of a snapshot.
 
         Args:
-            records: Serialised, oldest first.
+            records: Serialised, in the order of :meth:`save`.
         """
         self._records.clear()
-        self._running.clear()
+        self._in_progress.clear()
         for data in records:
             self._insert(wire.ClaimRecord.FromString(data), data)
 
@@ -156,24 +160,24 @@
         return wire.ClaimRecord.FromString(next(iter(self._records.values())))
 
     def _insert(self, record, data=None):
-        name = _name(record)
-        self._records[name] = data or record.SerializeToString()
+        record_key = _record_key(record)
+        self._records[record_key] = data or record.SerializeToString()
         if record.state == wire.CLAIMED:
-            self._running.setdefault(_holder(record), {})[name] = None
+            self._in_progress.setdefault(_incarnation_of(record), {})[record_key] = None
 
     def _remove(self, record):
-        name = _name(record)
-        del self._records[name]
-        running = self._running.get(_holder(record))
-        if running is not None:
-            running.pop(name, None)
-            if not running:
-                del self._running[_holder(record)]
+        record_key = _record_key(record)
+        del self._records[record_key]
+        in_progress = self._in_progress.get(_incarnation_of(record))
+        if in_progress is not None:
+            in_progress.pop(record_key, None)
+            if not in_progress:
+                del self._in_progress[_incarnation_of(record)]
 
 
-def _name(record: wire.ClaimRecord) -> tuple[str, str]:
+def _record_key(record: wire.ClaimRecord) -> tuple[str, str]:
     return record.claim.organisation, record.claim.key
 
 
-def _holder(record: wire.ClaimRecord) -> tuple[str, int]:
+def _incarnation_of(record: wire.ClaimRecord) -> tuple[str, int]:
     return record.claim.agent_id, record.claim.agent_incarnation
--- a/wigeonscale/state/configuration.py
+++ b/wigeonscale/state/configuration.py
@@ -1,4 +1,4 @@
-"""The accepted configuration: document, revision and a bounded history."""
+"""Accepted configuration: rules document, revision and bounded history."""
 
 __all__ = ["HISTORY_LIMIT", "Configuration", "Revision"]
 
@@ -20,20 +20,22 @@
 
 logger = logging.getLogger(__name__)
 
-# Half an hour of changes at 46,000 a day; a watcher away for longer gets it all.
+# About half an hour at 46,000 changes a day. A watcher that was disconnected for longer
+# gets the whole document.
 HISTORY_LIMIT = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Revision:
-    """One accepted change.
+    """One accepted change of the configuration.
 
     Attributes:
         number: Revision after the change.
         wall_ms: Wall time of the command, in milliseconds.
-        operator: Who asked for it.
+        operator: Name of the operator who requested it.
         changes: Changed sections, relative to the revision before.
-        document: Document after the change; shares unchanged sections.
+        document: Document after the change; shares unchanged sections with the one
+            before.
     """
 
     number: int
@@ -44,8 +46,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Prepared:
-    """What a command makes of a document, worked out before it is applied."""
+class _PreparedChange:
+    """Result of a command, computed before the command is applied."""
 
     base: Document
     command: wire.ApplyConfig
@@ -54,7 +56,7 @@
 
 
 class Configuration:
-    """The document in force and how it came about.
+    """The current document and the recent revisions that led to it.
 
     Args:
         history_limit: Revisions kept for watchers and for rollback.
@@ -63,19 +65,19 @@
     def __init__(self, *, history_limit: int = HISTORY_LIMIT):
         self._limit = history_limit
         self._base_revision = 0
-        self._base = EMPTY_DOCUMENT
+        self._base_document = EMPTY_DOCUMENT
         self._history: deque[Revision] = deque()
-        self._prepared: _Prepared | None = None
+        self._prepared: _PreparedChange | None = None
 
     @property
     def revision(self) -> int:
-        """Number of the revision in force; 0 before the first."""
+        """Number of the current revision; 0 before the first."""
         return self._history[-1].number if self._history else self._base_revision
 
     @property
     def document(self) -> Document:
-        """Document in force."""
-        return self._history[-1].document if self._history else self._base
+        """Current document."""
+        return self._history[-1].document if self._history else self._base_document
 
     @property
     def history(self) -> tuple[Revision, ...]:
@@ -83,15 +85,15 @@
         return tuple(self._history)
 
     @property
-    def oldest_known(self) -> int:
-        """Oldest revision from which :meth:`after` can lead on."""
+    def oldest_base_revision(self) -> int:
+        """Oldest revision that :meth:`after` accepts."""
         return self._base_revision
 
     def after(self, revision: int) -> list[Revision]:
-        """Return the revisions that follow one which is still known.
+        """Return the revisions that follow a given one.
 
         Args:
-            revision: At least :attr:`oldest_known`.
+            revision: At least :attr:`oldest_base_revision`.
 
         Returns:
             Later revisions, oldest first.
@@ -106,28 +108,29 @@
             revision: Revision number.
 
         Returns:
-            The document as it stood, or None.
+            The document at that revision, or None.
         """
         if revision == self._base_revision:
-            return self._base
+            return self._base_document
         position = revision - self._base_revision - 1
         if 0 <= position < len(self._history):
             return self._history[position].document
         return None
 
-    def whole_changes(self) -> list[wire.SectionChange]:
-        """Return the changes that make the document in force out of nothing."""
+    def changes_from_empty(self) -> list[wire.SectionChange]:
+        """Return the changes that turn an empty document into the current one."""
         return diff_documents(EMPTY_DOCUMENT, self.document)
 
     def preparation(self, command: wire.ApplyConfig) -> Callable[[], None] | None:
-        """Return work for a thread that makes a later :meth:`apply` short.
+        """Return a function for a worker thread that shortens a later :meth:`apply`.
 
         Args:
             command: The command that will be applied.
 
         Returns:
-            A function that reads the command's sections and changes nothing else;
-            None where that is done, or the command made from another revision.
+            A function that parses the command's sections and stores the result for
+            :meth:`apply`; None if that has been done already or the command is based
+            on another revision.
         """
         base = self.document
         if command.base_revision != self.revision or self._is_prepared(command):
@@ -135,38 +138,42 @@
 
         def prepare() -> None:
             try:
-                self._prepared = _Prepared(base, command, *_made(base, command))
+                self._prepared = _PreparedChange(
+                    base, command, *_build_document(base, command)
+                )
             except SettingsError as exc:
-                logger.info("a change of the rules will be refused: %s", exc.message)
+                logger.info(
+                    "the change of the rules cannot be applied: %s", exc.message
+                )
 
         return prepare
 
-    def expect(
+    def set_prepared(
         self, command: wire.ApplyConfig, base: Document, document: Document
     ) -> None:
-        """Keep a document that is known to come of a command.
+        """Store the known result of a command for a later :meth:`apply`.
 
         Args:
             command: Sections changed from ``base`` to ``document``.
-            base: The document that the command was made from.
-            document: What it makes.
+            base: The document that the command is based on.
+            document: The document after the command.
         """
         changes = tuple(command.changes)
-        self._prepared = _Prepared(base, command, document, changes)
+        self._prepared = _PreparedChange(base, command, document, changes)
 
     def _is_prepared(self, command):
-        known = self._prepared
+        prepared = self._prepared
         return (
-            known is not None
-            and known.base is self.document
-            and known.command == command
+            prepared is not None
+            and prepared.base is self.document
+            and prepared.command == command
         )
 
     def apply(self, command: wire.ApplyConfig, wall_ms: int) -> wire.CommandResult:
-        """Make a new revision if the command was made from the one in force.
+        """Create a new revision if the command is based on the current one.
 
         Args:
-            command: Whole new document, or changed sections only.
+            command: The whole new document, or only the changed sections.
             wall_ms: Time of the command, in milliseconds.
 
         Returns:
@@ -175,44 +182,44 @@
         if command.base_revision != self.revision:
             return refused(
                 ErrorKind.REVISION_CONFLICT,
-                f"made from revision {command.base_revision},"
-                f" but revision {self.revision} is in force",
+                f"the change is based on revision {command.base_revision},"
+                f" but the current one is revision {self.revision}",
             )
         try:
-            document, changes = self._next(command)
+            document, changes = self._evaluate(command)
             self._prepared = None
         except SettingsError as exc:
             return refused(ErrorKind.INVALID_DOCUMENT, exc.message)
         if command.digest not in ("", document.digest):
             return refused(
                 ErrorKind.INVALID_DOCUMENT,
-                f"the changes make a document with digest {document.digest},"
-                f" not {command.digest}",
+                f"the resulting document has digest {document.digest},"
+                f" expected {command.digest}",
             )
         number = self.revision + 1
-        self._add(Revision(number, wall_ms, command.operator, changes, document))
+        self._append(Revision(number, wall_ms, command.operator, changes, document))
         return done()
 
-    def _next(self, command):
+    def _evaluate(self, command):
         if self._is_prepared(command):
             return self._prepared.document, self._prepared.changes
-        return _made(self.document, command)
+        return _build_document(self.document, command)
 
-    def _add(self, revision):
+    def _append(self, revision):
         self._history.append(revision)
         if len(self._history) > self._limit:
             oldest = self._history.popleft()
             self._base_revision = oldest.number
-            self._base = oldest.document
+            self._base_document = oldest.document
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
-        """Write everything into a snapshot.
+        """Write the contents to a snapshot.
 
         Args:
             snapshot: Message to fill in.
         """
         snapshot.base_revision = self._base_revision
-        snapshot.base_document = self._base.text
+        snapshot.base_document = self._base_document.text
         for revision in self._history:
             snapshot.history.add(
                 revision=revision.number,
@@ -222,14 +229,14 @@
             )
 
     def load(self, snapshot: wire.StateSnapshot) -> None:
-        """Replace everything by what a snapshot holds.
+        """Replace the contents by those of a snapshot.
 
         Args:
             snapshot: Message filled by :meth:`save`.
         """
         self._base_revision = snapshot.base_revision
         text = snapshot.base_document
-        self._base = parse_document(text) if text else EMPTY_DOCUMENT
+        self._base_document = parse_document(text) if text else EMPTY_DOCUMENT
         self._history.clear()
         for record in snapshot.history:
             changes = tuple(record.changes)
@@ -241,10 +248,12 @@
             )
 
 
-def _made(base, command):
-    """Return the document that a command makes, and the changes to it."""
+def _build_document(base, command):
+    """Return the document after a command, and its changes to ``base``."""
     if command.changes and command.document:
-        raise SettingsError("both a document and changes given; give one")
+        raise SettingsError(
+            "the command has both a document and changes; only one is allowed"
+        )
     if command.changes:
         changes = tuple(command.changes)
         return patch_document(base, changes), changes
--- a/wigeonscale/state/crash_records.py
+++ b/wigeonscale/state/crash_records.py
@@ -1,4 +1,4 @@
-"""Requests under which backend servers ended, as control replicas agree on them."""
+"""Replicated records of which requests were running when backend servers crashed."""
 
 __all__ = ["CrashRecords"]
 
@@ -13,33 +13,34 @@
 )
 from wigeonscale.wire import wire_pb2 as wire
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class CrashRecords:
-    """Which backend servers ended under which request.
+    """Backend servers that crashed, by the fingerprint of the request they ran.
 
     Attributes:
         index: Log index of the newest change; 0 before any.
 
     Notes:
-        Forgetting depends on commands only, so that all replicas forget alike. A
-        record that was cleared is kept, empty, for watchers that do not know it yet.
+        Eviction depends on commands only, so that it is the same on all replicas. A
+        cleared record is kept with no backends until it expires, so that watchers
+        learn that it was cleared.
     """
 
     def __init__(self):
         self.index = 0
-        # In the order of their last change, the newest last.
+        # Ordered by last change, newest last.
         self._records: OrderedDict[bytes, wire.CrashRecord] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._records)
 
     def record(self, found: wire.RecordCrashes, *, index: int, now_ms: int) -> bool:
-        """Take in what an entry found.
+        """Apply the findings of an entry.
 
         Args:
-            found: Crashes, and requests that ran without one.
+            found: New crashes, and fingerprints of requests that ran without one.
             index: Log index of the command.
             now_ms: Largest wall time of any command so far, in milliseconds.
 
@@ -53,14 +54,14 @@
             has_changed |= self._clear(fingerprint, index, now_ms)
         if has_changed:
             self.index = index
-            self._forget(now_ms)
+            self._evict(now_ms)
         return has_changed
 
     def after(self, index: int) -> list[wire.CrashRecord]:
-        """Return the records that changed after a log index, the oldest first.
+        """Return the records that changed after a log index, oldest change first.
 
         Args:
-            index: What a watcher holds; 0 for nothing.
+            index: Log index up to which the caller knows the records; 0 for none.
         """
         changed = []
         for record in reversed(self._records.values()):
@@ -104,21 +105,21 @@
         self._records.move_to_end(fingerprint)
         return record
 
-    def _forget(self, now_ms: int) -> None:
-        old = [
+    def _evict(self, now_ms: int) -> None:
+        expired = [
             fingerprint
             for fingerprint, record in self._records.items()
             if now_ms - record.wall_ms
-            > MILLISECONDS * retention_s(len(record.backends))
+            > MILLISECONDS_PER_SECOND * retention_s(len(record.backends))
         ]
-        for fingerprint in old:
+        for fingerprint in expired:
             del self._records[fingerprint]
         while len(self._records) > MAX_TRACKED_REQUESTS:
             counts = {name: len(r.backends) for name, r in self._records.items()}
             del self._records[next_to_evict(counts)]
 
     def save(self, snapshot: wire.StateSnapshot) -> None:
-        """Write everything into a snapshot.
+        """Write the contents to a snapshot.
 
         Args:
             snapshot: Message to fill in.
@@ -126,10 +127,10 @@
         snapshot.crashes.extend(self._records.values())
 
     def load(self, records: Iterable[wire.CrashRecord]) -> None:
-        """Replace everything by the records of a snapshot.
+        """Replace the contents by the records of a snapshot.
 
         Args:
-            records: In the order of their last change.
+            records: Ordered by last change, newest last.
         """
         self._records.clear()
         for record in records:
--- a/wigeonscale/state/state.py
+++ b/wigeonscale/state/state.py
@@ -1,6 +1,6 @@
-"""The replicated state machine of control: commands in, results out."""
+"""Replicated state machine of the control plane."""
 
-__all__ = ["UNNUMBERED", "ControlState"]
+__all__ = ["DEFAULT_INCARNATION", "ControlState"]
 
 from collections.abc import Callable
 
@@ -14,41 +14,42 @@
 from wigeonscale.state.configuration import HISTORY_LIMIT, Configuration
 from wigeonscale.state.crash_records import CrashRecords
 from wigeonscale.state.entries import Entries
-from wigeonscale.state.first_results import FirstResults
 from wigeonscale.state.members import Members
-from wigeonscale.state.numbered import Numbered
+from wigeonscale.state.numbered_document import LatestNumberedDocument
+from wigeonscale.state.operation_results import OperationResults
 from wigeonscale.state.results import done, refused
 from wigeonscale.state.snapshots import SNAPSHOT_FORMAT, parse_snapshot
 from wigeonscale.wire import wire_pb2 as wire
 
-# Some hundred sections of the rules; less is read at once.
+# A few hundred sections of the rules. Shorter commands are not prepared in a thread.
 LONG_COMMAND_BYTES = 16 * 1024
-# Incarnation of backend servers that do not say when they started.
-UNNUMBERED = 1
+# Incarnation of backend servers that do not report a start time.
+DEFAULT_INCARNATION = 1
 
 
 class ControlState:
-    """All that control replicas agree on; a replication state machine.
+    """State that control replicas agree on; a replication state machine.
 
-    No clock is read here: time inside is the largest ``wall_ms`` of any command.
-    Every replica gets the same results from the same commands.
+    Applying commands is deterministic: the same commands give the same results on every
+    replica. No clock is read; the time of the state machine is the largest ``wall_ms``
+    of any command so far.
 
     Args:
         history_limit: Revisions of the configuration kept.
 
     Attributes:
-        configuration: Document, revision and history.
+        configuration: Rules document, revision and history.
         members: Announced backend servers.
         chains: Pipeline replicas.
         claims: Claims of requests that must not run twice.
         entries: Entries attached to any replica.
-        document: Document under its author's number, highest in force.
-        crashes: Requests under which backend servers ended.
-        changes: Subject of :class:`Change`, one after each command that changed
-            something to watch.
+        document: Numbered document with the highest number.
+        crashes: Records of requests under which backend servers crashed.
+        changes: Subject of :class:`Change`; emits after each command that changed
+            anything that watchers are sent.
         index: Log index of the last command applied.
-        now_ms: Time inside, in milliseconds.
-        placement_index: Log index of the last change of the chains by placement.
+        now_ms: Time of the state machine, in milliseconds.
+        placement_index: Log index of the last accepted placement plan.
     """
 
     def __init__(self, *, history_limit: int = HISTORY_LIMIT):
@@ -58,14 +59,14 @@
         self.chains = Chains(members=self.members)
         self.claims = Claims()
         self.entries = Entries()
-        self.document = Numbered()
+        self.document = LatestNumberedDocument()
         self.crashes = CrashRecords()
         self.changes: Subject[Change] = Subject()
         self.index = 0
         self.now_ms = 0
         self.placement_index = 0
-        self._read_ahead: tuple[bytes, Configuration] | None = None
-        self._results = FirstResults()
+        self._prepared_restore: tuple[bytes, Configuration] | None = None
+        self._results = OperationResults()
         self._handlers = {
             "apply_config": self._apply_config,
             "claim": self._claim,
@@ -81,11 +82,11 @@
         }
 
     def apply(self, index: int, term: int, data: bytes) -> wire.CommandResult:
-        """Carry out one committed command.
+        """Apply one committed command.
 
         Args:
-            index: Its log index.
-            term: Its term; not looked at.
+            index: Log index of the command.
+            term: Term of the command; ignored.
             data: A serialised command; anything else is refused.
 
         Returns:
@@ -103,13 +104,13 @@
         return result
 
     def preparation(self, data: bytes) -> Callable[[], None] | None:
-        """Return work for a thread that makes applying a long command short.
+        """Return a function for a worker thread that shortens applying a command.
 
         Args:
             data: The serialised command.
 
         Returns:
-            A function that changes nothing the results depend on, or None.
+            A function that changes no result, or None if nothing can be prepared.
         """
         if len(data) < LONG_COMMAND_BYTES:
             return None
@@ -122,19 +123,19 @@
         return self.configuration.preparation(command.apply_config)
 
     def first_result(self, command: wire.Command) -> wire.CommandResult | None:
-        """Return the result that an operation had before, or None if it is new.
+        """Return the stored result of an operation, or None if it is new.
 
         Args:
             command: A command with an operation id.
 
         Returns:
             The first result; ``IDEMPOTENCY_KEY_REUSED`` if the id was used for a
-            command that asks for something else.
+            different command.
         """
         return self._results.find(command)
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes, equal on equal states."""
+        """Return the whole state as bytes; equal states give equal bytes."""
         snapshot = wire.StateSnapshot(
             format=SNAPSHOT_FORMAT,
             index=self.index,
@@ -155,15 +156,15 @@
         """Replace the whole state by a snapshot.
 
         Args:
-            data: What :meth:`snapshot` returned, here or on another replica.
+            data: Bytes from :meth:`snapshot` of this or another replica.
 
         Raises:
-            WigeonscaleError: ``CORRUPT_LOG`` if it cannot be read; nothing changed.
+            WigeonscaleError: ``CORRUPT_LOG`` if it is invalid; nothing changed.
         """
         snapshot = parse_snapshot(data)
-        configuration = self._taken_configuration(data)
+        configuration = self._take_prepared_configuration(data)
         claims = Claims()
-        results = FirstResults()
+        results = OperationResults()
         try:
             if configuration is None:
                 configuration = Configuration(history_limit=self._history_limit)
@@ -172,7 +173,7 @@
             results.load(snapshot)
         except (SettingsError, DecodeError) as exc:
             raise WigeonscaleError(
-                ErrorKind.CORRUPT_LOG, f"a record of the snapshot is broken: {exc}"
+                ErrorKind.CORRUPT_LOG, f"the snapshot has an invalid record: {exc}"
             ) from exc
         self.configuration = configuration
         self.claims = claims
@@ -185,16 +186,16 @@
         self.index = snapshot.index
         self.now_ms = snapshot.now_ms
         self.placement_index = snapshot.placement_index
-        self.changes.on_next(Change(self.index, everything=True))
+        self.changes.on_next(Change(self.index, is_restore=True))
 
     def restore_preparation(self, data: bytes) -> Callable[[], None]:
-        """Return work for a thread that makes a :meth:`restore` short.
+        """Return a function for a worker thread that shortens a :meth:`restore`.
 
         Args:
-            data: The snapshot; the same object is given to :meth:`restore`.
+            data: The snapshot; the same object must be passed to :meth:`restore`.
 
         Returns:
-            A function that changes nothing the results depend on.
+            A function that does not change any result.
         """
 
         def prepare() -> None:
@@ -202,16 +203,16 @@
             try:
                 configuration.load(parse_snapshot(data))
             except (SettingsError, WigeonscaleError):
-                return  # restoring tells what is wrong
-            self._read_ahead = (data, configuration)
+                return  # restore() raises the error
+            self._prepared_restore = (data, configuration)
 
         return prepare
 
-    def _taken_configuration(self, data):
-        read_ahead, self._read_ahead = self._read_ahead, None
-        if read_ahead is None or read_ahead[0] is not data:
+    def _take_prepared_configuration(self, data):
+        prepared, self._prepared_restore = self._prepared_restore, None
+        if prepared is None or prepared[0] is not data:
             return None
-        return read_ahead[1]
+        return prepared[1]
 
     def _apply_once(self, command):
         operation_id = command.operation_id
@@ -229,7 +230,7 @@
         name = command.WhichOneof("body")
         handler = self._handlers.get(name)
         if handler is None:
-            return None, refused(ErrorKind.BAD_REQUEST, "unknown or garbled command")
+            return None, refused(ErrorKind.BAD_REQUEST, "unknown or malformed command")
         return handler(getattr(command, name))
 
     def _apply_config(self, command):
@@ -243,10 +244,10 @@
             return None, refused(
                 ErrorKind.BAD_REQUEST, "a claim needs a key and a dispatch id"
             )
-        standing = self.claims.answer_standing(claim)
-        if standing is not None:
-            return None, standing
-        if not self.members.holds(claim.agent_id, claim.agent_incarnation):
+        existing = self.claims.existing_result(claim)
+        if existing is not None:
+            return None, existing
+        if not self.members.is_announced(claim.agent_id, claim.agent_incarnation):
             return None, refused(
                 ErrorKind.STALE_INCARNATION,
                 f"{claim.agent_id!r}/{claim.agent_incarnation} is not announced",
@@ -258,17 +259,17 @@
 
     def _announce(self, command):
         backend = command.backend
-        refusal = self.members.refusal_of(backend, command.sequence)
+        refusal = self.members.announcement_error(backend, command.sequence)
         if refusal is not None:
             return None, refusal
         before = self.members.get(backend.agent_id)
         if before is not None and before.backend.incarnation != backend.incarnation:
             self._end(backend.agent_id, before.backend.incarnation)
-        followed = self.members.others_at(backend)
-        for agent_id, incarnation in followed:
+        replaced = self.members.others_at_address(backend)
+        for agent_id, incarnation in replaced:
             self._end(agent_id, incarnation)
         self.members.put(backend, command.replica, command.sequence)
-        return self._member_change(backend.agent_id, *(i for i, _ in followed)), done()
+        return self._member_change(backend.agent_id, *(i for i, _ in replaced)), done()
 
     def _end_incarnation(self, command):
         agent_id = command.agent_id
@@ -279,22 +280,26 @@
                 ErrorKind.REVISION_CONFLICT,
                 f"{agent_id!r} is attached to {member.replica!r} now",
             )
-        incarnation = command.incarnation or self._announced(member)
+        incarnation = command.incarnation or self._announced_incarnation(member)
         if not agent_id or self.members.is_ended(agent_id, incarnation):
             return None, done()
         self._end(agent_id, incarnation)
         if member is None:
             return None, done()
-        held = member.backend.incarnation
-        # A later start than the one announced has ended, so that one has too.
-        if held != incarnation and 0 < member.backend.started_ms < incarnation:
-            self._end(agent_id, held)
+        announced_incarnation = member.backend.incarnation
+        # The ended incarnation started later than the announced one, so the announced
+        # one has ended too.
+        if (
+            announced_incarnation != incarnation
+            and 0 < member.backend.started_ms < incarnation
+        ):
+            self._end(agent_id, announced_incarnation)
         is_gone = self.members.get(agent_id) is None
         return self._member_change(agent_id) if is_gone else None, done()
 
-    def _announced(self, member):
-        """Return the incarnation meant where none is named."""
-        return member.backend.incarnation if member is not None else UNNUMBERED
+    def _announced_incarnation(self, member):
+        """Return the incarnation to end if the command names none."""
+        return member.backend.incarnation if member is not None else DEFAULT_INCARNATION
 
     def _end(self, agent_id, incarnation):
         self.members.end(agent_id, incarnation)
@@ -304,14 +309,14 @@
         if command.base_index != self.placement_index:
             return None, refused(
                 ErrorKind.REVISION_CONFLICT,
-                f"planned from placement {command.base_index},"
-                f" but {self.placement_index} is in force",
+                f"the plan is based on placement {command.base_index},"
+                f" but the current one is {self.placement_index}",
             )
-        result, touched = self.chains.place(command, self.now_ms)
+        result, changed_ids = self.chains.place(command, self.now_ms)
         if result.kind:
             return None, result
         self.placement_index = self.index
-        return Change(self.index, chains=frozenset(touched)), result
+        return Change(self.index, chains=frozenset(changed_ids)), result
 
     def _drain(self, command):
         result = self.members.drain(command)
@@ -324,8 +329,8 @@
         return None, done()
 
     def _count_entries(self, command):
-        self.entries.note(command)
-        # Nothing to wake watchers for: the count rides on each lease grant.
+        self.entries.apply(command)
+        # No change is emitted: each lease grant carries the count to the watchers.
         return None, done()
 
     def _put_document(self, document):
