--- a/wigeonscale/rules/checks.py
+++ b/wigeonscale/rules/checks.py
@@ -95,13 +95,13 @@
         for digest in organisation.key_digests:
             owners = self._tables.key_owners[digest]
             if len(owners) > 1:
-                allowed = f"a key assigned once; assigned to {', '.join(owners)}"
+                allowed = f"a key held once; held by {', '.join(owners)}"
                 self._add_problem(section, "keys", f"sha256:{digest}", allowed)
 
     def _check_stage_count(self, pipeline: Pipeline) -> None:
         if pipeline.stages > pipeline.layers:
             section = f"pipeline {pipeline.name}"
-            allowed = f"at most one stage per layer, {pipeline.layers}"
+            allowed = f"at most one stage a layer, {pipeline.layers}"
             self._add_problem(section, "stages", str(pipeline.stages), allowed)
 
     def _check_reachable(self, rule: Rule) -> None:
@@ -120,7 +120,7 @@
 
     def _add_shadowed(self, earlier: str, later: str) -> None:
         if earlier != later:
-            allowed = f"a condition that earlier rule {earlier} does not always meet"
+            allowed = f"a condition that rule {earlier} before it does not always meet"
             self._add_problem(f"rule {later}", "when", later, allowed)
 
     def _label(self, rule_name: str) -> int:
--- a/wigeonscale/rules/conditions.py
+++ b/wigeonscale/rules/conditions.py
@@ -100,7 +100,7 @@
 
 def _next_token(tokens: list[str]) -> str:
     if not tokens:
-        raise ValueError("unexpected end of the condition")
+        raise ValueError("ends too early")
     return tokens.pop()
 
 
@@ -114,7 +114,7 @@
 def _expect(tokens: list[str], *words: str) -> str:
     word = _next_token(tokens)
     if word not in words:
-        raise ValueError(f"expected {' or '.join(words)}, found {word!r}")
+        raise ValueError(f"{word!r} where {' or '.join(words)} is due")
     return word
 
 
--- a/wigeonscale/rules/editing.py
+++ b/wigeonscale/rules/editing.py
@@ -53,7 +53,7 @@
     for parts in split_sections(text):
         first = parts_of.setdefault(parts.name, parts)
         if first is not parts:
-            allowed = f"each section once; already defined in line {first.line}"
+            allowed = f"each section once; it stands in line {first.line} too"
             problems.append(
                 Problem(parts.name, "", parts.line, f"[{parts.name}]", allowed)
             )
@@ -124,18 +124,14 @@
     sections = draft.tables["sections"]
     if change.removed:
         if change.name == SENTINEL or change.name not in sections:
-            return [Problem(change.name, "", 0, change.name, "the name of a section")]
+            return [Problem(change.name, "", 0, change.name, "a section that exists")]
         draft.remove(change.name)
         return []
     if change.after not in sections or change.after == change.name:
-        return [
-            Problem(change.name, "", 0, change.after, "the name of another section")
-        ]
+        return [Problem(change.name, "", 0, change.after, "another section to follow")]
     parts = list(split_sections(change.text))
     if [part.name for part in parts] != [change.name]:
-        return [
-            Problem(change.name, "", 0, change.text[:80], "the text of one section")
-        ]
+        return [Problem(change.name, "", 0, change.text[:80], "one section's text")]
     parsed = parse_section(parts[0])
     if isinstance(parsed, list):
         return parsed
--- a/wigeonscale/rules/schema.py
+++ b/wigeonscale/rules/schema.py
@@ -82,7 +82,7 @@
             raise ValueError("not a SHA-256 digest")
         return key.removeprefix("sha256:")
     if not key or not key.isascii() or any(char.isspace() for char in key):
-        raise ValueError("not an API key")
+        raise ValueError("not a key")
     return key_digest(key)
 
 
@@ -122,9 +122,7 @@
     keys: Annotated[
         tuple[str, ...],
         BeforeValidator(_split_keys),
-        Allowed(
-            "comma-separated API keys or sha256:DIGEST of 64 lower-case hex digits"
-        ),
+        Allowed("a comma list of API keys or of sha256:DIGEST, 64 lower-case hex"),
     ] = ()
     share: Annotated[
         float, Field(ge=0.01, le=1000), Allowed("a weight from 0.01 to 1000")
--- a/wigeonscale/rules/sections.py
+++ b/wigeonscale/rules/sections.py
@@ -103,10 +103,10 @@
         return [_line_problem(parts, line) for line, _ in exc.errors]
     except configparser.DuplicateSectionError as exc:
         line = parts.line + exc.lineno - 1
-        return [Problem(parts.name, "", line, exc.section, "one header per section")]
+        return [Problem(parts.name, "", line, exc.section, "one header a section")]
     if len(parser.sections()) != 1:
         return [
-            Problem(parts.name, "", header_line, parts.name, "one header per section")
+            Problem(parts.name, "", header_line, parts.name, "one header a section")
         ]
     return dict(parser.items(parser.sections()[0]))
 
--- a/wigeonscale/state/chains.py
+++ b/wigeonscale/state/chains.py
@@ -143,16 +143,14 @@
         seen = set()
         for chain in command.chains:
             if chain.chain_id in seen or not chain.stages or not chain.chain_id:
-                return (
-                    f"chain {chain.chain_id!r} has no id or stages, or is listed twice"
-                )
+                return f"chain {chain.chain_id!r} has no id or stages, or stands twice"
             seen.add(chain.chain_id)
             if chain.chain_id in self._used_chain_ids or chain.chain_id in removed_ids:
                 return f"chain id {chain.chain_id!r} was removed; ids are not reused"
             if chain.chain_id in command.retired or self._is_retiring(chain.chain_id):
                 return f"chain {chain.chain_id!r} is retiring"
             if chain.epoch <= self._last_epoch(chain.chain_id):
-                return f"chain {chain.chain_id!r}: epoch {chain.epoch} is not newer"
+                return f"chain {chain.chain_id!r} has no newer epoch: {chain.epoch}"
             error = self._stages_error(chain, assigned)
             if error:
                 return error
@@ -174,7 +172,7 @@
             if stage.agent_id in assigned:
                 return f"agent {stage.agent_id!r} would be a stage of two chains"
             if stage.first_layer != next_layer or stage.last_layer < next_layer:
-                return f"chain {chain.chain_id!r} skips or repeats layer {next_layer}"
+                return f"chain {chain.chain_id!r} misses or repeats layer {next_layer}"
             next_layer = stage.last_layer + 1
             assigned.add(stage.agent_id)
         return ""
--- a/wigeonscale/state/configuration.py
+++ b/wigeonscale/state/configuration.py
@@ -182,8 +182,8 @@
         if command.base_revision != self.revision:
             return refused(
                 ErrorKind.REVISION_CONFLICT,
-                f"the change is based on revision {command.base_revision},"
-                f" but the current one is revision {self.revision}",
+                f"made from revision {command.base_revision},"
+                f" but revision {self.revision} is in force",
             )
         try:
             document, changes = self._evaluate(command)
@@ -193,8 +193,8 @@
         if command.digest not in ("", document.digest):
             return refused(
                 ErrorKind.INVALID_DOCUMENT,
-                f"the resulting document has digest {document.digest},"
-                f" expected {command.digest}",
+                f"the changes make a document with digest {document.digest},"
+                f" not {command.digest}",
             )
         number = self.revision + 1
         self._append(Revision(number, wall_ms, command.operator, changes, document))
@@ -251,9 +251,7 @@
 def _build_document(base, command):
     """Return the document after a command, and its changes to ``base``."""
     if command.changes and command.document:
-        raise SettingsError(
-            "the command has both a document and changes; only one is allowed"
-        )
+        raise SettingsError("both a document and changes given; give one")
     if command.changes:
         changes = tuple(command.changes)
         return patch_document(base, changes), changes
--- a/wigeonscale/state/members.py
+++ b/wigeonscale/state/members.py
@@ -148,13 +148,13 @@
         if not backend.agent_id or not backend.incarnation:
             return refused(
                 ErrorKind.BAD_REQUEST,
-                f"agent {backend.agent_id!r} announced no name or no incarnation",
+                f"agent {backend.agent_id!r} announced without name or incarnation",
             )
         rates = (backend.layer_rate, backend.link_rate, float(backend.layer_capacity))
         if not all(math.isfinite(rate) and rate >= 0 for rate in rates):
             return refused(
                 ErrorKind.BAD_REQUEST,
-                f"agent {backend.agent_id!r} announced bad rates or capacity {rates}",
+                f"agent {backend.agent_id!r} announced rates or capacity {rates}",
             )
         if self.is_ended(backend.agent_id, backend.incarnation):
             return refused(
@@ -172,7 +172,7 @@
         ):
             return refused(
                 ErrorKind.REVISION_CONFLICT,
-                f"announcement {sequence} of {backend.agent_id} is older than"
+                f"announcement {sequence} of {backend.agent_id} comes after"
                 f" {member.sequence}",
             )
         return None
@@ -185,13 +185,11 @@
         """
         name, started_ms = backend.agent_id, backend.started_ms
         if 0 < started_ms <= max(self._ended_by_agent.get(name, ()), default=0):
-            return (
-                f"an incarnation of {name} started at {started_ms} or later has ended"
-            )
+            return f"a start of {name} no earlier than {started_ms} has ended"
         member = self._members.get(name)
         if member is not None and started_ms < member.backend.started_ms:
             known_ms = member.backend.started_ms
-            return f"{name} has a later start at {known_ms}; this one is {started_ms}"
+            return f"{name} started at {known_ms}, which is later than {started_ms}"
         for other, _ in self.others_at_address(backend):
             other_backend = self._members[other].backend
             # A backend without a start time may replace one that is silent.
--- a/wigeonscale/state/state.py
+++ b/wigeonscale/state/state.py
@@ -230,7 +230,7 @@
         name = command.WhichOneof("body")
         handler = self._handlers.get(name)
         if handler is None:
-            return None, refused(ErrorKind.BAD_REQUEST, "unknown or malformed command")
+            return None, refused(ErrorKind.BAD_REQUEST, "unknown or garbled command")
         return handler(getattr(command, name))
 
     def _apply_config(self, command):
@@ -309,8 +309,8 @@
         if command.base_index != self.placement_index:
             return None, refused(
                 ErrorKind.REVISION_CONFLICT,
-                f"the plan is based on placement {command.base_index},"
-                f" but the current one is {self.placement_index}",
+                f"planned from placement {command.base_index},"
+                f" but {self.placement_index} is in force",
             )
         result, changed_ids = self.chains.place(command, self.now_ms)
         if result.kind:
