--- a/bench/rules.py
+++ b/bench/rules.py
@@ -249,9 +249,9 @@
 def _full_recorder() -> BurnRecorder:
     recorder = _empty_recorder()
     for number in range(MEMORY_ORGANISATIONS):
-        recorder.request(f"o{number}", True)
-        recorder.first_token(f"o{number}", 0.1)
-        recorder.gap(f"o{number}", 0.01, 20)
+        recorder.record_request(f"o{number}", True)
+        recorder.record_first_token(f"o{number}", 0.1)
+        recorder.record_gap(f"o{number}", 0.01, 20)
     return recorder
 
 
--- a/wigeonscale/cli/tests/test_wigeonctl.py
+++ b/wigeonscale/cli/tests/test_wigeonctl.py
@@ -234,7 +234,7 @@
 
     async def test_burn_is_merged_and_says_what_is_missing(self):
         recorder = BurnRecorder(clock=ManualClock())
-        recorder.request("press", False)
+        recorder.record_request("press", False)
         app = web.Application()
         app.add_routes(burn_routes(recorder))
         entry = TestServer(app, host="127.0.0.1")
--- a/wigeonscale/daemons/control.py
+++ b/wigeonscale/daemons/control.py
@@ -52,7 +52,7 @@
     Args:
         cfg: Settings.
         clock: Clock port.
-        links: Makes links to the other replicas; None: over gRPC.
+        transport: Transport to the other replicas; None: gRPC.
         addresses: Where the replicas take commands; None: as the settings say.
     """
 
@@ -61,13 +61,13 @@
         *,
         cfg: ControlSettings,
         clock: Clock,
-        links: Transport | None = None,
+        transport: Transport | None = None,
         addresses: Sequence[str] | None = None,
     ):
         self._cfg = cfg
         self._clock = clock
         dial = functools.partial(open_channel, tls=cfg.tls)
-        self._links = links or GrpcTransport(channel=dial)
+        self._transport = transport or GrpcTransport(channel=dial)
         self._stopping = False
         self._server = None
         self._http = None
@@ -207,7 +207,7 @@
             voters=[Member(peer.name, peer.address) for peer in cfg.peers],
             folder=DiskFolder(path=cfg.data),
             machine=self.state,
-            transport=self._links,
+            transport=self._transport,
             clock=self._clock,
             options=ReplicaOptions(
                 election_timeout_s=cfg.election_timeout_s,
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -91,7 +91,7 @@
     *,
     control: ControlClient,
     clock: Clock,
-    silence: KeepaliveLimits | None = None,
+    keepalive: KeepaliveLimits | None = None,
     crashes: CrashTracker | None = None,
 ) -> EntryService:
     """Return an entry's state, wired together.
@@ -100,7 +100,7 @@
         cfg: Its settings.
         control: Its link to control.
         clock: Clock port.
-        silence: When a connection counts as silent; None: after the heartbeats.
+        keepalive: When a connection counts as lost; None: derived from the heartbeats.
         crashes: Which requests crash backend servers; None for a book that is told
             nothing by control.
     """
@@ -120,7 +120,7 @@
         on_load=table.update_load,
         on_prefixes=view.apply_events,
         on_gone=on_gone,
-        limits=silence or looks,
+        limits=keepalive or looks,
         dial=functools.partial(open_channel, tls=cfg.tls),
     )
     transport = DispatchTransport(links=links, table=table)
--- a/wigeonscale/entry/records.py
+++ b/wigeonscale/entry/records.py
@@ -102,7 +102,7 @@
     if log.first_token_s is not None:
         _record_tokens(log, recorder)
     if log.organisation:
-        recorder.request(log.organisation, log.is_good)
+        recorder.record_request(log.organisation, log.is_good)
     logger.info(
         "request",
         extra=log_fields(
@@ -122,10 +122,10 @@
     organisation = log.organisation
     METRICS.tokens.add(log.tokens, organisation=organisation)
     METRICS.first_token_s.observe(log.first_token_s)
-    recorder.first_token(organisation, log.first_token_s)
+    recorder.record_first_token(organisation, log.first_token_s)
     for gaps in (log.gaps, log.late_gaps):
         if gaps.count:
             # The mean of gaps on one side of the objective stays on that side.
             mean_s = gaps.total_s / gaps.count
             METRICS.token_gap_s.observe(mean_s)
-            recorder.gap(organisation, mean_s, gaps.count)
+            recorder.record_gap(organisation, mean_s, gaps.count)
--- a/wigeonscale/entry/tests/support.py
+++ b/wigeonscale/entry/tests/support.py
@@ -166,7 +166,7 @@
             cfg,
             control=self.control,
             clock=SystemClock(),
-            silence=KeepaliveLimits(interval_s=0.05, reconnect_checks=400),
+            keepalive=KeepaliveLimits(interval_s=0.05, reconnect_checks=400),
         )
         self.server = CallerServer(entry=self.entry, address=cfg.listen)
         await self.server.start()
--- a/wigeonscale/reports/recorder.py
+++ b/wigeonscale/reports/recorder.py
@@ -53,7 +53,7 @@
         self._counts: OrderedDict[str, EventCounts] = OrderedDict()
         self._times = {name: _new_histogram() for name in (FIRST_TOKEN, GAP)}
 
-    def request(self, organisation: str, ok: bool) -> None:
+    def record_request(self, organisation: str, ok: bool) -> None:
         """Count a finished request.
 
         Args:
@@ -63,7 +63,7 @@
         """
         self._add(SUCCESS, organisation, 1, int(not ok))
 
-    def first_token(self, organisation: str, seconds: float) -> None:
+    def record_first_token(self, organisation: str, seconds: float) -> None:
         """Count the time from a request's arrival to its first token.
 
         Args:
@@ -72,7 +72,7 @@
         """
         self._time(FIRST_TOKEN, organisation, seconds, 1)
 
-    def gap(self, organisation: str, seconds: float, count: int = 1) -> None:
+    def record_gap(self, organisation: str, seconds: float, count: int = 1) -> None:
         """Count times between two tokens of an answer.
 
         Args:
--- a/wigeonscale/reports/tests/test_burn.py
+++ b/wigeonscale/reports/tests/test_burn.py
@@ -33,21 +33,21 @@
 
     def test_thresholds(self):
         recorder = self.recorder()
-        recorder.request("press", True)
-        recorder.request("press", False)
-        recorder.first_token("press", 1.0)
-        recorder.first_token("press", 1.1)
-        recorder.gap("press", 0.04, 7)
-        recorder.gap("press", 0.06, 2)
+        recorder.record_request("press", True)
+        recorder.record_request("press", False)
+        recorder.record_first_token("press", 1.0)
+        recorder.record_first_token("press", 1.1)
+        recorder.record_gap("press", 0.04, 7)
+        recorder.record_gap("press", 0.06, 2)
         self.assertEqual([(2, 1)] * 2, self.totals(recorder))
         self.assertEqual([(2, 1)] * 2, self.totals(recorder, "first_token"))
         self.assertEqual([(9, 2)] * 2, self.totals(recorder, "gap"))
 
     async def test_windows_slide(self):
         recorder = self.recorder()
-        recorder.request("press", False)
+        recorder.record_request("press", False)
         await self.clock.advance(299)
-        recorder.request("press", True)
+        recorder.record_request("press", True)
         self.assertEqual([(2, 1)] * 2, self.totals(recorder))
         await self.clock.advance(61)
         self.assertEqual([(1, 0), (2, 1)], self.totals(recorder))
@@ -59,37 +59,37 @@
     async def test_long_silence_clears_every_slot(self):
         recorder = self.recorder()
         for _ in range(80):
-            recorder.request("press", False)
+            recorder.record_request("press", False)
             await self.clock.advance(60)
         await self.clock.advance(10**6)
-        recorder.request("press", True)
+        recorder.record_request("press", True)
         self.assertEqual([(1, 0)] * 2, self.totals(recorder))
 
     def test_organisations_are_bounded(self):
         recorder = self.recorder(max_organisations=2)
         for name in ("press", "solo", "press", "third"):
-            recorder.request(name, True)
+            recorder.record_request(name, True)
         exported = recorder.export()
         self.assertEqual({"press", "third"}, set(exported["organisations"]))
         self.assertEqual(1, exported["dropped"])
 
     def test_memory_of_an_organisation_does_not_grow(self):
         recorder = self.recorder()
-        recorder.request("press", True)
+        recorder.record_request("press", True)
         counts = recorder._counts["press"]
         before = sys.getsizeof(counts._counts)
         for _ in range(1000):
-            recorder.gap("press", 0.01, 10**9)
+            recorder.record_gap("press", 0.01, 10**9)
         self.assertEqual(before, sys.getsizeof(counts._counts))
         self.assertLess(before * MAX_ORGANISATIONS, 16 * 2**20)
         self.assertEqual(2**32 - 1, self.totals(recorder, "gap")[0][0])
 
     def test_merge(self):
         first, second = self.recorder(), self.recorder()
-        first.request("press", False)
-        second.request("press", True)
-        second.request("solo", False)
-        second.first_token("solo", 0.25)
+        first.record_request("press", False)
+        second.record_request("press", True)
+        second.record_request("solo", False)
+        second.record_first_token("solo", 0.25)
         report = merge_exports([first.export(), second.export()])
         top, then = report.rows[:2]
         self.assertEqual(("solo", 2.0), (top.organisation, top.worst))
@@ -106,7 +106,7 @@
     def test_picture(self):
         folder = pathlib.Path(self.useFixture(fixtures.TempDir()).path)
         recorder = self.recorder()
-        recorder.request("press", False)
+        recorder.record_request("press", False)
         draw_burn(merge_exports([recorder.export()]), str(folder / "burn.png"))
         self.assertEqual(b"\x89PNG", (folder / "burn.png").read_bytes()[:4])
 
--- a/wigeonscale/testing/matrix/nodes.py
+++ b/wigeonscale/testing/matrix/nodes.py
@@ -64,7 +64,9 @@
         self.daemon = ControlDaemon(
             cfg=self.cfg,
             clock=SystemClock(),
-            links=GrpcTransport(channel=lambda address: open_channel(view[address])),
+            transport=GrpcTransport(
+                channel=lambda address: open_channel(view[address])
+            ),
             addresses=list(view.values()),
         )
         await self.daemon.start()
