--- a/wigeonscale/cli/admin_client.py
+++ b/wigeonscale/cli/admin_client.py
@@ -20,10 +20,12 @@
 
 ATTEMPT_TIMEOUT_S = 5.0
 CONNECT_TIMEOUT_S = 2.0
-PAUSE_S = 0.3
+RETRY_PAUSE_S = 0.3
 BODY_TOO_LARGE = 413
 FIRST_SERVER_ERROR = 500
-LOG_DECIDED_KINDS = frozenset({ErrorKind.REVISION_CONFLICT, ErrorKind.INVALID_DOCUMENT})
+COMMITTED_DECISION_KINDS = frozenset(
+    {ErrorKind.REVISION_CONFLICT, ErrorKind.INVALID_DOCUMENT}
+)
 
 
 class AdminClient:
@@ -84,16 +86,16 @@
         while True:
             for address in self.addresses:
                 try:
-                    return await self.ask(address, method, path, body)
+                    return await self.request_once(address, method, path, body)
                 except WigeonscaleError as exc:
                     if not ANSWERS[exc.kind].retryable:
-                        raise _verdict(exc, unknown) from exc
+                        raise _final_error(exc, unknown) from exc
                     last = exc
                     if exc.run_state is not RunState.NOT_RUN:
                         unknown = exc
-            if self._clock.now() + PAUSE_S > end:
+            if self._clock.now() + RETRY_PAUSE_S > end:
                 raise unknown or last
-            await self._clock.sleep(PAUSE_S)
+            await self._clock.sleep(RETRY_PAUSE_S)
 
     async def read_each(
         self, addresses: Sequence[str], path: str
@@ -107,12 +109,12 @@
         Returns:
             The page by address, and why there is none by address.
         """
-        found = await asyncio.gather(
-            *(self.ask(address, "GET", path) for address in addresses),
+        results = await asyncio.gather(
+            *(self.request_once(address, "GET", path) for address in addresses),
             return_exceptions=True,
         )
         pages, missing = {}, {}
-        for address, answer in zip(addresses, found, strict=True):
+        for address, answer in zip(addresses, results, strict=True):
             if isinstance(answer, WigeonscaleError):
                 missing[address] = answer.message
             elif isinstance(answer, BaseException):
@@ -121,7 +123,7 @@
                 pages[address] = answer
         return pages, missing
 
-    async def ask(
+    async def request_once(
         self,
         address: str,
         method: str,
@@ -134,7 +136,7 @@
             WigeonscaleError: Its run state says whether the attempt may have done
                 something.
         """
-        lost = RunState.NOT_RUN if method == "GET" else RunState.UNKNOWN
+        lost_state = RunState.NOT_RUN if method == "GET" else RunState.UNKNOWN
         # Entries show their pages over plain HTTP.
         is_secure = self._tls is not None and address in self.addresses
         timeout = aiohttp.ClientTimeout(
@@ -149,34 +151,38 @@
                 headers=self._headers,
                 timeout=timeout,
             ) as resp:
-                return _decoded(address, resp.status, await resp.read(), lost)
+                return _decode_response(
+                    address, resp.status, await resp.read(), lost_state
+                )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
-            raise _no_answer(address, exc, RunState.NOT_RUN) from exc
+            raise _no_response_error(address, exc, RunState.NOT_RUN) from exc
         except (aiohttp.ClientError, TimeoutError) as exc:
-            raise _no_answer(address, exc, lost) from exc
+            raise _no_response_error(address, exc, lost_state) from exc
 
 
-def _verdict(
+def _final_error(
     refusal: WigeonscaleError, unknown: WigeonscaleError | None
 ) -> WigeonscaleError:
     """Return what is known after a refusal that may follow lost answers.
 
     Only what the replicated log decided settles an earlier attempt too.
     """
-    if unknown is None or refusal.kind in LOG_DECIDED_KINDS:
+    if unknown is None or refusal.kind in COMMITTED_DECISION_KINDS:
         return refusal
     return unknown
 
 
-def _no_answer(address: str, exc: Exception, run_state: RunState) -> WigeonscaleError:
+def _no_response_error(
+    address: str, exc: Exception, run_state: RunState
+) -> WigeonscaleError:
     reason = str(exc) or type(exc).__name__
     return WigeonscaleError(
         ErrorKind.NO_QUORUM, f"no answer from {address}: {reason}", run_state=run_state
     )
 
 
-def _decoded(
-    address: str, status: int, data: bytes, lost: RunState
+def _decode_response(
+    address: str, status: int, data: bytes, lost_state: RunState
 ) -> dict[str, object]:
     if status == BODY_TOO_LARGE:
         text = f"{address} takes no body of this size: {data[:200]!r}"
@@ -189,12 +195,12 @@
         kind, message = error["kind"], error["message"]
     except (ValueError, AttributeError, KeyError, TypeError) as exc:
         text = f"answer {status} of {address} cannot be read: {data[:200]!r}"
-        raise WigeonscaleError(ErrorKind.NO_QUORUM, text, run_state=lost) from exc
+        raise WigeonscaleError(ErrorKind.NO_QUORUM, text, run_state=lost_state) from exc
     # A failure inside the replica does not tell whether the change was made.
-    presumed = lost if status >= FIRST_SERVER_ERROR else RunState.NOT_RUN
+    default_state = lost_state if status >= FIRST_SERVER_ERROR else RunState.NOT_RUN
     raise error_from_kind(
         kind,
         message,
-        run_state=error.get("run", presumed),
+        run_state=error.get("run", default_state),
         retry_after=error.get("retry_after"),
     )
--- a/wigeonscale/cli/burn_command.py
+++ b/wigeonscale/cli/burn_command.py
@@ -21,8 +21,8 @@
             drawn.
     """
     pages, missing = await client.read_each(client.addresses, "/admin/status")
-    exports, silent = await client.read_each(_entry_addresses(pages), BURN_PATH)
-    missing |= silent
+    exports, unreachable = await client.read_each(_entry_addresses(pages), BURN_PATH)
+    missing |= unreachable
     if not exports:
         reason = "; ".join(missing.values()) or "the replicas know of no entry"
         raise WigeonscaleError(ErrorKind.NO_QUORUM, f"no burn counts: {reason}")
--- a/wigeonscale/cli/daemon.py
+++ b/wigeonscale/cli/daemon.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from wigeonscale import __version__
-from wigeonscale.cli.exits import ExitCode
+from wigeonscale.cli.exit_codes import ExitCode
 from wigeonscale.config import ROLES, NodeSettings, load_settings
 from wigeonscale.daemons.early_listener import ROLE as EARLY_ROLE
 from wigeonscale.daemons.early_listener import EarlyListener
@@ -38,8 +38,8 @@
     except SettingsError as exc:
         print(exc.message, file=sys.stderr)
         return ExitCode.BAD_INPUT
-    run = _runner(args.role)
-    options = _reloading(args)
+    run = _load_runner(args.role)
+    options = _reload_option(args)
     if early is not None and args.role == EARLY_ROLE:
         options["early"] = early
     # The imports are done; see wigeond.
@@ -64,13 +64,13 @@
     return parser
 
 
-def _reloading(args: argparse.Namespace) -> dict[str, Any]:
+def _reload_option(args: argparse.Namespace) -> dict[str, Any]:
     if args.role not in RELOADING_ROLES:
         return {}
     return {"reload": functools.partial(load_settings, args.config, args.role)}
 
 
-def _runner(role: str) -> Callable[[NodeSettings], Awaitable[int | None]]:
+def _load_runner(role: str) -> Callable[[NodeSettings], Awaitable[int | None]]:
     # Imported only now: the other roles' libraries would cost memory.
     name = role.replace("-", "_")
     module = importlib.import_module(f"wigeonscale.daemons.{name}")
--- a/wigeonscale/cli/decisions_command.py
+++ b/wigeonscale/cli/decisions_command.py
@@ -11,7 +11,7 @@
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.reports import DecisionReport, count_decisions
 
-WIDEST_KIND = 60
+MAX_KIND_WIDTH = 60
 
 
 def report_decisions(args: argparse.Namespace) -> Output:
@@ -39,7 +39,7 @@
     if not report.rows:
         return "no decisions"
     starts = [f"{n * report.every_s:g}" for n in range(len(report.rows[0].counts))]
-    rows = [[row.kind[:WIDEST_KIND], row.total, *row.counts] for row in report.rows]
+    rows = [[row.kind[:MAX_KIND_WIDTH], row.total, *row.counts] for row in report.rows]
     return "\n".join(
         [
             f"seconds from {report.began_at}",
--- a/wigeonscale/cli/options.py
+++ b/wigeonscale/cli/options.py
@@ -28,8 +28,8 @@
 
 CONTROL_ENV = "WIGEONCTL_CONTROL"
 TOKEN_ENV = "WIGEONCTL_TOKEN"
-LONGEST_TIMEOUT_S = 3600.0
-LONGEST_WINDOW_S = 86_400.0
+MAX_TIMEOUT_S = 3600.0
+MAX_WINDOW_S = 86_400.0
 TLS_OPTIONS = {
     "ca": "authority of the replicas' certificates, when they have https = yes",
     "cert": "own certificate, signed by the same authority",
@@ -109,9 +109,9 @@
 
 def _positive_seconds(text: str) -> float:
     value = float(text)
-    if not 0 < value <= LONGEST_TIMEOUT_S:
+    if not 0 < value <= MAX_TIMEOUT_S:
         raise argparse.ArgumentTypeError(
-            f"{text}; allowed: more than 0, up to {LONGEST_TIMEOUT_S:g}"
+            f"{text}; allowed: more than 0, up to {MAX_TIMEOUT_S:g}"
         )
     return value
 
@@ -196,7 +196,7 @@
 
 def _window_s(text: str) -> float:
     seconds = float(text)
-    if not 0 < seconds <= LONGEST_WINDOW_S:
+    if not 0 < seconds <= MAX_WINDOW_S:
         raise argparse.ArgumentTypeError(f"{text}: allowed: over 0 to a day")
     return seconds
 
--- a/wigeonscale/cli/output.py
+++ b/wigeonscale/cli/output.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from wigeonscale.cli.exits import ExitCode
+from wigeonscale.cli.exit_codes import ExitCode
 
 COLUMN_GAP = "  "
 
--- a/wigeonscale/cli/rules_commands.py
+++ b/wigeonscale/cli/rules_commands.py
@@ -24,7 +24,7 @@
     shadowed_rules,
 )
 
-MOST_SECTIONS_SHOWN = 5
+MAX_SECTIONS_SHOWN = 5
 
 
 def check_rules(args: argparse.Namespace) -> Output:
@@ -185,6 +185,6 @@
 
 
 def _sections_text(names: list[str]) -> str:
-    shown = ", ".join(names[:MOST_SECTIONS_SHOWN])
-    more = len(names) - MOST_SECTIONS_SHOWN
+    shown = ", ".join(names[:MAX_SECTIONS_SHOWN])
+    more = len(names) - MAX_SECTIONS_SHOWN
     return f"{shown} and {more} more" if more > 0 else shown or "none"
--- a/wigeonscale/cli/tests/test_wigeonctl.py
+++ b/wigeonscale/cli/tests/test_wigeonctl.py
@@ -17,7 +17,7 @@
 APPLY = ("POST", "/admin/rules/apply")
 SHOW = ("GET", "/admin/rules")
 STATUS = ("GET", "/admin/status")
-DROP = "drop the connection after reading the request"
+DROP_CONNECTION = "drop the connection after reading the request"
 IN_FORCE = (200, {"revision": 4, "digest": "d" * 64, "document": SMALL})
 
 
@@ -49,7 +49,7 @@
             self.bodies.append(body)
         answers = self.script.get((req.method, req.path), [(404, {})])
         answer = answers.pop(0) if len(answers) > 1 else answers[0]
-        if answer is DROP:
+        if answer is DROP_CONNECTION:
             req.transport.close()
             return web.Response()
         return web.json_response(answer[1], status=answer[0])
@@ -89,7 +89,7 @@
         self.assertNotIn("document", self.second.bodies[0])
 
     async def test_lost_answer_is_resent_with_the_same_operation_id(self):
-        self.first.script = {APPLY: [DROP]}
+        self.first.script = {APPLY: [DROP_CONNECTION]}
         self.second.script = {APPLY: [(200, {"revision": 5, "index": 9})]}
         code, _, _ = await self.run_command(
             "rules", "apply", str(self.rules), "--base", "4"
@@ -98,7 +98,7 @@
         self.assertEqual(self.first.bodies[0], self.second.bodies[0])
 
     async def test_lost_answers_are_an_unknown_outcome(self):
-        self.first.script = {SHOW: [IN_FORCE], APPLY: [DROP]}
+        self.first.script = {SHOW: [IN_FORCE], APPLY: [DROP_CONNECTION]}
         self.second.script = {APPLY: [NOT_LEADER]}
         code, _, err = await self.run_command(
             "rules", "apply", str(self.rules), "--operation-id", "op-1"
@@ -109,7 +109,7 @@
         self.assertEqual({"op-1"}, {body["operation_id"] for body in self.first.bodies})
 
     async def test_refusal_by_another_cause_does_not_settle_a_lost_answer(self):
-        self.first.script = {APPLY: [DROP]}
+        self.first.script = {APPLY: [DROP_CONNECTION]}
         self.second.script = {APPLY: [refusal(403, "forbidden")]}
         apply = ("rules", "apply", str(self.rules), "--base", "4")
         self.assertEqual(3, (await self.run_command(*apply))[0])
--- a/wigeonscale/cli/tests/test_wigeond.py
+++ b/wigeonscale/cli/tests/test_wigeond.py
@@ -32,7 +32,9 @@
         """Run the program in this process; return exit code and error output."""
         self.path.write_text(text)
         if run is not None:
-            self.useFixture(fixtures.MonkeyPatch(f"{daemon.__name__}._runner", run))
+            self.useFixture(
+                fixtures.MonkeyPatch(f"{daemon.__name__}._load_runner", run)
+            )
         errors = io.StringIO()
         with contextlib.redirect_stderr(errors):
             code = wigeond.main(["control", "--config", str(self.path)])
--- a/wigeonscale/cli/wigeonctl.py
+++ b/wigeonscale/cli/wigeonctl.py
@@ -18,7 +18,7 @@
 
 from wigeonscale.adapters.channels import TlsFiles, client_tls_context
 from wigeonscale.cli.admin_client import AdminClient
-from wigeonscale.cli.exits import ExitCode
+from wigeonscale.cli.exit_codes import ExitCode
 from wigeonscale.cli.options import CONTROL_ENV, TOKEN_ENV, build_parser
 from wigeonscale.cli.output import Output
 from wigeonscale.config.keys import AddressList
@@ -105,7 +105,9 @@
         error = {"kind": exc.kind, "message": exc.message, "run": exc.run_state}
         print(json.dumps({"error": error, "hint": hint}, indent=2))
         return code
-    print(f"wigeonctl: {_verdict(code)} ({exc.kind}): {exc.message}", file=sys.stderr)
+    print(
+        f"wigeonctl: {_outcome_text(code)} ({exc.kind}): {exc.message}", file=sys.stderr
+    )
     if hint:
         print(hint, file=sys.stderr)
     return code
@@ -131,7 +133,7 @@
     return ExitCode.UNKNOWN
 
 
-def _verdict(code: ExitCode) -> str:
+def _outcome_text(code: ExitCode) -> str:
     return {
         ExitCode.REFUSED: "refused",
         ExitCode.BAD_INPUT: "bad input",
--- a/wigeonscale/cli/wigeond.py
+++ b/wigeonscale/cli/wigeond.py
@@ -16,9 +16,9 @@
 from collections.abc import Sequence
 
 # Folder of what ``wigeonscale.cli.precompile`` made.
-PRECOMPILED = "WIGEOND_PRECOMPILED"
+PRECOMPILED_ENV = "WIGEOND_PRECOMPILED"
 # A compiled file begins with a magic number, flags, and its source's time and size.
-COMPILED_HEAD = struct.Struct("<4sIII")
+PYC_HEADER = struct.Struct("<4sIII")
 
 
 def main(argv: Sequence[str] | None = None) -> int:
@@ -31,7 +31,7 @@
     # default action would end the process. Ignored before the imports, which take
     # half a second of a whole core, until the daemon has a handler of its own.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    use_precompiled(os.environ.get(PRECOMPILED, ""))
+    use_precompiled(os.environ.get(PRECOMPILED_ENV, ""))
     # Also before the imports: it is there for the time that they take.
     early = importlib.import_module("wigeonscale.daemons.early_listener").listen_early(
         sys.argv[1:] if argv is None else argv
@@ -55,23 +55,26 @@
     Returns:
         Whether it is used. Otherwise each module would be compiled at each start.
     """
-    before = sys.pycache_prefix
-    sys.pycache_prefix = os.path.abspath(folder) if folder else before
-    if folder and _is_made_from(__file__):
+    previous = sys.pycache_prefix
+    sys.pycache_prefix = os.path.abspath(folder) if folder else previous
+    if folder and _matches_source(__file__):
         return True
-    sys.pycache_prefix = before
+    sys.pycache_prefix = previous
     return False
 
 
-def _is_made_from(source: str) -> bool:
+def _matches_source(source: str) -> bool:
     try:
-        told = os.stat(source)
+        source_stat = os.stat(source)
         with open(importlib.util.cache_from_source(source), "rb") as stream:
-            head = COMPILED_HEAD.unpack(stream.read(COMPILED_HEAD.size))
+            header = PYC_HEADER.unpack(stream.read(PYC_HEADER.size))
     except (OSError, struct.error):
         return False
-    made_from = (int(told.st_mtime) & 0xFFFFFFFF, told.st_size & 0xFFFFFFFF)
-    return head == (importlib.util.MAGIC_NUMBER, 0, *made_from)
+    source_fields = (
+        int(source_stat.st_mtime) & 0xFFFFFFFF,
+        source_stat.st_size & 0xFFFFFFFF,
+    )
+    return header == (importlib.util.MAGIC_NUMBER, 0, *source_fields)
 
 
 if __name__ == "__main__":
--- a/wigeonscale/daemons/agent.py
+++ b/wigeonscale/daemons/agent.py
@@ -44,7 +44,7 @@
     service = None if is_engine else HttpService(url=cfg.backend, session=session)
     server, address = new_server(cfg.grpc, tls=cfg.tls)
     state = BackendState(
-        base=_base(cfg, address),
+        base=_base_announcement(cfg, address),
         engine=engine,
         service=service,
         clock=clock,
@@ -77,7 +77,7 @@
     wire_pb2_grpc.add_AgentServicer_to_server(agent.servicer, server)
     await state.probe()
     await server.start()
-    http = await start_http(
+    http_runner = await start_http(
         cfg.http, [], lambda: control.lease_valid() and not state.leaving
     )
     try:
@@ -96,10 +96,10 @@
     finally:
         await server.stop(grace=0.5)
         await agent.close()
-        await http.cleanup()
+        await http_runner.cleanup()
 
 
-def _base(cfg: AgentSettings, address: str) -> wire.Backend:
+def _base_announcement(cfg: AgentSettings, address: str) -> wire.Backend:
     return wire.Backend(
         agent_id=cfg.name,
         address=address,
--- a/wigeonscale/daemons/control.py
+++ b/wigeonscale/daemons/control.py
@@ -70,7 +70,7 @@
         self._transport = transport or GrpcTransport(channel=dial)
         self._stopping = False
         self._server = None
-        self._http = None
+        self._http_runner = None
         self.state = ControlState()
         self.replica = self._new_replica()
         self.commands = Commands(
@@ -131,7 +131,7 @@
             commands=self.commands,
             token_digest=self._cfg.admin_token_digest,
         )
-        self._http = await start_http(
+        self._http_runner = await start_http(
             self._cfg.http,
             admin.routes(),
             self.is_ready,
@@ -164,7 +164,7 @@
             clock=self._clock,
             claim_age_s=cfg.claim_age_s,
         )
-        entry_count = EntryCounter(
+        entry_counter = EntryCounter(
             node_id=cfg.name,
             state=self.state,
             replica=self.replica,
@@ -176,10 +176,10 @@
         )
         async with asyncio.TaskGroup() as group:
             group.create_task(self.replica.run())
-            group.create_task(entry_count.run())
+            group.create_task(entry_counter.run())
             group.create_task(placement.run())
             group.create_task(expiry)
-            group.create_task(self._report())
+            group.create_task(self._update_metrics())
             self._liveness_task = group.create_task(self._liveness.run())
 
     async def stop(self) -> None:
@@ -194,8 +194,8 @@
             self._liveness_task.cancel()
         if self._server is not None:
             await self._server.stop(SERVER_GRACE_S)
-        if self._http is not None:
-            await self._http.cleanup()
+        if self._http_runner is not None:
+            await self._http_runner.cleanup()
         self.hub.close()
         await self.commands.close()
 
@@ -216,7 +216,7 @@
             ),
         )
 
-    async def _report(self):
+    async def _update_metrics(self):
         while True:
             METRICS.watchers.set(len(self.hub.watchers))
             METRICS.leading.set(int(self.replica.role is Role.LEADER))
--- a/wigeonscale/daemons/crashes.py
+++ b/wigeonscale/daemons/crashes.py
@@ -1,6 +1,6 @@
 """The book of crashes of an entry, wired to control."""
 
-__all__ = ["report_to_control", "take_from_control"]
+__all__ = ["report_crashes_to_control", "crash_update_handler"]
 
 from collections.abc import Callable
 
@@ -11,27 +11,27 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 
-def take_from_control(book: CrashTracker) -> Callable[[wire.CrashUpdate], None]:
+def crash_update_handler(tracker: CrashTracker) -> Callable[[wire.CrashUpdate], None]:
     """Return what takes control's records in, and counts what is refused by them.
 
     Args:
-        book: What this entry knows.
+        tracker: What this entry knows.
     """
 
-    def take(update: wire.CrashUpdate) -> None:
-        book.apply_records(known_crashes(update))
-        METRICS.crashing_requests.set(book.refused)
+    def handle(update: wire.CrashUpdate) -> None:
+        tracker.apply_records(known_crashes(update))
+        METRICS.crashing_requests.set(tracker.refused)
 
-    return take
+    return handle
 
 
-async def report_to_control(
-    book: CrashTracker, *, control: ControlClient, clock: Clock
+async def report_crashes_to_control(
+    tracker: CrashTracker, *, control: ControlClient, clock: Clock
 ) -> None:
     """Tell control what this entry finds, until cancelled.
 
     Args:
-        book: What this entry knows.
+        tracker: What this entry knows.
         control: Link to control.
         clock: Clock port.
     """
@@ -39,5 +39,5 @@
     async def submit(report: CrashReport) -> None:
         await control.submit(command_of(report))
 
-    with control.changes.subscribe(lambda change: book.confirm_crashes()):
-        await report_crashes(book, submit=submit, clock=clock)
+    with control.changes.subscribe(lambda change: tracker.confirm_crashes()):
+        await report_crashes(tracker, submit=submit, clock=clock)
--- a/wigeonscale/daemons/direct_control.py
+++ b/wigeonscale/daemons/direct_control.py
@@ -25,9 +25,9 @@
 from wigeonscale.control.numbered_documents import NumberedDocuments
 from wigeonscale.daemons.runtime import (
     StopStep,
-    cut_bound_s,
+    late_step_timeout_s,
     run_until_stopped,
-    stop_bound_s,
+    shutdown_timeout_s,
 )
 from wigeonscale.platform.control_pages import MAX_DOCUMENT_BYTES, control_routes
 from wigeonscale.platform.documents import compress, decompress, read_table
@@ -70,7 +70,7 @@
         self._cfg = cfg
         self._stopping = False
         self._server = None
-        self._pages = None
+        self._http_runner = None
         self._table = RouteTable()
         address = f"{cfg.ip}:{cfg.internal_port}"
         seeds = [internal_address(seed, cfg.internal_port) for seed in cfg.seeds]
@@ -131,7 +131,7 @@
             clock=clock,
             answer_s=cfg.answer_s,
         )
-        self._keeper = LayerAssigner(
+        self._layer_assigner = LayerAssigner(
             state=self.state,
             replica=self.replica,
             clock=clock,
@@ -140,7 +140,7 @@
             table=self.table,
             is_fresh=self.hub.is_fresh,
         )
-        self._entry_count = EntryCounter(
+        self._entry_counter = EntryCounter(
             node_id=address,
             state=self.state,
             replica=self.replica,
@@ -163,17 +163,19 @@
     def to_peer(self, node_id: str) -> bytes:
         """Return the loads that another replica lacks: soft state of the log."""
         is_leader = self.replica.role is Role.LEADER
-        board = self.hub.load_aggregator
-        loads = board.total(exclude=node_id) if is_leader else board.local_total()
+        aggregator = self.hub.load_aggregator
+        loads = (
+            aggregator.total(exclude=node_id) if is_leader else aggregator.local_total()
+        )
         return loads.SerializeToString()
 
     def from_peer(self, node_id: str, data: bytes) -> None:
         """Take in the loads that another replica told."""
-        board = self.hub.load_aggregator
+        aggregator = self.hub.load_aggregator
         if self.replica.role is not Role.LEADER:
             # The leader's sum holds those of the other followers.
-            board.retain([])
-        board.receive(node_id, data)
+            aggregator.retain([])
+        aggregator.receive(node_id, data)
 
     def table(self) -> RouteTable:
         """Return the route table in force here, read once a document."""
@@ -204,11 +206,11 @@
         """Take part in control until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.replica.run())
-            group.create_task(self._entry_count.run())
+            group.create_task(self._entry_counter.run())
             group.create_task(self.registry.run())
             group.create_task(self.membership.run())
-            group.create_task(self._keeper.run())
-            group.create_task(self._serve_pages())
+            group.create_task(self._layer_assigner.run())
+            group.create_task(self._serve_http())
 
     def follow_seeds(self, seeds: Sequence[str]) -> None:
         """Ask other replicas than before when this one is lonely.
@@ -225,8 +227,8 @@
         await self.replica.transfer_leadership()
         if self._server is not None:
             await self._server.stop(SERVER_GRACE_S)
-        if self._pages is not None:
-            await self._pages.cleanup()
+        if self._http_runner is not None:
+            await self._http_runner.cleanup()
         self.hub.close()
         await self.commands.close()
 
@@ -234,7 +236,7 @@
         """Return whether this replica serves what a majority confirms."""
         return not self._stopping and self.hub.is_fresh()
 
-    async def _serve_pages(self) -> None:
+    async def _serve_http(self) -> None:
         async def put_document(number: int, content: bytes) -> None:
             await self.documents.put(number, compress(content))
 
@@ -248,7 +250,7 @@
             registry=self.registry,
             heartbeat_address=self._cfg.http,
         )
-        self._pages = await start_http(
+        self._http_runner = await start_http(
             self._cfg.http, routes, self.is_ready, max_body_bytes=MAX_DOCUMENT_BYTES
         )
 
@@ -278,7 +280,7 @@
         return await run_until_stopped(
             tasks={"control": daemon.run()},
             stop_steps=[StopStep("stop serving", daemon.stop)],
-            stop_timeout_s=stop_bound_s(cfg.killed_after_s, cfg.stop_timeout_s),
-            cut_bound_s=cut_bound_s(cfg.killed_after_s),
+            stop_timeout_s=shutdown_timeout_s(cfg.killed_after_s, cfg.stop_timeout_s),
+            late_step_timeout_s=late_step_timeout_s(cfg.killed_after_s),
             reload=lambda: daemon.follow_seeds(reload().seeds),
         )
--- a/wigeonscale/daemons/direct_entry.py
+++ b/wigeonscale/daemons/direct_entry.py
@@ -14,14 +14,14 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.config import DirectEntrySettings
 from wigeonscale.crashes import CrashTracker
-from wigeonscale.daemons.crashes import report_to_control, take_from_control
+from wigeonscale.daemons.crashes import crash_update_handler, report_crashes_to_control
 from wigeonscale.daemons.early_listener import EarlyListener
-from wigeonscale.daemons.load_words import take_totals, told_loads
+from wigeonscale.daemons.load_exchange import apply_load_totals, build_load_report
 from wigeonscale.daemons.runtime import (
     StopStep,
-    cut_bound_s,
+    late_step_timeout_s,
     run_until_stopped,
-    stop_bound_s,
+    shutdown_timeout_s,
 )
 from wigeonscale.direct import (
     AdmissionQueue,
@@ -50,9 +50,9 @@
 # The balancer asks once a second and takes an entry out after two misses, 2 s at most;
 # the rest is for connections under way. The sooner an entry is back, the fewer of a
 # domain are away at once when all are restarted in turn.
-BALANCER_SETTLE_S = 2.4
+LOAD_BALANCER_REMOVAL_S = 2.4
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 # After a cut an entry must know the configuration in force within seconds; all entries
 # that lose all of control at once ask each replica a few times a second at most.
 RECONNECT_CAP_S = 0.8
@@ -60,7 +60,7 @@
 logger = logging.getLogger(__name__)
 
 
-class _Known:
+class _ControlView:
     """What control told this entry, read into the types of the flows.
 
     Args:
@@ -86,24 +86,24 @@
         self.table = RouteTable()
         self.is_complete = asyncio.Event()
         self.fleet = Fleet()
-        self._has_members = False
+        self._members_received = False
         self._backends: list[wire.Backend] = []
         self._control = control
         self._tracker = tracker
         self._notices = notices
         self._limits = limits
-        control.changes.subscribe(self._take)
+        control.changes.subscribe(self._on_change)
 
-    def _take(self, change: Change) -> None:
+    def _on_change(self, change: Change) -> None:
         if change is Change.MEMBERS:
-            self._take_members(list(self._control.members.backends.values()))
+            self._apply_members(list(self._control.members.backends.values()))
         elif change is Change.NUMBERED:
-            self._take_table()
+            self._apply_table()
         # The table comes first. Without the members no backend server is known.
-        if self.table.number and self._has_members:
+        if self.table.number and self._members_received:
             self.is_complete.set()
 
-    def _take_members(self, backends: list[wire.Backend]) -> None:
+    def _apply_members(self, backends: list[wire.Backend]) -> None:
         ended = replaced_incarnations(self._backends, backends)
         self._backends = backends
         self.fleet = read_fleet(backends)
@@ -115,12 +115,12 @@
             )
             self._tracker.note_lost(backend_id)
         self._tracker.keep_only(self.fleet.by_id)
-        there = [*self.fleet.by_id, *self.fleet.draining]
-        self._notices.keep_only(there)
-        self._limits.keep_only(there)
-        self._has_members = True
+        present = [*self.fleet.by_id, *self.fleet.draining]
+        self._notices.keep_only(present)
+        self._limits.keep_only(present)
+        self._members_received = True
 
-    def _take_table(self) -> None:
+    def _apply_table(self) -> None:
         document = self._control.numbered
         try:
             self.table = read_table(decompress(document.content))
@@ -164,25 +164,27 @@
     )
     crashes = CrashTracker(
         clock=clock,
-        is_serving=lambda backend_id: backend_id in known.fleet.by_id,
-        has_ended=lambda backend_id: known.fleet.has_ended(backend_id),
+        is_serving=lambda backend_id: backend_id in view.fleet.by_id,
+        has_ended=lambda backend_id: view.fleet.has_ended(backend_id),
         rng=random.Random(),
     )
     control = _new_control(
         cfg,
         clock,
         crashes,
-        loads=lambda: told_loads(ctx),
-        on_loads=lambda totals: take_totals(ctx, totals),
+        loads=lambda: build_load_report(ctx),
+        on_loads=lambda totals: apply_load_totals(ctx, totals),
+    )
+    view = _ControlView(
+        control=control, tracker=tracker, notices=notices, limits=limits
     )
-    known = _Known(control=control, tracker=tracker, notices=notices, limits=limits)
     stopping: list[bool] = []
 
     def may_serve() -> bool:
         return cfg.serve_when_cut or control.lease_valid()
 
     def is_ready() -> bool:
-        return known.is_complete.is_set() and may_serve() and not stopping
+        return view.is_complete.is_set() and may_serve() and not stopping
 
     async def show_ready(req: web.Request) -> web.Response:
         return web.Response(status=200 if is_ready() else 503)
@@ -190,7 +192,7 @@
     session = new_session()
 
     def suspect(backend_id: str, *, is_hint: bool = False) -> None:
-        server = known.fleet.find(backend_id)
+        server = view.fleet.find(backend_id)
         if server is not None:
             control.suspect(server.name, server.incarnation, is_hint=is_hint)
 
@@ -199,11 +201,11 @@
         tracker=tracker,
         clock=clock,
         orders=orders,
-        fleet=lambda: known.fleet,
+        fleet=lambda: view.fleet,
         suspect=suspect,
         hint=functools.partial(suspect, is_hint=True),
         reach=reach,
-        delay_s=lambda domain: known.table.delay_ms(cfg.domain, domain) / MILLISECONDS,
+        delay_s=lambda domain: view.table.delay_ms(cfg.domain, domain) / MS_PER_S,
     )
     control.changes.subscribe(lambda change: stalls.check())
     ctx = EntryContext(
@@ -212,7 +214,7 @@
         budget=budget,
         clock=clock,
         domain=cfg.domain,
-        fleet=lambda: known.fleet,
+        fleet=lambda: view.fleet,
         entries=lambda: control.entries,
         suspect=suspect,
         rng=random.Random(),
@@ -225,20 +227,20 @@
     )
     service = DirectService(
         ctx=ctx,
-        table=lambda: known.table,
-        known=known.is_complete,
+        table=lambda: view.table,
+        known=view.is_complete,
         may_serve=may_serve,
         rng=random.Random(),
     )
     server = CallerServer(
         address=cfg.listen,
         serve=service.serve,
-        max_body=lambda: known.table.limits.body_bytes,
+        max_body=lambda: view.table.limits.body_bytes,
         clock=clock,
         sock=early.sock if early is not None else None,
     )
     await server.start()
-    pages = await start_http(cfg.http, [web.get("/ready", show_ready)], is_ready)
+    http_runner = await start_http(cfg.http, [web.get("/ready", show_ready)], is_ready)
     logger.info(
         "entry %s listens on %s",
         cfg.name,
@@ -251,22 +253,24 @@
 
     async def finish() -> None:
         stopping.append(True)
-        await server.finish(BALANCER_SETTLE_S)
+        await server.finish(LOAD_BALANCER_REMOVAL_S)
 
     try:
         return await run_until_stopped(
             tasks={
                 "control": control.run(),
                 "stalls": stalls.run(),
-                "crashes": report_to_control(crashes, control=control, clock=clock),
+                "crashes": report_crashes_to_control(
+                    crashes, control=control, clock=clock
+                ),
             },
             stop_steps=[StopStep("finish", finish), StopStep("close", server.close)],
-            stop_timeout_s=stop_bound_s(cfg.killed_after_s, cfg.stop_timeout_s),
-            cut_bound_s=cut_bound_s(cfg.killed_after_s),
+            stop_timeout_s=shutdown_timeout_s(cfg.killed_after_s, cfg.stop_timeout_s),
+            late_step_timeout_s=late_step_timeout_s(cfg.killed_after_s),
             reload=lambda: control.add_addresses(_control_addresses(reload())),
         )
     finally:
-        await pages.cleanup()
+        await http_runner.cleanup()
         await session.close()
 
 
@@ -286,7 +290,7 @@
         http_address=cfg.http,
         loads=loads,
         on_loads=on_loads,
-        on_crashes=take_from_control(crashes),
+        on_crashes=crash_update_handler(crashes),
         lease_s=cfg.lease_s,
         heartbeat_s=cfg.heartbeat_s,
         tls=cfg.tls,
--- a/wigeonscale/daemons/early_listener.py
+++ b/wigeonscale/daemons/early_listener.py
@@ -22,7 +22,7 @@
 ROLE = "direct-entry"
 CONFIG_OPTION = "--config"
 # Opening a connection to a replica takes some 2 ms; a VM without power never answers.
-CONTROL_ANSWER_S = 0.05
+CONTROL_CONNECT_TIMEOUT_S = 0.05
 # As for the server that takes it over.
 BACKLOG = 512
 
@@ -56,15 +56,15 @@
     if not argv or argv[0] != ROLE:
         return EarlyListener(None, "not an entry")
     try:
-        settings = _read(_config_path(argv))
+        settings = _read_section(_config_path(argv))
         host, _, port = settings["listen"].rpartition(":")
         internal_port = int(settings["internal_port"])
         seeds = [
             seed.strip().rpartition(":")[0] for seed in settings["seeds"].split(",")
         ]
-        if _any_answers(seeds, internal_port):
+        if _any_accepts(seeds, internal_port):
             return EarlyListener(None, "control answers")
-        return EarlyListener(_listening(host, int(port)), "control does not answer")
+        return EarlyListener(_open_listener(host, int(port)), "control does not answer")
     except (OSError, ValueError, LookupError, configparser.Error) as exc:
         return EarlyListener(None, f"the settings cannot be used: {exc!r}")
 
@@ -73,14 +73,14 @@
     return argv[list(argv).index(CONFIG_OPTION) + 1] if CONFIG_OPTION in argv else ""
 
 
-def _read(path: str) -> configparser.SectionProxy:
+def _read_section(path: str) -> configparser.SectionProxy:
     parser = configparser.ConfigParser(interpolation=None, delimiters=("=",))
     with open(path, encoding="utf-8") as stream:
         parser.read_file(stream)
     return parser[ROLE]
 
 
-def _any_answers(hosts: Sequence[str], port: int) -> bool:
+def _any_accepts(hosts: Sequence[str], port: int) -> bool:
     """Return whether a connection to one of the hosts opens at once."""
     socks = []
     try:
@@ -91,10 +91,10 @@
             sock.connect_ex((host, port))
         pending = list(socks)
         while pending:
-            _, ended, _ = select.select([], pending, [], CONTROL_ANSWER_S)
-            if not ended:
+            _, connected, _ = select.select([], pending, [], CONTROL_CONNECT_TIMEOUT_S)
+            if not connected:
                 return False
-            for sock in ended:
+            for sock in connected:
                 if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                     return True
                 pending.remove(sock)
@@ -104,7 +104,7 @@
             sock.close()
 
 
-def _listening(host: str, port: int) -> socket.socket:
+def _open_listener(host: str, port: int) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -8,7 +8,7 @@
 from wigeonscale.adapters import open_channel, setup_logging, start_http
 from wigeonscale.config import EntrySettings
 from wigeonscale.crashes import CrashTracker
-from wigeonscale.daemons.crashes import report_to_control, take_from_control
+from wigeonscale.daemons.crashes import crash_update_handler, report_crashes_to_control
 from wigeonscale.daemons.runtime import StopStep, run_until_stopped
 from wigeonscale.dispatch import (
     AgentLinks,
@@ -32,7 +32,7 @@
 from wigeonscale.reports import BurnRecorder, burn_routes
 from wigeonscale.routing import Chooser, LoadTable, PrefixView, RetryBudget
 
-LOOKS_PER_HEARTBEAT = 2
+KEEPALIVE_CHECKS_PER_HEARTBEAT = 2
 
 
 async def run_entry(cfg: EntrySettings) -> int:
@@ -50,7 +50,7 @@
     setup_logging(cfg.log_level, cfg.name)
     clock = SystemClock()
     names = ServerNames(members=lambda: control.members)
-    crashes = new_crash_book(names, clock=clock)
+    crashes = new_crash_tracker(names, clock=clock)
     control = ControlClient(
         node_id=cfg.name,
         role="entry",
@@ -60,30 +60,34 @@
         lease_s=cfg.lease_s,
         heartbeat_s=cfg.heartbeat_s,
         tls=cfg.tls,
-        on_crashes=take_from_control(crashes),
+        on_crashes=crash_update_handler(crashes),
     )
     entry = build_entry(cfg, control=control, clock=clock, crashes=crashes)
     control.changes.subscribe(
         lambda change: entry.leave_lost_chains() if change is Change.MEMBERS else None
     )
     server = CallerServer(entry=entry, address=cfg.listen)
-    pages = await start_http(cfg.http, burn_routes(entry.recorder), entry.is_ready)
+    http_runner = await start_http(
+        cfg.http, burn_routes(entry.recorder), entry.is_ready
+    )
     try:
         return await run_until_stopped(
             tasks={
                 "control": control.run(),
-                "callers": _serve(control, server),
-                "crashes": report_to_control(crashes, control=control, clock=clock),
+                "callers": _serve_when_ready(control, server),
+                "crashes": report_crashes_to_control(
+                    crashes, control=control, clock=clock
+                ),
             },
             stop_steps=[
                 StopStep("stop accepting", server.stop_accepting),
-                StopStep("finish", server.finish, cut=server.cut),
+                StopStep("finish", server.finish, on_timeout=server.cut),
                 StopStep("close", server.close),
             ],
             stop_timeout_s=cfg.stop_timeout_s,
         )
     finally:
-        await pages.cleanup()
+        await http_runner.cleanup()
 
 
 def build_entry(
@@ -104,7 +108,9 @@
         crashes: Which requests crash backend servers; None for a book that is told
             nothing by control.
     """
-    looks = KeepaliveLimits(interval_s=cfg.heartbeat_s / LOOKS_PER_HEARTBEAT)
+    default_keepalive = KeepaliveLimits(
+        interval_s=cfg.heartbeat_s / KEEPALIVE_CHECKS_PER_HEARTBEAT
+    )
     table = LoadTable(clock=clock)
     view = PrefixView()
     chooser = Chooser(table=table, rng=random.Random(), subset=cfg.subset, view=view)
@@ -120,7 +126,7 @@
         on_load=table.update_load,
         on_prefixes=view.apply_events,
         on_gone=on_gone,
-        limits=keepalive or looks,
+        limits=keepalive or default_keepalive,
         dial=functools.partial(open_channel, tls=cfg.tls),
     )
     transport = DispatchTransport(links=links, table=table)
@@ -132,7 +138,7 @@
         claims=claims,
         budget=RetryBudget(clock=clock, ratio=cfg.retry_ratio),
         crashes=CrashGuard(
-            book=crashes or new_crash_book(names, clock=clock), servers=names.of
+            book=crashes or new_crash_tracker(names, clock=clock), servers=names.of
         ),
         clock=clock,
         open_timeout_s=cfg.open_timeout_s,
@@ -156,7 +162,7 @@
     )
 
 
-def new_crash_book(names: ServerNames, *, clock: Clock) -> CrashTracker:
+def new_crash_tracker(names: ServerNames, *, clock: Clock) -> CrashTracker:
     """Return a book of crashes of the servers behind agents.
 
     Args:
@@ -171,7 +177,7 @@
     )
 
 
-async def _serve(control: ControlClient, server: CallerServer) -> None:
+async def _serve_when_ready(control: ControlClient, server: CallerServer) -> None:
     # Nothing is served before a majority has confirmed the configuration.
     await control.ready()
     await server.start()
--- a/wigeonscale/daemons/load_words.py
+++ b/wigeonscale/daemons/load_exchange.py
@@ -1,14 +1,14 @@
 """What an entry tells control of its load with each heartbeat, and hears of all."""
 
-__all__ = ["take_totals", "told_loads"]
+__all__ = ["apply_load_totals", "build_load_report"]
 
 from wigeonscale.direct import EntryContext, NamedLimit
 from wigeonscale.wire import wire_pb2 as wire
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
-def told_loads(ctx: EntryContext) -> wire.Loads:
+def build_load_report(ctx: EntryContext) -> wire.Loads:
     """Return what this entry has in progress and has sent lately, and note it as told.
 
     Args:
@@ -27,7 +27,7 @@
             wire.NamedLimit(
                 backend_id=limit.backend_id,
                 per_s=limit.per_s,
-                age_ms=None if limit.age_s is None else int(limit.age_s * MILLISECONDS),
+                age_ms=None if limit.age_s is None else int(limit.age_s * MS_PER_S),
                 demands=[
                     wire.Demand(entry=name, requests=requests)
                     for name, requests in limit.demands.items()
@@ -39,7 +39,7 @@
     )
 
 
-def take_totals(ctx: EntryContext, totals: wire.Loads) -> None:
+def apply_load_totals(ctx: EntryContext, totals: wire.Loads) -> None:
     """Take in what all entries told, this one included.
 
     Args:
@@ -56,7 +56,7 @@
         NamedLimit(
             backend_id=each.backend_id,
             per_s=each.per_s if each.HasField("per_s") else None,
-            age_s=each.age_ms / MILLISECONDS if each.HasField("age_ms") else None,
+            age_s=each.age_ms / MS_PER_S if each.HasField("age_ms") else None,
             demands={demand.entry: demand.requests for demand in each.demands},
         )
         for each in totals.limits
--- a/wigeonscale/daemons/runtime.py
+++ b/wigeonscale/daemons/runtime.py
@@ -1,13 +1,13 @@
 """Runs a daemon until it is told to stop, then stops it gracefully."""
 
 __all__ = [
-    "EXIT_CUT",
+    "EXIT_STOP_TIMEOUT",
     "EXIT_FAILED",
     "EXIT_OK",
     "StopStep",
-    "cut_bound_s",
+    "late_step_timeout_s",
     "run_until_stopped",
-    "stop_bound_s",
+    "shutdown_timeout_s",
 ]
 
 import asyncio
@@ -21,15 +21,15 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1  # a task of the daemon failed
-EXIT_CUT = 3  # the graceful stop reached its bound; 2 is for wrong settings
+EXIT_STOP_TIMEOUT = 3  # the graceful stop reached its bound; 2 is for wrong settings
 
 # Each step that is left when the bound is reached still gets this long, where it is not
 # known when the process is ended by force.
-CUT_GRACE_S = 2.0
+LATE_STEP_TIMEOUT_S = 2.0
 # Shares of the time until a process is ended by force: what it has for all its steps,
 # and for each that is left then. The rest is for its end.
-STOP_SHARE = 0.9
-CUT_SHARE = 0.04
+SHUTDOWN_SHARE = 0.9
+LATE_STEP_SHARE = 0.04
 
 logger = logging.getLogger(__name__)
 
@@ -47,10 +47,10 @@
 
     name: str
     run: Callable[[], Awaitable[object]]
-    cut: Callable[[], Awaitable[object]] | None = None
+    on_timeout: Callable[[], Awaitable[object]] | None = None
 
 
-def stop_bound_s(killed_after_s: float, stop_timeout_s: float) -> float:
+def shutdown_timeout_s(killed_after_s: float, stop_timeout_s: float) -> float:
     """Return how long all stop steps of a process may take together, in seconds.
 
     Args:
@@ -58,22 +58,24 @@
         stop_timeout_s: Longest graceful shutdown by its settings.
 
     Example:
-        >>> stop_bound_s(8.0, 30.0), stop_bound_s(0.0, 30.0), stop_bound_s(8.0, 5.0)
-        (7.2, 30.0, 5.0)
+        >>> shutdown_timeout_s(8.0, 30.0), shutdown_timeout_s(0.0, 30.0)
+        (7.2, 30.0)
+        >>> shutdown_timeout_s(8.0, 5.0)
+        5.0
     """
     if not killed_after_s:
         return stop_timeout_s
-    return min(stop_timeout_s, STOP_SHARE * killed_after_s)
+    return min(stop_timeout_s, SHUTDOWN_SHARE * killed_after_s)
 
 
-def cut_bound_s(killed_after_s: float) -> float:
+def late_step_timeout_s(killed_after_s: float) -> float:
     """Return how long each step may take that is left at the bound, in seconds.
 
     Args:
         killed_after_s: Time after which the process is ended by force; 0 where not
             known.
     """
-    return CUT_SHARE * killed_after_s if killed_after_s else CUT_GRACE_S
+    return LATE_STEP_SHARE * killed_after_s if killed_after_s else LATE_STEP_TIMEOUT_S
 
 
 async def run_until_stopped(
@@ -81,7 +83,7 @@
     tasks: Mapping[str, Coroutine[object, object, object]],
     stop_steps: Sequence[StopStep],
     stop_timeout_s: float,
-    cut_bound_s: float = CUT_GRACE_S,
+    late_step_timeout_s: float = LATE_STEP_TIMEOUT_S,
     stop: asyncio.Event | None = None,
     signals: Sequence[signal.Signals] = (signal.SIGTERM, signal.SIGINT),
     reload: Callable[[], None] | None = None,
@@ -95,14 +97,14 @@
         tasks: Coroutines of the daemon by name.
         stop_steps: What to do, in order, once the daemon shall stop.
         stop_timeout_s: Seconds that all the steps may take together.
-        cut_bound_s: Seconds that each step still gets that is left then.
+        late_step_timeout_s: Seconds that each step still gets that is left then.
         stop: Set by the signals, or by others to stop the daemon; None makes one.
         signals: Signals that stop the daemon; empty leaves them alone. Repeated
             signals change nothing.
         reload: Reads the settings anew on SIGHUP; None: they hold until the end.
 
     Returns:
-        ``EXIT_OK``, ``EXIT_FAILED`` or ``EXIT_CUT``, for ``sys.exit``.
+        ``EXIT_OK``, ``EXIT_FAILED`` or ``EXIT_STOP_TIMEOUT``, for ``sys.exit``.
     """
     stop = stop or asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -110,7 +112,7 @@
         loop.add_signal_handler(signum, stop.set)
     if signals:
         # Its default action would end the process.
-        loop.add_signal_handler(signal.SIGHUP, _take_hangup, reload)
+        loop.add_signal_handler(signal.SIGHUP, _handle_sighup, reload)
     running = {
         asyncio.create_task(coro, name=name): name for name, coro in tasks.items()
     }
@@ -118,19 +120,19 @@
         failed = await _wait_for_stop(running, stop)
         logger.info("stopping", extra=log_fields(outcome="stopping"))
         stop.set()
-        cut = await _run_steps(stop_steps, stop_timeout_s, cut_bound_s)
+        timed_out = await _run_steps(stop_steps, stop_timeout_s, late_step_timeout_s)
     finally:
         await _cancel(running)
         for signum in signals:
             loop.remove_signal_handler(signum)
         if signals:
             loop.remove_signal_handler(signal.SIGHUP)
-    code = EXIT_FAILED if failed else EXIT_CUT if cut else EXIT_OK
+    code = EXIT_FAILED if failed else EXIT_STOP_TIMEOUT if timed_out else EXIT_OK
     logger.info("stopped", extra=log_fields(outcome="stopped", exit_code=code))
     return code
 
 
-def _take_hangup(reload: Callable[[], None] | None) -> None:
+def _handle_sighup(reload: Callable[[], None] | None) -> None:
     if reload is None:
         logger.info("SIGHUP: the settings hold until the process ends")
         return
@@ -168,23 +170,27 @@
     return exc is not None
 
 
-async def _run_steps(steps: Sequence[StopStep], timeout_s: float, cut_s: float) -> bool:
+async def _run_steps(
+    steps: Sequence[StopStep], timeout_s: float, late_step_timeout_s: float
+) -> bool:
     """Return whether a step was cut at the bound."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + timeout_s
-    any_cut = False
+    deadline = loop.time() + timeout_s
+    any_timed_out = False
     for step in steps:
-        left_s = end - loop.time()
-        limit_s = left_s if left_s > 0 else cut_s
-        if await _finishes(step.name, step.run, limit_s):
+        remaining_s = deadline - loop.time()
+        limit_s = remaining_s if remaining_s > 0 else late_step_timeout_s
+        if await _finishes_in_time(step.name, step.run, limit_s):
             continue
-        any_cut = True
-        if step.cut is not None:
-            await _finishes(f"{step.name} (cut)", step.cut, cut_s)
-    return any_cut
+        any_timed_out = True
+        if step.on_timeout is not None:
+            await _finishes_in_time(
+                f"{step.name} (cut)", step.on_timeout, late_step_timeout_s
+            )
+    return any_timed_out
 
 
-async def _finishes(
+async def _finishes_in_time(
     name: str, run: Callable[[], Awaitable[object]], limit_s: float
 ) -> bool:
     limit = asyncio.timeout(limit_s)
--- a/wigeonscale/daemons/tests/named_limits.py
+++ b/wigeonscale/daemons/tests/rate_limit_cluster.py
@@ -7,7 +7,7 @@
 
 from wigeonscale.control import Watcher
 from wigeonscale.control.load_aggregator import LoadAggregator
-from wigeonscale.daemons.load_words import take_totals, told_loads
+from wigeonscale.daemons.load_exchange import apply_load_totals, build_load_report
 from wigeonscale.direct.stream import relay_stream
 from wigeonscale.direct.tests.fakes import FakeSink, FakeStream
 from wigeonscale.direct.tests.support import MODEL, EntryHarness, engine, event
@@ -17,38 +17,38 @@
 from wigeonscale.testing import ManualClock
 from wigeonscale.wire import wire_pb2 as wire
 
-WORD_S = 0.5
-PASS_ON_S = 0.1
-ANSWER_S = 0.05
+REPORT_INTERVAL_S = 0.5
+SYNC_INTERVAL_S = 0.1
+RESPONSE_S = 0.05
 STEP_S = 0.05
 DOMAINS = ("a", "b", "c")
 # The users' rule: from the first after a server named its limit it may get, in any
 # window, so much times the limit and so many requests more from entries that have
 # passed on such an answer for so long.
-JUDGED_AFTER_S = 3.0
+CHECKED_AFTER_S = 3.0
 WINDOW_S = 4.0
-FACTOR = 1.5
-SLACK = 5
-TOLD_AFTER_S = 0.5
+LIMIT_FACTOR = 1.5
+SLACK_REQUESTS = 5
+ENTRY_REACTION_S = 0.5
 
 
-class NamingServers:
+class RateLimitingServers:
     """Engines that answer at once, and name the limits that a test sets.
 
     Attributes:
         notices: What each engine says of itself.
         sends: Instant, entry and engine of each request that arrived.
-        told_at: Instant at which an entry first passed on an answer with a limit, by
+        reported_at: Time at which an entry first relayed an answer with a limit, by
             entry and engine.
     """
 
     def __init__(self, clock):
         self.notices = {}
         self.sends = []
-        self.told_at = {}
+        self.reported_at = {}
         self._clock = clock
 
-    def at(self, entry):
+    def exchange_for(self, entry):
         """Return the exchange of an entry."""
         return _Exchange(self, entry, self._clock)
 
@@ -63,16 +63,16 @@
     async def open(self, call):
         key = self._entry, call.backend_id
         self._servers.sends.append((self._clock.now(), *key))
-        await self._clock.sleep(ANSWER_S)
+        await self._clock.sleep(RESPONSE_S)
         stream = FakeStream([event(1)])
         notice = self._servers.notices.get(call.backend_id, ServerNotice())
         stream.head = dataclasses.replace(stream.head, notice=notice)
         if notice.limit_per_s is not None:
-            self._servers.told_at.setdefault(key, self._clock.now())
+            self._servers.reported_at.setdefault(key, self._clock.now())
         yield stream
 
 
-class Entries:
+class EntryCluster:
     """Entries of three failure domains, each with a first engine of its own.
 
     Args:
@@ -86,14 +86,16 @@
 
     def __init__(self, count, requests_per_s, replicas=1):
         self.clock = ManualClock()
-        self.servers = NamingServers(self.clock)
+        self.servers = RateLimitingServers(self.clock)
         self.answered = 0
         self.refusals = []
         self.requests_per_s = requests_per_s
         self._rng = random.Random(1)
         self.has_leader = True
         watchers = [[] for _ in range(replicas)]
-        self._boards = [LoadAggregator(watchers=w, clock=self.clock) for w in watchers]
+        self._aggregators = [
+            LoadAggregator(watchers=w, clock=self.clock) for w in watchers
+        ]
         engines = [engine(f"i-{name}", 0, 10, domain=name) for name in DOMAINS]
         self._entries = []
         for number in range(count):
@@ -105,44 +107,46 @@
                 name=f"entry-{number}",
             )
             ctx = dataclasses.replace(
-                harness.ctx, exchange=self.servers.at(f"entry-{number}")
+                harness.ctx, exchange=self.servers.exchange_for(f"entry-{number}")
             )
             hello = wire.Hello(node_id=f"entry-{number}", role="entry")
             watcher = Watcher(hello=hello, clock=self.clock)
             watchers[number % replicas].append(watcher)
             self._entries.append((harness, ctx, watcher))
-        self._asking = set()
-        self._speaking = [
+        self._requests = set()
+        self._background = [
             asyncio.create_task(
-                self._speak(
+                self._exchange_loads(
                     ctx,
                     watcher,
-                    self._boards[number % replicas],
-                    number * WORD_S / count,
+                    self._aggregators[number % replicas],
+                    number * REPORT_INTERVAL_S / count,
                 )
             )
             for number, (_, ctx, watcher) in enumerate(self._entries)
         ]
-        self._speaking.append(asyncio.create_task(self._pass_on()))
+        self._background.append(asyncio.create_task(self._sync_replicas()))
 
-    async def play(self, seconds):
+    async def run(self, seconds):
         """Let callers ask for so long."""
         until = self.clock.now() + seconds
         while self.clock.now() < until:
             for harness, ctx, _ in self._entries:
                 if self._rng.random() < self.requests_per_s * STEP_S:
-                    task = asyncio.create_task(self._ask(harness, ctx))
-                    self._asking.add(task)
-                    task.add_done_callback(self._asking.discard)
+                    task = asyncio.create_task(self._request(harness, ctx))
+                    self._requests.add(task)
+                    task.add_done_callback(self._requests.discard)
             await self.clock.advance(STEP_S)
 
-    def send_now_and_then(self, backend_id, every_s):
+    def send_periodically(self, backend_id, every_s):
         """Let each entry send to an engine as if it were the cheapest for once."""
         for _, ctx, _ in self._entries:
-            task = asyncio.create_task(self._send(ctx, backend_id, every_s))
-            self._speaking.append(task)
+            task = asyncio.create_task(
+                self._send_periodically(ctx, backend_id, every_s)
+            )
+            self._background.append(task)
 
-    async def _send(self, ctx, backend_id, every_s):
+    async def _send_periodically(self, ctx, backend_id, every_s):
         while True:
             if ctx.notices.may_send(backend_id):
                 ctx.limits.note_sent(backend_id)
@@ -152,38 +156,40 @@
 
     async def close(self):
         """End all that is under way."""
-        for task in self._speaking:
+        for task in self._background:
             task.cancel()
-        while self._asking:
+        while self._requests:
             await self.clock.advance(STEP_S)
-        await asyncio.gather(*self._speaking, return_exceptions=True)
+        await asyncio.gather(*self._background, return_exceptions=True)
 
     def sent_to(self, backend_id):
         """Return how many requests an engine got so far."""
         return sum(name == backend_id for _, _, name in self.servers.sends)
 
-    def most_over_limit(self, backend_id, limit_per_s, named_at):
+    def max_excess(self, backend_id, limit_per_s, declared_at):
         """Return by how many requests a window goes over what the users allow.
 
         Args:
             backend_id: The engine.
             limit_per_s: What it names all the time.
-            named_at: Since when.
+            declared_at: Since when.
         """
-        told = [
+        counted = [
             at
             for at, entry, name in self.servers.sends
             if name == backend_id
-            and at - self.servers.told_at.get((entry, name), at) >= TOLD_AFTER_S
+            and at - self.servers.reported_at.get((entry, name), at) >= ENTRY_REACTION_S
         ]
         counts = [
-            sum(end - WINDOW_S < at <= end for at in told)
-            for end in told
-            if end >= named_at + JUDGED_AFTER_S
+            sum(end - WINDOW_S < at <= end for at in counted)
+            for end in counted
+            if end >= declared_at + CHECKED_AFTER_S
         ]
-        return max(counts, default=0) - (FACTOR * WINDOW_S * limit_per_s + SLACK)
+        return max(counts, default=0) - (
+            LIMIT_FACTOR * WINDOW_S * limit_per_s + SLACK_REQUESTS
+        )
 
-    async def _ask(self, harness, ctx):
+    async def _request(self, harness, ctx):
         job = harness.job(Repeat.STREAM, service=MODEL, left_s=20.0, resumable=True)
         try:
             await relay_stream(ctx, job, FakeSink())
@@ -191,22 +197,22 @@
         except WigeonscaleError as exc:
             self.refusals.append(exc)
 
-    async def _pass_on(self):
+    async def _sync_replicas(self):
         """Let the first replica lead: it hears all others, and tells them the sum."""
-        leader, *followers = self._boards
+        leader, *followers = self._aggregators
         while True:
             if self.has_leader:
-                for number, board in enumerate(followers):
+                for number, aggregator in enumerate(followers):
                     name = f"control-{number}"
-                    leader.receive(name, board.local_total().SerializeToString())
+                    leader.receive(name, aggregator.local_total().SerializeToString())
                     total = leader.total(exclude=name).SerializeToString()
-                    board.receive("leader", total)
-            await self.clock.sleep(PASS_ON_S)
+                    aggregator.receive("leader", total)
+            await self.clock.sleep(SYNC_INTERVAL_S)
 
-    async def _speak(self, ctx, watcher, board, begins_s):
-        await self.clock.sleep(begins_s)
+    async def _exchange_loads(self, ctx, watcher, aggregator, delay_s):
+        await self.clock.sleep(delay_s)
         while True:
-            watcher.loads = told_loads(ctx)
+            watcher.loads = build_load_report(ctx)
             watcher.last_message_at = self.clock.now()
-            take_totals(ctx, board.total())
-            await self.clock.sleep(WORD_S)
+            apply_load_totals(ctx, aggregator.total())
+            await self.clock.sleep(REPORT_INTERVAL_S)
--- a/wigeonscale/daemons/tests/test_control.py
+++ b/wigeonscale/daemons/tests/test_control.py
@@ -207,18 +207,18 @@
 
 class PlacementSettingsTest(AsyncTestCase):
     async def test_settings_reach_placement(self):
-        wanted = {
+        expected = {
             "spares": 3,
             "domain_share": 0.5,
             "settle_s": 2.0,
             "rebuild_after_s": 7.0,
             "drain_s": 9.0,
         }
-        given = {}
+        received = {}
 
         class Recorder:
             def __init__(self, **options):
-                given.update(options)
+                received.update(options)
 
             async def run(self):
                 raise InterruptedError
@@ -233,10 +233,10 @@
             grpc="127.0.0.1:0",
             data=folder,
             peers=(Peer("c1", "127.0.0.1:1"),),
-            **wanted,
+            **expected,
         )
         daemon = ControlDaemon(cfg=cfg, clock=SystemClock())
         self.addCleanup(daemon.commands.close)
         with self.assertRaises(ExceptionGroup):
             await daemon.run()
-        self.assertEqual(wanted, {key: given[key] for key in wanted})
+        self.assertEqual(expected, {key: received[key] for key in expected})
--- a/wigeonscale/daemons/tests/test_control_disk.py
+++ b/wigeonscale/daemons/tests/test_control_disk.py
@@ -25,7 +25,7 @@
     async def test_daemon_ends_and_its_log_names_the_file(self):
         folder = MemoryFolder()
         folder.fail_after(self.writes)
-        patches = {"DiskFolder": lambda path: folder, "setup_logging": self.log_here}
+        patches = {"DiskFolder": lambda path: folder, "setup_logging": self.capture_log}
         for name, value in patches.items():
             self.useFixture(fixtures.MonkeyPatch(f"{control.__name__}.{name}", value))
         address = "127.0.0.1:0"
@@ -48,7 +48,7 @@
         )
         self.assertEqual(code, self.lines()[-1]["exit_code"])
 
-    def log_here(self, level, node):
+    def capture_log(self, level, node):
         self.stream = io.StringIO()
         handler = logging.StreamHandler(self.stream)
         handler.setFormatter(JsonLinesFormatter(node=node))
--- a/wigeonscale/daemons/tests/test_early_listener.py
+++ b/wigeonscale/daemons/tests/test_early_listener.py
@@ -23,14 +23,14 @@
 REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\nAttempt-Id: r1\r\nConnection: close\r\n\r\n"
 
 
-def listening():
+def open_listener():
     """Return a socket that listens on a free port of 127.0.0.1."""
     sock = socket.create_server(("127.0.0.1", 0))
     return sock, sock.getsockname()[1]
 
 
 def free_port():
-    sock, port = listening()
+    sock, port = open_listener()
     sock.close()
     return port
 
@@ -74,7 +74,7 @@
         self.assertTrue(answer.endswith(b"r1"), answer)
 
     def test_where_control_answers_others_serve(self):
-        control, port = listening()
+        control, port = open_listener()
         self.addCleanup(control.close)
         early = self.early(control=port)
         self.assertIsNone(early.sock)
@@ -99,7 +99,7 @@
             self.assertIn("cannot be used", found.reason)
 
     def test_address_in_use_is_left_to_the_daemon(self):
-        other, port = listening()
+        other, port = open_listener()
         self.addCleanup(other.close)
         early = self.early(control=free_port(), listen=port)
         self.assertIsNone(early.sock)
--- a/wigeonscale/daemons/tests/test_runtime.py
+++ b/wigeonscale/daemons/tests/test_runtime.py
@@ -3,9 +3,9 @@
 import signal
 
 from wigeonscale.daemons.runtime import (
-    EXIT_CUT,
     EXIT_FAILED,
     EXIT_OK,
+    EXIT_STOP_TIMEOUT,
     StopStep,
     run_until_stopped,
 )
@@ -22,13 +22,13 @@
         super().setUp()
         self.log = []
 
-    def step(self, name, run=None, cut=None):
+    def step(self, name, run=None, on_timeout=None):
         async def default():
             for _ in range(5):
                 await asyncio.sleep(0)
             self.log.append(name)
 
-        return StopStep(name=name, run=run or default, cut=cut)
+        return StopStep(name=name, run=run or default, on_timeout=on_timeout)
 
     async def background(self):
         try:
@@ -90,12 +90,12 @@
         stop = asyncio.Event()
         stop.set()
         code = await self.run_daemon(
-            self.step("endless", forever, cut=tell),
+            self.step("endless", forever, on_timeout=tell),
             self.step("close"),
             timeout_s=0.05,
             stop=stop,
         )
-        self.assertEqual(EXIT_CUT, code)
+        self.assertEqual(EXIT_STOP_TIMEOUT, code)
         self.assertEqual(["told", "close", "background ended"], self.log)
 
     async def test_failing_step_keeps_none_of_the_others(self):
@@ -131,7 +131,7 @@
         self.assertEqual(["still running", "background ended"], self.log)
 
 
-class HangupTest(AsyncTestCase):
+class SighupTest(AsyncTestCase):
     """SIGHUP, whose default action ends a process."""
 
     async def run_through(self, reload):
--- a/wigeonscale/daemons/tests/test_stop_bound.py
+++ b/wigeonscale/daemons/tests/test_shutdown_timeout.py
@@ -1,5 +1,9 @@
 from wigeonscale.config.tests.test_load import load
-from wigeonscale.daemons.runtime import CUT_GRACE_S, cut_bound_s, stop_bound_s
+from wigeonscale.daemons.runtime import (
+    LATE_STEP_TIMEOUT_S,
+    late_step_timeout_s,
+    shutdown_timeout_s,
+)
 from wigeonscale.testing import AsyncTestCase
 
 ENTRY = """
@@ -16,23 +20,23 @@
 """
 
 
-class StopBoundTest(AsyncTestCase):
+class ShutdownTimeoutTest(AsyncTestCase):
     """The bound of a stop follows what the platform says, not a figure of one sheet."""
 
     def test_half_and_double_the_time_move_the_bound(self):
-        bounds = []
+        timeouts = []
         for killed_after_s in (4, 8, 16):
             text = ENTRY.format(killed_after_s=killed_after_s)
             cfg = load(self, text, "direct-entry")
-            bounds.append(stop_bound_s(cfg.killed_after_s, cfg.stop_timeout_s))
-        self.assertEqual([3.6, 7.2, 14.4], [round(bound, 6) for bound in bounds])
+            timeouts.append(shutdown_timeout_s(cfg.killed_after_s, cfg.stop_timeout_s))
+        self.assertEqual([3.6, 7.2, 14.4], [round(timeout, 6) for timeout in timeouts])
 
     def test_not_known(self):
-        self.assertEqual(30.0, stop_bound_s(0.0, 30.0))
+        self.assertEqual(30.0, shutdown_timeout_s(0.0, 30.0))
 
     def test_what_is_done_after_the_bound_ends_before_the_process_is_killed(self):
         for killed_after_s in (4.0, 8.0, 16.0):
-            bound_s = stop_bound_s(killed_after_s, 30.0)
-            left_s = killed_after_s - bound_s
-            self.assertTrue(cut_bound_s(killed_after_s) <= left_s / 2)
-        self.assertEqual(CUT_GRACE_S, cut_bound_s(0.0))
+            timeout_s = shutdown_timeout_s(killed_after_s, 30.0)
+            left_s = killed_after_s - timeout_s
+            self.assertTrue(late_step_timeout_s(killed_after_s) <= left_s / 2)
+        self.assertEqual(LATE_STEP_TIMEOUT_S, late_step_timeout_s(0.0))
--- a/wigeonscale/reports/decisions.py
+++ b/wigeonscale/reports/decisions.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass
 
 # Engines that refused are listed down to this many.
-MOST_BLAMED = 10
+MAX_BLAMED_ENGINES = 10
 # A quoted text, or a word with a digit in it: a name, an address, an id or a figure.
-VARIABLE = re.compile(r"'[^']*'|\"[^\"]*\"|\S*\d\S*")
-REPEATED = re.compile(r"N(,? N)+")
+VARIABLE_PART = re.compile(r"'[^']*'|\"[^\"]*\"|\S*\d\S*")
+REPEATED_PLACEHOLDERS = re.compile(r"N(,? N)+")
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,11 +79,11 @@
     blamed: Counter = Counter()
     unread = 0
     for line in lines:
-        record = _read(line)
+        record = _parse_record(line)
         if record is None:
             unread += bool(line.strip())
             continue
-        counts[_kind(record)][_second(record)] += 1
+        counts[_kind(record)][_timestamp_s(record)] += 1
         if isinstance(record.get("sends"), int):
             name = str(record.get("request_id"))
             sends[name] = max(sends.get(name, 0), record["sends"])
@@ -91,15 +91,15 @@
             blamed[str(record["blamed"])] += 1
     return DecisionReport(
         every_s=every_s,
-        began_at=_time_of(min(map(min, counts.values()), default=0.0)),
+        began_at=_iso_time(min(map(min, counts.values()), default=0.0)),
         rows=_rows(counts, every_s),
         sends=dict(sorted(Counter(sends.values()).items())),
-        blamed=dict(blamed.most_common(MOST_BLAMED)),
+        blamed=dict(blamed.most_common(MAX_BLAMED_ENGINES)),
         unread=unread,
     )
 
 
-def _read(line: str) -> dict | None:
+def _parse_record(line: str) -> dict | None:
     """Return the record of a line, or None if it holds none."""
     _, brace, rest = line.partition("{")
     try:
@@ -110,19 +110,19 @@
     return record if isinstance(record.get("message"), str) else None
 
 
-def _second(record: dict) -> float:
+def _timestamp_s(record: dict) -> float:
     return datetime.datetime.fromisoformat(record["time"]).timestamp()
 
 
-def _time_of(second: float) -> str:
-    at = datetime.datetime.fromtimestamp(second, tz=datetime.UTC)
+def _iso_time(timestamp_s: float) -> str:
+    at = datetime.datetime.fromtimestamp(timestamp_s, tz=datetime.UTC)
     return at.isoformat(timespec="milliseconds")
 
 
 def _kind(record: dict) -> str:
-    kind = REPEATED.sub("N", VARIABLE.sub("N", record["message"]))
-    marks = [str(record[key]) for key in ("outcome", "status") if record.get(key)]
-    return f"{kind} [{', '.join(marks)}]" if marks else kind
+    kind = REPEATED_PLACEHOLDERS.sub("N", VARIABLE_PART.sub("N", record["message"]))
+    details = [str(record[key]) for key in ("outcome", "status") if record.get(key)]
+    return f"{kind} [{', '.join(details)}]" if details else kind
 
 
 def _rows(counts: dict[str, Counter], every_s: float) -> tuple[DecisionRow, ...]:
@@ -131,9 +131,9 @@
     first = min(map(min, counts.values()))
     windows = 1 + int((max(map(max, counts.values())) - first) / every_s)
     rows = []
-    for kind, by_second in counts.items():
+    for kind, by_timestamp in counts.items():
         row = [0] * windows
-        for second, count in by_second.items():
-            row[int((second - first) / every_s)] += count
+        for timestamp_s, count in by_timestamp.items():
+            row[int((timestamp_s - first) / every_s)] += count
         rows.append(DecisionRow(kind, tuple(row)))
     return tuple(sorted(rows, key=lambda row: (-row.total, row.kind)))
--- a/wigeonscale/reports/merge.py
+++ b/wigeonscale/reports/merge.py
@@ -122,8 +122,8 @@
     for organisation, by_objective in model.organisations.items():
         for objective, by_window in by_objective.items():
             for window, totals in by_window.items():
-                for place, total in enumerate(totals):
-                    flat[organisation, objective, window, place] += total
+                for index, total in enumerate(totals):
+                    flat[organisation, objective, window, index] += total
     return flat
 
 
@@ -136,7 +136,7 @@
     burns = {}
     for window in windows:
         events, bad = (
-            counts[organisation, objective.name, window, place] for place in (0, 1)
+            counts[organisation, objective.name, window, index] for index in (0, 1)
         )
         burns[window] = WindowBurn(events, bad, objective.burn(events, bad))
     return burns
--- a/wigeonscale/reports/picture.py
+++ b/wigeonscale/reports/picture.py
@@ -7,7 +7,7 @@
 from wigeonscale.errors import ErrorKind, WigeonscaleError
 from wigeonscale.reports.merge import BurnReport, BurnRow
 
-MOST_BARS = 30
+MAX_BARS = 30
 INCHES_PER_BAR = 0.3
 WIDTH_INCHES = 8.0
 FRAME_INCHES = 1.5  # title and axis, whatever the number of bars
@@ -34,7 +34,7 @@
             "a picture needs matplotlib, which is not installed here;"
             " pip install matplotlib, or leave --picture out",
         ) from exc
-    rows = report.rows[:MOST_BARS][::-1]
+    rows = report.rows[:MAX_BARS][::-1]
     size = (WIDTH_INCHES, FRAME_INCHES + INCHES_PER_BAR * len(rows))
     figure = Figure(figsize=size, layout="constrained")
     _draw_bars(figure.add_subplot(), report, rows)
@@ -42,14 +42,16 @@
 
 
 def _draw_bars(axes: object, report: BurnReport, rows: Sequence[BurnRow]) -> None:
-    places = range(len(rows))
+    positions = range(len(rows))
     height = GROUP_HEIGHT / max(len(report.windows), 1)
     for number, (name, length_s) in enumerate(report.windows.items()):
-        shifted = [place + number * height for place in places]
+        offset_positions = [position + number * height for position in positions]
         burns = [row.windows[name].burn for row in rows]
-        axes.barh(shifted, burns, height, label=f"{name}, {length_s // 60} min")
+        axes.barh(
+            offset_positions, burns, height, label=f"{name}, {length_s // 60} min"
+        )
     axes.set_yticks(
-        places, [f"{row.organisation} {row.objective.name}" for row in rows]
+        positions, [f"{row.organisation} {row.objective.name}" for row in rows]
     )
     axes.axvline(1.0, color="black", linewidth=0.8)
     axes.set_xlabel("share of the error budget used")
--- a/wigeonscale/reports/recorder.py
+++ b/wigeonscale/reports/recorder.py
@@ -19,7 +19,7 @@
 
 MAX_ORGANISATIONS = 30_000
 US_PER_S = 1_000_000
-LONGEST_US = 600 * US_PER_S
+MAX_TIME_US = 600 * US_PER_S
 SIGNIFICANT_DIGITS = 2
 
 
@@ -48,8 +48,10 @@
         self.objectives = tuple(objectives)
         self.dropped = 0
         self._clock = clock
-        self._max = max_organisations
-        self._places = {obj.name: place for place, obj in enumerate(self.objectives)}
+        self._max_organisations = max_organisations
+        self._objective_indices = {
+            obj.name: index for index, obj in enumerate(self.objectives)
+        }
         self._counts: OrderedDict[str, EventCounts] = OrderedDict()
         self._times = {name: _new_histogram() for name in (FIRST_TOKEN, GAP)}
 
@@ -61,7 +63,7 @@
             ok: Whether the whole answer reached the caller, or the request was
                 refused for a reason that is the caller's own.
         """
-        self._add(SUCCESS, organisation, 1, int(not ok))
+        self._add_events(SUCCESS, organisation, 1, int(not ok))
 
     def record_first_token(self, organisation: str, seconds: float) -> None:
         """Count the time from a request's arrival to its first token.
@@ -70,7 +72,7 @@
             organisation: Name of the caller's organisation.
             seconds: The time.
         """
-        self._time(FIRST_TOKEN, organisation, seconds, 1)
+        self._record_time(FIRST_TOKEN, organisation, seconds, 1)
 
     def record_gap(self, organisation: str, seconds: float, count: int = 1) -> None:
         """Count times between two tokens of an answer.
@@ -80,7 +82,7 @@
             seconds: The time of each gap.
             count: Number of gaps of that time.
         """
-        self._time(GAP, organisation, seconds, count)
+        self._record_time(GAP, organisation, seconds, count)
 
     def export(self) -> dict[str, object]:
         """Return the counts of all windows, ready for JSON.
@@ -112,25 +114,27 @@
             },
         }
 
-    def _time(self, name: str, organisation: str, seconds: float, count: int) -> None:
-        place = self._places.get(name)
-        limit_s = self.objectives[place].threshold_s if place is not None else 0.0
-        self._add(name, organisation, count, count if seconds > limit_s else 0)
-        value_us = min(max(int(seconds * US_PER_S), 1), LONGEST_US)
+    def _record_time(
+        self, name: str, organisation: str, seconds: float, count: int
+    ) -> None:
+        index = self._objective_indices.get(name)
+        limit_s = self.objectives[index].threshold_s if index is not None else 0.0
+        self._add_events(name, organisation, count, count if seconds > limit_s else 0)
+        value_us = min(max(int(seconds * US_PER_S), 1), MAX_TIME_US)
         self._times[name].record_value(value_us, count)
 
-    def _add(self, name: str, organisation: str, events: int, bad: int) -> None:
-        place = self._places.get(name)
-        if place is not None:
+    def _add_events(self, name: str, organisation: str, events: int, bad: int) -> None:
+        index = self._objective_indices.get(name)
+        if index is not None:
             counts = self._counts_of(organisation)
-            counts.add(self._clock.now(), place, events, bad)
+            counts.add(self._clock.now(), index, events, bad)
 
     def _counts_of(self, organisation: str) -> EventCounts:
         counts = self._counts.get(organisation)
         if counts is None:
             counts = EventCounts(objectives=len(self.objectives))
             self._counts[organisation] = counts
-            if len(self._counts) > self._max:
+            if len(self._counts) > self._max_organisations:
                 self._counts.popitem(last=False)
                 self.dropped += 1
             return counts
@@ -142,15 +146,15 @@
             obj.name: {
                 window.name: list(totals)
                 for window, totals in zip(
-                    WINDOWS, counts.totals(now, place), strict=True
+                    WINDOWS, counts.totals(now, index), strict=True
                 )
             }
-            for place, obj in enumerate(self.objectives)
+            for index, obj in enumerate(self.objectives)
         }
 
 
 def _new_histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST_US, SIGNIFICANT_DIGITS)
+    return HdrHistogram(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
 
 
 def _has_events(counts: dict[str, dict[str, list[int]]]) -> bool:
--- a/wigeonscale/reports/windows.py
+++ b/wigeonscale/reports/windows.py
@@ -31,7 +31,7 @@
 LONG = Window("long", 600, 6)
 WINDOWS = (SHORT, LONG)
 COUNTS_PER_SLOT = 2  # all events, bad events
-LARGEST_COUNT = 2**32 - 1
+MAX_COUNT = 2**32 - 1
 
 
 class EventCounts:
@@ -49,8 +49,8 @@
 
     def __init__(self, *, objectives: int):
         self._objectives = objectives
-        rings = sum(window.slots + 1 for window in WINDOWS)
-        size = len(WINDOWS) + rings * objectives * COUNTS_PER_SLOT
+        total_slots = sum(window.slots + 1 for window in WINDOWS)
+        size = len(WINDOWS) + total_slots * objectives * COUNTS_PER_SLOT
         self._counts = array("I", bytes(size * array("I").itemsize))
 
     def add(self, now: float, objective: int, events: int, bad: int) -> None:
@@ -63,11 +63,11 @@
             bad: Number of bad ones among them.
         """
         counts = self._counts
-        for place, (window, base) in enumerate(_rings(self._objectives)):
-            slot = self._turn(place, window, base, now)
-            at = base + self._at(slot, objective)
-            counts[at] = min(counts[at] + events, LARGEST_COUNT)
-            counts[at + 1] = min(counts[at + 1] + bad, LARGEST_COUNT)
+        for index, (window, base) in enumerate(_ring_buffers(self._objectives)):
+            slot = self._advance(index, window, base, now)
+            offset = base + self._offset(slot, objective)
+            counts[offset] = min(counts[offset] + events, MAX_COUNT)
+            counts[offset + 1] = min(counts[offset + 1] + bad, MAX_COUNT)
 
     def totals(self, now: float, objective: int) -> list[tuple[int, int]]:
         """Return (events, bad events) of each window.
@@ -76,38 +76,40 @@
             now: Time in seconds.
             objective: Place of the objective.
         """
-        found = []
-        for place, (window, base) in enumerate(_rings(self._objectives)):
-            self._turn(place, window, base, now)
-            places = [
-                base + self._at(slot, objective) for slot in range(window.slots + 1)
+        window_totals = []
+        for index, (window, base) in enumerate(_ring_buffers(self._objectives)):
+            self._advance(index, window, base, now)
+            offsets = [
+                base + self._offset(slot, objective) for slot in range(window.slots + 1)
             ]
-            events = sum(self._counts[at] for at in places)
-            found.append((events, sum(self._counts[at + 1] for at in places)))
-        return found
+            events = sum(self._counts[offset] for offset in offsets)
+            window_totals.append(
+                (events, sum(self._counts[offset + 1] for offset in offsets))
+            )
+        return window_totals
 
-    def _at(self, slot: int, objective: int) -> int:
+    def _offset(self, slot: int, objective: int) -> int:
         return (slot * self._objectives + objective) * COUNTS_PER_SLOT
 
-    def _turn(self, place: int, window: Window, base: int, now: float) -> int:
+    def _advance(self, index: int, window: Window, base: int, now: float) -> int:
         """Clear the slots that time has passed over; return the current one."""
         newest = int(now // window.slot_s)
         size = window.slots + 1
         stride = self._objectives * COUNTS_PER_SLOT
-        stale = min(newest - self._counts[place], size)
+        stale = min(newest - self._counts[index], size)
         for number in range(newest - stale + 1, newest + 1):
-            at = base + number % size * stride
-            self._counts[at : at + stride] = array("I", bytes(4 * stride))
-        self._counts[place] = newest
+            offset = base + number % size * stride
+            self._counts[offset : offset + stride] = array("I", bytes(4 * stride))
+        self._counts[index] = newest
         return newest % size
 
 
 @functools.cache
-def _rings(objectives: int) -> tuple[tuple[Window, int], ...]:
+def _ring_buffers(objectives: int) -> tuple[tuple[Window, int], ...]:
     """Return each window with the place of its first counter."""
-    rings = []
+    ring_buffers = []
     base = len(WINDOWS)
     for window in WINDOWS:
-        rings.append((window, base))
+        ring_buffers.append((window, base))
         base += (window.slots + 1) * objectives * COUNTS_PER_SLOT
-    return tuple(rings)
+    return tuple(ring_buffers)
