--- a/wigeonscale/daemons/agent.py
+++ b/wigeonscale/daemons/agent.py
@@ -1,4 +1,4 @@
-"""The agent daemon: wiring only."""
+"""Builds and runs the agent daemon from its components."""
 
 __all__ = ["run_agent"]
 
@@ -24,7 +24,7 @@
     """Run an agent until SIGTERM.
 
     Args:
-        cfg: Checked settings.
+        cfg: Validated settings.
 
     Returns:
         The exit code.
--- a/wigeonscale/daemons/control.py
+++ b/wigeonscale/daemons/control.py
@@ -1,4 +1,4 @@
-"""The control daemon: one replica of the control state and its services."""
+"""Builds and runs the control daemon, one replica of the control state."""
 
 __all__ = ["ControlDaemon", "run_control"]
 
@@ -40,20 +40,21 @@
 from wigeonscale.wire import wire_pb2_grpc
 
 METRICS_INTERVAL_S = 1.0
-# Streams are long: waiting for them to end by themselves would wait for ever.
+# Streams of watchers do not end by themselves, so the server closes them.
 SERVER_GRACE_S = 0.5
 
 logger = logging.getLogger(__name__)
 
 
 class ControlDaemon:
-    """The parts of one control replica, wired together.
+    """The components of one control replica.
 
     Args:
         cfg: Settings.
         clock: Clock port.
-        transport: Transport to the other replicas; None: gRPC.
-        addresses: Where the replicas take commands; None: as the settings say.
+        transport: Transport to the other replicas; None for gRPC.
+        addresses: Addresses to which commands are sent; None for those of the peers
+            in the settings.
     """
 
     def __init__(
@@ -104,7 +105,7 @@
         self._liveness_task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Listen for peers, watchers and operators.
+        """Start the servers for peers, watchers and operators.
 
         Raises:
             OSError: If an address cannot be bound.
@@ -139,11 +140,11 @@
         )
 
     def is_ready(self) -> bool:
-        """Return whether this replica serves what a majority confirms."""
+        """Return whether this replica is current with a majority and not stopping."""
         return not self._stopping and self.hub.is_fresh()
 
     async def run(self) -> None:
-        """Take part in control until cancelled."""
+        """Run the replica and its services until cancelled."""
         cfg = self._cfg
         placement = PlacementLoop(
             state=self.state,
@@ -183,13 +184,13 @@
             self._liveness_task = group.create_task(self._liveness.run())
 
     async def stop(self) -> None:
-        """Hand over leadership, then stop judging and serving.
+        """Transfer leadership, then stop the liveness checks and the servers.
 
-        Watchers move to other replicas.
+        Watchers reconnect to other replicas.
         """
         self._stopping = True
         await self.replica.transfer_leadership()
-        # Streams that this replica closes itself are no sign of a failure.
+        # The streams that this replica closes itself must not count as failures.
         if self._liveness_task is not None:
             self._liveness_task.cancel()
         if self._server is not None:
--- a/wigeonscale/daemons/crashes.py
+++ b/wigeonscale/daemons/crashes.py
@@ -1,4 +1,4 @@
-"""The book of crashes of an entry, wired to control."""
+"""Connects the crash tracker of an entry to control."""
 
 __all__ = ["report_crashes_to_control", "crash_update_handler"]
 
@@ -12,10 +12,10 @@
 
 
 def crash_update_handler(tracker: CrashTracker) -> Callable[[wire.CrashUpdate], None]:
-    """Return what takes control's records in, and counts what is refused by them.
+    """Return a callback that applies control's crash records and updates the metric.
 
     Args:
-        tracker: What this entry knows.
+        tracker: Crash tracker of this entry.
     """
 
     def handle(update: wire.CrashUpdate) -> None:
@@ -28,11 +28,11 @@
 async def report_crashes_to_control(
     tracker: CrashTracker, *, control: ControlClient, clock: Clock
 ) -> None:
-    """Tell control what this entry finds, until cancelled.
+    """Report the crashes that this entry observes to control, until cancelled.
 
     Args:
-        tracker: What this entry knows.
-        control: Link to control.
+        tracker: Crash tracker of this entry.
+        control: Client of control.
         clock: Clock port.
     """
 
--- a/wigeonscale/daemons/direct_control.py
+++ b/wigeonscale/daemons/direct_control.py
@@ -1,4 +1,4 @@
-"""The control daemon for backend servers without agents: wiring only."""
+"""Builds and runs the control daemon for backend servers without agents."""
 
 __all__ = ["run_direct_control"]
 
@@ -52,7 +52,7 @@
 
 
 class DirectControl:
-    """The parts of one control replica, wired together.
+    """The components of one control replica.
 
     Args:
         cfg: Settings.
@@ -161,7 +161,11 @@
         )
 
     def to_peer(self, node_id: str) -> bytes:
-        """Return the loads that another replica lacks: soft state of the log."""
+        """Return the loads to send to a replica, as soft state beside the log.
+
+        The leader sends the sum without the replica's own loads, a follower sends the
+        loads of its own watchers.
+        """
         is_leader = self.replica.role is Role.LEADER
         aggregator = self.hub.load_aggregator
         loads = (
@@ -170,15 +174,15 @@
         return loads.SerializeToString()
 
     def from_peer(self, node_id: str, data: bytes) -> None:
-        """Take in the loads that another replica told."""
+        """Process the loads that another replica sent."""
         aggregator = self.hub.load_aggregator
         if self.replica.role is not Role.LEADER:
-            # The leader's sum holds those of the other followers.
+            # The leader's sum includes the loads of the other followers.
             aggregator.retain([])
         aggregator.receive(node_id, data)
 
     def table(self) -> RouteTable:
-        """Return the route table in force here, read once a document."""
+        """Return the current route table; each document is parsed only once."""
         document = self.state.document
         if document.number != self._table.number:
             self._table = read_table(decompress(document.content))
@@ -189,7 +193,7 @@
         return not table.number or name in table.services
 
     async def start(self) -> None:
-        """Listen for replicas, entries, operators and backend servers.
+        """Start the server for replicas and entries.
 
         Raises:
             OSError: If an address cannot be bound.
@@ -203,7 +207,7 @@
         await self._server.start()
 
     async def run(self) -> None:
-        """Take part in control until cancelled."""
+        """Run the replica and its services until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.replica.run())
             group.create_task(self._entry_counter.run())
@@ -213,16 +217,19 @@
             group.create_task(self._serve_http())
 
     def follow_seeds(self, seeds: Sequence[str]) -> None:
-        """Ask other replicas than before when this one is lonely.
+        """Replace the seeds that this replica contacts to join the group.
 
         Args:
-            seeds: Addresses of their HTTP pages.
+            seeds: HTTP addresses of the seed replicas.
         """
         port = self._cfg.internal_port
         self.membership.follow_seeds([internal_address(seed, port) for seed in seeds])
 
     async def stop(self) -> None:
-        """Hand over leadership, then stop serving; watchers move elsewhere."""
+        """Transfer leadership, then stop the servers.
+
+        Watchers reconnect to other replicas.
+        """
         self._stopping = True
         await self.replica.transfer_leadership()
         if self._server is not None:
@@ -233,7 +240,7 @@
         await self.commands.close()
 
     def is_ready(self) -> bool:
-        """Return whether this replica serves what a majority confirms."""
+        """Return whether this replica is current with a majority and not stopping."""
         return not self._stopping and self.hub.is_fresh()
 
     async def _serve_http(self) -> None:
@@ -256,7 +263,7 @@
 
 
 def internal_address(seed: str, port: int) -> str:
-    """Return the gRPC address of the replica whose pages are at ``seed``."""
+    """Return the gRPC address of the replica with the HTTP address ``seed``."""
     return f"{seed.rpartition(':')[0]}:{port}"
 
 
@@ -267,7 +274,7 @@
 
     Args:
         cfg: Settings.
-        reload: Reads the settings anew; of them, the seeds are taken up.
+        reload: Reloads the settings; only the new seeds take effect.
 
     Returns:
         Exit code of the process.
--- a/wigeonscale/daemons/direct_entry.py
+++ b/wigeonscale/daemons/direct_entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon that speaks to backend servers itself: wiring only."""
+"""Builds and runs the entry daemon that connects to backend servers directly."""
 
 __all__ = ["run_direct_entry"]
 
@@ -47,32 +47,33 @@
 from wigeonscale.routes import RouteTable
 from wigeonscale.wire import wire_pb2 as wire
 
-# The balancer asks once a second and takes an entry out after two misses, 2 s at most;
-# the rest is for connections under way. The sooner an entry is back, the fewer of a
-# domain are away at once when all are restarted in turn.
+# The load balancer checks readiness once a second and removes an entry after two failed
+# checks, 2 s at most; the rest is for connections being established. A short wait keeps
+# few entries of a failure domain down at once during a rolling restart.
 LOAD_BALANCER_REMOVAL_S = 2.4
 
 MS_PER_S = 1000.0
-# After a cut an entry must know the configuration in force within seconds; all entries
-# that lose all of control at once ask each replica a few times a second at most.
+# Upper bound of the reconnect backoff. After a network partition an entry must have the
+# current configuration within seconds. If all entries lose all of control at once, they
+# contact each replica a few times a second at most.
 RECONNECT_CAP_S = 0.8
 
 logger = logging.getLogger(__name__)
 
 
 class _ControlView:
-    """What control told this entry, read into the types of the flows.
+    """The route table and the backend servers, as last received from control.
 
     Args:
-        control: Link to control.
-        tracker: Told which backend servers exist.
-        notices: Told likewise.
-        limits: Told likewise.
+        control: Client of control.
+        tracker: Updated when the set of backend servers changes.
+        notices: Likewise.
+        limits: Likewise.
 
     Attributes:
-        table: Route table in force.
-        is_complete: Set once there are both.
-        fleet: Backend servers.
+        table: Current route table.
+        is_complete: Set once both the table and the backend servers were received.
+        fleet: Current backend servers.
     """
 
     def __init__(
@@ -99,7 +100,7 @@
             self._apply_members(list(self._control.members.backends.values()))
         elif change is Change.NUMBERED:
             self._apply_table()
-        # The table comes first. Without the members no backend server is known.
+        # The table arrives first; without the members no backend server is known.
         if self.table.number and self._members_received:
             self.is_complete.set()
 
@@ -125,7 +126,7 @@
         try:
             self.table = read_table(decompress(document.content))
         except SettingsError as exc:
-            # Control checks each document before it is accepted.
+            # Unexpected: control validates each document before accepting it.
             logger.error("document %d not read: %s", document.number, exc.message)
 
 
@@ -138,9 +139,9 @@
     """Run an entry until SIGTERM.
 
     Args:
-        cfg: Its settings.
-        reload: Reads the settings anew; of them, the seeds are taken up.
-        early: Where this process listens for callers already, or why not.
+        cfg: Settings of the entry.
+        reload: Reloads the settings; only the new seeds take effect.
+        early: Result of listening before the imports; None if it was not attempted.
 
     Returns:
         The exit code.
--- a/wigeonscale/daemons/early_listener.py
+++ b/wigeonscale/daemons/early_listener.py
@@ -1,14 +1,15 @@
-"""Listens for callers before an entry is loaded, where nobody else can serve them.
-
-Load pattern: all VMs lose power, or all processes are killed, and start together. The
-libraries of an entry take a second to load on a small share of a core. Callers that are
-refused meanwhile spend the one more try that they have within milliseconds, at an entry
-that does not listen either. Those that connect wait in the kernel's queue and are
-served as soon as the entry runs.
-
-While other entries serve, a refused caller is better off: its next try goes to one of
-them. Whether they do cannot be known yet; where control answers, this process was
-started alone.
+"""Opens the listening socket of an entry before its libraries are imported.
+
+This matters when all processes start together, after a power loss of all VMs or a kill
+of all processes. Importing the libraries of an entry takes a second on a small share of
+a core. A caller whose connection is refused meanwhile uses its only retry within
+milliseconds, on another entry that does not listen yet either. A connection to a
+listening socket waits in the kernel's accept queue instead, and is served as soon as
+the entry runs.
+
+If other entries are serving, refusing the connection is better, because the caller's
+retry reaches one of them. The process cannot know this yet; if control responds, the
+process was started alone and the others are assumed to serve.
 """
 
 __all__ = ["EarlyListener", "listen_early"]
@@ -21,19 +22,19 @@
 
 ROLE = "direct-entry"
 CONFIG_OPTION = "--config"
-# Opening a connection to a replica takes some 2 ms; a VM without power never answers.
+# Connecting to a replica takes about 2 ms; a VM without power never responds.
 CONTROL_CONNECT_TIMEOUT_S = 0.05
-# As for the server that takes it over.
+# Same as in the server that takes over the socket.
 BACKLOG = 512
 
 
 @dataclass(frozen=True, slots=True)
 class EarlyListener:
-    """What became of listening early.
+    """Result of the attempt to listen early.
 
     Attributes:
-        sock: The listening socket; None where it does not listen.
-        reason: Why, or why not.
+        sock: The listening socket; None if the process does not listen early.
+        reason: Why it listens early or does not, for the log.
     """
 
     sock: socket.socket | None
@@ -41,13 +42,13 @@
 
 
 def listen_early(argv: Sequence[str]) -> EarlyListener:
-    """Listen for callers if this process is an entry and control does not answer.
+    """Listen for callers if this process is an entry and control does not respond.
 
-    Nothing is checked here: a command line or settings that cannot be used are left to
-    the daemon, which says what is wrong with them.
+    Errors in the command line or the settings are not reported here. The daemon
+    validates both later and reports what is wrong.
 
     Args:
-        argv: Arguments of the process.
+        argv: Command-line arguments of the process.
 
     Example:
         >>> listen_early(["control", "--config", "c.ini"]).reason
@@ -81,7 +82,10 @@
 
 
 def _any_accepts(hosts: Sequence[str], port: int) -> bool:
-    """Return whether a connection to one of the hosts opens at once."""
+    """Return whether any host accepts a connection.
+
+    Stops when no pending connection attempt ends within the connect timeout.
+    """
     socks = []
     try:
         for host in hosts:
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: wiring only."""
+"""Builds and runs the entry daemon from its components."""
 
 __all__ = ["build_entry", "run_entry"]
 
@@ -39,7 +39,7 @@
     """Run an entry until SIGTERM.
 
     Args:
-        cfg: Its settings.
+        cfg: Settings of the entry.
 
     Returns:
         The exit code.
@@ -98,15 +98,16 @@
     keepalive: KeepaliveLimits | None = None,
     crashes: CrashTracker | None = None,
 ) -> EntryService:
-    """Return an entry's state, wired together.
+    """Build the service of an entry from its components.
 
     Args:
-        cfg: Its settings.
-        control: Its link to control.
+        cfg: Settings of the entry.
+        control: Client of control.
         clock: Clock port.
-        keepalive: When a connection counts as lost; None: derived from the heartbeats.
-        crashes: Which requests crash backend servers; None for a book that is told
-            nothing by control.
+        keepalive: When a connection to an agent counts as lost; None derives it from
+            the heartbeat interval.
+        crashes: Tracker of the requests that crash backend servers; None for one that
+            gets no updates from control.
     """
     default_keepalive = KeepaliveLimits(
         interval_s=cfg.heartbeat_s / KEEPALIVE_CHECKS_PER_HEARTBEAT
@@ -163,10 +164,10 @@
 
 
 def new_crash_tracker(names: ServerNames, *, clock: Clock) -> CrashTracker:
-    """Return a book of crashes of the servers behind agents.
+    """Return a crash tracker for the backend servers of agents.
 
     Args:
-        names: Names of the servers.
+        names: Maps agents to the names of their backend servers.
         clock: Clock port.
     """
     return CrashTracker(
@@ -178,6 +179,6 @@
 
 
 async def _serve_when_ready(control: ControlClient, server: CallerServer) -> None:
-    # Nothing is served before a majority has confirmed the configuration.
+    # Callers are not served before a majority has confirmed the configuration.
     await control.ready()
     await server.start()
--- a/wigeonscale/daemons/load_exchange.py
+++ b/wigeonscale/daemons/load_exchange.py
@@ -1,4 +1,8 @@
-"""What an entry tells control of its load with each heartbeat, and hears of all."""
+"""Converts an entry's loads, sends and rate limits to and from heartbeat messages.
+
+With each heartbeat an entry reports its own figures to control, and control returns
+the totals over all entries.
+"""
 
 __all__ = ["apply_load_totals", "build_load_report"]
 
@@ -9,10 +13,10 @@
 
 
 def build_load_report(ctx: EntryContext) -> wire.Loads:
-    """Return what this entry has in progress and has sent lately, and note it as told.
+    """Return this entry's load and recent sends, and record them as reported.
 
     Args:
-        ctx: What the flows of the entry share.
+        ctx: Components that the requests of the entry share.
     """
     return wire.Loads(
         loads=[
@@ -40,11 +44,11 @@
 
 
 def apply_load_totals(ctx: EntryContext, totals: wire.Loads) -> None:
-    """Take in what all entries told, this one included.
+    """Apply the totals over all entries, this one included.
 
     Args:
-        ctx: What the flows of the entry share.
-        totals: Sums over the entries.
+        ctx: Components that the requests of the entry share.
+        totals: Sums of the reports of all entries.
     """
     ctx.tracker.apply_totals(
         {each.backend_id: (each.running, each.token_layers) for each in totals.loads}
--- a/wigeonscale/daemons/runtime.py
+++ b/wigeonscale/daemons/runtime.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until it is told to stop, then stops it gracefully."""
+"""Runs a daemon until a stop signal, then shuts it down gracefully."""
 
 __all__ = [
     "EXIT_STOP_TIMEOUT",
@@ -21,13 +21,13 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1  # a task of the daemon failed
-EXIT_STOP_TIMEOUT = 3  # the graceful stop reached its bound; 2 is for wrong settings
+EXIT_STOP_TIMEOUT = 3  # the graceful shutdown timed out; 2 is for invalid settings
 
-# Each step that is left when the bound is reached still gets this long, where it is not
-# known when the process is ended by force.
+# Timeout of each stop step that remains after the shutdown timeout, if the time until
+# the process is killed is unknown.
 LATE_STEP_TIMEOUT_S = 2.0
-# Shares of the time until a process is ended by force: what it has for all its steps,
-# and for each that is left then. The rest is for its end.
+# Shares of the time until the process is killed: for all stop steps together, and for
+# each step that remains after that. The rest is for the exit of the process.
 SHUTDOWN_SHARE = 0.9
 LATE_STEP_SHARE = 0.04
 
@@ -36,13 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StopStep:
-    """One step of a graceful stop.
+    """One step of a graceful shutdown.
 
     Attributes:
         name: Short name for the log.
-        run: Does the step; cancelled when the bound is reached.
-        cut: Done after ``run`` was cut at the bound, for example to tell the
-            callers; None for nothing.
+        run: Performs the step; cancelled at the shutdown timeout.
+        on_timeout: Called after ``run`` was cancelled at the timeout, for example to
+            notify the callers; None for nothing.
     """
 
     name: str
@@ -51,11 +51,12 @@
 
 
 def shutdown_timeout_s(killed_after_s: float, stop_timeout_s: float) -> float:
-    """Return how long all stop steps of a process may take together, in seconds.
+    """Return the timeout of all stop steps of a process together, in seconds.
 
     Args:
-        killed_after_s: Time after which it is ended by force; 0 where not known.
-        stop_timeout_s: Longest graceful shutdown by its settings.
+        killed_after_s: Time from the stop signal until the process is killed; 0 if
+            unknown.
+        stop_timeout_s: Longest graceful shutdown according to the settings.
 
     Example:
         >>> shutdown_timeout_s(8.0, 30.0), shutdown_timeout_s(0.0, 30.0)
@@ -69,11 +70,14 @@
 
 
 def late_step_timeout_s(killed_after_s: float) -> float:
-    """Return how long each step may take that is left at the bound, in seconds.
+    """Return the timeout of each step that remains after the shutdown timeout.
 
     Args:
-        killed_after_s: Time after which the process is ended by force; 0 where not
-            known.
+        killed_after_s: Time from the stop signal until the process is killed; 0 if
+            unknown.
+
+    Returns:
+        The timeout in seconds.
     """
     return LATE_STEP_SHARE * killed_after_s if killed_after_s else LATE_STEP_TIMEOUT_S
 
@@ -88,20 +92,20 @@
     signals: Sequence[signal.Signals] = (signal.SIGTERM, signal.SIGINT),
     reload: Callable[[], None] | None = None,
 ) -> int:
-    """Run coroutines until a signal, then the stop steps in their order.
+    """Run coroutines until a stop signal, then run the stop steps in order.
 
-    The coroutines go on while the stop steps run, and are cancelled at the end.
-    A coroutine that ends by an exception stops the daemon too.
+    The coroutines keep running during the stop steps and are cancelled after them.
+    An exception in a coroutine also stops the daemon.
 
     Args:
         tasks: Coroutines of the daemon by name.
-        stop_steps: What to do, in order, once the daemon shall stop.
-        stop_timeout_s: Seconds that all the steps may take together.
-        late_step_timeout_s: Seconds that each step still gets that is left then.
-        stop: Set by the signals, or by others to stop the daemon; None makes one.
-        signals: Signals that stop the daemon; empty leaves them alone. Repeated
-            signals change nothing.
-        reload: Reads the settings anew on SIGHUP; None: they hold until the end.
+        stop_steps: Steps of the graceful shutdown, in order.
+        stop_timeout_s: Timeout of all steps together, in seconds.
+        late_step_timeout_s: Timeout of each step that remains after that, in seconds.
+        stop: Stops the daemon when set, by a signal or by the caller; None creates one.
+        signals: Signals that stop the daemon; if empty, no handler is installed.
+            Repeated signals have no effect.
+        reload: Reloads the settings on SIGHUP; None if the daemon cannot reload them.
 
     Returns:
         ``EXIT_OK``, ``EXIT_FAILED`` or ``EXIT_STOP_TIMEOUT``, for ``sys.exit``.
@@ -111,7 +115,7 @@
     for signum in signals:
         loop.add_signal_handler(signum, stop.set)
     if signals:
-        # Its default action would end the process.
+        # The default action of SIGHUP would terminate the process.
         loop.add_signal_handler(signal.SIGHUP, _handle_sighup, reload)
     running = {
         asyncio.create_task(coro, name=name): name for name, coro in tasks.items()
@@ -173,7 +177,7 @@
 async def _run_steps(
     steps: Sequence[StopStep], timeout_s: float, late_step_timeout_s: float
 ) -> bool:
-    """Return whether a step was cut at the bound."""
+    """Return whether any step timed out."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout_s
     any_timed_out = False
@@ -201,7 +205,7 @@
         if limit.expired():
             logger.warning("stop step %s cut after %.1f s", name, limit_s)
             return False
-        # The steps after it must still be done.
+        # The remaining steps must still run.
         logger.exception("stop step %s failed", name)
     return True
 
