--- a/wigeonscale/cli/__init__.py
+++ b/wigeonscale/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The programs ``wigeond`` and ``wigeonctl``."""
+"""The command-line programs ``wigeond`` and ``wigeonctl``."""
--- a/wigeonscale/cli/admin_client.py
+++ b/wigeonscale/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Talks to the control replicas' operator pages, whichever of them answers."""
+"""HTTP client of the control replicas' admin endpoints, with failover."""
 
 __all__ = ["AdminClient"]
 
@@ -29,15 +29,15 @@
 
 
 class AdminClient:
-    """Sends operators' requests until one replica has decided them.
+    """Sends an operator's request to the replicas in turn until one decides it.
 
     Args:
         session: HTTP session to use.
-        addresses: ``ip:port`` of the control replicas' HTTP pages.
+        addresses: HTTP addresses of the control replicas, each ``ip:port``.
         clock: Clock port.
-        timeout_s: Longest time for one request over all replicas, in seconds.
-        token: Operators' token; empty for none.
-        tls: TLS of the replicas' pages; None for plain HTTP.
+        timeout_s: Timeout of one request over all attempts, in seconds.
+        token: Bearer token of the operators; empty for none.
+        tls: TLS context for the replicas; None for plain HTTP.
     """
 
     def __init__(
@@ -58,23 +58,23 @@
         self._headers = {"Authorization": f"Bearer {token}"} if token else {}
 
     async def read(self, path: str) -> dict[str, object]:
-        """Return a page from the first replica that gives it.
+        """Return the JSON body of a GET request from the first replica that responds.
 
         Raises:
-            WigeonscaleError: No replica gave it.
+            WigeonscaleError: The request was refused, or no replica responded.
         """
         return await self._call("GET", path, None)
 
     async def change(self, path: str, body: dict[str, object]) -> dict[str, object]:
-        """Make a change, resending the same body until an answer arrives.
+        """Make a change, resending the same body until a response arrives.
 
         Args:
-            path: Path of the page.
-            body: JSON body; its ``operation_id`` makes the resends harmless.
+            path: URL path.
+            body: JSON body; its ``operation_id`` makes the request idempotent.
 
         Raises:
             WigeonscaleError: The change was refused, or no replica was reached
-                (run state ``NOT_RUN``), or every answer was lost (``UNKNOWN``).
+                (run state ``NOT_RUN``), or every response was lost (``UNKNOWN``).
         """
         return await self._call("POST", path, body)
 
@@ -100,14 +100,15 @@
     async def read_each(
         self, addresses: Sequence[str], path: str
     ) -> tuple[dict[str, dict], dict[str, str]]:
-        """Read a page of several processes at once, each one time.
+        """Send a GET request to several processes concurrently, without retries.
 
         Args:
-            addresses: ``ip:port`` of the processes' HTTP pages.
-            path: Path of the page.
+            addresses: HTTP addresses of the processes, each ``ip:port``.
+            path: URL path.
 
         Returns:
-            The page by address, and why there is none by address.
+            JSON bodies by address, and error messages by address of the processes
+            without a usable response.
         """
         results = await asyncio.gather(
             *(self.request_once(address, "GET", path) for address in addresses),
@@ -133,11 +134,11 @@
         """Make one attempt at one address.
 
         Raises:
-            WigeonscaleError: Its run state says whether the attempt may have done
-                something.
+            WigeonscaleError: The attempt failed; the run state of the error says
+                whether it may have had an effect.
         """
         lost_state = RunState.NOT_RUN if method == "GET" else RunState.UNKNOWN
-        # Entries show their pages over plain HTTP.
+        # Entries serve plain HTTP only.
         is_secure = self._tls is not None and address in self.addresses
         timeout = aiohttp.ClientTimeout(
             total=ATTEMPT_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S
@@ -163,9 +164,10 @@
 def _final_error(
     refusal: WigeonscaleError, unknown: WigeonscaleError | None
 ) -> WigeonscaleError:
-    """Return what is known after a refusal that may follow lost answers.
+    """Return the error to raise for a refusal that may follow a lost response.
 
-    Only what the replicated log decided settles an earlier attempt too.
+    A refusal decides the outcome of an earlier attempt with a lost response only if
+    its kind comes from the replicated log. Otherwise the outcome stays unknown.
     """
     if unknown is None or refusal.kind in COMMITTED_DECISION_KINDS:
         return refusal
@@ -196,7 +198,7 @@
     except (ValueError, AttributeError, KeyError, TypeError) as exc:
         text = f"answer {status} of {address} cannot be read: {data[:200]!r}"
         raise WigeonscaleError(ErrorKind.NO_QUORUM, text, run_state=lost_state) from exc
-    # A failure inside the replica does not tell whether the change was made.
+    # After a server error the change may or may not have been made.
     default_state = lost_state if status >= FIRST_SERVER_ERROR else RunState.NOT_RUN
     raise error_from_kind(
         kind,
--- a/wigeonscale/cli/burn_command.py
+++ b/wigeonscale/cli/burn_command.py
@@ -1,4 +1,4 @@
-"""``wigeonctl report burn``: the error budgets over all entries."""
+"""``wigeonctl report burn``: use of the error budgets over all entries."""
 
 __all__ = ["report_burn"]
 
@@ -14,11 +14,11 @@
 
 
 async def report_burn(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Collect and merge the counts of every entry that a replica knows.
+    """Collect and merge the event counts of all entries known to the replicas.
 
     Raises:
-        WigeonscaleError: No replica or no entry answered, or the picture cannot be
-            drawn.
+        WigeonscaleError: No replica or no entry responded, or the picture cannot be
+            written.
     """
     pages, missing = await client.read_each(client.addresses, "/admin/status")
     exports, unreachable = await client.read_each(_entry_addresses(pages), BURN_PATH)
--- a/wigeonscale/cli/daemon.py
+++ b/wigeonscale/cli/daemon.py
@@ -1,4 +1,4 @@
-"""Reads the command line and the settings of a daemon, and runs it."""
+"""Parses the command line and the settings of a daemon, and runs it."""
 
 __all__ = ["run_daemon"]
 
@@ -19,7 +19,7 @@
 from wigeonscale.errors import SettingsError, WigeonscaleError
 
 EXIT_FAILED = 1
-# The others keep the settings of their start.
+# The other roles read their settings only at start.
 RELOADING_ROLES = frozenset({"direct-entry", "direct-control"})
 
 
@@ -29,8 +29,8 @@
     """Run a daemon and return its exit code.
 
     Args:
-        argv: Arguments; None for those of the process.
-        early: Where an entry listens already, or why not.
+        argv: Command-line arguments; None for those of the process.
+        early: Result of listening before the imports; passed on to an entry.
     """
     args = _parser().parse_args(argv)
     try:
@@ -42,7 +42,7 @@
     options = _reload_option(args)
     if early is not None and args.role == EARLY_ROLE:
         options["early"] = early
-    # The imports are done; see wigeond.
+    # The imports are done, so garbage collection resumes; see wigeond.
     gc.freeze()
     gc.enable()
     try:
@@ -71,7 +71,7 @@
 
 
 def _load_runner(role: str) -> Callable[[NodeSettings], Awaitable[int | None]]:
-    # Imported only now: the other roles' libraries would cost memory.
+    # Imported on demand: the libraries of the other roles would cost memory.
     name = role.replace("-", "_")
     module = importlib.import_module(f"wigeonscale.daemons.{name}")
     return getattr(module, f"run_{name}")
--- a/wigeonscale/cli/decisions_command.py
+++ b/wigeonscale/cli/decisions_command.py
@@ -1,4 +1,4 @@
-"""``wigeonctl report decisions``: what processes decided, by kind and moment."""
+"""``wigeonctl report decisions``: decisions counted from logs by kind and time."""
 
 __all__ = ["report_decisions"]
 
--- a/wigeonscale/cli/exit_codes.py
+++ b/wigeonscale/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line."""
+"""Exit codes of ``wigeonctl``."""
 
 __all__ = ["ExitCode"]
 
@@ -6,13 +6,15 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended.
+    """Outcome of a command.
 
     Attributes:
-        DONE: It was carried out.
-        REFUSED: It was refused, or no replica could be reached; nothing was done.
-        BAD_INPUT: The command line, a file or a document is wrong.
-        UNKNOWN: It was sent, but every answer was lost; it may have been done.
+        DONE: The command succeeded.
+        REFUSED: The command was refused, or no replica could be reached; nothing was
+            changed.
+        BAD_INPUT: The command line, a file or a document is invalid.
+        UNKNOWN: The request was sent, but every response was lost; it may have taken
+            effect.
     """
 
     DONE = 0
--- a/wigeonscale/cli/options.py
+++ b/wigeonscale/cli/options.py
@@ -1,4 +1,4 @@
-"""The command line of ``wigeonctl``."""
+"""Command-line parser of ``wigeonctl``."""
 
 __all__ = ["build_parser"]
 
@@ -46,7 +46,11 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser; ``args.run`` is the command, ``args.remote`` its kind."""
+    """Return the parser.
+
+    It sets ``args.run`` to the function of the command, and ``args.remote`` to whether
+    that function needs a client of the control replicas.
+    """
     parser = argparse.ArgumentParser(
         prog="wigeonctl",
         description="Operates wigeonscale through its control replicas.",
--- a/wigeonscale/cli/output.py
+++ b/wigeonscale/cli/output.py
@@ -1,4 +1,4 @@
-"""What a command prints, for people and for programs."""
+"""Output of a command, as text and as JSON."""
 
 __all__ = ["Output", "format_table"]
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """The outcome of a command that was carried out.
+    """Output of a command that succeeded.
 
     Attributes:
-        text: For people.
-        data: The same for programs, as a JSON object.
+        text: Human-readable text.
+        data: The same content as a JSON object, for ``--json``.
         notes: Warnings, printed on standard error.
         code: Exit code.
     """
@@ -28,11 +28,11 @@
 
 
 def format_table(headers: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Return a table in aligned columns, numbers to the right.
+    """Format a table with aligned columns; numbers are right-aligned.
 
     Args:
-        headers: One name a column.
-        rows: Values, one a column.
+        headers: Name of each column.
+        rows: Values of each row, one for each column.
 
     Example:
         >>> print(format_table(["NAME", "N"], [["a", 12], ["bc", 3]]))
--- a/wigeonscale/cli/precompile.py
+++ b/wigeonscale/cli/precompile.py
@@ -1,8 +1,9 @@
 """``python -m wigeonscale.cli.precompile FOLDER``: compiles the direct roles' code.
 
-Without docstrings and assertions an entry takes 36.8 in place of 39.4 MB (anonymous
-memory after its imports); a deployment holds hundreds of them. ``wigeond`` uses the
-folder that the environment names, as long as it was made from the same sources.
+Without docstrings and assertions an entry uses 36.8 instead of 39.4 MB of anonymous
+memory after its imports; a deployment runs hundreds of entries. ``wigeond`` loads the
+code from the folder named by ``WIGEOND_PRECOMPILED``, as long as it was compiled from
+the same sources.
 """
 
 __all__ = ["main"]
@@ -15,7 +16,7 @@
 from collections.abc import Iterator, Sequence
 
 ROLES = ("wigeonscale.daemons.direct_entry", "wigeonscale.daemons.direct_control")
-# Level at which Python leaves out assertions and docstrings.
+# Optimization level that strips assertions and docstrings, as in ``python -OO``.
 WITHOUT_DOCSTRINGS = 2
 
 
@@ -23,14 +24,14 @@
     """Compile into a folder and return the exit code.
 
     Args:
-        argv: The folder; None for the arguments of the process.
+        argv: Command-line arguments, the folder only; None for those of the process.
     """
     (folder,) = sys.argv[1:] if argv is None else argv
     for role in ("wigeonscale.cli.daemon", *ROLES):
         importlib.import_module(role)
     sys.pycache_prefix = str(pathlib.Path(folder).resolve())
     for source in sorted(_sources()):
-        # Under the name that Python looks for when it is not told to optimize.
+        # Stored under the file name that Python loads without -O.
         target = importlib.util.cache_from_source(str(source), optimization="")
         py_compile.compile(
             str(source), cfile=target, optimize=WITHOUT_DOCSTRINGS, quiet=1
@@ -39,7 +40,10 @@
 
 
 def _sources() -> Iterator[pathlib.Path]:
-    """Yield the sources beside all that is loaded: more may be loaded at work."""
+    """Yield all source files in the folders of the loaded modules.
+
+    Some modules of these folders are imported only at run time.
+    """
     folders = set()
     for module in list(sys.modules.values()):
         origin = getattr(getattr(module, "__spec__", None), "origin", None) or ""
--- a/wigeonscale/cli/rules_commands.py
+++ b/wigeonscale/cli/rules_commands.py
@@ -28,10 +28,10 @@
 
 
 def check_rules(args: argparse.Namespace) -> Output:
-    """Check a rules file without any replica.
+    """Validate a rules file locally, without a replica.
 
     Raises:
-        SettingsError: Names what is wrong with it.
+        SettingsError: The file cannot be read or is invalid.
     """
     document = _read_document(args.file)
     counts = {
@@ -47,7 +47,7 @@
 
 
 async def apply_rules(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Put a rules file in force if nobody changed the rules in between."""
+    """Apply a rules file unless the rules were changed since its base revision."""
     document = _read_document(args.file)
     warnings = _warnings(document)
     change = await _plan_change(document, args.base, client)
@@ -55,7 +55,7 @@
         data = {"revision": change.base, "changes": []}
         text = f"nothing to change: revision {change.base} is in force"
         return Output(text, data, warnings)
-    # Kept for the hint after lost answers: a resend must name the same base.
+    # For the hint after lost responses: a repeated command needs the same base.
     args.base = change.base
     answer = await client.change(
         "/admin/rules/apply",
@@ -81,7 +81,7 @@
 class _Change:
     base: int
     content: dict[str, object]
-    # One line a section; None when the base was given and nothing was compared.
+    # One line per changed section; None if the base was given and nothing was compared.
     summary: list[str] | None
 
 
@@ -93,20 +93,20 @@
         return _Change(base, whole, None)
     current = await client.read("/admin/rules")
     old = parse_document(str(current["document"]))
-    # The first revision has no sections to change.
+    # Before the first revision there are no sections to change.
     content = _changed_sections(old, document) if current["revision"] else whole
     return _Change(current["revision"], content, _change_summary(old, document))
 
 
 async def show_rules(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Show the rules in force."""
+    """Show the current rules."""
     answer = await client.read("/admin/rules")
     note = f"revision {answer['revision']}, digest {answer['digest']}"
     return Output(str(answer["document"]).rstrip("\n"), answer, (note,))
 
 
 async def show_history(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Show the revisions that can be rolled back to."""
+    """Show the revisions to which the rules can be rolled back."""
     answer = await client.read("/admin/rules/history")
     rows = [
         [
@@ -122,7 +122,7 @@
 
 
 async def roll_back_rules(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Put the rules of an earlier revision in force as a new revision."""
+    """Apply the rules of an earlier revision as a new revision."""
     answer = await client.change(
         "/admin/rules/rollback",
         {
@@ -157,7 +157,7 @@
 
 
 def _changed_sections(old: Document, new: Document) -> dict[str, object]:
-    # A long document is not sent again for each change.
+    # Only the difference is sent, because documents can be long.
     changes = [
         json_format.MessageToDict(change, preserving_proto_field_name=True)
         for change in diff_documents(old, new)
--- a/wigeonscale/cli/status_commands.py
+++ b/wigeonscale/cli/status_commands.py
@@ -1,4 +1,4 @@
-"""``wigeonctl status|pipelines|backends|drain``: what runs, and draining it."""
+"""``wigeonctl status|pipelines|backends|drain``: shows and drains components."""
 
 __all__ = ["drain_backend", "show_backends", "show_pipelines", "show_status"]
 
@@ -13,10 +13,10 @@
 
 
 async def show_status(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Show every control replica, and every entry and agent they watch over.
+    """Show all control replicas with the entries and agents connected to them.
 
     Raises:
-        WigeonscaleError: No replica answered.
+        WigeonscaleError: No replica responded.
     """
     pages, missing = await client.read_each(client.addresses, "/admin/status")
     if not pages:
@@ -64,7 +64,7 @@
 
 
 async def show_pipelines(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Show the pipelines with their chains."""
+    """Show the pipelines and their chains."""
     answer = await client.read("/admin/pipelines")
     pipelines = answer["pipelines"]
     keys = ["name", "model", "layers", "replicas", "ready"]
@@ -98,7 +98,7 @@
 
 
 async def show_backends(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Show the backend servers that announced themselves."""
+    """Show the registered backend servers."""
     answer = await client.read("/admin/backends")
     rows = [
         [
@@ -125,7 +125,7 @@
 
 
 async def drain_backend(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Keep new work from a backend server, or let it have work again."""
+    """Drain a backend server, or undo that."""
     draining = not args.undo
     answer = await client.change(
         "/admin/drain",
--- a/wigeonscale/cli/wigeonctl.py
+++ b/wigeonscale/cli/wigeonctl.py
@@ -1,4 +1,4 @@
-"""``wigeonctl``: the operators' client.
+"""``wigeonctl``: command-line client for operators.
 
 Exit codes: 0 done, 1 refused, 2 bad input, 3 unknown outcome.
 """
@@ -38,7 +38,7 @@
     """Run one command and return its exit code.
 
     Args:
-        argv: Arguments; None for those of the process.
+        argv: Command-line arguments; None for those of the process.
     """
     args = build_parser().parse_args(argv)
     try:
--- a/wigeonscale/cli/wigeond.py
+++ b/wigeonscale/cli/wigeond.py
@@ -1,7 +1,7 @@
 """``wigeond ROLE --config FILE.ini``: runs one daemon until SIGTERM.
 
-Exit codes: 0 after a graceful shutdown, 1 when the daemon failed, 2 when the
-command line or the settings are wrong, 3 when the shutdown was cut at its bound.
+Exit codes: 0 after a graceful shutdown, 1 if the daemon failed, 2 if the command line
+or the settings are invalid, 3 if the graceful shutdown timed out.
 """
 
 __all__ = ["main"]
@@ -15,9 +15,9 @@
 import sys
 from collections.abc import Sequence
 
-# Folder of what ``wigeonscale.cli.precompile`` made.
+# Names the folder that ``wigeonscale.cli.precompile`` wrote.
 PRECOMPILED_ENV = "WIGEOND_PRECOMPILED"
-# A compiled file begins with a magic number, flags, and its source's time and size.
+# A .pyc file starts with a magic number, flags, and the source's mtime and size.
 PYC_HEADER = struct.Struct("<4sIII")
 
 
@@ -25,19 +25,20 @@
     """Run a daemon and return its exit code.
 
     Args:
-        argv: Arguments; None for those of the process.
+        argv: Command-line arguments; None for those of the process.
     """
-    # SIGHUP asks to read the settings, which a daemon that starts does anyway; its
-    # default action would end the process. Ignored before the imports, which take
-    # half a second of a whole core, until the daemon has a handler of its own.
+    # SIGHUP requests a reload of the settings, which a starting daemon reads anyway,
+    # but its default action would terminate the process. It is ignored until the
+    # daemon installs a handler, which is after the imports; these take half a second of
+    # a whole core.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     use_precompiled(os.environ.get(PRECOMPILED_ENV, ""))
-    # Also before the imports: it is there for the time that they take.
+    # Also before the imports, because it covers the time that they take.
     early = importlib.import_module("wigeonscale.daemons.early_listener").listen_early(
         sys.argv[1:] if argv is None else argv
     )
-    # What is loaded stays, so looking through it for garbage again and again is in
-    # vain and would delay the moment from which it serves.
+    # Imported objects stay alive, so garbage collection during the imports would free
+    # nothing and would delay the start.
     gc.disable()
     try:
         daemon = importlib.import_module("wigeonscale.cli.daemon")
@@ -47,13 +48,15 @@
 
 
 def use_precompiled(folder: str) -> bool:
-    """Load code from a folder from now on, if it was made from the same sources.
+    """Load compiled code from a folder if it was compiled from the same sources.
+
+    With other sources Python would compile each module at each start.
 
     Args:
-        folder: As ``wigeonscale.cli.precompile`` made it; empty for none.
+        folder: Folder that ``wigeonscale.cli.precompile`` wrote; empty for none.
 
     Returns:
-        Whether it is used. Otherwise each module would be compiled at each start.
+        Whether the folder is used.
     """
     previous = sys.pycache_prefix
     sys.pycache_prefix = os.path.abspath(folder) if folder else previous
