--- a/wigeonscale/reports/__init__.py
+++ b/wigeonscale/reports/__init__.py
@@ -1,4 +1,4 @@
-"""Reports for operators: service-level burn, and decisions counted from logs."""
+"""Reports for operators: use of error budgets, and decisions counted from logs."""
 
 __all__ = [
     "BURN_PATH",
--- a/wigeonscale/reports/decisions.py
+++ b/wigeonscale/reports/decisions.py
@@ -1,6 +1,7 @@
-"""Counts the decisions that the processes logged, by kind and moment.
+"""Counts the decisions that the processes logged, by kind and time window.
 
-The first look after a bad hour: which decisions became many, when, and at which engine.
+Meant as the first step in analysing an incident: it shows which decisions became
+frequent, when, and which engines were involved.
 """
 
 __all__ = ["DecisionReport", "DecisionRow", "count_decisions"]
@@ -12,9 +13,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Engines that refused are listed down to this many.
+# Length of the list of engines that refused or broke sends.
 MAX_BLAMED_ENGINES = 10
-# A quoted text, or a word with a digit in it: a name, an address, an id or a figure.
+# A quoted text or a word that contains a digit: a name, address, id or number.
 VARIABLE_PART = re.compile(r"'[^']*'|\"[^\"]*\"|\S*\d\S*")
 REPEATED_PLACEHOLDERS = re.compile(r"N(,? N)+")
 
@@ -24,8 +25,8 @@
     """One kind of decision.
 
     Attributes:
-        kind: Its message without names and figures, and its outcome.
-        counts: How many in each window.
+        kind: Log message without names and numbers, followed by its outcome and status.
+        counts: Number of decisions in each window.
     """
 
     kind: str
@@ -33,7 +34,7 @@
 
     @property
     def total(self) -> int:
-        """How many in all."""
+        """Number of decisions in all windows."""
         return sum(self.counts)
 
 
@@ -43,11 +44,11 @@
 
     Attributes:
         every_s: Length of a window, in seconds.
-        began_at: Time of day at which the first window begins.
-        rows: Kinds, the most frequent first.
-        sends: Requests by how often they were sent to an engine.
-        blamed: Engines that refused or broke sends, by how many.
-        unread: Lines that are no log lines.
+        began_at: Start of the first window, as an ISO 8601 time in UTC.
+        rows: Kinds of decisions, the most frequent first.
+        sends: Number of requests by how often they were sent to an engine.
+        blamed: Number of refused or broken sends by engine, the highest first.
+        unread: Number of lines that are not log records.
     """
 
     every_s: float
@@ -62,8 +63,8 @@
     """Count the decisions of log lines.
 
     Args:
-        lines: JSON lines of any number of processes, in any order; what stands before
-            the first brace of a line is passed over.
+        lines: JSON lines of any number of processes, in any order; text before the
+            first brace of a line is ignored.
         every_s: Length of a window, in seconds.
 
     Example:
@@ -72,7 +73,8 @@
         (DecisionRow(kind='N is lost', counts=(1,)),)
 
     Notes:
-        Costs memory for each request that was sent more than once, and each kind.
+        Memory grows with the number of requests that were sent, and of pairs of kind
+        and time stamp.
     """
     counts: dict[str, Counter] = defaultdict(Counter)
     sends: dict[str, int] = {}
@@ -100,7 +102,7 @@
 
 
 def _parse_record(line: str) -> dict | None:
-    """Return the record of a line, or None if it holds none."""
+    """Return the log record in a line, or None if there is none."""
     _, brace, rest = line.partition("{")
     try:
         record = json.loads(brace + rest)
--- a/wigeonscale/reports/merge.py
+++ b/wigeonscale/reports/merge.py
@@ -1,4 +1,4 @@
-"""Merges the burn counts of several entries into one report."""
+"""Merges the event counts of several entries into one burn report."""
 
 __all__ = ["BurnReport", "BurnRow", "WindowBurn", "merge_exports"]
 
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowBurn:
-    """Burn over one window.
+    """Use of an error budget over one window.
 
     Attributes:
-        events: All events.
-        bad: Bad events among them.
-        burn: Share of the error budget used; 1 is all of it.
+        events: Number of all events.
+        bad: Number of bad events.
+        burn: Share of the error budget that was used; 1 is all of it.
     """
 
     events: int
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnRow:
-    """Burn of one objective of one organisation.
+    """Use of the error budget of one objective by one organisation.
 
     Attributes:
         organisation: Name of the organisation.
         objective: The objective.
-        windows: Burn by window name.
+        windows: Use of the budget by name of the window.
     """
 
     organisation: str
@@ -63,19 +63,19 @@
 
     @property
     def worst(self) -> float:
-        """The largest burn of any window."""
+        """Largest burn of all windows."""
         return max((window.burn for window in self.windows.values()), default=0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class BurnReport:
-    """The burn of all organisations over several entries.
+    """Use of the error budgets of all organisations over several entries.
 
     Attributes:
         windows: Length of each window by name, in seconds.
-        rows: Worst burn first.
-        percentiles: Time in seconds by kind of time and percentile.
-        dropped: Organisations that an entry had no room for.
+        rows: Rows in descending order of their largest burn.
+        percentiles: Time in seconds by name of the time and percentile.
+        dropped: Number of organisations that entries dropped at their limit.
     """
 
     windows: dict[str, int]
@@ -88,10 +88,10 @@
     """Return one report from the exports of several entries.
 
     Args:
-        exports: What each entry's ``BurnRecorder.export`` returned.
+        exports: Result of ``BurnRecorder.export`` of each entry.
 
     Raises:
-        ValueError: An export does not have the form of one.
+        ValueError: An export is malformed.
     """
     models = [_ExportModel.model_validate(export) for export in exports]
     objectives: dict[str, Objective] = {}
--- a/wigeonscale/reports/objectives.py
+++ b/wigeonscale/reports/objectives.py
@@ -1,4 +1,4 @@
-"""The service-level objectives and the burn of their error budgets."""
+"""Service-level objectives and the use of their error budgets."""
 
 __all__ = ["DEFAULT_OBJECTIVES", "FIRST_TOKEN", "GAP", "SUCCESS", "Objective"]
 
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """A promise about a share of events.
+    """A service-level objective: the share of events that must be good.
 
     Attributes:
         name: One of ``success``, ``first_token`` and ``gap``.
         target: Share of events that must be good, below 1.
-        threshold_s: Longest time that is good, in seconds; 0 where none applies.
+        threshold_s: Longest time that counts as good, in seconds; 0 if not a time.
     """
 
     name: str
@@ -27,8 +27,8 @@
         """Return the share of the error budget that was used; 1 is all of it.
 
         Args:
-            events: All events of a window.
-            bad: Bad events among them.
+            events: Number of all events in a window.
+            bad: Number of bad events in it.
 
         Example:
             >>> Objective("success", 0.75).burn(8, 1)
--- a/wigeonscale/reports/picture.py
+++ b/wigeonscale/reports/picture.py
@@ -1,4 +1,4 @@
-"""Draws the burn report; needs matplotlib, which the daemons do not."""
+"""Draws the burn report as a bar chart; requires matplotlib, unlike the daemons."""
 
 __all__ = ["draw_burn"]
 
@@ -10,21 +10,21 @@
 MAX_BARS = 30
 INCHES_PER_BAR = 0.3
 WIDTH_INCHES = 8.0
-FRAME_INCHES = 1.5  # title and axis, whatever the number of bars
-GROUP_HEIGHT = 0.8  # of the bars of one objective; the rest parts them from the next
+FRAME_INCHES = 1.5  # axis and margins, independent of the number of bars
+GROUP_HEIGHT = 0.8  # share taken by the bars of one row; the rest is the gap
 
 
 def draw_burn(report: BurnReport, path: str) -> None:
-    """Write a bar chart of the worst burns.
+    """Write a bar chart of the rows with the largest burns.
 
     Args:
         report: The report to draw.
-        path: File to write; its suffix chooses the format.
+        path: File to write; its suffix selects the format.
 
     Raises:
         WigeonscaleError: ``INTERNAL`` when matplotlib is not installed.
         OSError: The file cannot be written.
-        ValueError: The suffix names no known format.
+        ValueError: The format of the suffix is not supported.
     """
     try:
         from matplotlib.figure import Figure
--- a/wigeonscale/reports/recorder.py
+++ b/wigeonscale/reports/recorder.py
@@ -1,4 +1,4 @@
-"""Records at an entry what the burn report is made of."""
+"""Records the events at an entry from which the burn report is made."""
 
 __all__ = ["BurnRecorder"]
 
@@ -29,13 +29,13 @@
     Args:
         clock: Clock port.
         objectives: At most one for each of ``success``, ``first_token``, ``gap``.
-        max_organisations: Organisations kept; beyond it the one that was longest
-            without an event is dropped, and the export says how many were.
+        max_organisations: Largest number of organisations. Beyond it the least
+            recently active one is dropped; the export has the number dropped.
 
     Notes:
-        Memory for each organisation is constant; ``python -m bench rules`` reports
-        it as ``reports/bytes_per_organisation``. An organisation without events
-        for as long as the long window is forgotten at the next export.
+        Memory per organisation is constant; ``python -m bench rules`` reports it as
+        ``reports/bytes_per_organisation``. An organisation without events in the
+        long window is removed at the next export.
     """
 
     def __init__(
@@ -60,8 +60,8 @@
 
         Args:
             organisation: Name of the caller's organisation.
-            ok: Whether the whole answer reached the caller, or the request was
-                refused for a reason that is the caller's own.
+            ok: Whether the complete response reached the caller, or the request was
+                rejected through the caller's own fault.
         """
         self._add_events(SUCCESS, organisation, 1, int(not ok))
 
@@ -70,27 +70,27 @@
 
         Args:
             organisation: Name of the caller's organisation.
-            seconds: The time.
+            seconds: Time to the first token, in seconds.
         """
         self._record_time(FIRST_TOKEN, organisation, seconds, 1)
 
     def record_gap(self, organisation: str, seconds: float, count: int = 1) -> None:
-        """Count times between two tokens of an answer.
+        """Count gaps between consecutive tokens of a response.
 
         Args:
             organisation: Name of the caller's organisation.
-            seconds: The time of each gap.
-            count: Number of gaps of that time.
+            seconds: Length of each gap, in seconds.
+            count: Number of gaps of that length.
         """
         self._record_time(GAP, organisation, seconds, count)
 
     def export(self) -> dict[str, object]:
-        """Return the counts of all windows, ready for JSON.
+        """Return the counts of all windows as a JSON-serialisable object.
 
         Returns:
             Objectives, windows, (events, bad events) by organisation, objective and
-            window, and the distribution of times since the start (an encoded
-            HdrHistogram in microseconds).
+            window, the number of dropped organisations, and the distribution of times
+            since the start (encoded HdrHistograms in microseconds).
         """
         now = self._clock.now()
         exported = {
--- a/wigeonscale/reports/routes.py
+++ b/wigeonscale/reports/routes.py
@@ -1,4 +1,4 @@
-"""The page on which an entry gives out its burn counts."""
+"""HTTP endpoint of an entry for its event counts."""
 
 __all__ = ["BURN_PATH", "burn_routes"]
 
@@ -10,10 +10,10 @@
 
 
 def burn_routes(recorder: BurnRecorder) -> list[web.RouteDef]:
-    """Return the routes that serve a recorder's export.
+    """Return the HTTP routes that serve the export of a recorder.
 
     Args:
-        recorder: The entry's recorder.
+        recorder: Recorder of the entry.
     """
 
     async def show_burn(req: web.Request) -> web.Response:
--- a/wigeonscale/reports/windows.py
+++ b/wigeonscale/reports/windows.py
@@ -1,4 +1,4 @@
-"""Counts of good and bad events over a short and a long sliding window."""
+"""Counts of all and of bad events over a short and a long sliding window."""
 
 __all__ = ["LONG", "SHORT", "WINDOWS", "EventCounts", "Window"]
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A sliding window made of slots.
+    """A sliding window, divided into time slots.
 
     Attributes:
         name: Name in reports.
         slot_s: Length of one slot, in seconds.
-        slots: Whole slots in the window; the slot being filled comes on top.
+        slots: Number of complete slots in the window, besides the current slot.
     """
 
     name: str
@@ -23,7 +23,7 @@
 
     @property
     def seconds(self) -> int:
-        """Length of the window, in seconds; up to one slot more is counted."""
+        """Length in seconds; counts cover up to one slot more."""
         return self.slot_s * self.slots
 
 
@@ -41,8 +41,9 @@
         objectives: Number of objectives counted.
 
     Notes:
-        One array of 32-bit counters, so that 30,000 organisations fit beside the
-        entry's other work: a counter that reaches its end stays there.
+        The counts are ring buffers of slots in one array of 32-bit counters, so that
+        30,000 organisations fit in the memory of an entry. Counters saturate at their
+        largest value.
     """
 
     __slots__ = ("_counts", "_objectives")
@@ -57,10 +58,10 @@
         """Count events.
 
         Args:
-            now: Time in seconds; never less than before.
-            objective: Place of the objective.
+            now: Time in seconds; must not decrease between calls.
+            objective: Index of the objective.
             events: Number of events.
-            bad: Number of bad ones among them.
+            bad: Number of bad events among them.
         """
         counts = self._counts
         for index, (window, base) in enumerate(_ring_buffers(self._objectives)):
@@ -73,8 +74,8 @@
         """Return (events, bad events) of each window.
 
         Args:
-            now: Time in seconds.
-            objective: Place of the objective.
+            now: Time in seconds; must not decrease between calls.
+            objective: Index of the objective.
         """
         window_totals = []
         for index, (window, base) in enumerate(_ring_buffers(self._objectives)):
@@ -92,7 +93,7 @@
         return (slot * self._objectives + objective) * COUNTS_PER_SLOT
 
     def _advance(self, index: int, window: Window, base: int, now: float) -> int:
-        """Clear the slots that time has passed over; return the current one."""
+        """Clear the slots that have expired since the last call; return the current."""
         newest = int(now // window.slot_s)
         size = window.slots + 1
         stride = self._objectives * COUNTS_PER_SLOT
@@ -106,7 +107,7 @@
 
 @functools.cache
 def _ring_buffers(objectives: int) -> tuple[tuple[Window, int], ...]:
-    """Return each window with the place of its first counter."""
+    """Return each window with the index of its first counter."""
     ring_buffers = []
     base = len(WINDOWS)
     for window in WINDOWS:
