--- a/wigeonscale/cli/admin_client.py
+++ b/wigeonscale/cli/admin_client.py
@@ -187,7 +187,7 @@
     address: str, status: int, data: bytes, lost_state: RunState
 ) -> dict[str, object]:
     if status == BODY_TOO_LARGE:
-        text = f"{address} takes no body of this size: {data[:200]!r}"
+        text = f"{address} rejected the size of the body: {data[:200]!r}"
         raise WigeonscaleError(ErrorKind.BODY_TOO_LARGE, text)
     try:
         answer = json.loads(data)
--- a/wigeonscale/cli/burn_command.py
+++ b/wigeonscale/cli/burn_command.py
@@ -61,7 +61,9 @@
         f"share of each error budget used, over {entries} entries; 1.00: all of it"
     ]
     if report.dropped:
-        lines.append(f"{report.dropped} organisations had no room and are missing")
+        lines.append(
+            f"{report.dropped} organisations were dropped at the limit and are missing"
+        )
     rows = [_row(row) for row in report.rows]
     lines.append(format_table(_headers(report), rows))
     for name, times in report.percentiles.items():
--- a/wigeonscale/cli/options.py
+++ b/wigeonscale/cli/options.py
@@ -41,7 +41,7 @@
   1  refused, or no replica could be reached; nothing was changed
   2  bad input: command line, file or document
   3  unknown outcome: sent, but every answer was lost; repeat the command with the
-     operation id it printed, and the replicas give the first answer again
+     operation id it printed, and the replicas return the first answer
 """
 
 
@@ -125,7 +125,7 @@
         "--operation-id",
         default=uuid.uuid4().hex,
         metavar="ID",
-        help="name of this operation; the same one again gets the first answer",
+        help="id of this operation; repeating it returns the first answer",
     )
     command.add_argument(
         "--operator",
@@ -148,7 +148,7 @@
         "--base",
         type=int,
         metavar="REVISION",
-        help="revision the file was made from; default: the one in force now",
+        help="revision the file is based on; default: the one in force now",
     )
     _add_change_options(apply)
     _add_command(group, "show", "Show the rules in force.", show_rules)
@@ -179,12 +179,14 @@
         group, "burn", "Show the use of each organisation's error budgets.", report_burn
     )
     burn.add_argument(
-        "--picture", metavar="F.png", help="draw it too; needs matplotlib"
+        "--picture",
+        metavar="F.png",
+        help="also draw the report as a picture; needs matplotlib",
     )
     decisions = _add_command(
         group,
         "decisions",
-        "Count the decisions in log files by kind and moment.",
+        "Count the decisions in log files by kind and time.",
         report_decisions,
         remote=False,
     )
--- a/wigeonscale/cli/rules_commands.py
+++ b/wigeonscale/cli/rules_commands.py
@@ -151,7 +151,7 @@
 
 def _warnings(document: Document) -> tuple[str, ...]:
     return tuple(
-        f"warning: rule {rule} can never match: rule {earlier} before it takes all"
+        f"warning: rule {rule} never matches; rule {earlier} before it covers all cases"
         for rule, earlier in shadowed_rules(document)
     )
 
--- a/wigeonscale/daemons/direct_entry.py
+++ b/wigeonscale/daemons/direct_entry.py
@@ -110,7 +110,7 @@
         self.fleet = read_fleet(backends)
         for backend_id in ended:
             logger.info(
-                "%s has started again",
+                "%s was replaced by a later incarnation",
                 backend_id,
                 extra=log_fields(outcome="former start is lost"),
             )
@@ -127,7 +127,11 @@
             self.table = read_table(decompress(document.content))
         except SettingsError as exc:
             # Unexpected: control validates each document before accepting it.
-            logger.error("document %d not read: %s", document.number, exc.message)
+            logger.error(
+                "route table document %d cannot be read: %s",
+                document.number,
+                exc.message,
+            )
 
 
 async def run_direct_entry(
--- a/wigeonscale/daemons/runtime.py
+++ b/wigeonscale/daemons/runtime.py
@@ -138,16 +138,16 @@
 
 def _handle_sighup(reload: Callable[[], None] | None) -> None:
     if reload is None:
-        logger.info("SIGHUP: the settings hold until the process ends")
+        logger.info("SIGHUP ignored: this daemon reads its settings only at start")
         return
     try:
         reload()
     except SettingsError as exc:
-        logger.error("SIGHUP: the settings are kept: %s", exc.message)
+        logger.error("SIGHUP: reload failed, settings unchanged: %s", exc.message)
     except Exception:
-        logger.exception("SIGHUP: the settings are kept")
+        logger.exception("SIGHUP: reload failed, settings unchanged")
     else:
-        logger.info("SIGHUP: settings read", extra=log_fields(outcome="reloaded"))
+        logger.info("SIGHUP: settings reloaded", extra=log_fields(outcome="reloaded"))
 
 
 async def _wait_for_stop(running: dict[asyncio.Task, str], stop: asyncio.Event) -> bool:
@@ -189,7 +189,7 @@
         any_timed_out = True
         if step.on_timeout is not None:
             await _finishes_in_time(
-                f"{step.name} (cut)", step.on_timeout, late_step_timeout_s
+                f"{step.name} (on timeout)", step.on_timeout, late_step_timeout_s
             )
     return any_timed_out
 
@@ -203,7 +203,7 @@
             await run()
     except Exception:
         if limit.expired():
-            logger.warning("stop step %s cut after %.1f s", name, limit_s)
+            logger.warning("stop step %s timed out after %.1f s", name, limit_s)
             return False
         # The remaining steps must still run.
         logger.exception("stop step %s failed", name)
