--- a/wigeonscale/cli/tests/test_precompile.py
+++ b/wigeonscale/cli/tests/test_precompile.py
@@ -10,7 +10,7 @@
 
 
 class PrecompileTest(AsyncTestCase):
-    """Code without docstrings is used while it fits its sources, and never else."""
+    """Precompiled code must be used only if it was compiled from the same sources."""
 
     async def prepare(self):
         self.folder = self.useFixture(fixtures.TempDir()).path
@@ -20,7 +20,7 @@
     def compiled(self, source):
         return pathlib.Path(importlib.util.cache_from_source(source))
 
-    async def test_what_the_roles_load_is_compiled_without_docstrings(self):
+    async def test_imported_modules_are_compiled_without_docstrings(self):
         precompile.main([self.folder])
         sys.pycache_prefix = self.before
         self.assertTrue(wigeond.use_precompiled(self.folder))
@@ -28,17 +28,17 @@
         code = self.compiled(wigeond.__file__).read_bytes()
         self.assertNotIn(wigeond.main.__doc__.encode(), code)
 
-    async def test_of_other_sources(self):
+    async def test_code_of_other_sources_is_not_used(self):
         precompile.main([self.folder])
         target = self.compiled(wigeond.__file__)
         sys.pycache_prefix = self.before
         content = bytearray(target.read_bytes())
-        content[8] ^= 1  # the time of its source
+        content[8] ^= 1  # the modification time of the source
         target.write_bytes(content)
         self.assertFalse(wigeond.use_precompiled(self.folder))
         self.assertEqual(self.before, sys.pycache_prefix)
 
-    async def test_none_there(self):
+    async def test_missing_folder_is_not_used(self):
         for folder in ("", self.folder, os.path.join(self.folder, "missing")):
             self.assertFalse(wigeond.use_precompiled(folder))
             self.assertEqual(self.before, sys.pycache_prefix)
--- a/wigeonscale/cli/tests/test_wigeonctl.py
+++ b/wigeonscale/cli/tests/test_wigeonctl.py
@@ -29,7 +29,7 @@
 
 
 class FakeControl:
-    """A control replica that gives scripted answers; the last one repeats."""
+    """A control replica with scripted responses; the last one repeats."""
 
     def __init__(self, **pages):
         self.script = {}
@@ -81,7 +81,7 @@
         self.assertIn("revision 5 accepted, made from revision 4", out)
         self.assertIn("changed [rule press]", out)
         self.assertEqual(4, self.second.bodies[0]["base_revision"])
-        # Only what changed is sent, and the digest of the whole.
+        # Only the changed section is sent, with the digest of the whole document.
         (change,) = self.second.bodies[0]["changes"]
         self.assertEqual("rule press", change["name"])
         wanted = parse_document(self.rules.read_text())
@@ -108,7 +108,7 @@
         self.assertIn("--operation-id op-1 --base 4", err)
         self.assertEqual({"op-1"}, {body["operation_id"] for body in self.first.bodies})
 
-    async def test_refusal_by_another_cause_does_not_settle_a_lost_answer(self):
+    async def test_other_refusal_leaves_the_outcome_of_a_lost_answer_unknown(self):
         self.first.script = {APPLY: [DROP_CONNECTION]}
         self.second.script = {APPLY: [refusal(403, "forbidden")]}
         apply = ("rules", "apply", str(self.rules), "--base", "4")
@@ -141,7 +141,7 @@
         apply = ("rules", "apply", str(self.rules), "--base", "4")
         self.assertEqual(1, (await self.run_command(*apply))[0])
 
-    async def test_wrong_file_is_not_sent(self):
+    async def test_invalid_file_is_not_sent(self):
         self.rules.write_text(SMALL.replace("limit = 40", "limit = many"))
         code, _, err = await self.run_command("rules", "apply", str(self.rules))
         self.assertEqual(2, code)
@@ -164,7 +164,7 @@
         self.assertEqual(2, code)
         self.assertIn("/no/x.ini", err)
 
-    async def test_nobody_listens(self):
+    async def test_no_replica_listens(self):
         self.addresses = ["127.0.0.1:1"]
         code, _, err = await self.run_command("backends")
         self.assertEqual(1, code)
@@ -223,7 +223,7 @@
             [{"kind": "N is lost", "counts": [1]}], json.loads(out)["rows"]
         )
 
-    async def test_decisions_of_what_is_no_log(self):
+    async def test_decisions_of_empty_and_missing_files(self):
         empty = self.folder / "empty.log"
         empty.write_text("")
         code, out, _ = await self.run_command("report", "decisions", str(empty))
@@ -232,7 +232,7 @@
         self.assertEqual(2, code)
         self.assertIn("'/nowhere.log'", err)
 
-    async def test_burn_is_merged_and_says_what_is_missing(self):
+    async def test_burn_is_merged_and_lists_missing_entries(self):
         recorder = BurnRecorder(clock=ManualClock())
         recorder.record_request("press", False)
         app = web.Application()
--- a/wigeonscale/cli/tests/test_wigeond.py
+++ b/wigeonscale/cli/tests/test_wigeond.py
@@ -53,8 +53,9 @@
         self.assertIn("[control] peers = 'c2'", done.stderr)
         self.assertIn(str(self.path), done.stderr)
 
-    def test_a_hangup_while_it_starts_does_not_end_it(self):
-        # The soak's seeds 305 and 308: a restarted daemon was gone without a line.
+    def test_sighup_during_the_start_does_not_terminate_the_process(self):
+        # Guards against a restarted daemon that a SIGHUP during its imports terminates
+        # without a log line, as in soak runs with seeds 305 and 308.
         program = (
             "import os, signal, sys; from wigeonscale.cli import wigeond\n"
             "def start(name):\n"
@@ -66,7 +67,7 @@
         )
         argv = [sys.executable, "-c", program]
         done = subprocess.run(argv, capture_output=True, text=True, timeout=60)
-        # Nothing heavy was imported by then.
+        # The handler is installed before the large imports.
         self.assertEqual((0, "goes on False\n"), (done.returncode, done.stdout))
 
     def test_exit_code_is_the_daemons(self):
@@ -79,7 +80,7 @@
         self.assertEqual(3, self.run_main(CONTROL, lambda role: run)[0])
         self.assertEqual(["c1"], seen)
 
-    def test_failure_is_named(self):
+    def test_error_of_the_daemon_is_printed(self):
         async def run(cfg):
             raise WigeonscaleError(ErrorKind.CORRUPT_LOG, "record 7 is damaged")
 
--- a/wigeonscale/daemons/tests/rate_limit_cluster.py
+++ b/wigeonscale/daemons/tests/rate_limit_cluster.py
@@ -1,4 +1,4 @@
-"""Entries, control and backend servers that name limits, in simulated time."""
+"""Entries, control and backend servers with rate limits, in simulated time."""
 
 import asyncio
 import dataclasses
@@ -22,9 +22,10 @@
 RESPONSE_S = 0.05
 STEP_S = 0.05
 DOMAINS = ("a", "b", "c")
-# The users' rule: from the first after a server named its limit it may get, in any
-# window, so much times the limit and so many requests more from entries that have
-# passed on such an answer for so long.
+# The users' rule: in any window of WINDOW_S that ends at least CHECKED_AFTER_S after a
+# server declared its limit, it may get LIMIT_FACTOR times the limit plus
+# SLACK_REQUESTS. A request counts only if its entry relayed an answer with the limit at
+# least ENTRY_REACTION_S before.
 CHECKED_AFTER_S = 3.0
 WINDOW_S = 4.0
 LIMIT_FACTOR = 1.5
@@ -33,11 +34,11 @@
 
 
 class RateLimitingServers:
-    """Engines that answer at once, and name the limits that a test sets.
+    """Engines that answer after a constant delay and declare limits set by a test.
 
     Attributes:
-        notices: What each engine says of itself.
-        sends: Instant, entry and engine of each request that arrived.
+        notices: Notice that each engine adds to its answers.
+        sends: Time, entry and engine of each request received.
         reported_at: Time at which an entry first relayed an answer with a limit, by
             entry and engine.
     """
@@ -49,7 +50,7 @@
         self._clock = clock
 
     def exchange_for(self, entry):
-        """Return the exchange of an entry."""
+        """Return the exchange port for an entry."""
         return _Exchange(self, entry, self._clock)
 
 
@@ -73,15 +74,15 @@
 
 
 class EntryCluster:
-    """Entries of three failure domains, each with a first engine of its own.
+    """Entries in three failure domains, each domain with its own first-stage engine.
 
     Args:
-        count: How many, spread evenly over the domains.
-        requests_per_s: Requests a second of each.
-        replicas: Control replicas, over which the entries are spread.
+        count: Number of entries, distributed evenly over the domains.
+        requests_per_s: Request rate of each entry.
+        replicas: Number of control replicas, over which the entries are distributed.
 
     Attributes:
-        has_leader: Whether the replicas pass on what their entries told.
+        has_leader: Whether the replicas exchange the reports of their entries.
     """
 
     def __init__(self, count, requests_per_s, replicas=1):
@@ -128,7 +129,7 @@
         self._background.append(asyncio.create_task(self._sync_replicas()))
 
     async def run(self, seconds):
-        """Let callers ask for so long."""
+        """Generate requests for a number of seconds."""
         until = self.clock.now() + seconds
         while self.clock.now() < until:
             for harness, ctx, _ in self._entries:
@@ -139,7 +140,7 @@
             await self.clock.advance(STEP_S)
 
     def send_periodically(self, backend_id, every_s):
-        """Let each entry send to an engine as if it were the cheapest for once."""
+        """Let each entry send to an engine periodically, whatever the engine costs."""
         for _, ctx, _ in self._entries:
             task = asyncio.create_task(
                 self._send_periodically(ctx, backend_id, every_s)
@@ -155,7 +156,7 @@
             await self.clock.sleep(every_s)
 
     async def close(self):
-        """End all that is under way."""
+        """Cancel the background tasks and wait for the pending requests."""
         for task in self._background:
             task.cancel()
         while self._requests:
@@ -163,16 +164,16 @@
         await asyncio.gather(*self._background, return_exceptions=True)
 
     def sent_to(self, backend_id):
-        """Return how many requests an engine got so far."""
+        """Return the number of requests that an engine received so far."""
         return sum(name == backend_id for _, _, name in self.servers.sends)
 
     def max_excess(self, backend_id, limit_per_s, declared_at):
-        """Return by how many requests a window goes over what the users allow.
+        """Return by how many requests the worst window exceeds the allowed number.
 
         Args:
             backend_id: The engine.
-            limit_per_s: What it names all the time.
-            declared_at: Since when.
+            limit_per_s: The limit that it declares throughout.
+            declared_at: Time from which it declares the limit.
         """
         counted = [
             at
@@ -198,7 +199,7 @@
             self.refusals.append(exc)
 
     async def _sync_replicas(self):
-        """Let the first replica lead: it hears all others, and tells them the sum."""
+        """Let the first replica, as leader, collect the loads and return the sums."""
         leader, *followers = self._aggregators
         while True:
             if self.has_leader:
--- a/wigeonscale/daemons/tests/test_agent.py
+++ b/wigeonscale/daemons/tests/test_agent.py
@@ -61,7 +61,7 @@
         await self.control.push(wire.WatchEvent(order=order))
         return await self.announced(lambda backend: backend.last_layer == 1)
 
-    async def test_announces_serves_and_finishes_its_work_on_sigterm(self):
+    async def test_agent_announces_serves_and_completes_requests_on_sigterm(self):
         await self.announced(lambda backend: backend.model == "m")
         backend = await self.load()
         stage = wire.Stage(
--- a/wigeonscale/daemons/tests/test_control.py
+++ b/wigeonscale/daemons/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Tests of whole control replicas on loopback, with real clients."""
+"""Tests of complete control replicas on loopback, with real clients."""
 
 import asyncio
 import os
@@ -82,7 +82,7 @@
         return None
 
     async def apply(self, number, base):
-        """Apply as wigeonctl does: ask each replica until one leads."""
+        """Apply a document as wigeonctl does, trying the replicas until one leads."""
         body = {
             "base_revision": base,
             "operation_id": f"op{number}",
@@ -120,7 +120,7 @@
     def revisions(self):
         return [d.state.configuration.revision for d, _ in self.running.values()]
 
-    async def test_configuration_outlives_leader_and_restart_of_all(self):
+    async def test_configuration_survives_leader_stop_and_restart_of_all(self):
         first = await self.apply(0, 0)
         self.assertEqual(200, first[0])
         for number in range(1, 15):  # with a snapshot and truncation in between
@@ -137,7 +137,7 @@
         states = [daemon.state for daemon, _ in self.running.values()]
         await self.until(lambda: len({state.snapshot() for state in states}) == 1)
 
-    async def test_replica_without_a_majority_serves_nobody(self):
+    async def test_replica_without_a_majority_serves_no_requests(self):
         client = self.client()
         await client.ready()
         await self.until(client.lease_valid)
@@ -152,7 +152,7 @@
         await self.start(*(name for name in NAMES if name != last))
         await self.until(client.lease_valid)
 
-    async def test_entries_learn_how_many_they_are_over_all_replicas(self):
+    async def test_entries_learn_the_number_of_entries_over_all_replicas(self):
         clients = [self.client(f"e{number}") for number in range(4)]
         await self.until(lambda: [each.entries for each in clients] == [4] * 4)
 
@@ -173,7 +173,7 @@
         self.assertEqual([], ended)
 
     def holder(self):
-        """Replica that the leader has the agent attached to."""
+        """Return the replica to which the agent is attached, in the leader's state."""
         leader = self.leader()
         if leader is None:
             return None
--- a/wigeonscale/daemons/tests/test_control_disk.py
+++ b/wigeonscale/daemons/tests/test_control_disk.py
@@ -1,4 +1,4 @@
-"""A control daemon whose disk fails, in memory."""
+"""Tests of a control daemon whose disk fails, with an in-memory folder."""
 
 import asyncio
 import io
@@ -19,7 +19,7 @@
 
 
 class FailedDiskTest(WithScenarios, AsyncTestCase):
-    # Before it leads a single replica writes its vote, log, vote and vote.
+    # A single replica writes its vote, the log, its vote and its vote before it leads.
     scenarios = [("at start", {"writes": 1}), ("while leading", {"writes": 4})]
 
     async def test_daemon_ends_and_its_log_names_the_file(self):
--- a/wigeonscale/daemons/tests/test_early_listener.py
+++ b/wigeonscale/daemons/tests/test_early_listener.py
@@ -49,7 +49,7 @@
             self.addCleanup(found.sock.close)
         return found
 
-    async def test_caller_that_connects_while_the_entry_loads_is_served(self):
+    async def test_caller_that_connects_during_the_imports_is_served(self):
         early = self.early(control=free_port())
         self.assertEqual("control does not answer", early.reason)
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -73,18 +73,18 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer)
         self.assertTrue(answer.endswith(b"r1"), answer)
 
-    def test_where_control_answers_others_serve(self):
+    def test_does_not_listen_early_if_control_responds(self):
         control, port = open_listener()
         self.addCleanup(control.close)
         early = self.early(control=port)
         self.assertIsNone(early.sock)
         self.assertEqual("control answers", early.reason)
 
-    def test_other_roles_have_no_callers(self):
+    def test_other_roles_do_not_listen(self):
         early = self.early(control=free_port(), role="direct-control")
         self.assertIsNone(early.sock)
 
-    def test_what_is_wrong_is_left_to_the_daemon(self):
+    def test_invalid_arguments_and_settings_are_left_to_the_daemon(self):
         for argv in (
             [],
             ["direct-entry"],
--- a/wigeonscale/daemons/tests/test_entry.py
+++ b/wigeonscale/daemons/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of an entry's wiring."""
+"""Tests of the entry daemon's composition."""
 
 from wigeonscale.entry.tests.support import EntryCase
 from wigeonscale.errors import ErrorKind, WigeonscaleError
--- a/wigeonscale/daemons/tests/test_imports.py
+++ b/wigeonscale/daemons/tests/test_imports.py
@@ -3,8 +3,8 @@
 
 from wigeonscale.testing import AsyncTestCase
 
-# What an entry that speaks to backend servers itself is made of; anything more takes
-# memory in each of hundreds of processes, and time until it serves after a power loss.
+# Packages that a direct entry needs. Any other package costs memory in each of hundreds
+# of processes, and delays the start after a power loss.
 PACKAGES = {
     "adapters",
     "cli",
@@ -29,7 +29,7 @@
 
 
 class ImportsTest(AsyncTestCase):
-    async def test_a_direct_entry_loads_no_more_than_it_uses(self):
+    async def test_direct_entry_imports_only_the_packages_it_uses(self):
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-c", SCRIPT, stdout=asyncio.subprocess.PIPE
         )
--- a/wigeonscale/daemons/tests/test_runtime.py
+++ b/wigeonscale/daemons/tests/test_runtime.py
@@ -46,7 +46,7 @@
     async def send(self, signum):
         os.kill(os.getpid(), signum)
 
-    async def test_signal_runs_the_steps_in_order(self):
+    async def test_signal_runs_the_stop_steps_in_order(self):
         for signum in (signal.SIGTERM, signal.SIGINT):
             self.log.clear()
             code = await self.run_daemon(
@@ -57,7 +57,7 @@
             loop = asyncio.get_running_loop()
             self.assertFalse(loop.remove_signal_handler(signum), "handler left")
 
-    async def test_second_signal_cuts_nothing(self):
+    async def test_second_signal_has_no_effect(self):
         async def signalled():
             await self.send(signal.SIGTERM)
             for _ in range(10):
@@ -69,7 +69,7 @@
         self.assertEqual(EXIT_OK, code)
         self.assertEqual(["one", "background ended"], self.log)
 
-    async def test_stop_event_stops_too(self):
+    async def test_stop_event_stops_the_daemon(self):
         stop = asyncio.Event()
         stop.set()
         code = await self.run_daemon(self.step("one"), stop=stop, signals=())
@@ -83,7 +83,7 @@
         self.assertEqual(EXIT_FAILED, code)
         self.assertEqual(["one", "background ended"], self.log)
 
-    async def test_stop_is_bounded_and_the_cut_is_told(self):
+    async def test_step_is_cancelled_at_the_timeout_and_its_handler_runs(self):
         async def tell():
             self.log.append("told")
 
@@ -98,7 +98,7 @@
         self.assertEqual(EXIT_STOP_TIMEOUT, code)
         self.assertEqual(["told", "close", "background ended"], self.log)
 
-    async def test_failing_step_keeps_none_of_the_others(self):
+    async def test_failing_step_does_not_prevent_the_others(self):
         async def fail():
             raise TimeoutError("planted")
 
@@ -132,7 +132,7 @@
 
 
 class SighupTest(AsyncTestCase):
-    """SIGHUP, whose default action ends a process."""
+    """Tests of SIGHUP, whose default action would terminate the process."""
 
     async def run_through(self, reload):
         stop = asyncio.Event()
@@ -156,12 +156,12 @@
             reload=reload_and_tell,
         )
 
-    async def test_settings_are_read_anew(self):
+    async def test_settings_are_reloaded(self):
         calls = []
         code = await self.run_through(lambda: calls.append("read"))
         self.assertEqual((EXIT_OK, ["read"]), (code, calls))
 
-    async def test_wrong_settings_are_not_taken(self):
+    async def test_invalid_settings_are_ignored(self):
         def reload():
             raise SettingsError("planted")
 
--- a/wigeonscale/daemons/tests/test_shutdown_timeout.py
+++ b/wigeonscale/daemons/tests/test_shutdown_timeout.py
@@ -21,9 +21,9 @@
 
 
 class ShutdownTimeoutTest(AsyncTestCase):
-    """The bound of a stop follows what the platform says, not a figure of one sheet."""
+    """Guards against a fixed shutdown timeout that ignores the platform's kill time."""
 
-    def test_half_and_double_the_time_move_the_bound(self):
+    def test_timeout_follows_half_and_double_the_kill_time(self):
         timeouts = []
         for killed_after_s in (4, 8, 16):
             text = ENTRY.format(killed_after_s=killed_after_s)
@@ -31,10 +31,10 @@
             timeouts.append(shutdown_timeout_s(cfg.killed_after_s, cfg.stop_timeout_s))
         self.assertEqual([3.6, 7.2, 14.4], [round(timeout, 6) for timeout in timeouts])
 
-    def test_not_known(self):
+    def test_unknown_kill_time(self):
         self.assertEqual(30.0, shutdown_timeout_s(0.0, 30.0))
 
-    def test_what_is_done_after_the_bound_ends_before_the_process_is_killed(self):
+    def test_late_steps_end_before_the_process_is_killed(self):
         for killed_after_s in (4.0, 8.0, 16.0):
             timeout_s = shutdown_timeout_s(killed_after_s, 30.0)
             left_s = killed_after_s - timeout_s
--- a/wigeonscale/daemons/tests/test_tls.py
+++ b/wigeonscale/daemons/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""One whole path with mutual TLS: control, agent, entry and wigeonctl."""
+"""Test of control, agent, entry and wigeonctl together, with mutual TLS."""
 
 import asyncio
 import json
@@ -75,7 +75,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
     async def stop(self, task):
-        # Reaches the daemon that was started last.
+        # The signal handler belongs to the daemon that was started last.
         os.kill(os.getpid(), signal.SIGTERM)
         self.assertEqual(0, await task)
 
@@ -136,10 +136,10 @@
                         if resp.status == 200:
                             return json.loads(await resp.read())
                 except aiohttp.ClientConnectionError:
-                    pass  # the entry listens after its first lease
+                    pass  # the entry listens once it has its first lease
                 await asyncio.sleep(0.1)
 
-    async def test_request_is_served_and_strangers_are_refused(self):
+    async def test_request_is_served_and_untrusted_peers_are_rejected(self):
         async with asyncio.timeout(LIMIT_S):
             await self.apply_rules()
             entry = asyncio.create_task(run_entry(self.entry_settings()))
--- a/wigeonscale/reports/tests/test_burn.py
+++ b/wigeonscale/reports/tests/test_burn.py
@@ -65,7 +65,7 @@
         recorder.record_request("press", True)
         self.assertEqual([(1, 0)] * 2, self.totals(recorder))
 
-    def test_organisations_are_bounded(self):
+    def test_number_of_organisations_is_limited(self):
         recorder = self.recorder(max_organisations=2)
         for name in ("press", "solo", "press", "third"):
             recorder.record_request(name, True)
@@ -100,7 +100,7 @@
             0.25, report.percentiles["first_token"][95.0], delta=0.01
         )
 
-    def test_wrong_export(self):
+    def test_malformed_export(self):
         self.assertRaises(ValueError, merge_exports, [{"windows": {}}])
 
     def test_picture(self):
--- a/wigeonscale/reports/tests/test_decisions.py
+++ b/wigeonscale/reports/tests/test_decisions.py
@@ -10,7 +10,7 @@
 
 
 class DecisionsTest(AsyncTestCase):
-    def test_kinds_without_names_and_figures_by_window(self):
+    def test_kinds_without_names_and_numbers_by_window(self):
         report = count_decisions(
             [
                 line(1.0, "generation broke: 10.0.0.1:80 refused with 503"),
@@ -30,13 +30,13 @@
         )
         self.assertEqual("2026-01-01T00:00:01.000+00:00", report.began_at)
 
-    def test_lists_of_names_are_one_kind(self):
+    def test_lists_of_names_count_as_one_kind(self):
         report = count_decisions(
             [line(1, "full: i-1, i-2, i-3"), line(2, "full: i-4")], every_s=1.0
         )
         self.assertEqual(["full: N"], [row.kind for row in report.rows])
 
-    def test_sends_of_a_request_and_who_is_blamed(self):
+    def test_sends_per_request_and_blamed_engines(self):
         report = count_decisions(
             [
                 line(1, "sent", request_id="r1", sends=1),
@@ -50,12 +50,12 @@
         self.assertEqual({"i-7": 1}, report.blamed)
         self.assertIn("broke [not-run]", [row.kind for row in report.rows])
 
-    def test_what_stands_before_the_record_is_passed_over(self):
+    def test_text_before_the_record_is_ignored(self):
         report = count_decisions([line(1, "ready", prefix="  1.5 e1 ")], every_s=1.0)
         self.assertEqual(0, report.unread)
         self.assertEqual("ready", report.rows[0].kind)
 
-    def test_other_lines_are_counted(self):
+    def test_lines_that_are_not_records_are_counted(self):
         lines = ["Traceback", "{", "[1]", '{"time": 3, "message": "x"}', "", "{}"]
         report = count_decisions(lines, every_s=1.0)
         self.assertEqual((5, ()), (report.unread, report.rows))
