--- a/wigeonscale/reports/windows.py
+++ b/wigeonscale/reports/windows.py
@@ -93,7 +93,7 @@
         return (slot * self._objectives + objective) * COUNTS_PER_SLOT
 
     def _advance(self, index: int, window: Window, base: int, now: float) -> int:
-        """Clear the slots that have expired since the last call; return the current."""
+        """Clear the expired slots and return the index of the current slot."""
         newest = int(now // window.slot_s)
         size = window.slots + 1
         stride = self._objectives * COUNTS_PER_SLOT
