--- a/wigeonscale/cli/admin_client.py
+++ b/wigeonscale/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Talks to the control replicas' operator pages, whichever of them answers."""
+"""HTTP client of the control replicas' admin endpoints, with failover."""
 
 __all__ = ["AdminClient"]
 
@@ -20,22 +20,24 @@
 
 ATTEMPT_TIMEOUT_S = 5.0
 CONNECT_TIMEOUT_S = 2.0
-PAUSE_S = 0.3
+RETRY_PAUSE_S = 0.3
 BODY_TOO_LARGE = 413
 FIRST_SERVER_ERROR = 500
-LOG_DECIDED_KINDS = frozenset({ErrorKind.REVISION_CONFLICT, ErrorKind.INVALID_DOCUMENT})
+COMMITTED_DECISION_KINDS = frozenset(
+    {ErrorKind.REVISION_CONFLICT, ErrorKind.INVALID_DOCUMENT}
+)
 
 
 class AdminClient:
-    """Sends operators' requests until one replica has decided them.
+    """Sends an operator's request to the replicas in turn until one decides it.
 
     Args:
         session: HTTP session to use.
-        addresses: ``ip:port`` of the control replicas' HTTP pages.
+        addresses: HTTP addresses of the control replicas, each ``ip:port``.
         clock: Clock port.
-        timeout_s: Longest time for one request over all replicas, in seconds.
-        token: Operators' token; empty for none.
-        tls: TLS of the replicas' pages; None for plain HTTP.
+        timeout_s: Timeout of one request over all attempts, in seconds.
+        token: Bearer token of the operators; empty for none.
+        tls: TLS context for the replicas; None for plain HTTP.
     """
 
     def __init__(
@@ -56,23 +58,23 @@
         self._headers = {"Authorization": f"Bearer {token}"} if token else {}
 
     async def read(self, path: str) -> dict[str, object]:
-        """Return a page from the first replica that gives it.
+        """Return the JSON body of a GET request from the first replica that responds.
 
         Raises:
-            WigeonscaleError: No replica gave it.
+            WigeonscaleError: The request was refused, or no replica responded.
         """
         return await self._call("GET", path, None)
 
     async def change(self, path: str, body: dict[str, object]) -> dict[str, object]:
-        """Make a change, resending the same body until an answer arrives.
+        """Make a change, resending the same body until a response arrives.
 
         Args:
-            path: Path of the page.
-            body: JSON body; its ``operation_id`` makes the resends harmless.
+            path: URL path.
+            body: JSON body; its ``operation_id`` makes the request idempotent.
 
         Raises:
             WigeonscaleError: The change was refused, or no replica was reached
-                (run state ``NOT_RUN``), or every answer was lost (``UNKNOWN``).
+                (run state ``NOT_RUN``), or every response was lost (``UNKNOWN``).
         """
         return await self._call("POST", path, body)
 
@@ -84,35 +86,36 @@
         while True:
             for address in self.addresses:
                 try:
-                    return await self.ask(address, method, path, body)
+                    return await self.request_once(address, method, path, body)
                 except WigeonscaleError as exc:
                     if not ERROR_RESPONSES[exc.kind].retryable:
-                        raise _verdict(exc, unknown) from exc
+                        raise _final_error(exc, unknown) from exc
                     last = exc
                     if exc.run_state is not RunState.NOT_RUN:
                         unknown = exc
-            if self._clock.now() + PAUSE_S > end:
+            if self._clock.now() + RETRY_PAUSE_S > end:
                 raise unknown or last
-            await self._clock.sleep(PAUSE_S)
+            await self._clock.sleep(RETRY_PAUSE_S)
 
     async def read_each(
         self, addresses: Sequence[str], path: str
     ) -> tuple[dict[str, dict], dict[str, str]]:
-        """Read a page of several processes at once, each one time.
+        """Send a GET request to several processes concurrently, without retries.
 
         Args:
-            addresses: ``ip:port`` of the processes' HTTP pages.
-            path: Path of the page.
+            addresses: HTTP addresses of the processes, each ``ip:port``.
+            path: URL path.
 
         Returns:
-            The page by address, and why there is none by address.
+            JSON bodies by address, and error messages by address of the processes
+            without a usable response.
         """
-        found = await asyncio.gather(
-            *(self.ask(address, "GET", path) for address in addresses),
+        results = await asyncio.gather(
+            *(self.request_once(address, "GET", path) for address in addresses),
             return_exceptions=True,
         )
         pages, missing = {}, {}
-        for address, answer in zip(addresses, found, strict=True):
+        for address, answer in zip(addresses, results, strict=True):
             if isinstance(answer, WigeonscaleError):
                 missing[address] = answer.message
             elif isinstance(answer, BaseException):
@@ -121,7 +124,7 @@
                 pages[address] = answer
         return pages, missing
 
-    async def ask(
+    async def request_once(
         self,
         address: str,
         method: str,
@@ -131,11 +134,11 @@
         """Make one attempt at one address.
 
         Raises:
-            WigeonscaleError: Its run state says whether the attempt may have done
-                something.
+            WigeonscaleError: The attempt failed; the run state of the error says
+                whether it may have had an effect.
         """
-        lost = RunState.NOT_RUN if method == "GET" else RunState.UNKNOWN
-        # Entries show their pages over plain HTTP.
+        lost_state = RunState.NOT_RUN if method == "GET" else RunState.UNKNOWN
+        # Entries serve plain HTTP only.
         is_secure = self._tls is not None and address in self.addresses
         timeout = aiohttp.ClientTimeout(
             total=ATTEMPT_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S
@@ -149,37 +152,42 @@
                 headers=self._headers,
                 timeout=timeout,
             ) as resp:
-                return _decoded(address, resp.status, await resp.read(), lost)
+                return _decode_response(
+                    address, resp.status, await resp.read(), lost_state
+                )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
-            raise _no_answer(address, exc, RunState.NOT_RUN) from exc
+            raise _no_response_error(address, exc, RunState.NOT_RUN) from exc
         except (aiohttp.ClientError, TimeoutError) as exc:
-            raise _no_answer(address, exc, lost) from exc
+            raise _no_response_error(address, exc, lost_state) from exc
 
 
-def _verdict(
+def _final_error(
     refusal: WigeonscaleError, unknown: WigeonscaleError | None
 ) -> WigeonscaleError:
-    """Return what is known after a refusal that may follow lost answers.
+    """Return the error to raise for a refusal that may follow a lost response.
 
-    Only what the replicated log decided settles an earlier attempt too.
+    A refusal decides the outcome of an earlier attempt with a lost response only if
+    its kind comes from the replicated log. Otherwise the outcome stays unknown.
     """
-    if unknown is None or refusal.kind in LOG_DECIDED_KINDS:
+    if unknown is None or refusal.kind in COMMITTED_DECISION_KINDS:
         return refusal
     return unknown
 
 
-def _no_answer(address: str, exc: Exception, run_state: RunState) -> WigeonscaleError:
+def _no_response_error(
+    address: str, exc: Exception, run_state: RunState
+) -> WigeonscaleError:
     reason = str(exc) or type(exc).__name__
     return WigeonscaleError(
         ErrorKind.NO_QUORUM, f"no answer from {address}: {reason}", run_state=run_state
     )
 
 
-def _decoded(
-    address: str, status: int, data: bytes, lost: RunState
+def _decode_response(
+    address: str, status: int, data: bytes, lost_state: RunState
 ) -> dict[str, object]:
     if status == BODY_TOO_LARGE:
-        text = f"{address} takes no body of this size: {data[:200]!r}"
+        text = f"{address} rejected the size of the body: {data[:200]!r}"
         raise WigeonscaleError(ErrorKind.BODY_TOO_LARGE, text)
     try:
         answer = json.loads(data)
@@ -189,12 +197,12 @@
         kind, message = error["kind"], error["message"]
     except (ValueError, AttributeError, KeyError, TypeError) as exc:
         text = f"answer {status} of {address} cannot be read: {data[:200]!r}"
-        raise WigeonscaleError(ErrorKind.NO_QUORUM, text, run_state=lost) from exc
-    # A failure inside the replica does not tell whether the change was made.
-    presumed = lost if status >= FIRST_SERVER_ERROR else RunState.NOT_RUN
+        raise WigeonscaleError(ErrorKind.NO_QUORUM, text, run_state=lost_state) from exc
+    # After a server error the change may or may not have been made.
+    default_state = lost_state if status >= FIRST_SERVER_ERROR else RunState.NOT_RUN
     raise error_from_kind(
         kind,
         message,
-        run_state=error.get("run", presumed),
+        run_state=error.get("run", default_state),
         retry_after=error.get("retry_after"),
     )
--- a/wigeonscale/cli/burn_command.py
+++ b/wigeonscale/cli/burn_command.py
@@ -1,4 +1,4 @@
-"""``wigeonctl report burn``: the error budgets over all entries."""
+"""``wigeonctl report burn``: use of the error budgets over all entries."""
 
 __all__ = ["report_burn"]
 
@@ -14,15 +14,15 @@
 
 
 async def report_burn(args: argparse.Namespace, client: AdminClient) -> Output:
-    """Collect and merge the counts of every entry that a replica knows.
+    """Collect and merge the event counts of all entries known to the replicas.
 
     Raises:
-        WigeonscaleError: No replica or no entry answered, or the picture cannot be
-            drawn.
+        WigeonscaleError: No replica or no entry responded, or the picture cannot be
+            written.
     """
     pages, missing = await client.read_each(client.addresses, "/admin/status")
-    exports, silent = await client.read_each(_entry_addresses(pages), BURN_PATH)
-    missing |= silent
+    exports, unreachable = await client.read_each(_entry_addresses(pages), BURN_PATH)
+    missing |= unreachable
     if not exports:
         reason = "; ".join(missing.values()) or "the replicas know of no entry"
         raise WigeonscaleError(ErrorKind.NO_QUORUM, f"no burn counts: {reason}")
@@ -61,7 +61,9 @@
         f"share of each error budget used, over {entries} entries; 1.00: all of it"
     ]
     if report.dropped:
-        lines.append(f"{report.dropped} organisations had no room and are missing")
+        lines.append(
+            f"{report.dropped} organisations were dropped at the limit and are missing"
+        )
     rows = [_row(row) for row in report.rows]
     lines.append(format_table(_headers(report), rows))
     for name, times in report.percentiles.items():
--- a/wigeonscale/cli/daemon.py
+++ b/wigeonscale/cli/daemon.py
@@ -1,4 +1,4 @@
-"""Reads the command line and the settings of a daemon, and runs it."""
+"""Parses the command line and the settings of a daemon, and runs it."""
 
 __all__ = ["run_daemon"]
 
@@ -12,14 +12,14 @@
 from typing import Any
 
 from wigeonscale import __version__
-from wigeonscale.cli.exits import ExitCode
+from wigeonscale.cli.exit_codes import ExitCode
 from wigeonscale.config import ROLES, NodeSettings, load_settings
 from wigeonscale.daemons.early_listener import ROLE as EARLY_ROLE
 from wigeonscale.daemons.early_listener import EarlyListener
 from wigeonscale.errors import SettingsError, WigeonscaleError
 
 EXIT_FAILED = 1
-# The others keep the settings of their start.
+# The other roles read their settings only at start.
 RELOADING_ROLES = frozenset({"direct-entry", "direct-control"})
 
 
@@ -29,8 +29,8 @@
     """Run a daemon and return its exit code.
 
     Args:
-        argv: Arguments; None for those of the process.
-        early: Where an entry listens already, or why not.
+        argv: Command-line arguments; None for those of the process.
+        early: Result of listening before the imports; passed on to an entry.
     """
     args = _parser().parse_args(argv)
     try:
@@ -38,11 +38,11 @@
     except SettingsError as exc:
         print(exc.message, file=sys.stderr)
         return ExitCode.BAD_INPUT
-    run = _runner(args.role)
-    options = _reloading(args)
+    run = _load_runner(args.role)
+    options = _reload_option(args)
     if early is not None and args.role == EARLY_ROLE:
         options["early"] = early
-    # The imports are done; see wigeond.
+    # The imports are done, so garbage collection resumes; see wigeond.
     gc.freeze()
     gc.enable()
     try:
@@ -64,14 +64,14 @@
     return parser
 
 
-def _reloading(args: argparse.Namespace) -> dict[str, Any]:
+def _reload_option(args: argparse.Namespace) -> dict[str, Any]:
     if args.role not in RELOADING_ROLES:
         return {}
     return {"reload": functools.partial(load_settings, args.config, args.role)}
 
 
-def _runner(role: str) -> Callable[[NodeSettings], Awaitable[int | None]]:
-    # Imported only now: the other roles' libraries would cost memory.
+def _load_runner(role: str) -> Callable[[NodeSettings], Awaitable[int | None]]:
+    # Imported on demand: the libraries of the other roles would cost memory.
     name = role.replace("-", "_")
     module = importlib.import_module(f"wigeonscale.daemons.{name}")
     return getattr(module, f"run_{name}")
--- a/wigeonscale/cli/options.py
+++ b/wigeonscale/cli/options.py
@@ -1,4 +1,4 @@
-"""The command line of ``wigeonctl``."""
+"""Command-line parser of ``wigeonctl``."""
 
 __all__ = ["build_parser"]
 
@@ -28,8 +28,8 @@
 
 CONTROL_ENV = "WIGEONCTL_CONTROL"
 TOKEN_ENV = "WIGEONCTL_TOKEN"
-LONGEST_TIMEOUT_S = 3600.0
-LONGEST_WINDOW_S = 86_400.0
+MAX_TIMEOUT_S = 3600.0
+MAX_WINDOW_S = 86_400.0
 TLS_OPTIONS = {
     "ca": "authority of the replicas' certificates, when they have https = yes",
     "cert": "own certificate, signed by the same authority",
@@ -41,12 +41,16 @@
   1  refused, or no replica could be reached; nothing was changed
   2  bad input: command line, file or document
   3  unknown outcome: sent, but every answer was lost; repeat the command with the
-     operation id it printed, and the replicas give the first answer again
+     operation id it printed, and the replicas return the first answer
 """
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser; ``args.run`` is the command, ``args.remote`` its kind."""
+    """Return the parser.
+
+    It sets ``args.run`` to the function of the command, and ``args.remote`` to whether
+    that function needs a client of the control replicas.
+    """
     parser = argparse.ArgumentParser(
         prog="wigeonctl",
         description="Operates wigeonscale through its control replicas.",
@@ -109,9 +113,9 @@
 
 def _positive_seconds(text: str) -> float:
     value = float(text)
-    if not 0 < value <= LONGEST_TIMEOUT_S:
+    if not 0 < value <= MAX_TIMEOUT_S:
         raise argparse.ArgumentTypeError(
-            f"{text}; allowed: more than 0, up to {LONGEST_TIMEOUT_S:g}"
+            f"{text}; allowed: more than 0, up to {MAX_TIMEOUT_S:g}"
         )
     return value
 
@@ -121,7 +125,7 @@
         "--operation-id",
         default=uuid.uuid4().hex,
         metavar="ID",
-        help="name of this operation; the same one again gets the first answer",
+        help="id of this operation; repeating it returns the first answer",
     )
     command.add_argument(
         "--operator",
@@ -144,7 +148,7 @@
         "--base",
         type=int,
         metavar="REVISION",
-        help="revision the file was made from; default: the one in force now",
+        help="revision the file is based on; default: the one in force now",
     )
     _add_change_options(apply)
     _add_command(group, "show", "Show the rules in force.", show_rules)
@@ -175,12 +179,14 @@
         group, "burn", "Show the use of each organisation's error budgets.", report_burn
     )
     burn.add_argument(
-        "--picture", metavar="F.png", help="draw it too; needs matplotlib"
+        "--picture",
+        metavar="F.png",
+        help="also draw the report as a picture; needs matplotlib",
     )
     decisions = _add_command(
         group,
         "decisions",
-        "Count the decisions in log files by kind and moment.",
+        "Count the decisions in log files by kind and time.",
         report_decisions,
         remote=False,
     )
@@ -196,7 +202,7 @@
 
 def _window_s(text: str) -> float:
     seconds = float(text)
-    if not 0 < seconds <= LONGEST_WINDOW_S:
+    if not 0 < seconds <= MAX_WINDOW_S:
         raise argparse.ArgumentTypeError(f"{text}: allowed: over 0 to a day")
     return seconds
 
--- a/wigeonscale/daemons/control.py
+++ b/wigeonscale/daemons/control.py
@@ -1,4 +1,4 @@
-"""The control daemon: one replica of the control state and its services."""
+"""Builds and runs the control daemon, one replica of the control state."""
 
 __all__ = ["ControlDaemon", "run_control"]
 
@@ -40,20 +40,21 @@
 from wigeonscale.wire import wire_pb2_grpc
 
 METRICS_INTERVAL_S = 1.0
-# Streams are long: waiting for them to end by themselves would wait for ever.
+# Streams of watchers do not end by themselves, so the server closes them.
 SERVER_GRACE_S = 0.5
 
 logger = logging.getLogger(__name__)
 
 
 class ControlDaemon:
-    """The parts of one control replica, wired together.
+    """The components of one control replica.
 
     Args:
         cfg: Settings.
         clock: Clock port.
-        links: Makes links to the other replicas; None: over gRPC.
-        addresses: Where the replicas take commands; None: as the settings say.
+        transport: Transport to the other replicas; None for gRPC.
+        addresses: Addresses to which commands are sent; None for those of the peers
+            in the settings.
     """
 
     def __init__(
@@ -61,16 +62,16 @@
         *,
         cfg: ControlSettings,
         clock: Clock,
-        links: Transport | None = None,
+        transport: Transport | None = None,
         addresses: Sequence[str] | None = None,
     ):
         self._cfg = cfg
         self._clock = clock
         dial = functools.partial(open_channel, tls=cfg.tls)
-        self._links = links or GrpcTransport(channel=dial)
+        self._transport = transport or GrpcTransport(channel=dial)
         self._stopping = False
         self._server = None
-        self._http = None
+        self._http_runner = None
         self.state = ControlState()
         self.replica = self._new_replica()
         self.commands = Commands(
@@ -104,7 +105,7 @@
         self._liveness_task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Listen for peers, watchers and operators.
+        """Start the servers for peers, watchers and operators.
 
         Raises:
             OSError: If an address cannot be bound.
@@ -131,7 +132,7 @@
             commands=self.commands,
             token_digest=self._cfg.admin_token_digest,
         )
-        self._http = await start_http(
+        self._http_runner = await start_http(
             self._cfg.http,
             admin.routes(),
             self.is_ready,
@@ -139,11 +140,11 @@
         )
 
     def is_ready(self) -> bool:
-        """Return whether this replica serves what a majority confirms."""
+        """Return whether this replica is current with a majority and not stopping."""
         return not self._stopping and self.hub.is_fresh()
 
     async def run(self) -> None:
-        """Take part in control until cancelled."""
+        """Run the replica and its services until cancelled."""
         cfg = self._cfg
         placement = PlacementLoop(
             state=self.state,
@@ -164,7 +165,7 @@
             clock=self._clock,
             claim_age_s=cfg.claim_age_s,
         )
-        entry_count = EntryCounter(
+        entry_counter = EntryCounter(
             node_id=cfg.name,
             state=self.state,
             replica=self.replica,
@@ -176,26 +177,26 @@
         )
         async with asyncio.TaskGroup() as group:
             group.create_task(self.replica.run())
-            group.create_task(entry_count.run())
+            group.create_task(entry_counter.run())
             group.create_task(placement.run())
             group.create_task(expiry)
-            group.create_task(self._report())
+            group.create_task(self._update_metrics())
             self._liveness_task = group.create_task(self._liveness.run())
 
     async def stop(self) -> None:
-        """Hand over leadership, then stop judging and serving.
+        """Transfer leadership, then stop the liveness checks and the servers.
 
-        Watchers move to other replicas.
+        Watchers reconnect to other replicas.
         """
         self._stopping = True
         await self.replica.transfer_leadership()
-        # Streams that this replica closes itself are no sign of a failure.
+        # The streams that this replica closes itself must not count as failures.
         if self._liveness_task is not None:
             self._liveness_task.cancel()
         if self._server is not None:
             await self._server.stop(SERVER_GRACE_S)
-        if self._http is not None:
-            await self._http.cleanup()
+        if self._http_runner is not None:
+            await self._http_runner.cleanup()
         self.hub.close()
         await self.commands.close()
 
@@ -207,7 +208,7 @@
             voters=[Member(peer.name, peer.address) for peer in cfg.peers],
             folder=DiskFolder(path=cfg.data),
             machine=self.state,
-            transport=self._links,
+            transport=self._transport,
             clock=self._clock,
             options=ReplicaOptions(
                 election_timeout_s=cfg.election_timeout_s,
@@ -216,7 +217,7 @@
             ),
         )
 
-    async def _report(self):
+    async def _update_metrics(self):
         while True:
             METRICS.watchers.set(len(self.hub.watchers))
             METRICS.leading.set(int(self.replica.role is Role.LEADER))
--- a/wigeonscale/daemons/direct_control.py
+++ b/wigeonscale/daemons/direct_control.py
@@ -1,4 +1,4 @@
-"""The control daemon for backend servers without agents: wiring only."""
+"""Builds and runs the control daemon for backend servers without agents."""
 
 __all__ = ["run_direct_control"]
 
@@ -25,9 +25,9 @@
 from wigeonscale.control.numbered_documents import NumberedDocuments
 from wigeonscale.daemons.runtime import (
     StopStep,
-    cut_bound_s,
+    late_step_timeout_s,
     run_until_stopped,
-    stop_bound_s,
+    shutdown_timeout_s,
 )
 from wigeonscale.platform.control_http import MAX_DOCUMENT_BYTES, control_routes
 from wigeonscale.platform.documents import compress, decompress, read_route_table
@@ -52,7 +52,7 @@
 
 
 class DirectControl:
-    """The parts of one control replica, wired together.
+    """The components of one control replica.
 
     Args:
         cfg: Settings.
@@ -70,7 +70,7 @@
         self._cfg = cfg
         self._stopping = False
         self._server = None
-        self._pages = None
+        self._http_runner = None
         self._table = RouteTable()
         address = f"{cfg.ip}:{cfg.internal_port}"
         seeds = [internal_address(seed, cfg.internal_port) for seed in cfg.seeds]
@@ -131,7 +131,7 @@
             clock=clock,
             answer_s=cfg.answer_s,
         )
-        self._keeper = LayerAssigner(
+        self._layer_assigner = LayerAssigner(
             state=self.state,
             replica=self.replica,
             clock=clock,
@@ -140,7 +140,7 @@
             table=self.table,
             is_fresh=self.hub.is_fresh,
         )
-        self._entry_count = EntryCounter(
+        self._entry_counter = EntryCounter(
             node_id=address,
             state=self.state,
             replica=self.replica,
@@ -161,22 +161,28 @@
         )
 
     def to_peer(self, node_id: str) -> bytes:
-        """Return the loads that another replica lacks: soft state of the log."""
+        """Return the loads to send to a replica, as soft state beside the log.
+
+        The leader sends the sum without the replica's own loads, a follower sends the
+        loads of its own watchers.
+        """
         is_leader = self.replica.role is Role.LEADER
-        board = self.hub.load_aggregator
-        loads = board.total(exclude=node_id) if is_leader else board.local_total()
+        aggregator = self.hub.load_aggregator
+        loads = (
+            aggregator.total(exclude=node_id) if is_leader else aggregator.local_total()
+        )
         return loads.SerializeToString()
 
     def from_peer(self, node_id: str, data: bytes) -> None:
-        """Take in the loads that another replica told."""
-        board = self.hub.load_aggregator
+        """Process the loads that another replica sent."""
+        aggregator = self.hub.load_aggregator
         if self.replica.role is not Role.LEADER:
-            # The leader's sum holds those of the other followers.
-            board.retain([])
-        board.receive(node_id, data)
+            # The leader's sum includes the loads of the other followers.
+            aggregator.retain([])
+        aggregator.receive(node_id, data)
 
     def table(self) -> RouteTable:
-        """Return the route table in force here, read once a document."""
+        """Return the current route table; each document is parsed only once."""
         document = self.state.document
         if document.number != self._table.number:
             self._table = read_route_table(decompress(document.content))
@@ -187,7 +193,7 @@
         return not table.number or name in table.services
 
     async def start(self) -> None:
-        """Listen for replicas, entries, operators and backend servers.
+        """Start the server for replicas and entries.
 
         Raises:
             OSError: If an address cannot be bound.
@@ -201,40 +207,43 @@
         await self._server.start()
 
     async def run(self) -> None:
-        """Take part in control until cancelled."""
+        """Run the replica and its services until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.replica.run())
-            group.create_task(self._entry_count.run())
+            group.create_task(self._entry_counter.run())
             group.create_task(self.registry.run())
             group.create_task(self.membership.run())
-            group.create_task(self._keeper.run())
-            group.create_task(self._serve_pages())
+            group.create_task(self._layer_assigner.run())
+            group.create_task(self._serve_http())
 
     def follow_seeds(self, seeds: Sequence[str]) -> None:
-        """Ask other replicas than before when this one is lonely.
+        """Replace the seeds that this replica contacts to join the group.
 
         Args:
-            seeds: Addresses of their HTTP pages.
+            seeds: HTTP addresses of the seed replicas.
         """
         port = self._cfg.internal_port
         self.membership.follow_seeds([internal_address(seed, port) for seed in seeds])
 
     async def stop(self) -> None:
-        """Hand over leadership, then stop serving; watchers move elsewhere."""
+        """Transfer leadership, then stop the servers.
+
+        Watchers reconnect to other replicas.
+        """
         self._stopping = True
         await self.replica.transfer_leadership()
         if self._server is not None:
             await self._server.stop(SERVER_GRACE_S)
-        if self._pages is not None:
-            await self._pages.cleanup()
+        if self._http_runner is not None:
+            await self._http_runner.cleanup()
         self.hub.close()
         await self.commands.close()
 
     def is_ready(self) -> bool:
-        """Return whether this replica serves what a majority confirms."""
+        """Return whether this replica is current with a majority and not stopping."""
         return not self._stopping and self.hub.is_fresh()
 
-    async def _serve_pages(self) -> None:
+    async def _serve_http(self) -> None:
         async def put_document(number: int, content: bytes) -> None:
             await self.documents.put(number, compress(content))
 
@@ -248,13 +257,13 @@
             registry=self.registry,
             heartbeat_address=self._cfg.http,
         )
-        self._pages = await start_http(
+        self._http_runner = await start_http(
             self._cfg.http, routes, self.is_ready, max_body_bytes=MAX_DOCUMENT_BYTES
         )
 
 
 def internal_address(seed: str, port: int) -> str:
-    """Return the gRPC address of the replica whose pages are at ``seed``."""
+    """Return the gRPC address of the replica with the HTTP address ``seed``."""
     return f"{seed.rpartition(':')[0]}:{port}"
 
 
@@ -265,7 +274,7 @@
 
     Args:
         cfg: Settings.
-        reload: Reads the settings anew; of them, the seeds are taken up.
+        reload: Reloads the settings; only the new seeds take effect.
 
     Returns:
         Exit code of the process.
@@ -278,7 +287,7 @@
         return await run_until_stopped(
             tasks={"control": daemon.run()},
             stop_steps=[StopStep("stop serving", daemon.stop)],
-            stop_timeout_s=stop_bound_s(cfg.killed_after_s, cfg.stop_timeout_s),
-            cut_bound_s=cut_bound_s(cfg.killed_after_s),
+            stop_timeout_s=shutdown_timeout_s(cfg.killed_after_s, cfg.stop_timeout_s),
+            late_step_timeout_s=late_step_timeout_s(cfg.killed_after_s),
             reload=lambda: daemon.follow_seeds(reload().seeds),
         )
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: wiring only."""
+"""Builds and runs the entry daemon from its components."""
 
 __all__ = ["build_entry", "run_entry"]
 
@@ -8,7 +8,7 @@
 from wigeonscale.adapters import open_channel, setup_logging, start_http
 from wigeonscale.config import EntrySettings
 from wigeonscale.crashes import CrashTracker
-from wigeonscale.daemons.crashes import report_to_control, take_from_control
+from wigeonscale.daemons.crashes import crash_update_handler, report_crashes_to_control
 from wigeonscale.daemons.runtime import StopStep, run_until_stopped
 from wigeonscale.dispatch import (
     AgentLinks,
@@ -32,14 +32,14 @@
 from wigeonscale.reports import BurnRecorder, burn_routes
 from wigeonscale.routing import Chooser, LoadTable, PrefixView, RetryBudget
 
-LOOKS_PER_HEARTBEAT = 2
+KEEPALIVE_CHECKS_PER_HEARTBEAT = 2
 
 
 async def run_entry(cfg: EntrySettings) -> int:
     """Run an entry until SIGTERM.
 
     Args:
-        cfg: Its settings.
+        cfg: Settings of the entry.
 
     Returns:
         The exit code.
@@ -50,7 +50,7 @@
     setup_logging(cfg.log_level, cfg.name)
     clock = SystemClock()
     names = BackendInstances(members=lambda: control.members)
-    crashes = new_crash_book(names, clock=clock)
+    crashes = new_crash_tracker(names, clock=clock)
     control = ControlClient(
         node_id=cfg.name,
         role="entry",
@@ -60,7 +60,7 @@
         lease_s=cfg.lease_s,
         heartbeat_s=cfg.heartbeat_s,
         tls=cfg.tls,
-        on_crashes=take_from_control(crashes),
+        on_crashes=crash_update_handler(crashes),
     )
     entry = build_entry(cfg, control=control, clock=clock, crashes=crashes)
     control.changes.subscribe(
@@ -69,23 +69,27 @@
         )
     )
     server = CallerServer(entry=entry, address=cfg.listen)
-    pages = await start_http(cfg.http, burn_routes(entry.recorder), entry.is_ready)
+    http_runner = await start_http(
+        cfg.http, burn_routes(entry.recorder), entry.is_ready
+    )
     try:
         return await run_until_stopped(
             tasks={
                 "control": control.run(),
-                "callers": _serve(control, server),
-                "crashes": report_to_control(crashes, control=control, clock=clock),
+                "callers": _serve_when_ready(control, server),
+                "crashes": report_crashes_to_control(
+                    crashes, control=control, clock=clock
+                ),
             },
             stop_steps=[
                 StopStep("stop accepting", server.stop_accepting),
-                StopStep("finish", server.finish, cut=server.cut),
+                StopStep("finish", server.finish, on_timeout=server.cut),
                 StopStep("close", server.close),
             ],
             stop_timeout_s=cfg.stop_timeout_s,
         )
     finally:
-        await pages.cleanup()
+        await http_runner.cleanup()
 
 
 def build_entry(
@@ -93,20 +97,23 @@
     *,
     control: ControlClient,
     clock: Clock,
-    silence: KeepaliveLimits | None = None,
+    keepalive: KeepaliveLimits | None = None,
     crashes: CrashTracker | None = None,
 ) -> EntryService:
-    """Return an entry's state, wired together.
+    """Build the service of an entry from its components.
 
     Args:
-        cfg: Its settings.
-        control: Its link to control.
+        cfg: Settings of the entry.
+        control: Client of control.
         clock: Clock port.
-        silence: When a connection counts as silent; None: after the heartbeats.
-        crashes: Which requests crash backend servers; None for a book that is told
-            nothing by control.
+        keepalive: When a connection to an agent counts as lost; None derives it from
+            the heartbeat interval.
+        crashes: Tracker of the requests that crash backend servers; None for one that
+            gets no updates from control.
     """
-    looks = KeepaliveLimits(interval_s=cfg.heartbeat_s / LOOKS_PER_HEARTBEAT)
+    default_keepalive = KeepaliveLimits(
+        interval_s=cfg.heartbeat_s / KEEPALIVE_CHECKS_PER_HEARTBEAT
+    )
     table = LoadTable(clock=clock)
     view = PrefixView()
     chooser = Chooser(table=table, rng=random.Random(), subset=cfg.subset, view=view)
@@ -124,7 +131,7 @@
         on_load=table.update_load,
         on_prefixes=view.apply_events,
         on_gone=on_gone,
-        limits=silence or looks,
+        limits=keepalive or default_keepalive,
         dial=functools.partial(open_channel, tls=cfg.tls),
     )
     transport = DispatchTransport(links=links, table=table)
@@ -138,7 +145,7 @@
         claims=claims,
         budget=RetryBudget(clock=clock, ratio=cfg.retry_ratio),
         crashes=CrashGuard(
-            book=crashes or new_crash_book(names, clock=clock), servers=names.ids_of
+            book=crashes or new_crash_tracker(names, clock=clock), servers=names.ids_of
         ),
         clock=clock,
         open_timeout_s=cfg.open_timeout_s,
@@ -162,11 +169,11 @@
     )
 
 
-def new_crash_book(names: BackendInstances, *, clock: Clock) -> CrashTracker:
-    """Return a book of crashes of the servers behind agents.
+def new_crash_tracker(names: BackendInstances, *, clock: Clock) -> CrashTracker:
+    """Return a crash tracker for the backend servers of agents.
 
     Args:
-        names: Names of the servers.
+        names: Maps agents to the names of their backend servers.
         clock: Clock port.
     """
     return CrashTracker(
@@ -177,7 +184,7 @@
     )
 
 
-async def _serve(control: ControlClient, server: CallerServer) -> None:
-    # Nothing is served before a majority has confirmed the configuration.
+async def _serve_when_ready(control: ControlClient, server: CallerServer) -> None:
+    # Callers are not served before a majority has confirmed the configuration.
     await control.ready()
     await server.start()
--- a/wigeonscale/daemons/load_words.py
+++ b/wigeonscale/daemons/load_exchange.py
@@ -1,18 +1,22 @@
-"""What an entry tells control of its load with each heartbeat, and hears of all."""
+"""Converts an entry's loads, sends and rate limits to and from heartbeat messages.
 
-__all__ = ["take_totals", "told_loads"]
+With each heartbeat an entry reports its own figures to control, and control returns
+the totals over all entries.
+"""
+
+__all__ = ["apply_load_totals", "build_load_report"]
 
 from wigeonscale.direct import EntryContext, NamedLimit
 from wigeonscale.wire import wire_pb2 as wire
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
-def told_loads(ctx: EntryContext) -> wire.Loads:
-    """Return what this entry has in progress and has sent lately, and note it as told.
+def build_load_report(ctx: EntryContext) -> wire.Loads:
+    """Return this entry's load and recent sends, and record them as reported.
 
     Args:
-        ctx: What the flows of the entry share.
+        ctx: Components that the requests of the entry share.
     """
     return wire.Loads(
         loads=[
@@ -27,7 +31,7 @@
             wire.NamedLimit(
                 backend_id=limit.backend_id,
                 per_s=limit.per_s,
-                age_ms=None if limit.age_s is None else int(limit.age_s * MILLISECONDS),
+                age_ms=None if limit.age_s is None else int(limit.age_s * MS_PER_S),
                 demands=[
                     wire.Demand(entry=name, requests=requests)
                     for name, requests in limit.demands.items()
@@ -39,12 +43,12 @@
     )
 
 
-def take_totals(ctx: EntryContext, totals: wire.Loads) -> None:
-    """Take in what all entries told, this one included.
+def apply_load_totals(ctx: EntryContext, totals: wire.Loads) -> None:
+    """Apply the totals over all entries, this one included.
 
     Args:
-        ctx: What the flows of the entry share.
-        totals: Sums over the entries.
+        ctx: Components that the requests of the entry share.
+        totals: Sums of the reports of all entries.
     """
     ctx.tracker.apply_totals(
         {each.backend_id: (each.running, each.token_layers) for each in totals.loads}
@@ -56,7 +60,7 @@
         NamedLimit(
             backend_id=each.backend_id,
             per_s=each.per_s if each.HasField("per_s") else None,
-            age_s=each.age_ms / MILLISECONDS if each.HasField("age_ms") else None,
+            age_s=each.age_ms / MS_PER_S if each.HasField("age_ms") else None,
             demands={demand.entry: demand.requests for demand in each.demands},
         )
         for each in totals.limits
--- a/wigeonscale/daemons/runtime.py
+++ b/wigeonscale/daemons/runtime.py
@@ -1,13 +1,13 @@
-"""Runs a daemon until it is told to stop, then stops it gracefully."""
+"""Runs a daemon until a stop signal, then shuts it down gracefully."""
 
 __all__ = [
-    "EXIT_CUT",
+    "EXIT_STOP_TIMEOUT",
     "EXIT_FAILED",
     "EXIT_OK",
     "StopStep",
-    "cut_bound_s",
+    "late_step_timeout_s",
     "run_until_stopped",
-    "stop_bound_s",
+    "shutdown_timeout_s",
 ]
 
 import asyncio
@@ -21,59 +21,65 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1  # a task of the daemon failed
-EXIT_CUT = 3  # the graceful stop reached its bound; 2 is for wrong settings
+EXIT_STOP_TIMEOUT = 3  # the graceful shutdown timed out; 2 is for invalid settings
 
-# Each step that is left when the bound is reached still gets this long, where it is not
-# known when the process is ended by force.
-CUT_GRACE_S = 2.0
-# Shares of the time until a process is ended by force: what it has for all its steps,
-# and for each that is left then. The rest is for its end.
-STOP_SHARE = 0.9
-CUT_SHARE = 0.04
+# Timeout of each stop step that remains after the shutdown timeout, if the time until
+# the process is killed is unknown.
+LATE_STEP_TIMEOUT_S = 2.0
+# Shares of the time until the process is killed: for all stop steps together, and for
+# each step that remains after that. The rest is for the exit of the process.
+SHUTDOWN_SHARE = 0.9
+LATE_STEP_SHARE = 0.04
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class StopStep:
-    """One step of a graceful stop.
+    """One step of a graceful shutdown.
 
     Attributes:
         name: Short name for the log.
-        run: Does the step; cancelled when the bound is reached.
-        cut: Done after ``run`` was cut at the bound, for example to tell the
-            callers; None for nothing.
+        run: Performs the step; cancelled at the shutdown timeout.
+        on_timeout: Called after ``run`` was cancelled at the timeout, for example to
+            notify the callers; None for nothing.
     """
 
     name: str
     run: Callable[[], Awaitable[object]]
-    cut: Callable[[], Awaitable[object]] | None = None
+    on_timeout: Callable[[], Awaitable[object]] | None = None
 
 
-def stop_bound_s(killed_after_s: float, stop_timeout_s: float) -> float:
-    """Return how long all stop steps of a process may take together, in seconds.
+def shutdown_timeout_s(killed_after_s: float, stop_timeout_s: float) -> float:
+    """Return the timeout of all stop steps of a process together, in seconds.
 
     Args:
-        killed_after_s: Time after which it is ended by force; 0 where not known.
-        stop_timeout_s: Longest graceful shutdown by its settings.
+        killed_after_s: Time from the stop signal until the process is killed; 0 if
+            unknown.
+        stop_timeout_s: Longest graceful shutdown according to the settings.
 
     Example:
-        >>> stop_bound_s(8.0, 30.0), stop_bound_s(0.0, 30.0), stop_bound_s(8.0, 5.0)
-        (7.2, 30.0, 5.0)
+        >>> shutdown_timeout_s(8.0, 30.0), shutdown_timeout_s(0.0, 30.0)
+        (7.2, 30.0)
+        >>> shutdown_timeout_s(8.0, 5.0)
+        5.0
     """
     if not killed_after_s:
         return stop_timeout_s
-    return min(stop_timeout_s, STOP_SHARE * killed_after_s)
+    return min(stop_timeout_s, SHUTDOWN_SHARE * killed_after_s)
 
 
-def cut_bound_s(killed_after_s: float) -> float:
-    """Return how long each step may take that is left at the bound, in seconds.
+def late_step_timeout_s(killed_after_s: float) -> float:
+    """Return the timeout of each step that remains after the shutdown timeout.
 
     Args:
-        killed_after_s: Time after which the process is ended by force; 0 where not
-            known.
+        killed_after_s: Time from the stop signal until the process is killed; 0 if
+            unknown.
+
+    Returns:
+        The timeout in seconds.
     """
-    return CUT_SHARE * killed_after_s if killed_after_s else CUT_GRACE_S
+    return LATE_STEP_SHARE * killed_after_s if killed_after_s else LATE_STEP_TIMEOUT_S
 
 
 async def run_until_stopped(
@@ -81,36 +87,36 @@
     tasks: Mapping[str, Coroutine[object, object, object]],
     stop_steps: Sequence[StopStep],
     stop_timeout_s: float,
-    cut_bound_s: float = CUT_GRACE_S,
+    late_step_timeout_s: float = LATE_STEP_TIMEOUT_S,
     stop: asyncio.Event | None = None,
     signals: Sequence[signal.Signals] = (signal.SIGTERM, signal.SIGINT),
     reload: Callable[[], None] | None = None,
 ) -> int:
-    """Run coroutines until a signal, then the stop steps in their order.
+    """Run coroutines until a stop signal, then run the stop steps in order.
 
-    The coroutines go on while the stop steps run, and are cancelled at the end.
-    A coroutine that ends by an exception stops the daemon too.
+    The coroutines keep running during the stop steps and are cancelled after them.
+    An exception in a coroutine also stops the daemon.
 
     Args:
         tasks: Coroutines of the daemon by name.
-        stop_steps: What to do, in order, once the daemon shall stop.
-        stop_timeout_s: Seconds that all the steps may take together.
-        cut_bound_s: Seconds that each step still gets that is left then.
-        stop: Set by the signals, or by others to stop the daemon; None makes one.
-        signals: Signals that stop the daemon; empty leaves them alone. Repeated
-            signals change nothing.
-        reload: Reads the settings anew on SIGHUP; None: they hold until the end.
+        stop_steps: Steps of the graceful shutdown, in order.
+        stop_timeout_s: Timeout of all steps together, in seconds.
+        late_step_timeout_s: Timeout of each step that remains after that, in seconds.
+        stop: Stops the daemon when set, by a signal or by the caller; None creates one.
+        signals: Signals that stop the daemon; if empty, no handler is installed.
+            Repeated signals have no effect.
+        reload: Reloads the settings on SIGHUP; None if the daemon cannot reload them.
 
     Returns:
-        ``EXIT_OK``, ``EXIT_FAILED`` or ``EXIT_CUT``, for ``sys.exit``.
+        ``EXIT_OK``, ``EXIT_FAILED`` or ``EXIT_STOP_TIMEOUT``, for ``sys.exit``.
     """
     stop = stop or asyncio.Event()
     loop = asyncio.get_running_loop()
     for signum in signals:
         loop.add_signal_handler(signum, stop.set)
     if signals:
-        # Its default action would end the process.
-        loop.add_signal_handler(signal.SIGHUP, _take_hangup, reload)
+        # The default action of SIGHUP would terminate the process.
+        loop.add_signal_handler(signal.SIGHUP, _handle_sighup, reload)
     running = {
         asyncio.create_task(coro, name=name): name for name, coro in tasks.items()
     }
@@ -118,30 +124,30 @@
         failed = await _wait_for_stop(running, stop)
         logger.info("stopping", extra=log_fields(outcome="stopping"))
         stop.set()
-        cut = await _run_steps(stop_steps, stop_timeout_s, cut_bound_s)
+        timed_out = await _run_steps(stop_steps, stop_timeout_s, late_step_timeout_s)
     finally:
         await _cancel(running)
         for signum in signals:
             loop.remove_signal_handler(signum)
         if signals:
             loop.remove_signal_handler(signal.SIGHUP)
-    code = EXIT_FAILED if failed else EXIT_CUT if cut else EXIT_OK
+    code = EXIT_FAILED if failed else EXIT_STOP_TIMEOUT if timed_out else EXIT_OK
     logger.info("stopped", extra=log_fields(outcome="stopped", exit_code=code))
     return code
 
 
-def _take_hangup(reload: Callable[[], None] | None) -> None:
+def _handle_sighup(reload: Callable[[], None] | None) -> None:
     if reload is None:
-        logger.info("SIGHUP: the settings hold until the process ends")
+        logger.info("SIGHUP ignored: this daemon reads its settings only at start")
         return
     try:
         reload()
     except SettingsError as exc:
-        logger.error("SIGHUP: the settings are kept: %s", exc.message)
+        logger.error("SIGHUP: reload failed, settings unchanged: %s", exc.message)
     except Exception:
-        logger.exception("SIGHUP: the settings are kept")
+        logger.exception("SIGHUP: reload failed, settings unchanged")
     else:
-        logger.info("SIGHUP: settings read", extra=log_fields(outcome="reloaded"))
+        logger.info("SIGHUP: settings reloaded", extra=log_fields(outcome="reloaded"))
 
 
 async def _wait_for_stop(running: dict[asyncio.Task, str], stop: asyncio.Event) -> bool:
@@ -168,23 +174,27 @@
     return exc is not None
 
 
-async def _run_steps(steps: Sequence[StopStep], timeout_s: float, cut_s: float) -> bool:
-    """Return whether a step was cut at the bound."""
+async def _run_steps(
+    steps: Sequence[StopStep], timeout_s: float, late_step_timeout_s: float
+) -> bool:
+    """Return whether any step timed out."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + timeout_s
-    any_cut = False
+    deadline = loop.time() + timeout_s
+    any_timed_out = False
     for step in steps:
-        left_s = end - loop.time()
-        limit_s = left_s if left_s > 0 else cut_s
-        if await _finishes(step.name, step.run, limit_s):
+        remaining_s = deadline - loop.time()
+        limit_s = remaining_s if remaining_s > 0 else late_step_timeout_s
+        if await _finishes_in_time(step.name, step.run, limit_s):
             continue
-        any_cut = True
-        if step.cut is not None:
-            await _finishes(f"{step.name} (cut)", step.cut, cut_s)
-    return any_cut
+        any_timed_out = True
+        if step.on_timeout is not None:
+            await _finishes_in_time(
+                f"{step.name} (on timeout)", step.on_timeout, late_step_timeout_s
+            )
+    return any_timed_out
 
 
-async def _finishes(
+async def _finishes_in_time(
     name: str, run: Callable[[], Awaitable[object]], limit_s: float
 ) -> bool:
     limit = asyncio.timeout(limit_s)
@@ -193,9 +203,9 @@
             await run()
     except Exception:
         if limit.expired():
-            logger.warning("stop step %s cut after %.1f s", name, limit_s)
+            logger.warning("stop step %s timed out after %.1f s", name, limit_s)
             return False
-        # The steps after it must still be done.
+        # The remaining steps must still run.
         logger.exception("stop step %s failed", name)
     return True
 
--- a/wigeonscale/daemons/tests/test_control_disk.py
+++ b/wigeonscale/daemons/tests/test_control_disk.py
@@ -1,4 +1,4 @@
-"""A control daemon whose disk fails, in memory."""
+"""Tests of a control daemon whose disk fails, with an in-memory folder."""
 
 import asyncio
 import io
@@ -19,13 +19,13 @@
 
 
 class FailedDiskTest(WithScenarios, AsyncTestCase):
-    # Before it leads a single replica writes its vote, log, vote and vote.
+    # A single replica writes its vote, the log, its vote and its vote before it leads.
     scenarios = [("at start", {"writes": 1}), ("while leading", {"writes": 4})]
 
     async def test_daemon_ends_and_its_log_names_the_file(self):
         folder = MemoryFolder()
         folder.fail_after(self.writes)
-        patches = {"DiskFolder": lambda path: folder, "setup_logging": self.log_here}
+        patches = {"DiskFolder": lambda path: folder, "setup_logging": self.capture_log}
         for name, value in patches.items():
             self.useFixture(fixtures.MonkeyPatch(f"{control.__name__}.{name}", value))
         address = "127.0.0.1:0"
@@ -48,7 +48,7 @@
         )
         self.assertEqual(code, self.lines()[-1]["exit_code"])
 
-    def log_here(self, level, node):
+    def capture_log(self, level, node):
         self.stream = io.StringIO()
         handler = logging.StreamHandler(self.stream)
         handler.setFormatter(JsonLinesFormatter(node=node))
--- a/wigeonscale/reports/decisions.py
+++ b/wigeonscale/reports/decisions.py
@@ -1,6 +1,7 @@
-"""Counts the decisions that the processes logged, by kind and moment.
+"""Counts the decisions that the processes logged, by kind and time window.
 
-The first look after a bad hour: which decisions became many, when, and at which engine.
+Meant as the first step in analysing an incident: it shows which decisions became
+frequent, when, and which engines were involved.
 """
 
 __all__ = ["DecisionReport", "DecisionRow", "count_decisions"]
@@ -12,11 +13,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Engines that refused are listed down to this many.
-MOST_BLAMED = 10
-# A quoted text, or a word with a digit in it: a name, an address, an id or a figure.
-VARIABLE = re.compile(r"'[^']*'|\"[^\"]*\"|\S*\d\S*")
-REPEATED = re.compile(r"N(,? N)+")
+# Length of the list of engines that refused or broke sends.
+MAX_BLAMED_ENGINES = 10
+# A quoted text or a word that contains a digit: a name, address, id or number.
+VARIABLE_PART = re.compile(r"'[^']*'|\"[^\"]*\"|\S*\d\S*")
+REPEATED_PLACEHOLDERS = re.compile(r"N(,? N)+")
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,8 +25,8 @@
     """One kind of decision.
 
     Attributes:
-        kind: Its message without names and figures, and its outcome.
-        counts: How many in each window.
+        kind: Log message without names and numbers, followed by its outcome and status.
+        counts: Number of decisions in each window.
     """
 
     kind: str
@@ -33,7 +34,7 @@
 
     @property
     def total(self) -> int:
-        """How many in all."""
+        """Number of decisions in all windows."""
         return sum(self.counts)
 
 
@@ -43,11 +44,11 @@
 
     Attributes:
         every_s: Length of a window, in seconds.
-        began_at: Time of day at which the first window begins.
-        rows: Kinds, the most frequent first.
-        sends: Requests by how often they were sent to an engine.
-        blamed: Engines that refused or broke sends, by how many.
-        unread: Lines that are no log lines.
+        began_at: Start of the first window, as an ISO 8601 time in UTC.
+        rows: Kinds of decisions, the most frequent first.
+        sends: Number of requests by how often they were sent to an engine.
+        blamed: Number of refused or broken sends by engine, the highest first.
+        unread: Number of lines that are not log records.
     """
 
     every_s: float
@@ -62,8 +63,8 @@
     """Count the decisions of log lines.
 
     Args:
-        lines: JSON lines of any number of processes, in any order; what stands before
-            the first brace of a line is passed over.
+        lines: JSON lines of any number of processes, in any order; text before the
+            first brace of a line is ignored.
         every_s: Length of a window, in seconds.
 
     Example:
@@ -72,18 +73,19 @@
         (DecisionRow(kind='N is lost', counts=(1,)),)
 
     Notes:
-        Costs memory for each request that was sent more than once, and each kind.
+        Memory grows with the number of requests that were sent, and of pairs of kind
+        and time stamp.
     """
     counts: dict[str, Counter] = defaultdict(Counter)
     sends: dict[str, int] = {}
     blamed: Counter = Counter()
     unread = 0
     for line in lines:
-        record = _read(line)
+        record = _parse_record(line)
         if record is None:
             unread += bool(line.strip())
             continue
-        counts[_kind(record)][_second(record)] += 1
+        counts[_kind(record)][_timestamp_s(record)] += 1
         if isinstance(record.get("sends"), int):
             name = str(record.get("request_id"))
             sends[name] = max(sends.get(name, 0), record["sends"])
@@ -91,16 +93,16 @@
             blamed[str(record["blamed"])] += 1
     return DecisionReport(
         every_s=every_s,
-        began_at=_time_of(min(map(min, counts.values()), default=0.0)),
+        began_at=_iso_time(min(map(min, counts.values()), default=0.0)),
         rows=_rows(counts, every_s),
         sends=dict(sorted(Counter(sends.values()).items())),
-        blamed=dict(blamed.most_common(MOST_BLAMED)),
+        blamed=dict(blamed.most_common(MAX_BLAMED_ENGINES)),
         unread=unread,
     )
 
 
-def _read(line: str) -> dict | None:
-    """Return the record of a line, or None if it holds none."""
+def _parse_record(line: str) -> dict | None:
+    """Return the log record in a line, or None if there is none."""
     _, brace, rest = line.partition("{")
     try:
         record = json.loads(brace + rest)
@@ -110,19 +112,19 @@
     return record if isinstance(record.get("message"), str) else None
 
 
-def _second(record: dict) -> float:
+def _timestamp_s(record: dict) -> float:
     return datetime.datetime.fromisoformat(record["time"]).timestamp()
 
 
-def _time_of(second: float) -> str:
-    at = datetime.datetime.fromtimestamp(second, tz=datetime.UTC)
+def _iso_time(timestamp_s: float) -> str:
+    at = datetime.datetime.fromtimestamp(timestamp_s, tz=datetime.UTC)
     return at.isoformat(timespec="milliseconds")
 
 
 def _kind(record: dict) -> str:
-    kind = REPEATED.sub("N", VARIABLE.sub("N", record["message"]))
-    marks = [str(record[key]) for key in ("outcome", "status") if record.get(key)]
-    return f"{kind} [{', '.join(marks)}]" if marks else kind
+    kind = REPEATED_PLACEHOLDERS.sub("N", VARIABLE_PART.sub("N", record["message"]))
+    details = [str(record[key]) for key in ("outcome", "status") if record.get(key)]
+    return f"{kind} [{', '.join(details)}]" if details else kind
 
 
 def _rows(counts: dict[str, Counter], every_s: float) -> tuple[DecisionRow, ...]:
@@ -131,9 +133,9 @@
     first = min(map(min, counts.values()))
     windows = 1 + int((max(map(max, counts.values())) - first) / every_s)
     rows = []
-    for kind, by_second in counts.items():
+    for kind, by_timestamp in counts.items():
         row = [0] * windows
-        for second, count in by_second.items():
-            row[int((second - first) / every_s)] += count
+        for timestamp_s, count in by_timestamp.items():
+            row[int((timestamp_s - first) / every_s)] += count
         rows.append(DecisionRow(kind, tuple(row)))
     return tuple(sorted(rows, key=lambda row: (-row.total, row.kind)))
--- a/wigeonscale/reports/recorder.py
+++ b/wigeonscale/reports/recorder.py
@@ -1,4 +1,4 @@
-"""Records at an entry what the burn report is made of."""
+"""Records the events at an entry from which the burn report is made."""
 
 __all__ = ["BurnRecorder"]
 
@@ -19,7 +19,7 @@
 
 MAX_ORGANISATIONS = 30_000
 US_PER_S = 1_000_000
-LONGEST_US = 600 * US_PER_S
+MAX_TIME_US = 600 * US_PER_S
 SIGNIFICANT_DIGITS = 2
 
 
@@ -29,13 +29,13 @@
     Args:
         clock: Clock port.
         objectives: At most one for each of ``success``, ``first_token``, ``gap``.
-        max_organisations: Organisations kept; beyond it the one that was longest
-            without an event is dropped, and the export says how many were.
+        max_organisations: Largest number of organisations. Beyond it the least
+            recently active one is dropped; the export has the number dropped.
 
     Notes:
-        Memory for each organisation is constant; ``python -m bench rules`` reports
-        it as ``reports/bytes_per_organisation``. An organisation without events
-        for as long as the long window is forgotten at the next export.
+        Memory per organisation is constant; ``python -m bench rules`` reports it as
+        ``reports/bytes_per_organisation``. An organisation without events in the
+        long window is removed at the next export.
     """
 
     def __init__(
@@ -48,47 +48,49 @@
         self.objectives = tuple(objectives)
         self.dropped = 0
         self._clock = clock
-        self._max = max_organisations
-        self._places = {obj.name: place for place, obj in enumerate(self.objectives)}
+        self._max_organisations = max_organisations
+        self._objective_indices = {
+            obj.name: index for index, obj in enumerate(self.objectives)
+        }
         self._counts: OrderedDict[str, EventCounts] = OrderedDict()
         self._times = {name: _new_histogram() for name in (FIRST_TOKEN, GAP)}
 
-    def request(self, organisation: str, ok: bool) -> None:
+    def record_request(self, organisation: str, ok: bool) -> None:
         """Count a finished request.
 
         Args:
             organisation: Name of the caller's organisation.
-            ok: Whether the whole answer reached the caller, or the request was
-                refused for a reason that is the caller's own.
+            ok: Whether the complete response reached the caller, or the request was
+                rejected through the caller's own fault.
         """
-        self._add(SUCCESS, organisation, 1, int(not ok))
+        self._add_events(SUCCESS, organisation, 1, int(not ok))
 
-    def first_token(self, organisation: str, seconds: float) -> None:
+    def record_first_token(self, organisation: str, seconds: float) -> None:
         """Count the time from a request's arrival to its first token.
 
         Args:
             organisation: Name of the caller's organisation.
-            seconds: The time.
+            seconds: Time to the first token, in seconds.
         """
-        self._time(FIRST_TOKEN, organisation, seconds, 1)
+        self._record_time(FIRST_TOKEN, organisation, seconds, 1)
 
-    def gap(self, organisation: str, seconds: float, count: int = 1) -> None:
-        """Count times between two tokens of an answer.
+    def record_gap(self, organisation: str, seconds: float, count: int = 1) -> None:
+        """Count gaps between consecutive tokens of a response.
 
         Args:
             organisation: Name of the caller's organisation.
-            seconds: The time of each gap.
-            count: Number of gaps of that time.
+            seconds: Length of each gap, in seconds.
+            count: Number of gaps of that length.
         """
-        self._time(GAP, organisation, seconds, count)
+        self._record_time(GAP, organisation, seconds, count)
 
     def export(self) -> dict[str, object]:
-        """Return the counts of all windows, ready for JSON.
+        """Return the counts of all windows as a JSON-serialisable object.
 
         Returns:
             Objectives, windows, (events, bad events) by organisation, objective and
-            window, and the distribution of times since the start (an encoded
-            HdrHistogram in microseconds).
+            window, the number of dropped organisations, and the distribution of times
+            since the start (encoded HdrHistograms in microseconds).
         """
         now = self._clock.now()
         exported = {
@@ -112,25 +114,27 @@
             },
         }
 
-    def _time(self, name: str, organisation: str, seconds: float, count: int) -> None:
-        place = self._places.get(name)
-        limit_s = self.objectives[place].threshold_s if place is not None else 0.0
-        self._add(name, organisation, count, count if seconds > limit_s else 0)
-        value_us = min(max(int(seconds * US_PER_S), 1), LONGEST_US)
+    def _record_time(
+        self, name: str, organisation: str, seconds: float, count: int
+    ) -> None:
+        index = self._objective_indices.get(name)
+        limit_s = self.objectives[index].threshold_s if index is not None else 0.0
+        self._add_events(name, organisation, count, count if seconds > limit_s else 0)
+        value_us = min(max(int(seconds * US_PER_S), 1), MAX_TIME_US)
         self._times[name].record_value(value_us, count)
 
-    def _add(self, name: str, organisation: str, events: int, bad: int) -> None:
-        place = self._places.get(name)
-        if place is not None:
+    def _add_events(self, name: str, organisation: str, events: int, bad: int) -> None:
+        index = self._objective_indices.get(name)
+        if index is not None:
             counts = self._counts_of(organisation)
-            counts.add(self._clock.now(), place, events, bad)
+            counts.add(self._clock.now(), index, events, bad)
 
     def _counts_of(self, organisation: str) -> EventCounts:
         counts = self._counts.get(organisation)
         if counts is None:
             counts = EventCounts(objectives=len(self.objectives))
             self._counts[organisation] = counts
-            if len(self._counts) > self._max:
+            if len(self._counts) > self._max_organisations:
                 self._counts.popitem(last=False)
                 self.dropped += 1
             return counts
@@ -142,15 +146,15 @@
             obj.name: {
                 window.name: list(totals)
                 for window, totals in zip(
-                    WINDOWS, counts.totals(now, place), strict=True
+                    WINDOWS, counts.totals(now, index), strict=True
                 )
             }
-            for place, obj in enumerate(self.objectives)
+            for index, obj in enumerate(self.objectives)
         }
 
 
 def _new_histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST_US, SIGNIFICANT_DIGITS)
+    return HdrHistogram(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
 
 
 def _has_events(counts: dict[str, dict[str, list[int]]]) -> bool:
--- a/wigeonscale/reports/windows.py
+++ b/wigeonscale/reports/windows.py
@@ -1,4 +1,4 @@
-"""Counts of good and bad events over a short and a long sliding window."""
+"""Counts of all and of bad events over a short and a long sliding window."""
 
 __all__ = ["LONG", "SHORT", "WINDOWS", "EventCounts", "Window"]
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A sliding window made of slots.
+    """A sliding window, divided into time slots.
 
     Attributes:
         name: Name in reports.
         slot_s: Length of one slot, in seconds.
-        slots: Whole slots in the window; the slot being filled comes on top.
+        slots: Number of complete slots in the window, besides the current slot.
     """
 
     name: str
@@ -23,7 +23,7 @@
 
     @property
     def seconds(self) -> int:
-        """Length of the window, in seconds; up to one slot more is counted."""
+        """Length in seconds; counts cover up to one slot more."""
         return self.slot_s * self.slots
 
 
@@ -31,7 +31,7 @@
 LONG = Window("long", 600, 6)
 WINDOWS = (SHORT, LONG)
 COUNTS_PER_SLOT = 2  # all events, bad events
-LARGEST_COUNT = 2**32 - 1
+MAX_COUNT = 2**32 - 1
 
 
 class EventCounts:
@@ -41,73 +41,76 @@
         objectives: Number of objectives counted.
 
     Notes:
-        One array of 32-bit counters, so that 30,000 organisations fit beside the
-        entry's other work: a counter that reaches its end stays there.
+        The counts are ring buffers of slots in one array of 32-bit counters, so that
+        30,000 organisations fit in the memory of an entry. Counters saturate at their
+        largest value.
     """
 
     __slots__ = ("_counts", "_objectives")
 
     def __init__(self, *, objectives: int):
         self._objectives = objectives
-        rings = sum(window.slots + 1 for window in WINDOWS)
-        size = len(WINDOWS) + rings * objectives * COUNTS_PER_SLOT
+        total_slots = sum(window.slots + 1 for window in WINDOWS)
+        size = len(WINDOWS) + total_slots * objectives * COUNTS_PER_SLOT
         self._counts = array("I", bytes(size * array("I").itemsize))
 
     def add(self, now: float, objective: int, events: int, bad: int) -> None:
         """Count events.
 
         Args:
-            now: Time in seconds; never less than before.
-            objective: Place of the objective.
+            now: Time in seconds; must not decrease between calls.
+            objective: Index of the objective.
             events: Number of events.
-            bad: Number of bad ones among them.
+            bad: Number of bad events among them.
         """
         counts = self._counts
-        for place, (window, base) in enumerate(_rings(self._objectives)):
-            slot = self._turn(place, window, base, now)
-            at = base + self._at(slot, objective)
-            counts[at] = min(counts[at] + events, LARGEST_COUNT)
-            counts[at + 1] = min(counts[at + 1] + bad, LARGEST_COUNT)
+        for index, (window, base) in enumerate(_ring_buffers(self._objectives)):
+            slot = self._advance(index, window, base, now)
+            offset = base + self._offset(slot, objective)
+            counts[offset] = min(counts[offset] + events, MAX_COUNT)
+            counts[offset + 1] = min(counts[offset + 1] + bad, MAX_COUNT)
 
     def totals(self, now: float, objective: int) -> list[tuple[int, int]]:
         """Return (events, bad events) of each window.
 
         Args:
-            now: Time in seconds.
-            objective: Place of the objective.
+            now: Time in seconds; must not decrease between calls.
+            objective: Index of the objective.
         """
-        found = []
-        for place, (window, base) in enumerate(_rings(self._objectives)):
-            self._turn(place, window, base, now)
-            places = [
-                base + self._at(slot, objective) for slot in range(window.slots + 1)
+        window_totals = []
+        for index, (window, base) in enumerate(_ring_buffers(self._objectives)):
+            self._advance(index, window, base, now)
+            offsets = [
+                base + self._offset(slot, objective) for slot in range(window.slots + 1)
             ]
-            events = sum(self._counts[at] for at in places)
-            found.append((events, sum(self._counts[at + 1] for at in places)))
-        return found
+            events = sum(self._counts[offset] for offset in offsets)
+            window_totals.append(
+                (events, sum(self._counts[offset + 1] for offset in offsets))
+            )
+        return window_totals
 
-    def _at(self, slot: int, objective: int) -> int:
+    def _offset(self, slot: int, objective: int) -> int:
         return (slot * self._objectives + objective) * COUNTS_PER_SLOT
 
-    def _turn(self, place: int, window: Window, base: int, now: float) -> int:
-        """Clear the slots that time has passed over; return the current one."""
+    def _advance(self, index: int, window: Window, base: int, now: float) -> int:
+        """Clear the expired slots and return the index of the current slot."""
         newest = int(now // window.slot_s)
         size = window.slots + 1
         stride = self._objectives * COUNTS_PER_SLOT
-        stale = min(newest - self._counts[place], size)
+        stale = min(newest - self._counts[index], size)
         for number in range(newest - stale + 1, newest + 1):
-            at = base + number % size * stride
-            self._counts[at : at + stride] = array("I", bytes(4 * stride))
-        self._counts[place] = newest
+            offset = base + number % size * stride
+            self._counts[offset : offset + stride] = array("I", bytes(4 * stride))
+        self._counts[index] = newest
         return newest % size
 
 
 @functools.cache
-def _rings(objectives: int) -> tuple[tuple[Window, int], ...]:
-    """Return each window with the place of its first counter."""
-    rings = []
+def _ring_buffers(objectives: int) -> tuple[tuple[Window, int], ...]:
+    """Return each window with the index of its first counter."""
+    ring_buffers = []
     base = len(WINDOWS)
     for window in WINDOWS:
-        rings.append((window, base))
+        ring_buffers.append((window, base))
         base += (window.slots + 1) * objectives * COUNTS_PER_SLOT
-    return tuple(rings)
+    return tuple(ring_buffers)
