--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -12,15 +12,15 @@
 import sys
 import time
 
-from demo.checks import Verdict, judge
+from demo.checks import Verdict, check_outcomes
 from demo.deployment import RULES, Deployment, deploy, stop_order, wait_ready
 from demo.load import Outcome, make_tasks, run_tasks
 from demo.processes import stop_all
 
-TASKS_BEFORE = 112
-TASKS_AFTER = 112
+TASKS_BEFORE_CHANGE = 112
+TASKS_AFTER_CHANGE = 112
 PIPELINES_TIMEOUT_S = 30.0
-PIPELINES_POLL_S = 0.2
+PIPELINES_POLL_INTERVAL_S = 0.2
 CHANGED_RULES = RULES.replace("the archive is closed", "the archive has moved")
 
 
@@ -36,48 +36,50 @@
     dep = Deployment(folder=folder)
     try:
         await deploy(dep)
-        outcomes = await _use(dep)
+        outcomes = await _run_load(dep)
     except (TimeoutError, RuntimeError) as exc:
         await stop_all(stop_order(dep))
         print(f"demo: FAIL {type(exc).__name__}: {exc}")
         return 1
-    bad_stops = await stop_all(stop_order(dep))
-    verdict = judge(outcomes, dep)
-    verdict.problems += [f"did not stop cleanly: {name}" for name in bad_stops]
-    return _report(verdict, leftovers=len(bad_stops))
+    unclean_stops = await stop_all(stop_order(dep))
+    verdict = check_outcomes(outcomes, dep)
+    verdict.problems += [f"did not stop cleanly: {name}" for name in unclean_stops]
+    return _report(verdict, leftovers=len(unclean_stops))
 
 
-async def _use(dep: Deployment) -> list[Outcome]:
-    await _apply(dep, RULES, "rules-1")
+async def _run_load(dep: Deployment) -> list[Outcome]:
+    await _apply_rules(dep, RULES, "rules-1")
     for address in dep.health:
         await wait_ready(f"{address}/readyz")
     await _wait_pipelines(dep)
     print("demo: ready, sending the first half", flush=True)
-    outcomes = await run_tasks(make_tasks(TASKS_BEFORE), dep.entries)
-    await _apply(dep, CHANGED_RULES, "rules-2")
+    outcomes = await run_tasks(make_tasks(TASKS_BEFORE_CHANGE), dep.entries)
+    await _apply_rules(dep, CHANGED_RULES, "rules-2")
     print("demo: rules changed, sending the second half", flush=True)
-    second = make_tasks(TASKS_AFTER, first=TASKS_BEFORE)
+    second = make_tasks(TASKS_AFTER_CHANGE, first=TASKS_BEFORE_CHANGE)
     outcomes += await run_tasks(second, dep.entries)
-    print(await _ctl(dep, "report", "burn"), flush=True)
+    print(await _run_wigeonctl(dep, "report", "burn"), flush=True)
     return outcomes
 
 
-async def _apply(dep: Deployment, text: str, name: str) -> None:
+async def _apply_rules(dep: Deployment, text: str, name: str) -> None:
     path = dep.folder / f"{name}.rules"
     path.write_text(text)
-    print((await _ctl(dep, "rules", "apply", str(path))).strip(), flush=True)
+    print((await _run_wigeonctl(dep, "rules", "apply", str(path))).strip(), flush=True)
 
 
 async def _wait_pipelines(dep: Deployment) -> None:
     deadline = time.monotonic() + PIPELINES_TIMEOUT_S
-    while (await _ctl(dep, "pipelines", "--json")).count('"ready": true') < 2:
+    while (await _run_wigeonctl(dep, "pipelines", "--json")).count('"ready": true') < 2:
         if time.monotonic() > deadline:
-            state = await _ctl(dep, "pipelines") + await _ctl(dep, "backends")
+            state = await _run_wigeonctl(dep, "pipelines") + await _run_wigeonctl(
+                dep, "backends"
+            )
             raise TimeoutError(f"pipelines are not ready:\n{state}")
-        await asyncio.sleep(PIPELINES_POLL_S)
+        await asyncio.sleep(PIPELINES_POLL_INTERVAL_S)
 
 
-async def _ctl(dep: Deployment, *args: str) -> str:
+async def _run_wigeonctl(dep: Deployment, *args: str) -> str:
     proc = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/demo/checks.py
+++ b/demo/checks.py
@@ -1,6 +1,6 @@
 """Checks every answer against what the engines and the service recorded."""
 
-__all__ = ["Verdict", "judge"]
+__all__ = ["Verdict", "check_outcomes"]
 
 import json
 import pathlib
@@ -17,7 +17,7 @@
     Kind.REFUSED_RULE: 403,
     Kind.MALFORMED: 400,
 }
-GENERATIONS = (Kind.STREAM, Kind.PLAIN, Kind.TAKE_UP)
+GENERATIONS = (Kind.STREAM, Kind.PLAIN, Kind.RESUME)
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
     problems: list[str] = field(default_factory=list)
 
 
-def judge(outcomes: list[Outcome], dep: Deployment) -> Verdict:
+def check_outcomes(outcomes: list[Outcome], dep: Deployment) -> Verdict:
     """Hold all outcomes against the traces.
 
     Args:
@@ -65,11 +65,11 @@
         else:
             verdict.whole += outcome.requests
     verdict.repeated_effects = sum(n - 1 for n in effects.values() if n > 1)
-    _judge_layers(verdict, dep)
+    _check_layer_order(verdict, dep)
     return verdict
 
 
-def _judge_layers(verdict: Verdict, dep: Deployment) -> None:
+def _check_layer_order(verdict: Verdict, dep: Deployment) -> None:
     records = [rec for path in dep.engine_traces for rec in read_trace(path)]
     verdict.sequences = len({rec["sequence"] for rec in records})
     violations = layer_order_violations(records, layers=LAYERS)
@@ -111,18 +111,18 @@
 
 def _text_problem(outcome: Outcome) -> str:
     task = outcome.task
-    want = expected_tokens(task.prompt, LAYERS, task.max_tokens)
-    if "".join(outcome.tokens) != "".join(want):
-        return f"got {outcome.tokens} where {want} was due"
-    if outcome.declared != len(want):
-        return f"last event says {outcome.declared} tokens of {len(want)}"
+    expected = expected_tokens(task.prompt, LAYERS, task.max_tokens)
+    if "".join(outcome.tokens) != "".join(expected):
+        return f"got {outcome.tokens} where {expected} was due"
+    if outcome.declared != len(expected):
+        return f"last event says {outcome.declared} tokens of {len(expected)}"
     return ""
 
 
 def _note_problem(outcome: Outcome, effects: dict[str, int]) -> str:
-    ran = effects.get(f"note-{outcome.task.number}", 0)
-    if ran != 1:
-        return f"note ran {ran} times"
+    effect_count = effects.get(f"note-{outcome.task.number}", 0)
+    if effect_count != 1:
+        return f"note ran {effect_count} times"
     if len(set(outcome.bodies)) != 1:
         return f"two answers differ: {outcome.bodies}"
     return ""
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -28,7 +28,7 @@
 MODEL = "proof-12"
 DOMAINS = ("aarhus-a", "aarhus-b", "vejle-c")
 START_TIMEOUT_S = 60.0
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 KEYS = {"korrekturhuset": "demo-key-korrekturhuset", "vltava": "demo-key-vltava"}
 
 RULES = f"""\
@@ -116,21 +116,21 @@
     async with asyncio.timeout(START_TIMEOUT_S), aiohttp.ClientSession() as http:
         while True:
             try:
-                async with http.get(url) as answer:
-                    if answer.status == 200:
+                async with http.get(url) as resp:
+                    if resp.status == 200:
                         return
             except aiohttp.ClientError:
                 pass
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _write(dep: Deployment, name: str, text: str) -> str:
+def _write_config(dep: Deployment, name: str, text: str) -> str:
     path = dep.folder / f"{name}.ini"
     path.write_text(text)
     return str(path)
 
 
-def _node(name: str, number: int) -> str:
+def _node_section(name: str, number: int) -> str:
     domain = DOMAINS[number % len(DOMAINS)]
     return f"[node]\nname = {name}\ndomain = {domain}\nregion = jutland\n\n"
 
@@ -141,25 +141,25 @@
         name = f"control-{number}"
         http = f"127.0.0.1:{free_ports(1)[0]}"
         data = dep.folder / f"{name}-data"
-        text = _node(name, number) + (
+        text = _node_section(name, number) + (
             f"[control]\ngrpc = {address}\nhttp = {http}\n"
             f"data = {data}\npeers = {peers}\n"
         )
         dep.controls.append(http)
-        await _daemon(dep, "control", name, text)
+        await _start_daemon(dep, "control", name, text)
 
 
 async def _start_entries(dep: Deployment, control: list[str]) -> None:
     for number in range(1, ENTRY_COUNT + 1):
         name = f"entry-{number}"
         listen, http = (f"127.0.0.1:{port}" for port in free_ports(2))
-        text = _node(name, number) + (
+        text = _node_section(name, number) + (
             f"[entry]\nlisten = {listen}\nhttp = {http}\n"
             f"control = {', '.join(control)}\n"
         )
         dep.entries.append(f"http://{listen}")
         dep.health.append(f"http://{http}")
-        await _daemon(dep, "entry", name, text)
+        await _start_daemon(dep, "entry", name, text)
 
 
 async def _start_backends(dep: Deployment, control: list[str]) -> None:
@@ -172,7 +172,7 @@
         if number % 2 == 0:
             args.append("--ignore-fencing")
         module = "wigeonscale.testing.fake_engine"
-        await _start(dep, "engine", f"engine-{number}", module, *args)
+        await _start_process(dep, "engine", f"engine-{number}", module, *args)
         name = f"agent-{number}"
         extra = f"kind = engine\nbackend = http://{listen}\n"
         await _start_agent(dep, name, number, control, extra)
@@ -181,7 +181,7 @@
     args = ["--listen", listen, "--name", "directory"]
     args += ["--trace", str(dep.service_trace)]
     module = "wigeonscale.testing.fake_service"
-    await _start(dep, "service", "directory", module, *args)
+    await _start_process(dep, "service", "directory", module, *args)
     extra = f"kind = service\nservice = directory\nbackend = http://{listen}\n"
     await _start_agent(dep, "agent-directory", 0, control, extra)
 
@@ -190,20 +190,20 @@
     dep: Deployment, name: str, number: int, control: list[str], extra: str
 ) -> None:
     grpc, http = (f"127.0.0.1:{port}" for port in free_ports(2))
-    text = _node(name, number) + (
+    text = _node_section(name, number) + (
         f"[agent]\ngrpc = {grpc}\nhttp = {http}\n"
         f"control = {', '.join(control)}\n{extra}"
     )
-    await _daemon(dep, "agent", name, text)
+    await _start_daemon(dep, "agent", name, text)
 
 
-async def _daemon(dep: Deployment, role: str, name: str, text: str) -> None:
-    path = _write(dep, name, text)
+async def _start_daemon(dep: Deployment, role: str, name: str, text: str) -> None:
+    path = _write_config(dep, name, text)
     module = "wigeonscale.cli.wigeond"
-    await _start(dep, role, name, module, role, "--config", path)
+    await _start_process(dep, role, name, module, role, "--config", path)
 
 
-async def _start(
+async def _start_process(
     dep: Deployment, role: str, name: str, module: str, *args: str
 ) -> None:
     child = await start(name, dep.folder, module, *args)
--- a/demo/load.py
+++ b/demo/load.py
@@ -12,9 +12,9 @@
 
 from demo.deployment import KEYS, MODEL
 
-AT_ONCE = 8
+MAX_CONCURRENT_TASKS = 8
 REQUEST_TIMEOUT_S = 60.0
-TAKE_UP_AFTER = 3  # tokens read before a stream is left
+RESUME_AFTER_TOKENS = 3  # tokens read before a stream is left
 
 
 class Kind(StrEnum):
@@ -22,7 +22,7 @@
 
     STREAM = "stream"
     PLAIN = "plain"
-    TAKE_UP = "take-up"
+    RESUME = "take-up"
     LOOKUP = "lookup"
     NOTE_TWICE = "note-twice"
     REFUSED_KEY = "refused-key"
@@ -72,7 +72,7 @@
     Kind.LOOKUP,
     Kind.NOTE_TWICE,
     Kind.STREAM,
-    Kind.TAKE_UP,
+    Kind.RESUME,
     Kind.REFUSED_RULE,
     Kind.PLAIN,
     Kind.STREAM,
@@ -107,7 +107,7 @@
 
 
 async def run_tasks(tasks: list[Task], entries: list[str]) -> list[Outcome]:
-    """Run tasks, ``AT_ONCE`` at a time, and return their outcomes in order.
+    """Run tasks, ``MAX_CONCURRENT_TASKS`` at a time; return outcomes in task order.
 
     Args:
         tasks: The tasks.
@@ -116,12 +116,12 @@
     Returns:
         One outcome a task.
     """
-    gate = asyncio.Semaphore(AT_ONCE)
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_TASKS)
     timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as http:
 
         async def run(task: Task) -> Outcome:
-            async with gate:
+            async with semaphore:
                 return await Caller(http=http, entries=entries, task=task).run()
 
         return list(await asyncio.gather(*(run(task) for task in tasks)))
@@ -138,10 +138,10 @@
 
     def __init__(self, *, http: aiohttp.ClientSession, entries: list[str], task: Task):
         self._http = http
-        self._here = entries[task.number % len(entries)]
-        self._there = entries[(task.number + 1) % len(entries)]
+        self._entry_url = entries[task.number % len(entries)]
+        self._other_entry_url = entries[(task.number + 1) % len(entries)]
         self._task = task
-        self._out = Outcome(task=task)
+        self._outcome = Outcome(task=task)
         names = sorted(KEYS)
         key = KEYS[names[task.number % len(names)]]
         self._headers = {"Authorization": f"Bearer {key}"}
@@ -155,7 +155,7 @@
         steps = {
             Kind.STREAM: self._stream,
             Kind.PLAIN: self._plain,
-            Kind.TAKE_UP: self._take_up,
+            Kind.RESUME: self._resume,
             Kind.LOOKUP: self._lookup,
             Kind.NOTE_TWICE: self._note_twice,
             Kind.REFUSED_KEY: self._refused_key,
@@ -166,13 +166,13 @@
         try:
             await steps[self._task.kind]()
         except (aiohttp.ClientError, TimeoutError, ValueError, KeyError) as exc:
-            self._out.error = f"{type(exc).__name__}: {exc}"
-        return self._out
+            self._outcome.error = f"{type(exc).__name__}: {exc}"
+        return self._outcome
 
-    def _count(self, answer: aiohttp.ClientResponse) -> None:
-        self._out.requests += 1
-        self._out.statuses.append(answer.status)
-        self._out.runs.append(answer.headers.get("Wigeonscale-Run", ""))
+    def _record_response(self, resp: aiohttp.ClientResponse) -> None:
+        self._outcome.requests += 1
+        self._outcome.statuses.append(resp.status)
+        self._outcome.runs.append(resp.headers.get("Wigeonscale-Run", ""))
 
     def _body(self, *, stream: bool, model: str = MODEL) -> dict:
         return {
@@ -183,28 +183,28 @@
         }
 
     def _post(self, path: str, json_body: dict, **headers: str):
-        url = self._here + path
+        url = self._entry_url + path
         return self._http.post(url, json=json_body, headers=self._headers | headers)
 
     async def _stream(self) -> None:
-        async with self._post("/v1/completions", self._body(stream=True)) as ans:
-            self._count(ans)
-            await self._read_events(ans)
+        async with self._post("/v1/completions", self._body(stream=True)) as resp:
+            self._record_response(resp)
+            await self._read_events(resp)
 
-    async def _read_events(self, answer, most: int | None = None) -> None:
-        async for line in answer.content:
+    async def _read_events(self, resp, token_limit: int | None = None) -> None:
+        async for line in resp.content:
             if not line.startswith(b"data: ") or line.startswith(b"data: [DONE]"):
                 continue
             event = json.loads(line[len(b"data: ") :])
             if "error" in event:
-                self._out.error = str(event["error"])
+                self._outcome.error = str(event["error"])
                 return
             text = event["choices"][0].get("text", "") if event["choices"] else ""
             if text:
-                self._out.tokens.append(text)
+                self._outcome.tokens.append(text)
             if event.get("usage"):
-                self._out.declared = event["usage"]["completion_tokens"]
-            if most is not None and len(self._out.tokens) >= most:
+                self._outcome.declared = event["usage"]["completion_tokens"]
+            if token_limit is not None and len(self._outcome.tokens) >= token_limit:
                 return
 
     async def _plain(self) -> None:
@@ -214,28 +214,28 @@
             "messages": messages,
             "max_tokens": self._task.max_tokens,
         }
-        async with self._post("/v1/chat/completions", body) as ans:
-            self._count(ans)
-            answer = await ans.json()
-        self._out.tokens.append(answer["choices"][0]["message"]["content"])
-        self._out.declared = answer["usage"]["completion_tokens"]
-
-    async def _take_up(self) -> None:
-        async with self._post("/v1/completions", self._body(stream=True)) as ans:
-            self._count(ans)
-            request_id = ans.headers["Wigeonscale-Request"]
-            await self._read_events(ans, most=TAKE_UP_AFTER)
-        taken = len(self._out.tokens)
-        url = f"{self._there}/v1/requests/{request_id}?from={taken}"
-        async with self._http.get(url, headers=self._headers) as ans:
-            self._count(ans)
-            await self._read_events(ans)
+        async with self._post("/v1/chat/completions", body) as resp:
+            self._record_response(resp)
+            completion = await resp.json()
+        self._outcome.tokens.append(completion["choices"][0]["message"]["content"])
+        self._outcome.declared = completion["usage"]["completion_tokens"]
+
+    async def _resume(self) -> None:
+        async with self._post("/v1/completions", self._body(stream=True)) as resp:
+            self._record_response(resp)
+            request_id = resp.headers["Wigeonscale-Request"]
+            await self._read_events(resp, token_limit=RESUME_AFTER_TOKENS)
+        received = len(self._outcome.tokens)
+        url = f"{self._other_entry_url}/v1/requests/{request_id}?from={received}"
+        async with self._http.get(url, headers=self._headers) as resp:
+            self._record_response(resp)
+            await self._read_events(resp)
 
     async def _lookup(self) -> None:
-        url = f"{self._here}/directory/entries/{self._task.number}"
-        async with self._http.get(url, headers=self._headers) as ans:
-            self._count(ans)
-            self._out.bodies.append(await ans.read())
+        url = f"{self._entry_url}/directory/entries/{self._task.number}"
+        async with self._http.get(url, headers=self._headers) as resp:
+            self._record_response(resp)
+            self._outcome.bodies.append(await resp.read())
 
     async def _note_twice(self) -> None:
         headers = self._headers | {"Idempotency-Key": f"note-{self._task.number}"}
@@ -243,33 +243,31 @@
 
         async def send(entry: str) -> None:
             url = f"{entry}/directory/notes"
-            async with self._http.post(url, json=body, headers=headers) as ans:
-                self._count(ans)
-                self._out.bodies.append(await ans.read())
+            async with self._http.post(url, json=body, headers=headers) as resp:
+                self._record_response(resp)
+                self._outcome.bodies.append(await resp.read())
 
-        await asyncio.gather(send(self._here), send(self._there))
+        await asyncio.gather(send(self._entry_url), send(self._other_entry_url))
 
-    async def _expect_refusal(self, path: str, body: dict, **headers: str) -> None:
-        async with self._post(path, body, **headers) as ans:
-            self._count(ans)
-            self._out.bodies.append(await ans.read())
+    async def _post_refused(self, path: str, body: dict, **headers: str) -> None:
+        async with self._post(path, body, **headers) as resp:
+            self._record_response(resp)
+            self._outcome.bodies.append(await resp.read())
 
     async def _refused_key(self) -> None:
         headers = {"Authorization": "Bearer nobody"}
-        await self._expect_refusal(
-            "/v1/completions", self._body(stream=False), **headers
-        )
+        await self._post_refused("/v1/completions", self._body(stream=False), **headers)
 
     async def _refused_model(self) -> None:
         body = self._body(stream=False, model="absent")
-        await self._expect_refusal("/v1/completions", body)
+        await self._post_refused("/v1/completions", body)
 
     async def _refused_rule(self) -> None:
-        await self._expect_refusal("/directory/closed", {"number": self._task.number})
+        await self._post_refused("/directory/closed", {"number": self._task.number})
 
     async def _malformed(self) -> None:
-        url = f"{self._here}/v1/completions"
+        url = f"{self._entry_url}/v1/completions"
         headers = self._headers | {"Content-Type": "application/json"}
-        async with self._http.post(url, data=b'{"model": ', headers=headers) as ans:
-            self._count(ans)
-            self._out.bodies.append(await ans.read())
+        async with self._http.post(url, data=b'{"model": ', headers=headers) as resp:
+            self._record_response(resp)
+            self._outcome.bodies.append(await resp.read())
--- a/demo/processes.py
+++ b/demo/processes.py
@@ -13,11 +13,11 @@
 
 STOP_TIMEOUT_S = 40.0
 
-PORTS = range(15000, 30000)
+PORT_RANGE = range(15000, 30000)
 # Two runs at once shall not try the same ports in the same order.
 _rng = random.Random(os.getpid())
 # Ports already handed out; their users may not listen on them yet.
-_given: set[int] = set()
+_allocated_ports: set[int] = set()
 
 
 @dataclass(slots=True)
@@ -28,14 +28,14 @@
         name: Name used in messages and as the stem of its log file.
         proc: The process.
         log: File that holds its standard output and error.
-        stand_in: Whether it stands in for an outside system; those end by the
+        is_fake: Whether it stands in for an outside system; those end by the
             signal itself.
     """
 
     name: str
     proc: asyncio.subprocess.Process
     log: pathlib.Path
-    stand_in: bool
+    is_fake: bool
 
 
 def free_ports(count: int) -> list[int]:
@@ -52,9 +52,9 @@
     """
     ports: list[int] = []
     while len(ports) < count:
-        port = _rng.choice(PORTS)
-        if port not in _given and _is_free(port):
-            _given.add(port)
+        port = _rng.choice(PORT_RANGE)
+        if port not in _allocated_ports and _is_free(port):
+            _allocated_ports.add(port)
             ports.append(port)
     return ports
 
@@ -92,8 +92,8 @@
             stdin=asyncio.subprocess.DEVNULL,
             env=os.environ | {"PYTHONUNBUFFERED": "1"},
         )
-    stand_in = module.startswith("wigeonscale.testing.")
-    return Child(name=name, proc=proc, log=log, stand_in=stand_in)
+    is_fake = module.startswith("wigeonscale.testing.")
+    return Child(name=name, proc=proc, log=log, is_fake=is_fake)
 
 
 async def stop_all(children: list[Child]) -> list[str]:
@@ -106,11 +106,11 @@
         Names of those that had ended before, ended with another code than 0 or
         had to be killed.
     """
-    bad = []
+    unclean = []
     for child in children:
         if not await _stop(child):
-            bad.append(f"{child.name} (exit code {child.proc.returncode})")
-    return bad
+            unclean.append(f"{child.name} (exit code {child.proc.returncode})")
+    return unclean
 
 
 async def _stop(child: Child) -> bool:
@@ -124,4 +124,4 @@
         child.proc.kill()
         await child.proc.wait()
         return False
-    return code in (0, -signal.SIGTERM) if child.stand_in else code == 0
+    return code in (0, -signal.SIGTERM) if child.is_fake else code == 0
--- a/demo/tests/test_checks.py
+++ b/demo/tests/test_checks.py
@@ -1,4 +1,4 @@
-from demo.checks import judge
+from demo.checks import check_outcomes
 from demo.deployment import LAYERS, Deployment
 from demo.load import Kind, Outcome, Task
 from wigeonscale.testing import AsyncTestCase
@@ -13,11 +13,11 @@
     return Outcome(task=task, tokens=tokens, **(seen | fields))
 
 
-class JudgeTest(AsyncTestCase):
+class CheckOutcomesTest(AsyncTestCase):
     """Each check catches a planted fault."""
 
     def problems(self, *outcomes):
-        return judge(list(outcomes), Deployment(folder=None)).problems
+        return check_outcomes(list(outcomes), Deployment(folder=None)).problems
 
     def setUp(self):
         super().setUp()
--- a/demo/tests/test_processes.py
+++ b/demo/tests/test_processes.py
@@ -21,11 +21,11 @@
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))
             taken = sock.getsockname()[1]
-            offers = itertools.chain([taken], processes.PORTS)
+            offers = itertools.chain([taken], processes.PORT_RANGE)
             with mock.patch.object(processes, "_rng") as rng:
                 rng.choice.side_effect = offers
                 self.assertNotEqual([taken], processes.free_ports(1))
         self.assertNotEqual(taken, next(offers))
 
     def test_ports_lie_below_those_of_outgoing_connections(self):
-        self.assertLess(max(processes.PORTS), LOWEST_EPHEMERAL_PORT)
+        self.assertLess(max(processes.PORT_RANGE), LOWEST_EPHEMERAL_PORT)
--- a/wigeonscale/lab/__init__.py
+++ b/wigeonscale/lab/__init__.py
@@ -7,16 +7,16 @@
 
 __all__ = [
     "Burst",
-    "Figures",
+    "SimulationResult",
     "Loss",
     "Scenario",
     "Window",
     "compare",
     "load_scenario",
-    "play",
+    "simulate",
 ]
 
 from wigeonscale.lab.compare import compare
-from wigeonscale.lab.figures import Figures, Window
-from wigeonscale.lab.play import play
+from wigeonscale.lab.results import SimulationResult, Window
 from wigeonscale.lab.scenario import Burst, Loss, Scenario, load_scenario
+from wigeonscale.lab.simulation import simulate
--- a/wigeonscale/lab/compare.py
+++ b/wigeonscale/lab/compare.py
@@ -1,6 +1,6 @@
 """Plays a scenario with a constant of the product at several values."""
 
-__all__ = ["Comparison", "compare", "constant"]
+__all__ = ["Comparison", "compare", "override_constant"]
 
 import importlib
 import math
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 
 from wigeonscale.errors import SettingsError
-from wigeonscale.lab.figures import Figures
-from wigeonscale.lab.play import play
+from wigeonscale.lab.results import SimulationResult
 from wigeonscale.lab.scenario import Scenario
+from wigeonscale.lab.simulation import simulate
 
 # Half the width of a normal confidence interval of 95 in 100.
-CONFIDENCE = 1.96
+NORMAL_95_QUANTILE = 1.96
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -31,13 +31,13 @@
     """
 
     value: float
-    figures: tuple[Figures, ...]
+    results: tuple[SimulationResult, ...]
     gain: float
     spread: float
 
 
 @contextmanager
-def constant(name: str, value: float) -> Iterator[None]:
+def override_constant(name: str, value: float) -> Iterator[None]:
     """Give a constant of the product another value for a while.
 
     Args:
@@ -73,24 +73,24 @@
         values: Its values; the first is the one to compare with.
         seeds: Seeds, each played with each value.
     """
-    base: tuple[Figures, ...] = ()
+    baseline: tuple[SimulationResult, ...] = ()
     for value in values:
-        with constant(name, value):
-            figures = tuple(play(scenario, seed=seed) for seed in seeds)
-        base = base or figures
+        with override_constant(name, value):
+            results = tuple(simulate(scenario, seed=seed) for seed in seeds)
+        baseline = baseline or results
         gains = [
             each.in_time_share() - other.in_time_share()
-            for each, other in zip(figures, base, strict=True)
+            for each, other in zip(results, baseline, strict=True)
         ]
         yield Comparison(
             value=value,
-            figures=figures,
+            results=results,
             gain=statistics.fmean(gains),
-            spread=_half_width(gains),
+            spread=_confidence_half_width(gains),
         )
 
 
-def _half_width(gains: Sequence[float]) -> float:
+def _confidence_half_width(gains: Sequence[float]) -> float:
     if len(gains) < 2:
         return math.inf
-    return CONFIDENCE * statistics.stdev(gains) / math.sqrt(len(gains))
+    return NORMAL_95_QUANTILE * statistics.stdev(gains) / math.sqrt(len(gains))
--- a/wigeonscale/lab/engines.py
+++ b/wigeonscale/lab/engines.py
@@ -6,7 +6,7 @@
 What it leaves out: passes and chunks, links, and the lag of an engine's own report.
 """
 
-__all__ = ["EngineModel", "ModelRun", "advance", "start", "stop"]
+__all__ = ["SimulatedEngine", "SimulatedRun", "advance", "start", "stop"]
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -18,11 +18,11 @@
 
 # A run whose next token takes this long has a pause that its caller finds too long:
 # events hold some four tokens and are wanted every 300 ms.
-SLOW_TOKEN_MS = 75.0
+MAX_TOKEN_INTERVAL_MS = 75.0
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class ModelRun:
+class SimulatedRun:
     """One generation on its way.
 
     Attributes:
@@ -30,29 +30,29 @@
         answer: Tokens of its answer.
         parts: Its path; empty while it has none.
         written: Tokens of the answer so far.
-        reading_ms: Time of reading that is left before the next token.
+        prefill_now_ms: Time of reading that is left before the next token.
         is_late: Whether a pause was too long.
-        is_waiting: Whether it was put back and waits for memory.
+        is_preempted: Whether it was put back and waits for memory.
         first_token_at: Instant of its first token; None before it.
     """
 
-    prompt: int
-    answer: int
+    prompt_tokens: int
+    answer_tokens: int
     parts: tuple[Part, ...] = ()
-    written: float = 0.0
-    reading_ms: float = 0.0
+    generated_tokens: float = 0.0
+    prefill_left_ms: float = 0.0
     is_late: bool = False
-    is_waiting: bool = False
+    is_preempted: bool = False
     first_token_at: float | None = None
 
     @property
     def tokens(self) -> float:
         """Tokens that it holds in memory."""
-        return self.prompt + self.written
+        return self.prompt_tokens + self.generated_tokens
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class EngineModel:
+class SimulatedEngine:
     """One engine.
 
     Args:
@@ -67,54 +67,56 @@
 
     server: BackendServer
     profile: EngineProfile
-    runs: dict[ModelRun, int] = field(default_factory=dict)
+    runs: dict[SimulatedRun, int] = field(default_factory=dict)
     is_lost: bool = False
-    room: float = field(init=False)
+    capacity: float = field(init=False)
 
     def __post_init__(self):
-        kind = self.profile.accelerators[self.server.accelerator]
-        self.room = kv_cache_capacity(self.profile, self.server, kind.size_mb)
+        accelerator = self.profile.accelerators[self.server.accelerator]
+        self.capacity = kv_cache_capacity(
+            self.profile, self.server, accelerator.size_mb
+        )
 
     @property
     def used(self) -> float:
         """Memory taken, in tokens times layers."""
         return sum(run.tokens * layers for run, layers in self.runs.items())
 
-    def takes(self, run: ModelRun, layers: int) -> bool:
+    def can_accept(self, run: SimulatedRun, layers: int) -> bool:
         """Return whether it takes a run in now."""
-        return not self.is_lost and self.used + run.tokens * layers <= self.room
+        return not self.is_lost and self.used + run.tokens * layers <= self.capacity
 
     def token_ms(self, layers: int) -> float:
         """Return the time of one token in so many layers."""
-        kind = self.profile.accelerators[self.server.accelerator]
+        accelerator = self.profile.accelerators[self.server.accelerator]
         context = sum(run.tokens for run in self.runs) / 1000.0
         step_ms = (
             self.profile.step_ms
             + self.profile.sequence_ms * len(self.runs)
             + self.profile.context_ms * context
         )
-        return kind.pace * step_ms * layers / self.profile.layers + NEAR_HOP_MS
+        return accelerator.pace * step_ms * layers / self.profile.layers + NEAR_HOP_MS
 
-    def read_ms(self, tokens: float, layers: int) -> float:
+    def prefill_ms(self, tokens: float, layers: int) -> float:
         """Return the time to read a prompt in so many layers."""
-        kind = self.profile.accelerators[self.server.accelerator]
+        accelerator = self.profile.accelerators[self.server.accelerator]
         alone_ms = 1000.0 * tokens / self.profile.read_tokens_per_s
-        readers = sum(run.reading_ms > 0 for run in self.runs)
+        prefilling = sum(run.prefill_left_ms > 0 for run in self.runs)
         share = layers / self.profile.layers
-        return kind.read_factor * alone_ms * share * (1 + readers)
+        return accelerator.read_factor * alone_ms * share * (1 + prefilling)
 
-    def put_back(self) -> list[ModelRun]:
+    def preempt_newest(self) -> list[SimulatedRun]:
         """Take memory from the newest runs until the others fit; return those."""
-        evicted = []
-        while self.used > self.room:
+        preempted = []
+        while self.used > self.capacity:
             run = next(reversed(self.runs))
             del self.runs[run]
-            evicted.append(run)
-        return evicted
+            preempted.append(run)
+        return preempted
 
 
 def start(
-    run: ModelRun, parts: Sequence[Part], engines: Mapping[str, EngineModel]
+    run: SimulatedRun, parts: Sequence[Part], engines: Mapping[str, SimulatedEngine]
 ) -> str | None:
     """Begin a run along a path.
 
@@ -128,13 +130,13 @@
     """
     run.parts = tuple(parts)
     for part in run.parts:
-        if not engines[part.backend_id].takes(run, part.layers.count):
+        if not engines[part.backend_id].can_accept(run, part.layers.count):
             return part.backend_id
-    head = engines[run.parts[0].backend_id]
-    if len(head.runs) >= head.profile.slots:
-        return head.server.backend_id
-    run.reading_ms = sum(
-        engines[part.backend_id].read_ms(run.tokens, part.layers.count)
+    first_engine = engines[run.parts[0].backend_id]
+    if len(first_engine.runs) >= first_engine.profile.slots:
+        return first_engine.server.backend_id
+    run.prefill_left_ms = sum(
+        engines[part.backend_id].prefill_ms(run.tokens, part.layers.count)
         for part in run.parts
     )
     for part in run.parts:
@@ -142,19 +144,19 @@
     return None
 
 
-def stop(run: ModelRun, engines: Mapping[str, EngineModel]) -> None:
+def stop(run: SimulatedRun, engines: Mapping[str, SimulatedEngine]) -> None:
     """Free the memory of a run."""
     for part in run.parts:
         engines[part.backend_id].runs.pop(run, None)
 
 
 def advance(
-    runs: Iterable[ModelRun],
-    engines: Mapping[str, EngineModel],
+    runs: Iterable[SimulatedRun],
+    engines: Mapping[str, SimulatedEngine],
     *,
     now: float,
     step_s: float,
-) -> tuple[list[ModelRun], int]:
+) -> tuple[list[SimulatedRun], int]:
     """Let time pass.
 
     Args:
@@ -172,7 +174,7 @@
     done = []
     token_ms: dict[tuple[str, int], float] = {}
 
-    def token_of(part: Part) -> float:
+    def part_token_ms(part: Part) -> float:
         key = part.backend_id, part.layers.count
         if key not in token_ms:
             token_ms[key] = engines[part.backend_id].token_ms(part.layers.count)
@@ -180,39 +182,39 @@
 
     for run in runs:
         left_ms = step_s * 1000.0
-        if run.is_waiting and not _come_back(run, engines):
+        if run.is_preempted and not _resume(run, engines):
             continue
-        reading_ms = min(run.reading_ms, left_ms)
-        run.reading_ms -= reading_ms
-        left_ms -= reading_ms
+        prefill_now_ms = min(run.prefill_left_ms, left_ms)
+        run.prefill_left_ms -= prefill_now_ms
+        left_ms -= prefill_now_ms
         if left_ms <= 0:
             continue
-        one_ms = sum(token_of(part) for part in run.parts)
-        run.is_late = run.is_late or one_ms > SLOW_TOKEN_MS
-        run.written += left_ms / one_ms
-        if run.first_token_at is None and run.written >= 1:
+        path_token_ms = sum(part_token_ms(part) for part in run.parts)
+        run.is_late = run.is_late or path_token_ms > MAX_TOKEN_INTERVAL_MS
+        run.generated_tokens += left_ms / path_token_ms
+        if run.first_token_at is None and run.generated_tokens >= 1:
             run.first_token_at = now
-        if run.written >= run.answer:
+        if run.generated_tokens >= run.answer_tokens:
             done.append(run)
     for run in done:
         stop(run, engines)
-    return done, _make_room(engines)
+    return done, _preempt_where_full(engines)
 
 
-def _make_room(engines: Mapping[str, EngineModel]) -> int:
+def _preempt_where_full(engines: Mapping[str, SimulatedEngine]) -> int:
     """Put back the newest runs where memory ran out; return how many."""
     count = 0
     for engine in engines.values():
-        for run in engine.put_back():
+        for run in engine.preempt_newest():
             stop(run, engines)
-            run.is_waiting = True
+            run.is_preempted = True
             run.is_late = True
             count += 1
     return count
 
 
-def _come_back(run: ModelRun, engines: Mapping[str, EngineModel]) -> bool:
+def _resume(run: SimulatedRun, engines: Mapping[str, SimulatedEngine]) -> bool:
     if start(run, run.parts, engines) is not None:
         return False
-    run.is_waiting = False
+    run.is_preempted = False
     return True
--- a/wigeonscale/lab/fleet.py
+++ b/wigeonscale/lab/fleet.py
@@ -1,15 +1,15 @@
 """The engines of a scenario, with the layers that the product plans for them."""
 
-__all__ = ["planned_engines"]
+__all__ = ["plan_engines"]
 
 from wigeonscale.control.layer_assigner import model_size
 from wigeonscale.direct.fleet import BackendServer
-from wigeonscale.lab.engines import EngineModel
+from wigeonscale.lab.engines import SimulatedEngine
 from wigeonscale.lab.scenario import Scenario
 from wigeonscale.layers import Holder, LayerRange, plan_layers
 
 
-def planned_engines(scenario: Scenario) -> dict[str, EngineModel]:
+def plan_engines(scenario: Scenario) -> dict[str, SimulatedEngine]:
     """Return the engines by name, planned from nothing.
 
     Args:
@@ -18,7 +18,7 @@
     holders = _holders(scenario)
     wanted = plan_layers([holder for _, holder in holders], model_size(scenario.model))
     return {
-        holder.backend_id: EngineModel(
+        holder.backend_id: SimulatedEngine(
             server=BackendServer(
                 backend_id=holder.backend_id,
                 service="model",
--- a/wigeonscale/lab/figures.py
+++ b/wigeonscale/lab/results.py
@@ -1,6 +1,6 @@
 """What a play shows."""
 
-__all__ = ["WINDOW_S", "Figures", "Window"]
+__all__ = ["WINDOW_S", "SimulationResult", "Window"]
 
 from collections import defaultdict
 from dataclasses import asdict, dataclass, field
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class SimulationResult:
     """What a play shows.
 
     Attributes:
--- a/wigeonscale/lab/scenario.py
+++ b/wigeonscale/lab/scenario.py
@@ -18,12 +18,12 @@
 Count = Annotated[int, Field(ge=0, le=10_000)]
 
 
-checked = dataclass(
+validated_dataclass = dataclass(
     frozen=True, slots=True, kw_only=True, config=ConfigDict(extra="forbid")
 )
 
 
-@checked
+@validated_dataclass
 class Burst:
     """More requests for a while.
 
@@ -38,7 +38,7 @@
     factor: Rate
 
 
-@checked
+@validated_dataclass
 class Loss:
     """Engines of one domain that hold neighbouring layers go at once.
 
@@ -57,7 +57,7 @@
     from_share: Annotated[float, Field(ge=0, le=1)] = 0.3
 
 
-@checked
+@validated_dataclass
 class Scenario:
     """Fleet, load and faults of a play.
 
@@ -102,7 +102,7 @@
     except (OSError, UnicodeDecodeError, configparser.Error) as exc:
         raise SettingsError(f"{path}: cannot be read: {exc}") from exc
     try:
-        scenario = TypeAdapter(Scenario).validate_python(_fields(parser))
+        scenario = TypeAdapter(Scenario).validate_python(_raw_fields(parser))
     except SettingsError as exc:
         raise SettingsError(f"{path}: {exc.message}") from exc
     except ValidationError as exc:
@@ -112,13 +112,13 @@
             for each in exc.errors()
         ]
         raise SettingsError("\n".join(problems)) from exc
-    problems = [f"{path}: {problem}" for problem in _contradictions(scenario)]
+    problems = [f"{path}: {problem}" for problem in _inconsistencies(scenario)]
     if problems:
         raise SettingsError("\n".join(problems))
     return scenario
 
 
-def _fields(parser: configparser.ConfigParser) -> dict:
+def _raw_fields(parser: configparser.ConfigParser) -> dict:
     """Return the fields of a scenario as the sections name them, unchecked."""
     fields: dict = {"engines": {}, "bursts": [], "losses": []}
     model: dict = {}
@@ -147,7 +147,7 @@
     return fields | {"model": model | {"accelerators": kinds}}
 
 
-def _contradictions(scenario: Scenario) -> Iterator[str]:
+def _inconsistencies(scenario: Scenario) -> Iterator[str]:
     kinds = scenario.model.accelerators
     for domain, counts in scenario.engines.items():
         for kind in counts.keys() - kinds.keys():
--- a/wigeonscale/lab/play.py
+++ b/wigeonscale/lab/simulation.py
@@ -6,7 +6,7 @@
 the same figures.
 """
 
-__all__ = ["play"]
+__all__ = ["simulate"]
 
 import itertools
 import random
@@ -22,24 +22,24 @@
 from wigeonscale.direct.choice import choose_path, path_costs
 from wigeonscale.direct.runs import Run
 from wigeonscale.direct.stream import MAX_SENDS
-from wigeonscale.lab.callers import draw_count, draw_sizes
-from wigeonscale.lab.engines import EngineModel, ModelRun, advance, start, stop
-from wigeonscale.lab.figures import WINDOW_S, Figures, Window
-from wigeonscale.lab.fleet import planned_engines
+from wigeonscale.lab.engines import SimulatedEngine, SimulatedRun, advance, start, stop
+from wigeonscale.lab.fleet import plan_engines
+from wigeonscale.lab.load_exchange import LoadExchange
+from wigeonscale.lab.results import WINDOW_S, SimulationResult, Window
 from wigeonscale.lab.scenario import Scenario
-from wigeonscale.lab.words import Words
+from wigeonscale.lab.workload import draw_poisson, draw_request_sizes
 from wigeonscale.layers import Part
 from wigeonscale.ports.exchange import GenerationSize
 
 STEP_S = 0.02
 # Time after which an answer's first token is late, as on the users' sheets.
-AIM_S = 0.6
+FIRST_TOKEN_TARGET_S = 0.6
 # From the loss of an engine until its streams are sent elsewhere and no more is sent
 # to it: a quiet path is asked about, a probe is in vain, and the news goes out.
-NOTICE_S = 0.5
+FAILURE_DETECTION_S = 0.5
 
 
-def play(scenario: Scenario, *, seed: int) -> Figures:
+def simulate(scenario: Scenario, *, seed: int) -> SimulationResult:
     """Return the figures of one play.
 
     Args:
@@ -50,20 +50,20 @@
         Costs the runs in progress times their parts each 20 simulated ms, and a choice
         of path each request: 14 s for 11 s of 68 entries and 130 engines.
     """
-    return _Play(scenario, seed).run()
+    return _Simulation(scenario, seed).run()
 
 
-class _LabClock:
+class _SimulatedClock:
     """Simulated time, moved by the play."""
 
     def __init__(self):
-        self.at = 0.0
+        self.time_s = 0.0
 
     def now(self) -> float:
-        return self.at
+        return self.time_s
 
     def wall(self) -> float:
-        return self.at
+        return self.time_s
 
 
 @dataclass(slots=True, eq=False)
@@ -73,7 +73,7 @@
     tracker: BackendTracker
     domain: str
     running: int = 0
-    waiting: int = 0
+    queued: int = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -84,30 +84,30 @@
         entry: Where it came in.
         run: What the engines have of it.
         told: Sizes as the router was told.
-        asked_at: Instant at which it came.
+        arrived_at: Instant at which it came.
         window: Where it is counted.
         sends: Sends so far.
         refused_by: Engines that refused it.
-        waits_until: End of its wait for room; None where it does not wait.
+        queue_deadline: End of its wait for room; None where it does not wait.
         held: Its send in progress as the entry counts it.
     """
 
     entry: _Entry
-    run: ModelRun
-    told: GenerationSize
-    asked_at: float
+    run: SimulatedRun
+    declared_size: GenerationSize
+    arrived_at: float
     window: Window
     sends: int = 0
     refused_by: set[str] = field(default_factory=set)
-    waits_until: float | None = None
-    held: Run | None = None
+    queue_deadline: float | None = None
+    tracked_run: Run | None = None
 
     @property
-    def is_begun(self) -> bool:
+    def has_first_token(self) -> bool:
         return self.run.first_token_at is not None
 
 
-class _Play:
+class _Simulation:
     """State of one play.
 
     Args:
@@ -118,92 +118,99 @@
     def __init__(self, scenario: Scenario, seed: int):
         self._scenario = scenario
         self._rng = random.Random(seed)
-        self._clock = _LabClock()
-        self._figures = Figures()
-        self._engines = planned_engines(scenario)
+        self._clock = _SimulatedClock()
+        self._result = SimulationResult()
+        self._engines = plan_engines(scenario)
         self._entries = [
             _Entry(BackendTracker(clock=self._clock), domain)
             for domain, count in scenario.entries.items()
             for _ in range(count)
         ]
-        self._words = Words(
+        self._load_exchange = LoadExchange(
             [entry.tracker for entry in self._entries],
             interval_s=scenario.word_s,
             rng=self._rng,
         )
-        self._running: dict[ModelRun, _Request] = {}
+        self._running: dict[SimulatedRun, _Request] = {}
         # Instant, order and request of those that wait for room.
-        self._waiting: list[tuple[float, int, _Request]] = []
-        self._order = itertools.count()
+        self._queued: list[tuple[float, int, _Request]] = []
+        self._sequence = itertools.count()
         self._losses = sorted(scenario.losses, key=lambda loss: loss.at_s)
-        self._notices: list[float] = []
-        self._returns: list[tuple[float, EngineModel]] = []
+        self._detection_times: list[float] = []
+        self._recoveries: list[tuple[float, SimulatedEngine]] = []
         self._unknown_losses = True
-        self._known = [engine.server for engine in self._engines.values()]
+        self._known_servers = [engine.server for engine in self._engines.values()]
 
-    def run(self) -> Figures:
+    def run(self) -> SimulationResult:
         """Play to the last answer."""
-        while self._is_on():
-            self._clock.at += STEP_S
-            self._lose_engines()
-            self._words.pass_on(self._clock.at)
-            if self._clock.at < self._scenario.seconds:
-                self._let_come()
-            self._look_for_room()
+        while self._is_active():
+            self._clock.time_s += STEP_S
+            self._apply_losses()
+            self._load_exchange.exchange_due(self._clock.time_s)
+            if self._clock.time_s < self._scenario.seconds:
+                self._generate_arrivals()
+            self._retry_queued()
             self._advance()
-        return self._figures
+        return self._result
 
-    def _is_on(self) -> bool:
-        is_early = self._clock.at < self._scenario.seconds
-        return bool(is_early or self._running or self._waiting)
+    def _is_active(self) -> bool:
+        is_early = self._clock.time_s < self._scenario.seconds
+        return bool(is_early or self._running or self._queued)
 
     def _advance(self) -> None:
         done, put_back = advance(
-            list(self._running), self._engines, now=self._clock.at, step_s=STEP_S
+            list(self._running), self._engines, now=self._clock.time_s, step_s=STEP_S
         )
-        self._figures.put_back += put_back
+        self._result.put_back += put_back
         for run in done:
-            self._count_answer(self._running.pop(run))
+            self._record_answer(self._running.pop(run))
 
-    def _count_answer(self, req: _Request) -> None:
-        req.entry.tracker.end(req.held)
+    def _record_answer(self, req: _Request) -> None:
+        req.entry.tracker.end(req.tracked_run)
         req.entry.running -= 1
-        first_s = req.run.first_token_at - req.asked_at
-        if req.run.is_late or first_s > AIM_S:
+        first_s = req.run.first_token_at - req.arrived_at
+        if req.run.is_late or first_s > FIRST_TOKEN_TARGET_S:
             req.window.late += 1
         else:
             req.window.in_time += 1
 
-    def _let_come(self) -> None:
+    def _generate_arrivals(self) -> None:
         for domain, per_s in self._scenario.per_s.items():
             entries = [each for each in self._entries if each.domain == domain]
-            for _ in range(draw_count(self._rng, per_s * self._factor() * STEP_S)):
-                self._ask(self._rng.choice(entries))
+            for _ in range(
+                draw_poisson(self._rng, per_s * self._burst_factor() * STEP_S)
+            ):
+                self._submit(self._rng.choice(entries))
 
-    def _factor(self) -> float:
+    def _burst_factor(self) -> float:
         factor = 1.0
         for burst in self._scenario.bursts:
-            if burst.at_s <= self._clock.at < burst.at_s + burst.for_s:
+            if burst.at_s <= self._clock.time_s < burst.at_s + burst.for_s:
                 factor *= burst.factor
         return factor
 
-    def _ask(self, entry: _Entry) -> None:
-        sizes = draw_sizes(self._rng, self._scenario.model)
-        window = self._figures.windows[int(self._clock.at // WINDOW_S)]
+    def _submit(self, entry: _Entry) -> None:
+        sizes = draw_request_sizes(self._rng, self._scenario.model)
+        window = self._result.windows[int(self._clock.time_s // WINDOW_S)]
         window.asked += 1
-        run = ModelRun(prompt=sizes.told.prompt_tokens, answer=sizes.answer)
-        self._send(_Request(entry, run, sizes.told, self._clock.at, window))
+        run = SimulatedRun(
+            prompt_tokens=sizes.declared_size.prompt_tokens,
+            answer_tokens=sizes.answer_tokens,
+        )
+        self._send(
+            _Request(entry, run, sizes.declared_size, self._clock.time_s, window)
+        )
 
     def _choose(self, req: _Request) -> tuple[Sequence[Part] | None, bool]:
         """Return the path of the next send, and whether an engine of it is full."""
         costs = path_costs(
             self._scenario.model,
-            req.told,
+            req.declared_size,
             tracker=req.entry.tracker,
             entries=len(self._entries),
         )
         path = choose_path(
-            self._known,
+            self._known_servers,
             self._scenario.model,
             costs,
             domain=req.entry.domain,
@@ -224,95 +231,95 @@
             if path is None or req.sends >= MAX_SENDS:
                 self._give_up(req)
                 return
-            if is_full and not req.is_begun:
-                self._wait(req)
+            if is_full and not req.has_first_token:
+                self._enqueue(req)
                 return
             req.sends += 1
-            self._figures.sends += 1
-            refuser = start(req.run, path, self._engines)
-            if refuser is None:
-                self._hold(req, path)
+            self._result.sends += 1
+            refusing_backend = start(req.run, path, self._engines)
+            if refusing_backend is None:
+                self._record_running(req, path)
                 return
-            self._figures.turned_away += not self._engines[refuser].is_lost
-            req.entry.tracker.note_refused(refuser)
-            req.refused_by.add(refuser)
+            self._result.turned_away += not self._engines[refusing_backend].is_lost
+            req.entry.tracker.note_refused(refusing_backend)
+            req.refused_by.add(refusing_backend)
 
-    def _hold(self, req: _Request, path: Sequence[Part]) -> None:
-        tokens = req.told.prompt_tokens + req.told.expected_tokens
-        req.held = Run(
+    def _record_running(self, req: _Request, path: Sequence[Part]) -> None:
+        tokens = req.declared_size.prompt_tokens + req.declared_size.expected_tokens
+        req.tracked_run = Run(
             tuple(part.backend_id for part in path),
             {part.backend_id: float(tokens * part.layers.count) for part in path},
         )
-        req.entry.tracker.begin(req.held)
+        req.entry.tracker.begin(req.tracked_run)
         req.entry.running += 1
         self._running[req.run] = req
 
-    def _wait(self, req: _Request) -> None:
+    def _enqueue(self, req: _Request) -> None:
         entry = req.entry
-        now = self._clock.at
-        if req.waits_until is None:
+        now = self._clock.time_s
+        if req.queue_deadline is None:
             # As the product's queue where those before got room.
-            if entry.waiting >= 1 + int(
+            if entry.queued >= 1 + int(
                 entry.running * MAX_QUEUE_WAIT_S / INITIAL_RESPONSE_TIME_S
             ):
                 self._give_up(req)
                 return
-            entry.waiting += 1
-            req.waits_until = now + MAX_QUEUE_WAIT_S
-        if now >= req.waits_until:
+            entry.queued += 1
+            req.queue_deadline = now + MAX_QUEUE_WAIT_S
+        if now >= req.queue_deadline:
             self._give_up(req)
             return
-        self._waiting.append((now + QUEUE_POLL_INTERVAL_S, next(self._order), req))
+        self._queued.append((now + QUEUE_POLL_INTERVAL_S, next(self._sequence), req))
 
-    def _look_for_room(self) -> None:
-        due = [each for each in self._waiting if each[0] <= self._clock.at]
-        self._waiting = [each for each in self._waiting if each[0] > self._clock.at]
+    def _retry_queued(self) -> None:
+        due = [each for each in self._queued if each[0] <= self._clock.time_s]
+        self._queued = [each for each in self._queued if each[0] > self._clock.time_s]
         for _, _, req in due:
             path, is_full = self._choose(req)
             if path is None or is_full:
-                self._wait(req)
+                self._enqueue(req)
                 continue
-            req.entry.waiting -= 1
-            req.waits_until = None
+            req.entry.queued -= 1
+            req.queue_deadline = None
             self._send(req)
 
     def _give_up(self, req: _Request) -> None:
-        if req.waits_until is not None:
-            req.entry.waiting -= 1
-        if req.is_begun:
+        if req.queue_deadline is not None:
+            req.entry.queued -= 1
+        if req.has_first_token:
             req.window.cut += 1
         else:
             req.window.refused += 1
 
-    def _lose_engines(self) -> None:
-        now = self._clock.at
+    def _apply_losses(self) -> None:
+        now = self._clock.time_s
         while self._losses and self._losses[0].at_s <= now:
-            self._lose(self._losses.pop(0))
-        back = [each for each in self._returns if each[0] <= now]
-        for each in back:
-            self._returns.remove(each)
+            self._fail_engines(self._losses.pop(0))
+        recovered = [each for each in self._recoveries if each[0] <= now]
+        for each in recovered:
+            self._recoveries.remove(each)
             each[1].is_lost = False
-        notices = [at for at in self._notices if at <= now]
-        self._notices = [at for at in self._notices if at > now]
-        if back or notices:
-            self._take_notice()
+        detected = [at for at in self._detection_times if at <= now]
+        self._detection_times = [at for at in self._detection_times if at > now]
+        if recovered or detected:
+            self._detect_failures()
 
-    def _lose(self, loss) -> None:
-        group = [
+    def _fail_engines(self, loss) -> None:
+        candidates = [
             engine
             for engine in self._engines.values()
             if engine.server.domain == loss.domain and not engine.is_lost
         ]
-        group.sort(key=lambda engine: engine.server.layers)
-        first = int(loss.from_share * len(group))
-        for engine in group[first : first + loss.count]:
+        candidates.sort(key=lambda engine: engine.server.layers)
+        first = int(loss.from_share * len(candidates))
+        for engine in candidates[first : first + loss.count]:
             engine.is_lost = True
-            self._returns.append((self._clock.at + loss.for_s, engine))
-        self._notices.append(self._clock.at + NOTICE_S)
+            self._recoveries.append((self._clock.time_s + loss.for_s, engine))
+        self._detection_times.append(self._clock.time_s + FAILURE_DETECTION_S)
 
-    def _take_notice(self) -> None:
+    def _detect_failures(self) -> None:
         """Tell the entries which engines are there, and send on what was lost."""
-        self._known = [
+        self._known_servers = [
             engine.server for engine in self._engines.values() if not engine.is_lost
         ]
         for run, req in list(self._running.items()):
@@ -320,8 +327,8 @@
                 continue
             stop(run, self._engines)
             del self._running[run]
-            req.entry.tracker.end(req.held)
+            req.entry.tracker.end(req.tracked_run)
             req.entry.running -= 1
             run.is_late = True
-            run.is_waiting = False
+            run.is_preempted = False
             self._send(req)
--- a/wigeonscale/lab/tests/test_engines.py
+++ b/wigeonscale/lab/tests/test_engines.py
@@ -1,5 +1,5 @@
 from wigeonscale.direct.fleet import BackendServer
-from wigeonscale.lab.engines import EngineModel, ModelRun, advance, start
+from wigeonscale.lab.engines import SimulatedEngine, SimulatedRun, advance, start
 from wigeonscale.layers import LayerRange, Part
 from wigeonscale.routes import Accelerator, EngineProfile
 from wigeonscale.testing import AsyncTestCase
@@ -26,7 +26,7 @@
         accelerator="k",
         layers=LayerRange(first, end),
     )
-    return EngineModel(server=server, profile=MODEL)
+    return SimulatedEngine(server=server, profile=MODEL)
 
 
 class EnginesTest(AsyncTestCase):
@@ -38,12 +38,12 @@
         super().setUp()
         self.engines = {"low": engine("low", 0, 5), "up": engine("up", 5, 10)}
 
-    def begin(self, prompt, answer=10):
-        run = ModelRun(prompt=prompt, answer=answer)
+    def begin(self, prompt_tokens, answer_tokens=10):
+        run = SimulatedRun(prompt_tokens=prompt_tokens, answer_tokens=answer_tokens)
         return run, start(run, self.PATH, self.engines)
 
     def test_room_is_what_the_layers_leave(self):
-        self.assertEqual(500.0, self.engines["low"].room)
+        self.assertEqual(500.0, self.engines["low"].capacity)
 
     def test_a_prompt_that_does_not_fit_is_refused_by_name(self):
         self.assertEqual(None, self.begin(60)[1])
@@ -60,23 +60,23 @@
         self.assertEqual("up", self.begin(1)[1])
 
     def test_reads_then_writes_to_the_end(self):
-        run, _ = self.begin(50, answer=5)
+        run, _ = self.begin(50, answer_tokens=5)
         # 0.5 ms of reading, and 1.2 ms a token: all layers and two short hops.
         done, put_back = advance([run], self.engines, now=0.004, step_s=0.004)
         self.assertEqual(([], 0), (done, put_back))
-        self.assertAlmostEqual(3.5 / 1.2, run.written)
+        self.assertAlmostEqual(3.5 / 1.2, run.generated_tokens)
         self.assertEqual(0.004, run.first_token_at)
         done, _ = advance([run], self.engines, now=0.008, step_s=0.004)
         self.assertEqual([run], done)
         self.assertEqual(0.0, self.engines["low"].used)
 
     def test_the_newest_is_put_back_when_memory_runs_out(self):
-        old, _ = self.begin(60, answer=30)
-        new, refuser = self.begin(38, answer=30)
-        self.assertIsNone(refuser)
+        old, _ = self.begin(60, answer_tokens=30)
+        new, refusing_backend = self.begin(38, answer_tokens=30)
+        self.assertIsNone(refusing_backend)
         _, put_back = advance([old, new], self.engines, now=0.01, step_s=0.01)
         self.assertEqual(1, put_back)
-        self.assertTrue(new.is_waiting and new.is_late)
+        self.assertTrue(new.is_preempted and new.is_late)
         self.assertFalse(old.is_late)
         # It comes back once the other is done, and is read again.
         for step in range(10):
@@ -84,5 +84,5 @@
             if old in done:
                 break
         advance([new], self.engines, now=0.2, step_s=0.0001)
-        self.assertFalse(new.is_waiting)
-        self.assertTrue(new.reading_ms > 0)
+        self.assertFalse(new.is_preempted)
+        self.assertTrue(new.prefill_left_ms > 0)
--- a/wigeonscale/lab/tests/test_play.py
+++ b/wigeonscale/lab/tests/test_simulation.py
@@ -7,15 +7,15 @@
 
 from wigeonscale.errors import SettingsError
 from wigeonscale.lab import __main__ as command
-from wigeonscale.lab import compare, load_scenario, play
-from wigeonscale.lab.compare import constant
+from wigeonscale.lab import compare, load_scenario, simulate
+from wigeonscale.lab.compare import override_constant
 from wigeonscale.testing import AsyncTestCase
 
 SCENARIOS = pathlib.Path(__file__).parents[1] / "scenarios"
 SMALL = str(SCENARIOS / "small.ini")
 
 
-def short(text, **values):
+def override_values(text, **values):
     """Return a scenario file's text with other values of some keys."""
     lines = [
         f"{line.split(' = ')[0]} = {values[line.split(' = ')[0]]}"
@@ -68,19 +68,19 @@
 
     SEEDS = (1, 2)
 
-    def turned_away(self):
+    def simulate_seeds(self):
         scenario = load_scenario(SMALL)
-        figures = [play(scenario, seed=seed) for seed in self.SEEDS]
-        shares = [each.in_time_share() for each in figures]
-        return sum(each.turned_away for each in figures), min(shares)
+        results = [simulate(scenario, seed=seed) for seed in self.SEEDS]
+        shares = [each.in_time_share() for each in results]
+        return sum(each.turned_away for each in results), min(shares)
 
     def test_entries_of_other_domains_do_not_crowd_into_the_fastest(self):
-        turned_away, in_time = self.turned_away()
+        turned_away, in_time = self.simulate_seeds()
         self.assertTrue(turned_away <= 2, turned_away)
         self.assertTrue(in_time > 0.98, in_time)
         # Where any domain that is 300 ms faster is taken they do.
-        with constant("direct.choice.FAR_START_ANSWERS", 0.0):
-            turned_away, _ = self.turned_away()
+        with override_constant("direct.choice.FAR_START_ANSWERS", 0.0):
+            turned_away, _ = self.simulate_seeds()
         self.assertTrue(turned_away >= 20, turned_away)
 
 
@@ -91,12 +91,12 @@
             code = command.main(argv)
         return code, out.getvalue().splitlines(), err.getvalue()
 
-    def shortened(self):
+    def short_scenario(self):
         text = pathlib.Path(SMALL).read_text()
-        return self.write(short(text, seconds="1.5", at_s="0.5"))
+        return self.write(override_values(text, seconds="1.5", at_s="0.5"))
 
     def test_same_seed_same_figures(self):
-        path = self.shortened()
+        path = self.short_scenario()
         code, lines, _ = self.run_main("run", path, "--seeds", "7,7,8")
         self.assertEqual(0, code)
         first, again, other = map(json.loads, lines)
@@ -106,7 +106,7 @@
     def test_values_of_a_constant_side_by_side(self):
         vary = "direct.choice.FULL_SHARE=1.1,0.01"
         code, lines, _ = self.run_main(
-            "compare", self.shortened(), "--vary", vary, "--seeds", "1,2"
+            "compare", self.short_scenario(), "--vary", vary, "--seeds", "1,2"
         )
         self.assertEqual(0, code)
         usual, tiny = map(json.loads, lines)
@@ -122,7 +122,7 @@
         self.assertIn("'direct.choice.NO'", err)
 
     def test_a_constant_is_put_back(self):
-        scenario = load_scenario(self.shortened())
+        scenario = load_scenario(self.short_scenario())
         with self.assertRaises(SettingsError):
             list(compare(scenario, "direct.choice.choose_path", [1.0], [1]))
         from wigeonscale.direct import choice
--- a/wigeonscale/lab/callers.py
+++ b/wigeonscale/lab/workload.py
@@ -1,6 +1,6 @@
 """Callers: how many come in an instant, and what each asks for."""
 
-__all__ = ["draw_count", "draw_sizes"]
+__all__ = ["draw_poisson", "draw_request_sizes"]
 
 import math
 import random
@@ -11,14 +11,14 @@
 
 # Standard deviation of the logarithm of prompts and answers, whose tails end at three
 # times the mean, and of what callers expect an answer to be.
-SIZE_SPREAD = 0.75
-LARGEST_SHARE = 3.0
-HINT_SPREAD = 0.5
-FEWEST_TOKENS = 4
+SIZE_LOG_STDDEV = 0.75
+MAX_SIZE_FACTOR = 3.0
+HINT_LOG_STDDEV = 0.5
+MIN_TOKENS = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Sizes:
+class RequestSizes:
     """What a caller asks for.
 
     Attributes:
@@ -26,43 +26,49 @@
         answer: Tokens that the answer will have.
     """
 
-    told: GenerationSize
-    answer: int
+    declared_size: GenerationSize
+    answer_tokens: int
 
 
-def draw_count(rng: random.Random, mean: float) -> int:
+def draw_poisson(rng: random.Random, mean: float) -> int:
     """Return a count by Poisson's law.
 
     Args:
         rng: Source of randomness.
         mean: Its mean; small, since it costs as many draws.
     """
-    count, least = 0, math.exp(-mean)
+    count, threshold = 0, math.exp(-mean)
     product = rng.random()
-    while product > least:
+    while product > threshold:
         count += 1
         product *= rng.random()
     return count
 
 
-def draw_sizes(rng: random.Random, model: EngineProfile) -> Sizes:
+def draw_request_sizes(rng: random.Random, model: EngineProfile) -> RequestSizes:
     """Return the sizes of one request.
 
     Args:
         rng: Source of randomness.
         model: Its usual sizes.
     """
-    prompt = _draw_size(rng, model.usual_prompt)
-    answer = _draw_size(rng, model.usual_answer)
-    hint = max(1, int(answer * math.exp(rng.gauss(0.0, HINT_SPREAD))))
-    return Sizes(
+    prompt_tokens = _draw_size(rng, model.usual_prompt)
+    answer_tokens = _draw_size(rng, model.usual_answer)
+    expected_tokens = max(
+        1, int(answer_tokens * math.exp(rng.gauss(0.0, HINT_LOG_STDDEV)))
+    )
+    return RequestSizes(
         GenerationSize(
-            prompt_tokens=prompt, max_tokens=4 * answer, expected_tokens=hint
+            prompt_tokens=prompt_tokens,
+            max_tokens=4 * answer_tokens,
+            expected_tokens=expected_tokens,
         ),
-        answer,
+        answer_tokens,
     )
 
 
 def _draw_size(rng: random.Random, mean: float) -> int:
-    size = mean * math.exp(rng.gauss(-SIZE_SPREAD * SIZE_SPREAD / 2, SIZE_SPREAD))
-    return max(FEWEST_TOKENS, int(min(size, LARGEST_SHARE * mean)))
+    size = mean * math.exp(
+        rng.gauss(-SIZE_LOG_STDDEV * SIZE_LOG_STDDEV / 2, SIZE_LOG_STDDEV)
+    )
+    return max(MIN_TOKENS, int(min(size, MAX_SIZE_FACTOR * mean)))
