--- a/wigeonscale/lab/__init__.py
+++ b/wigeonscale/lab/__init__.py
@@ -1,8 +1,9 @@
-"""A laboratory: the product's own decisions before a model of the engines.
+"""Discrete-time simulation of the router's routing decisions.
 
-Many entries decide apart, on what they know, before hundreds of modelled engines, in
-simulated time and drawn from one seed. ``python -m wigeonscale.lab --help`` plays a
-scenario, or compares constants of the product on the same seeds.
+Many entries run the production routing code independently, each on its own view of the
+load, against hundreds of simulated engines. Time is simulated and every random draw
+comes from one seed. ``python -m wigeonscale.lab --help`` describes the command line,
+which simulates a scenario or compares values of a constant on the same seeds.
 """
 
 __all__ = [
--- a/wigeonscale/lab/__main__.py
+++ b/wigeonscale/lab/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the laboratory; writes JSON lines."""
+"""Command line of the simulation; writes JSON lines to standard output."""
 
 import argparse
 import json
@@ -14,10 +14,10 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Play or compare, and return the exit code.
+    """Simulate a scenario or compare values of a constant; return the exit code.
 
     Args:
-        argv: Arguments; None for those of the process.
+        argv: Command-line arguments; None for those of the process.
     """
     args = _parser().parse_args(argv)
     try:
@@ -31,17 +31,17 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python -m wigeonscale.lab",
-        description="Plays the product's decisions before a model of the engines.",
+        description="Simulates routing decisions against modelled engines.",
     )
     subparsers = parser.add_subparsers(required=True)
-    run_parser = subparsers.add_parser("run", help="play a scenario")
+    run_parser = subparsers.add_parser("run", help="simulate a scenario")
     run_parser.set_defaults(run=_run)
     run_parser.add_argument("scenario", help="an INI file")
     run_parser.add_argument(
         "--seeds", type=_number_list(int), default=[1], metavar="N,N"
     )
     compare_parser = subparsers.add_parser(
-        "compare", help="play it with values of a constant"
+        "compare", help="simulate a scenario with several values of a constant"
     )
     compare_parser.set_defaults(run=_compare)
     compare_parser.add_argument("scenario", help="an INI file")
@@ -50,8 +50,8 @@
         required=True,
         type=_parse_variation,
         metavar="MODULE.NAME=A,B",
-        help="a number, such as direct.choice.FULL_SHARE=1.1,1.3; the first value is"
-        " the one to compare with",
+        help="a numeric constant and its values, such as"
+        " direct.choice.FULL_SHARE=1.1,1.3; the first value is the baseline",
     )
     compare_parser.add_argument(
         "--seeds", type=_number_list(int), default=[1, 2, 3], metavar="N,N"
--- a/wigeonscale/lab/compare.py
+++ b/wigeonscale/lab/compare.py
@@ -1,4 +1,4 @@
-"""Plays a scenario with a constant of the product at several values."""
+"""Simulates a scenario with several values of one of the router's constants."""
 
 __all__ = ["Comparison", "compare", "override_constant"]
 
@@ -14,19 +14,20 @@
 from wigeonscale.lab.scenario import Scenario
 from wigeonscale.lab.simulation import simulate
 
-# Half the width of a normal confidence interval of 95 in 100.
+# Half-width of a 95 % normal confidence interval, in standard errors.
 NORMAL_95_QUANTILE = 1.96
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Comparison:
-    """What one value of a constant gives beside the first one, seed by seed.
+    """Results of one value of a constant, paired by seed with the baseline value.
 
     Attributes:
-        value: The value.
-        figures: One for each seed.
-        gain: Mean difference of the shares in time.
-        spread: Half the width of the confidence interval of that mean; infinite for a
+        value: Value of the constant.
+        results: One result per seed.
+        gain: Mean difference from the baseline in the share of requests answered in
+            time.
+        spread: Half-width of the 95 % confidence interval of ``gain``; infinite for a
             single seed.
     """
 
@@ -38,14 +39,14 @@
 
 @contextmanager
 def override_constant(name: str, value: float) -> Iterator[None]:
-    """Give a constant of the product another value for a while.
+    """Override a module-level constant of ``wigeonscale`` within a ``with`` block.
 
     Args:
-        name: ``module.NAME``, the module without the package's name.
-        value: Its value.
+        name: ``module.NAME``, with the module relative to the ``wigeonscale`` package.
+        value: Temporary value; converted to the type of the constant.
 
     Raises:
-        SettingsError: There is no such number.
+        SettingsError: The constant does not exist or is not a number.
     """
     module_name, _, constant_name = name.rpartition(".")
     try:
@@ -68,10 +69,10 @@
     """Yield a comparison for each value, paired by seed with the first value.
 
     Args:
-        scenario: What is played.
-        name: The constant, see :func:`constant`.
-        values: Its values; the first is the one to compare with.
-        seeds: Seeds, each played with each value.
+        scenario: Scenario to simulate.
+        name: Name of the constant, as in :func:`override_constant`.
+        values: Values of the constant; the first is the baseline.
+        seeds: Seeds; each is simulated with each value.
     """
     baseline: tuple[SimulationResult, ...] = ()
     for value in values:
--- a/wigeonscale/lab/engines.py
+++ b/wigeonscale/lab/engines.py
@@ -1,9 +1,12 @@
-"""A model of engines that serve generations along paths of layers.
+"""Simulated engines that serve generations along paths of layers.
 
-What it has: memory in tokens times layers, refusals where a prompt does not fit, the
-newest put back where memory runs out while answers grow, slots of the first engine,
-steps that take longer the more requests run, prompts that are read one after another.
-What it leaves out: passes and chunks, links, and the lag of an engine's own report.
+Modelled: KV-cache memory in token-layers (tokens times layers), rejection of prompts
+that do not fit, preemption of the newest runs when memory runs out as answers grow, the
+slots of the first engine of a path, decode steps that slow down as more requests run,
+and prompts that are prefilled one after another.
+
+Not modelled: forward passes and prefill chunks, network links, and the delay of an
+engine's own load report.
 """
 
 __all__ = ["SimulatedEngine", "SimulatedRun", "advance", "start", "stop"]
@@ -16,24 +19,25 @@
 from wigeonscale.layers import Part
 from wigeonscale.routes import EngineProfile
 
-# A run whose next token takes this long has a pause that its caller finds too long:
-# events hold some four tokens and are wanted every 300 ms.
+# Slower tokens make an answer late: an event holds about four tokens, and callers
+# expect an event every 300 ms.
 MAX_TOKEN_INTERVAL_MS = 75.0
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class SimulatedRun:
-    """One generation on its way.
+    """One generation in progress.
 
     Attributes:
-        prompt: Tokens of its prompt.
-        answer: Tokens of its answer.
-        parts: Its path; empty while it has none.
-        written: Tokens of the answer so far.
-        prefill_now_ms: Time of reading that is left before the next token.
-        is_late: Whether a pause was too long.
-        is_preempted: Whether it was put back and waits for memory.
-        first_token_at: Instant of its first token; None before it.
+        prompt_tokens: Length of the prompt in tokens.
+        answer_tokens: Length of the complete answer in tokens.
+        parts: Path of the run; empty while none is assigned.
+        generated_tokens: Tokens of the answer so far; fractional between two tokens.
+        prefill_left_ms: Prefill time left before the next token, in milliseconds.
+        is_late: Whether the answer was delayed: a token took too long, or the run was
+            preempted or moved after the loss of an engine.
+        is_preempted: Whether the run was preempted and waits for memory.
+        first_token_at: Time of the first token, in seconds; None before it.
     """
 
     prompt_tokens: int
@@ -47,22 +51,22 @@
 
     @property
     def tokens(self) -> float:
-        """Tokens that it holds in memory."""
+        """Tokens of the run in the KV cache."""
         return self.prompt_tokens + self.generated_tokens
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class SimulatedEngine:
-    """One engine.
+    """Memory and timing of one engine.
 
     Args:
-        server: What the router knows of it.
-        profile: Sizes and times of its model.
+        server: The engine as the router knows it.
+        profile: Sizes and times of the served model.
 
     Attributes:
-        runs: Runs that hold memory here, and their layers, in order of arrival.
-        room: Memory for requests, in tokens times layers.
-        is_lost: Whether it is gone.
+        runs: Number of layers for each run that holds memory here, in order of arrival.
+        capacity: Memory for requests, in token-layers.
+        is_lost: Whether the engine has failed and has not recovered.
     """
 
     server: BackendServer
@@ -79,15 +83,15 @@
 
     @property
     def used(self) -> float:
-        """Memory taken, in tokens times layers."""
+        """Memory in use, in token-layers."""
         return sum(run.tokens * layers for run, layers in self.runs.items())
 
     def can_accept(self, run: SimulatedRun, layers: int) -> bool:
-        """Return whether it takes a run in now."""
+        """Return whether the run fits into memory on that many layers now."""
         return not self.is_lost and self.used + run.tokens * layers <= self.capacity
 
     def token_ms(self, layers: int) -> float:
-        """Return the time of one token in so many layers."""
+        """Return the decode time of one token in that many layers, in milliseconds."""
         accelerator = self.profile.accelerators[self.server.accelerator]
         context = sum(run.tokens for run in self.runs) / 1000.0
         step_ms = (
@@ -98,7 +102,7 @@
         return accelerator.pace * step_ms * layers / self.profile.layers + NEAR_HOP_MS
 
     def prefill_ms(self, tokens: float, layers: int) -> float:
-        """Return the time to read a prompt in so many layers."""
+        """Return the prefill time of a prompt in that many layers, in milliseconds."""
         accelerator = self.profile.accelerators[self.server.accelerator]
         alone_ms = 1000.0 * tokens / self.profile.read_tokens_per_s
         prefilling = sum(run.prefill_left_ms > 0 for run in self.runs)
@@ -106,7 +110,7 @@
         return accelerator.read_factor * alone_ms * share * (1 + prefilling)
 
     def preempt_newest(self) -> list[SimulatedRun]:
-        """Take memory from the newest runs until the others fit; return those."""
+        """Preempt the newest runs until the others fit; return the preempted runs."""
         preempted = []
         while self.used > self.capacity:
             run = next(reversed(self.runs))
@@ -118,15 +122,16 @@
 def start(
     run: SimulatedRun, parts: Sequence[Part], engines: Mapping[str, SimulatedEngine]
 ) -> str | None:
-    """Begin a run along a path.
+    """Start a run along a path.
 
     Args:
-        run: It takes the path, also where it is refused.
-        parts: Its path.
-        engines: All engines by name.
+        run: The run; the path is assigned to it even if an engine refuses it.
+        parts: Path of the run.
+        engines: All engines by backend id.
 
     Returns:
-        The engine that refused it, and nothing was begun; None where it runs.
+        Backend id of the engine that refused the run, in which case no engine holds
+        memory for it; None if the run started.
     """
     run.parts = tuple(parts)
     for part in run.parts:
@@ -145,7 +150,7 @@
 
 
 def stop(run: SimulatedRun, engines: Mapping[str, SimulatedEngine]) -> None:
-    """Free the memory of a run."""
+    """Free the memory of a run on all engines of its path."""
     for part in run.parts:
         engines[part.backend_id].runs.pop(run, None)
 
@@ -157,19 +162,19 @@
     now: float,
     step_s: float,
 ) -> tuple[list[SimulatedRun], int]:
-    """Let time pass.
+    """Advance all runs by one time step.
 
     Args:
         runs: Runs that have a path.
-        engines: All engines by name.
-        now: Instant at the end of the step.
+        engines: All engines by backend id.
+        now: Time at the end of the step, in seconds.
         step_s: Length of the step, in seconds.
 
     Returns:
-        Runs that are done, and how many were put back.
+        The completed runs, and the number of runs preempted in this step.
 
     Notes:
-        Costs runs times parts.
+        Runs in time proportional to the number of runs times the parts of their paths.
     """
     done = []
     token_ms: dict[tuple[str, int], float] = {}
@@ -202,7 +207,7 @@
 
 
 def _preempt_where_full(engines: Mapping[str, SimulatedEngine]) -> int:
-    """Put back the newest runs where memory ran out; return how many."""
+    """Preempt the newest runs of engines out of memory; return how many."""
     count = 0
     for engine in engines.values():
         for run in engine.preempt_newest():
--- a/wigeonscale/lab/fleet.py
+++ b/wigeonscale/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The engines of a scenario, with the layers that the product plans for them."""
+"""Engines of a scenario, with layers assigned by the router's own planner."""
 
 __all__ = ["plan_engines"]
 
@@ -10,10 +10,10 @@
 
 
 def plan_engines(scenario: Scenario) -> dict[str, SimulatedEngine]:
-    """Return the engines by name, planned from nothing.
+    """Return the engines by backend id, with layers planned from an empty fleet.
 
     Args:
-        scenario: Names how many of which kind stand where.
+        scenario: Gives the number of engines by domain and kind of accelerator.
     """
     holders = _holders(scenario)
     wanted = plan_layers([holder for _, holder in holders], model_size(scenario.model))
--- a/wigeonscale/lab/load_exchange.py
+++ b/wigeonscale/lab/load_exchange.py
@@ -1,4 +1,4 @@
-"""What entries hear of each other's load, and how late."""
+"""Simulated exchange of load reports between entries, with its delay."""
 
 __all__ = ["LoadExchange"]
 
@@ -7,20 +7,21 @@
 
 from wigeonscale.direct import BackendTracker
 
-# From an entry's word until another hears it: the replicas pass sums on among them a
-# few times a second.
+# Delay from an entry's report until other entries see it: the control replicas exchange
+# load totals with each other a few times a second.
 REPORT_DELAY_S = 0.2
 
+# Running requests and token-layers by backend id.
 _Loads = dict[str, tuple[int, float]]
 
 
 class LoadExchange:
-    """Each entry tells its load and hears the sum of all, each at its own time.
+    """Periodic load reports of entries, each answered with the totals of all entries.
 
     Args:
-        entries: What the entries believe.
-        interval_s: Time between two words of an entry, in seconds.
-        rng: Spreads them over the interval.
+        trackers: Load tracker of each entry.
+        interval_s: Interval between two reports of an entry, in seconds.
+        rng: Draws the time of each entry's first report within the interval.
     """
 
     def __init__(
@@ -36,10 +37,10 @@
         self._last_reports: dict[BackendTracker, _Loads] = {}
 
     def exchange_due(self, now: float) -> None:
-        """Let the words of an instant go out and arrive.
+        """Send and deliver the reports that are due.
 
         Args:
-            now: The instant; not before that of the last call.
+            now: Current time in seconds; never less than in an earlier call.
         """
         while self._in_flight and self._in_flight[0][0] <= now:
             _, tracker, report = self._in_flight.pop(0)
--- a/wigeonscale/lab/results.py
+++ b/wigeonscale/lab/results.py
@@ -1,4 +1,4 @@
-"""What a play shows."""
+"""Results of a simulation, counted over windows of time."""
 
 __all__ = ["WINDOW_S", "SimulationResult", "Window"]
 
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True)
 class Window:
-    """What became of the requests that came in two seconds.
+    """Outcomes of the requests that arrived within one window of ``WINDOW_S``.
 
     Attributes:
-        asked: Requests that came.
-        in_time: Answered whole, the first token in time and without a long pause.
-        late: Answered whole, but late.
-        refused: Told to come back; nothing of them ran.
-        cut: Ended midway.
+        asked: Requests that arrived.
+        in_time: Complete answers with the first token in time and no long pause.
+        late: Complete answers with a late first token or a long pause.
+        refused: Requests rejected before their first token; the caller may retry.
+        cut: Requests that failed after their first token.
     """
 
     asked: int = 0
@@ -27,7 +27,7 @@
     cut: int = 0
 
     def add(self, other: "Window") -> None:
-        """Count the requests of another window in."""
+        """Add the counts of another window to this one."""
         self.asked += other.asked
         self.in_time += other.in_time
         self.late += other.late
@@ -37,13 +37,13 @@
 
 @dataclass(slots=True)
 class SimulationResult:
-    """What a play shows.
+    """Counts of one simulation.
 
     Attributes:
-        windows: By their number, the first from 0 s on.
-        sends: Sends to engines.
-        turned_away: Sends that an engine refused for lack of room.
-        put_back: Runs that an engine took the memory from.
+        windows: Windows by index; window 0 starts at 0 s.
+        sends: Attempts to start a run on a path of engines.
+        turned_away: Attempts that an engine refused for lack of memory or slots.
+        put_back: Preemptions of runs by engines that ran out of memory.
     """
 
     windows: dict[int, Window] = field(default_factory=lambda: defaultdict(Window))
@@ -59,12 +59,12 @@
         return total
 
     def in_time_share(self) -> float:
-        """Return the share of the requests that were answered in time."""
+        """Return the share of requests answered in time, 0 to 1."""
         total = self.total()
         return total.in_time / max(1, total.asked)
 
     def as_dict(self) -> dict:
-        """Return the figures as plain data."""
+        """Return the results as JSON-serialisable data."""
         return {
             "total": asdict(self.total()),
             "sends": self.sends,
--- a/wigeonscale/lab/scenario.py
+++ b/wigeonscale/lab/scenario.py
@@ -1,4 +1,4 @@
-"""What a play is about: model, fleet, load and faults, as read from an INI file."""
+"""Scenario of a simulation: model, fleet, load and faults, read from an INI file."""
 
 __all__ = ["Burst", "Loss", "Scenario", "load_scenario"]
 
@@ -25,12 +25,12 @@
 
 @validated_dataclass
 class Burst:
-    """More requests for a while.
+    """Temporary change of the request rate.
 
     Attributes:
-        at_s: Its beginning.
-        for_s: Its length.
-        factor: Times as many as usual.
+        at_s: Start, in seconds of simulated time.
+        for_s: Duration in seconds.
+        factor: Multiplier of the request rate of all domains.
     """
 
     at_s: Seconds
@@ -40,14 +40,15 @@
 
 @validated_dataclass
 class Loss:
-    """Engines of one domain that hold neighbouring layers go at once.
+    """Simultaneous failure of engines of one domain that hold neighbouring layers.
 
     Attributes:
-        at_s: When.
-        domain: Where.
-        count: How many.
-        for_s: Time until their layers are held again, there or by others.
-        from_share: Where in the order of layers they begin, 0 to 1.
+        at_s: Time of the failure, in seconds of simulated time.
+        domain: Failure domain of the engines.
+        count: Number of engines that fail.
+        for_s: Seconds until the layers are served again, by the same or other engines.
+        from_share: Position of the first failed engine among the engines of the domain
+            in order of their layers, as a share from 0 to 1.
     """
 
     at_s: Seconds
@@ -59,17 +60,18 @@
 
 @validated_dataclass
 class Scenario:
-    """Fleet, load and faults of a play.
+    """Fleet, load and faults of a simulation.
 
     Attributes:
-        model: The model that is served.
-        engines: Engines by domain and kind of accelerator.
-        entries: Entries by domain.
-        per_s: Requests a second by domain.
-        seconds: Time in which requests come; the play ends once they are answered.
-        word_s: Interval of an entry's word on its load.
-        bursts: Bursts.
-        losses: Losses of engines.
+        model: Profile of the served model.
+        engines: Number of engines by domain and kind of accelerator.
+        entries: Number of entries by domain.
+        per_s: Requests per second by domain.
+        seconds: Duration of request arrivals, in seconds. The simulation ends once all
+            requests are answered or rejected.
+        word_s: Interval between two load reports of an entry, in seconds.
+        bursts: Temporary changes of the request rate.
+        losses: Failures of engines.
     """
 
     model: EngineProfile
@@ -83,7 +85,7 @@
 
 
 def load_scenario(path: str) -> Scenario:
-    """Read a scenario.
+    """Read a scenario from an INI file.
 
     Args:
         path: An INI file with the sections ``[model]``, ``[accelerator KIND]``,
@@ -91,7 +93,8 @@
             ``[burst NAME]`` and ``[loss NAME]``.
 
     Raises:
-        SettingsError: Names the file, what is wrong there, and the value.
+        SettingsError: The file cannot be read or is invalid; the message names the
+            file, the problem and the offending value.
     """
     parser = configparser.ConfigParser(
         interpolation=None, delimiters=("=",), default_section="\0"
@@ -119,7 +122,7 @@
 
 
 def _raw_fields(parser: configparser.ConfigParser) -> dict:
-    """Return the fields of a scenario as the sections name them, unchecked."""
+    """Return the unvalidated fields of a scenario from the sections of its file."""
     fields: dict = {"engines": {}, "bursts": [], "losses": []}
     model: dict = {}
     kinds: dict = {}
--- a/wigeonscale/lab/simulation.py
+++ b/wigeonscale/lab/simulation.py
@@ -1,9 +1,9 @@
-"""Plays a scenario: many entries that decide apart before the same engines.
+"""Simulates a scenario: many entries that route independently to the same engines.
 
-Entries run the product's own decisions (:mod:`wigeonscale.direct.choice`,
-:mod:`wigeonscale.direct.backend_tracker`, :mod:`wigeonscale.layers`) on what they
-know, as old as in the product. Everything is drawn from one seed; the same seed gives
-the same figures.
+Entries run the production code (:mod:`wigeonscale.direct.choice`,
+:mod:`wigeonscale.direct.backend_tracker`, :mod:`wigeonscale.layers`) on load data that
+is as stale as in production. All random draws come from one seed; the same seed gives
+the same results.
 """
 
 __all__ = ["simulate"]
@@ -32,29 +32,31 @@
 from wigeonscale.ports.exchange import GenerationSize
 
 STEP_S = 0.02
-# Time after which an answer's first token is late, as on the users' sheets.
+# A first token after this time is late, as the users' requirements define it.
 FIRST_TOKEN_TARGET_S = 0.6
-# From the loss of an engine until its streams are sent elsewhere and no more is sent
-# to it: a quiet path is asked about, a probe is in vain, and the news goes out.
+# Time from the failure of an engine until its streams move to other engines and it gets
+# no more requests: a silent path triggers a probe, the probe fails, and the failure is
+# reported to the entries.
 FAILURE_DETECTION_S = 0.5
 
 
 def simulate(scenario: Scenario, *, seed: int) -> SimulationResult:
-    """Return the figures of one play.
+    """Simulate a scenario and return its results.
 
     Args:
         scenario: Fleet, load and faults.
-        seed: Seed of everything that is drawn.
+        seed: Seed of all random draws.
 
     Notes:
-        Costs the runs in progress times their parts each 20 simulated ms, and a choice
-        of path each request: 14 s for 11 s of 68 entries and 130 engines.
+        Each step of 20 simulated ms costs time proportional to the runs in progress
+        times the parts of their paths, and each request one choice of path. 11
+        simulated seconds of 68 entries and 130 engines take 14 s.
     """
     return _Simulation(scenario, seed).run()
 
 
 class _SimulatedClock:
-    """Simulated time, moved by the play."""
+    """Clock of simulated time, advanced by the simulation."""
 
     def __init__(self):
         self.time_s = 0.0
@@ -68,7 +70,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Entry:
-    """One entry: what it believes, and its requests that wait for room."""
+    """One entry: its view of the load, and its running and queued requests."""
 
     tracker: BackendTracker
     domain: str
@@ -78,18 +80,19 @@
 
 @dataclass(slots=True, eq=False)
 class _Request:
-    """One request on its way.
+    """One request in progress.
 
     Attributes:
-        entry: Where it came in.
-        run: What the engines have of it.
-        told: Sizes as the router was told.
-        arrived_at: Instant at which it came.
-        window: Where it is counted.
-        sends: Sends so far.
-        refused_by: Engines that refused it.
-        queue_deadline: End of its wait for room; None where it does not wait.
-        held: Its send in progress as the entry counts it.
+        entry: Entry that received the request.
+        run: State of the request on the engines.
+        declared_size: Sizes that the caller declared to the router.
+        arrived_at: Time of arrival, in seconds.
+        window: Window that counts the request.
+        sends: Attempts to start the run so far.
+        refused_by: Backend ids of the engines that refused the run.
+        queue_deadline: End of the wait for capacity, in seconds; None while the request
+            is not queued.
+        tracked_run: Run in progress as the entry's load tracker counts it.
     """
 
     entry: _Entry
@@ -108,11 +111,11 @@
 
 
 class _Simulation:
-    """State of one play.
+    """State of one simulation.
 
     Args:
         scenario: Fleet, load and faults.
-        seed: Seed of everything that is drawn.
+        seed: Seed of all random draws.
     """
 
     def __init__(self, scenario: Scenario, seed: int):
@@ -132,7 +135,7 @@
             rng=self._rng,
         )
         self._running: dict[SimulatedRun, _Request] = {}
-        # Instant, order and request of those that wait for room.
+        # Time of the next retry, sequence number and request of each queued request.
         self._queued: list[tuple[float, int, _Request]] = []
         self._sequence = itertools.count()
         self._losses = sorted(scenario.losses, key=lambda loss: loss.at_s)
@@ -142,7 +145,7 @@
         self._known_servers = [engine.server for engine in self._engines.values()]
 
     def run(self) -> SimulationResult:
-        """Play to the last answer."""
+        """Simulate until all requests are answered or rejected."""
         while self._is_active():
             self._clock.time_s += STEP_S
             self._apply_losses()
@@ -202,7 +205,7 @@
         )
 
     def _choose(self, req: _Request) -> tuple[Sequence[Part] | None, bool]:
-        """Return the path of the next send, and whether an engine of it is full."""
+        """Return the path of the next attempt, and whether an engine on it is full."""
         costs = path_costs(
             self._scenario.model,
             req.declared_size,
@@ -225,7 +228,7 @@
         return path, is_full
 
     def _send(self, req: _Request) -> None:
-        """Send a request until an engine takes it, or it waits or is given up."""
+        """Try paths until a request starts, is queued or is given up."""
         while True:
             path, is_full = self._choose(req)
             if path is None or req.sends >= MAX_SENDS:
@@ -258,7 +261,8 @@
         entry = req.entry
         now = self._clock.time_s
         if req.queue_deadline is None:
-            # As the product's queue where those before got room.
+            # The limit of AdmissionQueue while all queued requests are admitted and the
+            # mean response time has its initial value.
             if entry.queued >= 1 + int(
                 entry.running * MAX_QUEUE_WAIT_S / INITIAL_RESPONSE_TIME_S
             ):
@@ -318,7 +322,7 @@
         self._detection_times.append(self._clock.time_s + FAILURE_DETECTION_S)
 
     def _detect_failures(self) -> None:
-        """Tell the entries which engines are there, and send on what was lost."""
+        """Update the engines known to entries, and resend the runs of lost engines."""
         self._known_servers = [
             engine.server for engine in self._engines.values() if not engine.is_lost
         ]
--- a/wigeonscale/lab/workload.py
+++ b/wigeonscale/lab/workload.py
@@ -1,4 +1,4 @@
-"""Callers: how many come in an instant, and what each asks for."""
+"""Random workload: request arrivals per step, and prompt and answer sizes."""
 
 __all__ = ["draw_poisson", "draw_request_sizes"]
 
@@ -9,21 +9,21 @@
 from wigeonscale.ports.exchange import GenerationSize
 from wigeonscale.routes import EngineProfile
 
-# Standard deviation of the logarithm of prompts and answers, whose tails end at three
-# times the mean, and of what callers expect an answer to be.
+# Prompt and answer sizes are log-normal, truncated at MAX_SIZE_FACTOR times the mean.
 SIZE_LOG_STDDEV = 0.75
 MAX_SIZE_FACTOR = 3.0
+# Log-normal error of the answer size that callers expect, around the actual size.
 HINT_LOG_STDDEV = 0.5
 MIN_TOKENS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSizes:
-    """What a caller asks for.
+    """Sizes of one request.
 
     Attributes:
-        told: What the router is told.
-        answer: Tokens that the answer will have.
+        declared_size: Sizes that the caller declares to the router.
+        answer_tokens: Actual length of the answer in tokens; unknown to the router.
     """
 
     declared_size: GenerationSize
@@ -31,11 +31,12 @@
 
 
 def draw_poisson(rng: random.Random, mean: float) -> int:
-    """Return a count by Poisson's law.
+    """Return a Poisson-distributed count.
 
     Args:
         rng: Source of randomness.
-        mean: Its mean; small, since it costs as many draws.
+        mean: Mean of the distribution. Keep it small: the number of draws from ``rng``
+            grows in proportion to it.
     """
     count, threshold = 0, math.exp(-mean)
     product = rng.random()
@@ -46,11 +47,11 @@
 
 
 def draw_request_sizes(rng: random.Random, model: EngineProfile) -> RequestSizes:
-    """Return the sizes of one request.
+    """Return random sizes for one request.
 
     Args:
         rng: Source of randomness.
-        model: Its usual sizes.
+        model: Provides the mean prompt and answer sizes, in tokens.
     """
     prompt_tokens = _draw_size(rng, model.usual_prompt)
     answer_tokens = _draw_size(rng, model.usual_answer)
