--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration: a small deployment on loopback, used and checked."""
+"""End-to-end demonstration: a small deployment on loopback under a checked load."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Starts a deployment, uses it, checks every answer and stops it.
+"""Starts a deployment, sends it a load, checks every answer and stops it.
 
 Usage: ``python -m demo``. The last line says PASS or FAIL; the exit code is 0
 only for PASS.
--- a/demo/checks.py
+++ b/demo/checks.py
@@ -1,4 +1,4 @@
-"""Checks every answer against what the engines and the service recorded."""
+"""Checks every answer against the traces of the engines and the plain service."""
 
 __all__ = ["Verdict", "check_outcomes"]
 
@@ -22,16 +22,16 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What the checks found.
+    """Results of the checks.
 
     Attributes:
         requests: Requests sent.
-        whole: Requests that got the whole, correct answer or a true refusal.
+        whole: Requests that got a complete, correct answer or the expected refusal.
         ordered: Generated sequences whose layers ran in order.
         sequences: Generated sequences.
-        repeated_effects: Effects of the service seen more than once.
-        unknown: Answers that said ``unknown``.
-        problems: One line each.
+        repeated_effects: Repetitions of effects in the trace of the plain service.
+        unknown: Answers whose ``Wigeonscale-Run`` header is ``unknown``.
+        problems: One line for each problem.
     """
 
     requests: int = 0
@@ -44,14 +44,14 @@
 
 
 def check_outcomes(outcomes: list[Outcome], dep: Deployment) -> Verdict:
-    """Hold all outcomes against the traces.
+    """Check all outcomes against the expected answers and the traces.
 
     Args:
-        outcomes: What the callers saw.
-        dep: The deployment whose traces are read.
+        outcomes: Responses that the callers received, by task.
+        dep: Deployment whose traces are read.
 
     Returns:
-        The counts and every problem.
+        The counts and all problems.
     """
     verdict = Verdict()
     effects = _effects(dep.service_trace)
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -1,4 +1,4 @@
-"""The demonstration's deployment: settings, rules and start order."""
+"""Deployment of the demonstration: settings, rules, start and stop order."""
 
 __all__ = [
     "Deployment",
@@ -70,13 +70,13 @@
     """A running deployment.
 
     Attributes:
-        folder: Holds settings, logs, traces and data folders.
+        folder: Folder of settings, logs, traces and data folders.
         children: Processes by role.
-        entries: Base URLs for callers.
-        health: Base URLs of the entries' own pages.
-        controls: ip:port of the operators' pages.
+        entries: Base URLs of the entries for callers.
+        health: Base URLs of the HTTP pages of the entries, for operators.
+        controls: ip:port of the HTTP pages of the control replicas, for operators.
         engine_traces: Trace files of the engines.
-        service_trace: Trace file of the plain service.
+        service_trace: Trace file of the plain service; None before it starts.
     """
 
     folder: pathlib.Path
@@ -91,10 +91,11 @@
 async def deploy(dep: Deployment) -> None:
     """Start every process and wait until the control replicas are ready.
 
-    Entries become ready once they hold a lease.
+    Does not wait for the entries, which become ready once they hold a lease.
 
     Args:
-        dep: Filled in as processes start, so that a failed start can be undone.
+        dep: Deployment to start. Each process is added when it starts, so that the
+            caller can stop them after a failed start.
     """
     control_grpc = [f"127.0.0.1:{port}" for port in free_ports(CONTROL_COUNT)]
     await _start_controls(dep, control_grpc)
@@ -108,10 +109,10 @@
     """Wait until a page answers with status 200.
 
     Args:
-        url: The page.
+        url: URL of the page.
 
     Raises:
-        TimeoutError: It did not within ``START_TIMEOUT_S``.
+        TimeoutError: No such answer within ``START_TIMEOUT_S``.
     """
     async with asyncio.timeout(START_TIMEOUT_S), aiohttp.ClientSession() as http:
         while True:
@@ -211,6 +212,6 @@
 
 
 def stop_order(dep: Deployment) -> list[Child]:
-    """Return all processes, those that depend on others first."""
+    """Return all processes in stop order: dependent processes first."""
     roles = ("entry", "agent", "control", "service", "engine")
     return [child for role in roles for child in dep.children.get(role, [])]
--- a/demo/load.py
+++ b/demo/load.py
@@ -1,4 +1,4 @@
-"""The demonstration's callers: a mixed load over both entries."""
+"""Load of the demonstration: callers that send mixed requests to both entries."""
 
 __all__ = ["Caller", "Kind", "Outcome", "Task", "make_tasks", "run_tasks"]
 
@@ -14,11 +14,25 @@
 
 MAX_CONCURRENT_TASKS = 8
 REQUEST_TIMEOUT_S = 60.0
-RESUME_AFTER_TOKENS = 3  # tokens read before a stream is left
+RESUME_AFTER_TOKENS = 3  # tokens read before the caller disconnects
 
 
 class Kind(StrEnum):
-    """What a task of the load does."""
+    """Requests that a task makes.
+
+    Attributes:
+        STREAM: A streamed completion.
+        PLAIN: A chat completion without streaming.
+        RESUME: A streamed completion that is cut off by the caller and resumed at the
+            other entry.
+        LOOKUP: A read from the plain service.
+        NOTE_TWICE: The same write to the plain service through both entries at once,
+            with one idempotency key.
+        REFUSED_KEY: A completion with an unknown API key.
+        REFUSED_MODEL: A completion of an unknown model.
+        REFUSED_RULE: A request that a rule refuses.
+        MALFORMED: A request with an invalid JSON body.
+    """
 
     STREAM = "stream"
     PLAIN = "plain"
@@ -33,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """One task of the load; ``number`` makes its content unlike all others."""
+    """One task of the load; ``number`` makes its content unique."""
 
     number: int
     kind: Kind
@@ -43,17 +57,18 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What callers saw of one task.
+    """Responses that the caller of one task received.
 
     Attributes:
         task: The task.
-        requests: Requests it made.
-        statuses: Their HTTP statuses.
-        runs: Their ``Wigeonscale-Run`` headers.
-        tokens: Texts of the answer's tokens, or the whole text as one.
-        declared: Token count of the last event; None when there was none.
-        bodies: Raw answers of calls to plain services.
-        error: What went wrong for the caller, or empty.
+        requests: Number of requests made.
+        statuses: HTTP statuses of the responses.
+        runs: ``Wigeonscale-Run`` headers of the responses; empty where absent.
+        tokens: Texts of the streamed tokens, or the complete text as one item.
+        declared: Number of completion tokens in the reported usage; None if no usage
+            was reported.
+        bodies: Raw bodies of refusals and of responses of plain services.
+        error: Error of the connection or the stream; empty if there was none.
     """
 
     task: Task
@@ -85,14 +100,14 @@
 
 
 def make_tasks(count: int, first: int = 0) -> list[Task]:
-    """Return ``count`` tasks that go through all kinds.
+    """Return ``count`` tasks that cycle through all kinds.
 
     Args:
-        count: How many tasks.
+        count: Number of tasks.
         first: Number of the first task.
 
     Returns:
-        Tasks, the same for the same arguments.
+        The tasks; equal arguments give equal tasks.
     """
     kinds = itertools.cycle(PATTERN)
     return [
@@ -111,10 +126,10 @@
 
     Args:
         tasks: The tasks.
-        entries: Base URLs of the entries, used in turn.
+        entries: Base URLs of the entries; tasks use them round-robin.
 
     Returns:
-        One outcome a task.
+        One outcome per task.
     """
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_TASKS)
     timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
@@ -128,12 +143,12 @@
 
 
 class Caller:
-    """Carries out one task and keeps what it saw.
+    """Sends the requests of one task and records the responses.
 
     Args:
         http: HTTP session.
         entries: Base URLs of the entries.
-        task: The task.
+        task: Task to run.
     """
 
     def __init__(self, *, http: aiohttp.ClientSession, entries: list[str], task: Task):
@@ -147,10 +162,10 @@
         self._headers = {"Authorization": f"Bearer {key}"}
 
     async def run(self) -> Outcome:
-        """Carry out the task.
+        """Run the task.
 
         Returns:
-            What the caller saw; errors of the connection are kept in it.
+            The outcome; connection errors are recorded in its ``error``, not raised.
         """
         steps = {
             Kind.STREAM: self._stream,
--- a/demo/processes.py
+++ b/demo/processes.py
@@ -1,4 +1,4 @@
-"""Starts the demonstration's processes and stops them by SIGTERM."""
+"""Starts the processes of the demonstration and stops them with SIGTERM."""
 
 __all__ = ["Child", "free_ports", "start", "stop_all"]
 
@@ -14,22 +14,22 @@
 STOP_TIMEOUT_S = 40.0
 
 PORT_RANGE = range(15000, 30000)
-# Two runs at once shall not try the same ports in the same order.
+# Seeded by process id, so that concurrent runs try ports in different orders.
 _rng = random.Random(os.getpid())
-# Ports already handed out; their users may not listen on them yet.
+# Ports returned before. They may look free, since their processes may not listen yet.
 _allocated_ports: set[int] = set()
 
 
 @dataclass(slots=True)
 class Child:
-    """One started process.
+    """One child process.
 
     Attributes:
-        name: Name used in messages and as the stem of its log file.
+        name: Name for messages and the stem of the log file.
         proc: The process.
-        log: File that holds its standard output and error.
-        is_fake: Whether it stands in for an outside system; those end by the
-            signal itself.
+        log: File with standard output and standard error.
+        is_fake: Whether the process is a fake of an external system. Fakes may be
+            terminated by SIGTERM itself instead of exiting with code 0.
     """
 
     name: str
@@ -41,14 +41,14 @@
 def free_ports(count: int) -> list[int]:
     """Return free TCP ports on loopback that no earlier call returned.
 
-    The ports lie below those that the system gives to outgoing connections, one
-    of which could otherwise take a port before its user listens.
+    The ports lie below the ephemeral port range. An outgoing connection could otherwise
+    take a port before the process that it is meant for listens on it.
 
     Args:
-        count: How many ports.
+        count: Number of ports.
 
     Returns:
-        Port numbers that were free a moment ago.
+        Port numbers that were free when they were checked.
     """
     ports: list[int] = []
     while len(ports) < count:
@@ -78,7 +78,7 @@
         *args: Command-line arguments.
 
     Returns:
-        The started process.
+        The started process, which may not be ready yet.
     """
     log = folder / f"{name}.log"
     with log.open("wb") as out:
@@ -97,14 +97,14 @@
 
 
 async def stop_all(children: list[Child]) -> list[str]:
-    """Stop processes by SIGTERM, in the given order, and wait for their end.
+    """Stop processes one by one with SIGTERM and wait until each has exited.
 
     Args:
-        children: The processes to stop.
+        children: Processes in the order in which they are stopped.
 
     Returns:
-        Names of those that had ended before, ended with another code than 0 or
-        had to be killed.
+        Name and exit code of each process that had exited before, exited with an
+        unexpected code, or had to be killed after ``STOP_TIMEOUT_S``.
     """
     unclean = []
     for child in children:
