--- a/demo/tests/test_checks.py
+++ b/demo/tests/test_checks.py
@@ -14,7 +14,7 @@
 
 
 class CheckOutcomesTest(AsyncTestCase):
-    """Each check catches a planted fault."""
+    """Each check reports an injected fault."""
 
     def problems(self, *outcomes):
         return check_outcomes(list(outcomes), Deployment(folder=None)).problems
@@ -23,24 +23,24 @@
         super().setUp()
         self.tokens = expected_tokens(PROMPT, LAYERS, 4)
 
-    def test_whole_answer_passes(self):
+    def test_complete_answer_passes(self):
         self.assertEqual([], self.problems(stream_outcome(self.tokens)))
 
-    def test_missing_doubled_and_crossed_tokens_are_caught(self):
+    def test_missing_duplicate_and_swapped_tokens_are_reported(self):
         swapped = [self.tokens[1], self.tokens[0], *self.tokens[2:]]
         for tokens in (self.tokens[:-1], [*self.tokens, self.tokens[-1]], swapped):
             self.assertEqual(1, len(self.problems(stream_outcome(tokens))))
 
-    def test_answer_without_its_last_event_is_caught(self):
+    def test_answer_without_last_event_is_reported(self):
         outcome = stream_outcome(self.tokens, declared=None)
         self.assertEqual(1, len(self.problems(outcome)))
 
-    def test_refusal_that_does_not_say_not_run_is_caught(self):
+    def test_refusal_without_not_run_header_is_reported(self):
         task = Task(number=2, kind=Kind.REFUSED_KEY)
         outcome = Outcome(task=task, requests=1, statuses=[401], runs=["unknown"])
         self.assertEqual(1, len(self.problems(outcome)))
 
-    def test_note_that_never_ran_is_caught(self):
+    def test_note_that_never_ran_is_reported(self):
         task = Task(number=3, kind=Kind.NOTE_TWICE)
         outcome = Outcome(task=task, requests=2, statuses=[200, 200], runs=["", ""])
         self.assertEqual(1, len(self.problems(outcome)))
--- a/demo/tests/test_processes.py
+++ b/demo/tests/test_processes.py
@@ -6,18 +6,18 @@
 from demo import processes
 from wigeonscale.testing import AsyncTestCase
 
-LOWEST_EPHEMERAL_PORT = 32768  # Linux, unless set otherwise
+LOWEST_EPHEMERAL_PORT = 32768  # default of Linux
 
 
 class FreePortsTest(AsyncTestCase):
-    def test_a_port_is_never_given_twice(self):
+    def test_no_port_is_returned_twice(self):
         with mock.patch.object(processes, "_rng", random.Random(1)):
             first = processes.free_ports(3)
         with mock.patch.object(processes, "_rng", random.Random(1)):
             second = processes.free_ports(3)
         self.assertEqual(6, len({*first, *second}))
 
-    def test_a_port_in_use_is_passed_over(self):
+    def test_port_in_use_is_skipped(self):
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))
             taken = sock.getsockname()[1]
@@ -27,5 +27,5 @@
                 self.assertNotEqual([taken], processes.free_ports(1))
         self.assertNotEqual(taken, next(offers))
 
-    def test_ports_lie_below_those_of_outgoing_connections(self):
+    def test_ports_lie_below_the_ephemeral_range(self):
         self.assertLess(max(processes.PORT_RANGE), LOWEST_EPHEMERAL_PORT)
--- a/wigeonscale/lab/tests/test_engines.py
+++ b/wigeonscale/lab/tests/test_engines.py
@@ -30,7 +30,7 @@
 
 
 class EnginesTest(AsyncTestCase):
-    """Two engines of five layers each, with memory for 100 tokens in these."""
+    """Two engines of five layers each; memory for 100 tokens in all five layers."""
 
     PATH = (Part("low", LayerRange(0, 5)), Part("up", LayerRange(5, 10)))
 
@@ -42,26 +42,26 @@
         run = SimulatedRun(prompt_tokens=prompt_tokens, answer_tokens=answer_tokens)
         return run, start(run, self.PATH, self.engines)
 
-    def test_room_is_what_the_layers_leave(self):
+    def test_capacity_is_memory_not_taken_by_layers(self):
         self.assertEqual(500.0, self.engines["low"].capacity)
 
-    def test_a_prompt_that_does_not_fit_is_refused_by_name(self):
+    def test_engine_without_memory_for_prompt_is_returned(self):
         self.assertEqual(None, self.begin(60)[1])
         self.assertEqual("low", self.begin(60)[1])
         self.assertEqual(300.0, self.engines["up"].used)
 
-    def test_slots_of_the_first_engine(self):
+    def test_first_engine_refuses_runs_beyond_its_slots(self):
         for _ in range(MODEL.slots):
             self.assertEqual(None, self.begin(1)[1])
         self.assertEqual("low", self.begin(1)[1])
 
-    def test_a_lost_engine_takes_nothing(self):
+    def test_lost_engine_refuses_runs(self):
         self.engines["up"].is_lost = True
         self.assertEqual("up", self.begin(1)[1])
 
-    def test_reads_then_writes_to_the_end(self):
+    def test_run_is_prefilled_then_generates_to_its_end(self):
         run, _ = self.begin(50, answer_tokens=5)
-        # 0.5 ms of reading, and 1.2 ms a token: all layers and two short hops.
+        # 0.5 ms of prefill, then 1.2 ms per token for all layers and two short hops.
         done, put_back = advance([run], self.engines, now=0.004, step_s=0.004)
         self.assertEqual(([], 0), (done, put_back))
         self.assertAlmostEqual(3.5 / 1.2, run.generated_tokens)
@@ -70,7 +70,7 @@
         self.assertEqual([run], done)
         self.assertEqual(0.0, self.engines["low"].used)
 
-    def test_the_newest_is_put_back_when_memory_runs_out(self):
+    def test_newest_run_is_preempted_when_memory_runs_out(self):
         old, _ = self.begin(60, answer_tokens=30)
         new, refusing_backend = self.begin(38, answer_tokens=30)
         self.assertIsNone(refusing_backend)
@@ -78,7 +78,7 @@
         self.assertEqual(1, put_back)
         self.assertTrue(new.is_preempted and new.is_late)
         self.assertFalse(old.is_late)
-        # It comes back once the other is done, and is read again.
+        # It resumes once the other run has ended, and its tokens are prefilled again.
         for step in range(10):
             done, _ = advance([old, new], self.engines, now=0.01 * step, step_s=0.01)
             if old in done:
--- a/wigeonscale/lab/tests/test_simulation.py
+++ b/wigeonscale/lab/tests/test_simulation.py
@@ -16,7 +16,7 @@
 
 
 def override_values(text, **values):
-    """Return a scenario file's text with other values of some keys."""
+    """Return the text of a scenario file with the values of some keys replaced."""
     lines = [
         f"{line.split(' = ')[0]} = {values[line.split(' = ')[0]]}"
         if line.split(" = ")[0] in values
@@ -35,36 +35,44 @@
         self.path.write_text(text)
         return str(self.path)
 
-    def problem(self, old, new):
+    def error_message(self, old, new):
         text = pathlib.Path(SMALL).read_text()
         self.assertIn(old, text)
         try:
             load_scenario(self.write(text.replace(old, new)))
         except SettingsError as exc:
             return exc.message
-        self.fail("it was read")
+        self.fail("the invalid scenario was accepted")
 
 
 class ScenarioTest(ScenarioCase):
-    def test_those_of_the_package_are_read(self):
+    def test_scenarios_of_the_package_are_valid(self):
         for path in SCENARIOS.glob("*.ini"):
             self.assertTrue(load_scenario(str(path)).seconds > 0)
 
-    def test_what_is_wrong_is_named_with_its_value(self):
-        self.assertIn("per_s.a = 'many'", self.problem("a = 24", "a = many"))
-        self.assertIn("typo = '1'", self.problem("[play]", "[play]\ntypo = 1"))
-        self.assertIn("typo = '1'", self.problem("[model]", "[model]\ntypo = 1"))
-        self.assertIn("no [accelerator huge]", self.problem("fast = 1", "huge = 1"))
-        self.assertIn("'z'", self.problem("domain = a", "domain = z"))
-        self.assertIn("from_share", self.problem("count = 2", "from_share = 2"))
+    def test_errors_name_the_key_and_its_value(self):
+        self.assertIn("per_s.a = 'many'", self.error_message("a = 24", "a = many"))
+        self.assertIn("typo = '1'", self.error_message("[play]", "[play]\ntypo = 1"))
+        self.assertIn("typo = '1'", self.error_message("[model]", "[model]\ntypo = 1"))
+        self.assertIn(
+            "no [accelerator huge]", self.error_message("fast = 1", "huge = 1")
+        )
+        self.assertIn("'z'", self.error_message("domain = a", "domain = z"))
+        self.assertIn("from_share", self.error_message("count = 2", "from_share = 2"))
 
-    def test_no_file(self):
+    def test_missing_file_is_an_error(self):
         with self.assertRaises(SettingsError):
             load_scenario("/nowhere.ini")
 
 
-class CrowdTest(AsyncTestCase):
-    """18 entries under a burst; one domain has the fastest engine, and loses two."""
+class CrowdingTest(AsyncTestCase):
+    """Entries that route independently must not overload the fastest engine.
+
+    Of the three domains with 18 entries, only one has the fastest engine, and it loses
+    two engines during a burst of requests. Load data of the entries is half a second
+    old, so entries of all domains would choose that domain at once, and its engines
+    would refuse many runs.
+    """
 
     SEEDS = (1, 2)
 
@@ -74,11 +82,11 @@
         shares = [each.in_time_share() for each in results]
         return sum(each.turned_away for each in results), min(shares)
 
-    def test_entries_of_other_domains_do_not_crowd_into_the_fastest(self):
+    def test_entries_of_other_domains_do_not_overload_the_fastest(self):
         turned_away, in_time = self.simulate_seeds()
         self.assertTrue(turned_away <= 2, turned_away)
         self.assertTrue(in_time > 0.98, in_time)
-        # Where any domain that is 300 ms faster is taken they do.
+        # They do if a path in any domain that is 300 ms faster is preferred.
         with override_constant("direct.choice.FAR_START_ANSWERS", 0.0):
             turned_away, _ = self.simulate_seeds()
         self.assertTrue(turned_away >= 20, turned_away)
@@ -95,7 +103,7 @@
         text = pathlib.Path(SMALL).read_text()
         return self.write(override_values(text, seconds="1.5", at_s="0.5"))
 
-    def test_same_seed_same_figures(self):
+    def test_same_seed_gives_same_results(self):
         path = self.short_scenario()
         code, lines, _ = self.run_main("run", path, "--seeds", "7,7,8")
         self.assertEqual(0, code)
@@ -103,7 +111,7 @@
         self.assertEqual(first, again)
         self.assertNotEqual(first, other)
 
-    def test_values_of_a_constant_side_by_side(self):
+    def test_compare_pairs_values_with_the_first_one(self):
         vary = "direct.choice.FULL_SHARE=1.1,0.01"
         code, lines, _ = self.run_main(
             "compare", self.short_scenario(), "--vary", vary, "--seeds", "1,2"
@@ -113,7 +121,7 @@
         self.assertEqual(0.0, usual["gain"])
         self.assertTrue(tiny["gain"] < -0.5, tiny)
 
-    def test_bad_input(self):
+    def test_bad_input_exits_with_code_2(self):
         code, _, err = self.run_main("run", "/nowhere.ini")
         self.assertEqual(2, code)
         self.assertIn("/nowhere.ini", err)
@@ -121,7 +129,7 @@
         self.assertEqual(2, code)
         self.assertIn("'direct.choice.NO'", err)
 
-    def test_a_constant_is_put_back(self):
+    def test_constant_is_restored(self):
         scenario = load_scenario(self.short_scenario())
         with self.assertRaises(SettingsError):
             list(compare(scenario, "direct.choice.choose_path", [1.0], [1]))
