--- a/wigeonscale/lab/compare.py
+++ b/wigeonscale/lab/compare.py
@@ -41,6 +41,8 @@
 def override_constant(name: str, value: float) -> Iterator[None]:
     """Override a module-level constant of ``wigeonscale`` within a ``with`` block.
 
+    Modules that import the constant by name keep its original value.
+
     Args:
         name: ``module.NAME``, with the module relative to the ``wigeonscale`` package.
         value: Temporary value; converted to the type of the constant.
@@ -51,16 +53,16 @@
     module_name, _, constant_name = name.rpartition(".")
     try:
         module = importlib.import_module(f"wigeonscale.{module_name}")
-        before = getattr(module, constant_name)
+        original = getattr(module, constant_name)
     except (ImportError, AttributeError, ValueError) as exc:
         raise SettingsError(f"constant {name!r}: {exc}") from exc
-    if isinstance(before, bool) or not isinstance(before, int | float):
-        raise SettingsError(f"constant {name!r}: is {before!r}; allowed: a number")
-    setattr(module, constant_name, type(before)(value))
+    if isinstance(original, bool) or not isinstance(original, int | float):
+        raise SettingsError(f"constant {name!r}: is {original!r}; allowed: a number")
+    setattr(module, constant_name, type(original)(value))
     try:
         yield
     finally:
-        setattr(module, constant_name, before)
+        setattr(module, constant_name, original)
 
 
 def compare(
--- a/wigeonscale/lab/engines.py
+++ b/wigeonscale/lab/engines.py
@@ -174,7 +174,7 @@
         The completed runs, and the number of runs preempted in this step.
 
     Notes:
-        Runs in time proportional to the number of runs times the parts of their paths.
+        Takes time proportional to the number of runs times the parts of their paths.
     """
     done = []
     token_ms: dict[tuple[str, int], float] = {}
--- a/wigeonscale/lab/fleet.py
+++ b/wigeonscale/lab/fleet.py
@@ -16,7 +16,9 @@
         scenario: Gives the number of engines by domain and kind of accelerator.
     """
     holders = _holders(scenario)
-    wanted = plan_layers([holder for _, holder in holders], model_size(scenario.model))
+    planned_layers = plan_layers(
+        [holder for _, holder in holders], model_size(scenario.model)
+    )
     return {
         holder.backend_id: SimulatedEngine(
             server=BackendServer(
@@ -25,7 +27,7 @@
                 address=holder.backend_id,
                 domain=holder.domain,
                 accelerator=kind,
-                layers=wanted.get(holder.backend_id, LayerRange(0, 0)),
+                layers=planned_layers.get(holder.backend_id, LayerRange(0, 0)),
                 slots=scenario.model.slots,
             ),
             profile=scenario.model,
--- a/wigeonscale/lab/simulation.py
+++ b/wigeonscale/lab/simulation.py
@@ -148,7 +148,7 @@
         """Simulate until all requests are answered or rejected."""
         while self._is_active():
             self._clock.time_s += STEP_S
-            self._apply_losses()
+            self._apply_faults()
             self._load_exchange.exchange_due(self._clock.time_s)
             if self._clock.time_s < self._scenario.seconds:
                 self._generate_arrivals()
@@ -157,22 +157,22 @@
         return self._result
 
     def _is_active(self) -> bool:
-        is_early = self._clock.time_s < self._scenario.seconds
-        return bool(is_early or self._running or self._queued)
+        has_arrivals = self._clock.time_s < self._scenario.seconds
+        return bool(has_arrivals or self._running or self._queued)
 
     def _advance(self) -> None:
-        done, put_back = advance(
+        done, preempted = advance(
             list(self._running), self._engines, now=self._clock.time_s, step_s=STEP_S
         )
-        self._result.put_back += put_back
+        self._result.put_back += preempted
         for run in done:
             self._record_answer(self._running.pop(run))
 
     def _record_answer(self, req: _Request) -> None:
         req.entry.tracker.end(req.tracked_run)
         req.entry.running -= 1
-        first_s = req.run.first_token_at - req.arrived_at
-        if req.run.is_late or first_s > FIRST_TOKEN_TARGET_S:
+        first_token_s = req.run.first_token_at - req.arrived_at
+        if req.run.is_late or first_token_s > FIRST_TOKEN_TARGET_S:
             req.window.late += 1
         else:
             req.window.in_time += 1
@@ -204,7 +204,7 @@
             _Request(entry, run, sizes.declared_size, self._clock.time_s, window)
         )
 
-    def _choose(self, req: _Request) -> tuple[Sequence[Part] | None, bool]:
+    def _choose_path(self, req: _Request) -> tuple[Sequence[Part] | None, bool]:
         """Return the path of the next attempt, and whether an engine on it is full."""
         costs = path_costs(
             self._scenario.model,
@@ -230,7 +230,7 @@
     def _send(self, req: _Request) -> None:
         """Try paths until a request starts, is queued or is given up."""
         while True:
-            path, is_full = self._choose(req)
+            path, is_full = self._choose_path(req)
             if path is None or req.sends >= MAX_SENDS:
                 self._give_up(req)
                 return
@@ -279,7 +279,7 @@
         due = [each for each in self._queued if each[0] <= self._clock.time_s]
         self._queued = [each for each in self._queued if each[0] > self._clock.time_s]
         for _, _, req in due:
-            path, is_full = self._choose(req)
+            path, is_full = self._choose_path(req)
             if path is None or is_full:
                 self._enqueue(req)
                 continue
@@ -295,7 +295,7 @@
         else:
             req.window.refused += 1
 
-    def _apply_losses(self) -> None:
+    def _apply_faults(self) -> None:
         now = self._clock.time_s
         while self._losses and self._losses[0].at_s <= now:
             self._fail_engines(self._losses.pop(0))
@@ -306,7 +306,7 @@
         detected = [at for at in self._detection_times if at <= now]
         self._detection_times = [at for at in self._detection_times if at > now]
         if recovered or detected:
-            self._detect_failures()
+            self._update_known_engines()
 
     def _fail_engines(self, loss) -> None:
         candidates = [
@@ -321,7 +321,7 @@
             self._recoveries.append((self._clock.time_s + loss.for_s, engine))
         self._detection_times.append(self._clock.time_s + FAILURE_DETECTION_S)
 
-    def _detect_failures(self) -> None:
+    def _update_known_engines(self) -> None:
         """Update the engines known to entries, and resend the runs of lost engines."""
         self._known_servers = [
             engine.server for engine in self._engines.values() if not engine.is_lost
--- a/wigeonscale/lab/tests/test_engines.py
+++ b/wigeonscale/lab/tests/test_engines.py
@@ -62,8 +62,8 @@
     def test_run_is_prefilled_then_generates_to_its_end(self):
         run, _ = self.begin(50, answer_tokens=5)
         # 0.5 ms of prefill, then 1.2 ms per token for all layers and two short hops.
-        done, put_back = advance([run], self.engines, now=0.004, step_s=0.004)
-        self.assertEqual(([], 0), (done, put_back))
+        done, preempted = advance([run], self.engines, now=0.004, step_s=0.004)
+        self.assertEqual(([], 0), (done, preempted))
         self.assertAlmostEqual(3.5 / 1.2, run.generated_tokens)
         self.assertEqual(0.004, run.first_token_at)
         done, _ = advance([run], self.engines, now=0.008, step_s=0.004)
@@ -74,8 +74,8 @@
         old, _ = self.begin(60, answer_tokens=30)
         new, refusing_backend = self.begin(38, answer_tokens=30)
         self.assertIsNone(refusing_backend)
-        _, put_back = advance([old, new], self.engines, now=0.01, step_s=0.01)
-        self.assertEqual(1, put_back)
+        _, preempted = advance([old, new], self.engines, now=0.01, step_s=0.01)
+        self.assertEqual(1, preempted)
         self.assertTrue(new.is_preempted and new.is_late)
         self.assertFalse(old.is_late)
         # It resumes once the other run has ended, and its tokens are prefilled again.
