--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -1,4 +1,4 @@
-"""The demonstration's deployment: settings, rules and start order."""
+"""Deployment of the demonstration: settings, rules, start and stop order."""
 
 __all__ = [
     "Deployment",
@@ -28,7 +28,7 @@
 MODEL = "proof-12"
 DOMAINS = ("aarhus-a", "aarhus-b", "vejle-c")
 START_TIMEOUT_S = 60.0
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 KEYS = {"korrekturhuset": "demo-key-korrekturhuset", "vltava": "demo-key-vltava"}
 
 RULES = f"""\
@@ -70,13 +70,13 @@
     """A running deployment.
 
     Attributes:
-        folder: Holds settings, logs, traces and data folders.
+        folder: Folder of settings, logs, traces and data folders.
         children: Processes by role.
-        entries: Base URLs for callers.
-        health: Base URLs of the entries' own pages.
-        controls: ip:port of the operators' pages.
+        entries: Base URLs of the entries for callers.
+        health: Base URLs of the HTTP pages of the entries, for operators.
+        controls: ip:port of the HTTP pages of the control replicas, for operators.
         engine_traces: Trace files of the engines.
-        service_trace: Trace file of the plain service.
+        service_trace: Trace file of the plain service; None before it starts.
     """
 
     folder: pathlib.Path
@@ -91,10 +91,11 @@
 async def deploy(dep: Deployment) -> None:
     """Start every process and wait until the control replicas are ready.
 
-    Entries become ready once they hold a lease.
+    Does not wait for the entries, which become ready once they hold a lease.
 
     Args:
-        dep: Filled in as processes start, so that a failed start can be undone.
+        dep: Deployment to start. Each process is added when it starts, so that the
+            caller can stop them after a failed start.
     """
     control_grpc = [f"127.0.0.1:{port}" for port in free_ports(CONTROL_COUNT)]
     await _start_controls(dep, control_grpc)
@@ -108,29 +109,29 @@
     """Wait until a page answers with status 200.
 
     Args:
-        url: The page.
+        url: URL of the page.
 
     Raises:
-        TimeoutError: It did not within ``START_TIMEOUT_S``.
+        TimeoutError: No such answer within ``START_TIMEOUT_S``.
     """
     async with asyncio.timeout(START_TIMEOUT_S), aiohttp.ClientSession() as http:
         while True:
             try:
-                async with http.get(url) as answer:
-                    if answer.status == 200:
+                async with http.get(url) as resp:
+                    if resp.status == 200:
                         return
             except aiohttp.ClientError:
                 pass
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _write(dep: Deployment, name: str, text: str) -> str:
+def _write_config(dep: Deployment, name: str, text: str) -> str:
     path = dep.folder / f"{name}.ini"
     path.write_text(text)
     return str(path)
 
 
-def _node(name: str, number: int) -> str:
+def _node_section(name: str, number: int) -> str:
     domain = DOMAINS[number % len(DOMAINS)]
     return f"[node]\nname = {name}\ndomain = {domain}\nregion = jutland\n\n"
 
@@ -141,25 +142,25 @@
         name = f"control-{number}"
         http = f"127.0.0.1:{free_ports(1)[0]}"
         data = dep.folder / f"{name}-data"
-        text = _node(name, number) + (
+        text = _node_section(name, number) + (
             f"[control]\ngrpc = {address}\nhttp = {http}\n"
             f"data = {data}\npeers = {peers}\n"
         )
         dep.controls.append(http)
-        await _daemon(dep, "control", name, text)
+        await _start_daemon(dep, "control", name, text)
 
 
 async def _start_entries(dep: Deployment, control: list[str]) -> None:
     for number in range(1, ENTRY_COUNT + 1):
         name = f"entry-{number}"
         listen, http = (f"127.0.0.1:{port}" for port in free_ports(2))
-        text = _node(name, number) + (
+        text = _node_section(name, number) + (
             f"[entry]\nlisten = {listen}\nhttp = {http}\n"
             f"control = {', '.join(control)}\n"
         )
         dep.entries.append(f"http://{listen}")
         dep.health.append(f"http://{http}")
-        await _daemon(dep, "entry", name, text)
+        await _start_daemon(dep, "entry", name, text)
 
 
 async def _start_backends(dep: Deployment, control: list[str]) -> None:
@@ -172,7 +173,7 @@
         if number % 2 == 0:
             args.append("--ignore-fencing")
         module = "wigeonscale.testing.fake_engine"
-        await _start(dep, "engine", f"engine-{number}", module, *args)
+        await _start_process(dep, "engine", f"engine-{number}", module, *args)
         name = f"agent-{number}"
         extra = f"kind = engine\nbackend = http://{listen}\n"
         await _start_agent(dep, name, number, control, extra)
@@ -181,7 +182,7 @@
     args = ["--listen", listen, "--name", "directory"]
     args += ["--trace", str(dep.service_trace)]
     module = "wigeonscale.testing.fake_service"
-    await _start(dep, "service", "directory", module, *args)
+    await _start_process(dep, "service", "directory", module, *args)
     extra = f"kind = service\nservice = directory\nbackend = http://{listen}\n"
     await _start_agent(dep, "agent-directory", 0, control, extra)
 
@@ -190,20 +191,20 @@
     dep: Deployment, name: str, number: int, control: list[str], extra: str
 ) -> None:
     grpc, http = (f"127.0.0.1:{port}" for port in free_ports(2))
-    text = _node(name, number) + (
+    text = _node_section(name, number) + (
         f"[agent]\ngrpc = {grpc}\nhttp = {http}\n"
         f"control = {', '.join(control)}\n{extra}"
     )
-    await _daemon(dep, "agent", name, text)
+    await _start_daemon(dep, "agent", name, text)
 
 
-async def _daemon(dep: Deployment, role: str, name: str, text: str) -> None:
-    path = _write(dep, name, text)
+async def _start_daemon(dep: Deployment, role: str, name: str, text: str) -> None:
+    path = _write_config(dep, name, text)
     module = "wigeonscale.cli.wigeond"
-    await _start(dep, role, name, module, role, "--config", path)
+    await _start_process(dep, role, name, module, role, "--config", path)
 
 
-async def _start(
+async def _start_process(
     dep: Deployment, role: str, name: str, module: str, *args: str
 ) -> None:
     child = await start(name, dep.folder, module, *args)
@@ -211,6 +212,6 @@
 
 
 def stop_order(dep: Deployment) -> list[Child]:
-    """Return all processes, those that depend on others first."""
+    """Return all processes in stop order: dependent processes first."""
     roles = ("entry", "agent", "control", "service", "engine")
     return [child for role in roles for child in dep.children.get(role, [])]
--- a/demo/load.py
+++ b/demo/load.py
@@ -1,4 +1,4 @@
-"""The demonstration's callers: a mixed load over both entries."""
+"""Load of the demonstration: callers that send mixed requests to both entries."""
 
 __all__ = ["Caller", "Kind", "Outcome", "Task", "make_tasks", "run_tasks"]
 
@@ -12,17 +12,31 @@
 
 from demo.deployment import KEYS, MODEL
 
-AT_ONCE = 8
+MAX_CONCURRENT_TASKS = 8
 REQUEST_TIMEOUT_S = 60.0
-TAKE_UP_AFTER = 3  # tokens read before a stream is left
+RESUME_AFTER_TOKENS = 3  # tokens read before the caller disconnects
 
 
 class Kind(StrEnum):
-    """What a task of the load does."""
+    """Requests that a task makes.
+
+    Attributes:
+        STREAM: A streamed completion.
+        PLAIN: A chat completion without streaming.
+        RESUME: A streamed completion that is cut off by the caller and resumed at the
+            other entry.
+        LOOKUP: A read from the plain service.
+        NOTE_TWICE: The same write to the plain service through both entries at once,
+            with one idempotency key.
+        REFUSED_KEY: A completion with an unknown API key.
+        REFUSED_MODEL: A completion of an unknown model.
+        REFUSED_RULE: A request that a rule refuses.
+        MALFORMED: A request with an invalid JSON body.
+    """
 
     STREAM = "stream"
     PLAIN = "plain"
-    TAKE_UP = "take-up"
+    RESUME = "take-up"
     LOOKUP = "lookup"
     NOTE_TWICE = "note-twice"
     REFUSED_KEY = "refused-key"
@@ -33,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """One task of the load; ``number`` makes its content unlike all others."""
+    """One task of the load; ``number`` makes its content unique."""
 
     number: int
     kind: Kind
@@ -43,17 +57,18 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What callers saw of one task.
+    """Responses that the caller of one task received.
 
     Attributes:
         task: The task.
-        requests: Requests it made.
-        statuses: Their HTTP statuses.
-        runs: Their ``Wigeonscale-Run`` headers.
-        tokens: Texts of the answer's tokens, or the whole text as one.
-        declared: Token count of the last event; None when there was none.
-        bodies: Raw answers of calls to plain services.
-        error: What went wrong for the caller, or empty.
+        requests: Number of requests made.
+        statuses: HTTP statuses of the responses.
+        runs: ``Wigeonscale-Run`` headers of the responses; empty where absent.
+        tokens: Texts of the streamed tokens, or the complete text as one item.
+        declared: Number of completion tokens in the reported usage; None if no usage
+            was reported.
+        bodies: Raw bodies of refusals and of responses of plain services.
+        error: Error of the connection or the stream; empty if there was none.
     """
 
     task: Task
@@ -72,7 +87,7 @@
     Kind.LOOKUP,
     Kind.NOTE_TWICE,
     Kind.STREAM,
-    Kind.TAKE_UP,
+    Kind.RESUME,
     Kind.REFUSED_RULE,
     Kind.PLAIN,
     Kind.STREAM,
@@ -85,14 +100,14 @@
 
 
 def make_tasks(count: int, first: int = 0) -> list[Task]:
-    """Return ``count`` tasks that go through all kinds.
+    """Return ``count`` tasks that cycle through all kinds.
 
     Args:
-        count: How many tasks.
+        count: Number of tasks.
         first: Number of the first task.
 
     Returns:
-        Tasks, the same for the same arguments.
+        The tasks; equal arguments give equal tasks.
     """
     kinds = itertools.cycle(PATTERN)
     return [
@@ -107,55 +122,55 @@
 
 
 async def run_tasks(tasks: list[Task], entries: list[str]) -> list[Outcome]:
-    """Run tasks, ``AT_ONCE`` at a time, and return their outcomes in order.
+    """Run tasks, ``MAX_CONCURRENT_TASKS`` at a time; return outcomes in task order.
 
     Args:
         tasks: The tasks.
-        entries: Base URLs of the entries, used in turn.
+        entries: Base URLs of the entries; tasks use them round-robin.
 
     Returns:
-        One outcome a task.
+        One outcome per task.
     """
-    gate = asyncio.Semaphore(AT_ONCE)
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_TASKS)
     timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as http:
 
         async def run(task: Task) -> Outcome:
-            async with gate:
+            async with semaphore:
                 return await Caller(http=http, entries=entries, task=task).run()
 
         return list(await asyncio.gather(*(run(task) for task in tasks)))
 
 
 class Caller:
-    """Carries out one task and keeps what it saw.
+    """Sends the requests of one task and records the responses.
 
     Args:
         http: HTTP session.
         entries: Base URLs of the entries.
-        task: The task.
+        task: Task to run.
     """
 
     def __init__(self, *, http: aiohttp.ClientSession, entries: list[str], task: Task):
         self._http = http
-        self._here = entries[task.number % len(entries)]
-        self._there = entries[(task.number + 1) % len(entries)]
+        self._entry_url = entries[task.number % len(entries)]
+        self._other_entry_url = entries[(task.number + 1) % len(entries)]
         self._task = task
-        self._out = Outcome(task=task)
+        self._outcome = Outcome(task=task)
         names = sorted(KEYS)
         key = KEYS[names[task.number % len(names)]]
         self._headers = {"Authorization": f"Bearer {key}"}
 
     async def run(self) -> Outcome:
-        """Carry out the task.
+        """Run the task.
 
         Returns:
-            What the caller saw; errors of the connection are kept in it.
+            The outcome; connection errors are recorded in its ``error``, not raised.
         """
         steps = {
             Kind.STREAM: self._stream,
             Kind.PLAIN: self._plain,
-            Kind.TAKE_UP: self._take_up,
+            Kind.RESUME: self._resume,
             Kind.LOOKUP: self._lookup,
             Kind.NOTE_TWICE: self._note_twice,
             Kind.REFUSED_KEY: self._refused_key,
@@ -166,13 +181,13 @@
         try:
             await steps[self._task.kind]()
         except (aiohttp.ClientError, TimeoutError, ValueError, KeyError) as exc:
-            self._out.error = f"{type(exc).__name__}: {exc}"
-        return self._out
+            self._outcome.error = f"{type(exc).__name__}: {exc}"
+        return self._outcome
 
-    def _count(self, answer: aiohttp.ClientResponse) -> None:
-        self._out.requests += 1
-        self._out.statuses.append(answer.status)
-        self._out.runs.append(answer.headers.get("Wigeonscale-Run", ""))
+    def _record_response(self, resp: aiohttp.ClientResponse) -> None:
+        self._outcome.requests += 1
+        self._outcome.statuses.append(resp.status)
+        self._outcome.runs.append(resp.headers.get("Wigeonscale-Run", ""))
 
     def _body(self, *, stream: bool, model: str = MODEL) -> dict:
         return {
@@ -183,28 +198,28 @@
         }
 
     def _post(self, path: str, json_body: dict, **headers: str):
-        url = self._here + path
+        url = self._entry_url + path
         return self._http.post(url, json=json_body, headers=self._headers | headers)
 
     async def _stream(self) -> None:
-        async with self._post("/v1/completions", self._body(stream=True)) as ans:
-            self._count(ans)
-            await self._read_events(ans)
+        async with self._post("/v1/completions", self._body(stream=True)) as resp:
+            self._record_response(resp)
+            await self._read_events(resp)
 
-    async def _read_events(self, answer, most: int | None = None) -> None:
-        async for line in answer.content:
+    async def _read_events(self, resp, token_limit: int | None = None) -> None:
+        async for line in resp.content:
             if not line.startswith(b"data: ") or line.startswith(b"data: [DONE]"):
                 continue
             event = json.loads(line[len(b"data: ") :])
             if "error" in event:
-                self._out.error = str(event["error"])
+                self._outcome.error = str(event["error"])
                 return
             text = event["choices"][0].get("text", "") if event["choices"] else ""
             if text:
-                self._out.tokens.append(text)
+                self._outcome.tokens.append(text)
             if event.get("usage"):
-                self._out.declared = event["usage"]["completion_tokens"]
-            if most is not None and len(self._out.tokens) >= most:
+                self._outcome.declared = event["usage"]["completion_tokens"]
+            if token_limit is not None and len(self._outcome.tokens) >= token_limit:
                 return
 
     async def _plain(self) -> None:
@@ -214,28 +229,28 @@
             "messages": messages,
             "max_tokens": self._task.max_tokens,
         }
-        async with self._post("/v1/chat/completions", body) as ans:
-            self._count(ans)
-            answer = await ans.json()
-        self._out.tokens.append(answer["choices"][0]["message"]["content"])
-        self._out.declared = answer["usage"]["completion_tokens"]
-
-    async def _take_up(self) -> None:
-        async with self._post("/v1/completions", self._body(stream=True)) as ans:
-            self._count(ans)
-            request_id = ans.headers["Wigeonscale-Request"]
-            await self._read_events(ans, most=TAKE_UP_AFTER)
-        taken = len(self._out.tokens)
-        url = f"{self._there}/v1/requests/{request_id}?from={taken}"
-        async with self._http.get(url, headers=self._headers) as ans:
-            self._count(ans)
-            await self._read_events(ans)
+        async with self._post("/v1/chat/completions", body) as resp:
+            self._record_response(resp)
+            completion = await resp.json()
+        self._outcome.tokens.append(completion["choices"][0]["message"]["content"])
+        self._outcome.declared = completion["usage"]["completion_tokens"]
+
+    async def _resume(self) -> None:
+        async with self._post("/v1/completions", self._body(stream=True)) as resp:
+            self._record_response(resp)
+            request_id = resp.headers["Wigeonscale-Request"]
+            await self._read_events(resp, token_limit=RESUME_AFTER_TOKENS)
+        received = len(self._outcome.tokens)
+        url = f"{self._other_entry_url}/v1/requests/{request_id}?from={received}"
+        async with self._http.get(url, headers=self._headers) as resp:
+            self._record_response(resp)
+            await self._read_events(resp)
 
     async def _lookup(self) -> None:
-        url = f"{self._here}/directory/entries/{self._task.number}"
-        async with self._http.get(url, headers=self._headers) as ans:
-            self._count(ans)
-            self._out.bodies.append(await ans.read())
+        url = f"{self._entry_url}/directory/entries/{self._task.number}"
+        async with self._http.get(url, headers=self._headers) as resp:
+            self._record_response(resp)
+            self._outcome.bodies.append(await resp.read())
 
     async def _note_twice(self) -> None:
         headers = self._headers | {"Idempotency-Key": f"note-{self._task.number}"}
@@ -243,33 +258,31 @@
 
         async def send(entry: str) -> None:
             url = f"{entry}/directory/notes"
-            async with self._http.post(url, json=body, headers=headers) as ans:
-                self._count(ans)
-                self._out.bodies.append(await ans.read())
+            async with self._http.post(url, json=body, headers=headers) as resp:
+                self._record_response(resp)
+                self._outcome.bodies.append(await resp.read())
 
-        await asyncio.gather(send(self._here), send(self._there))
+        await asyncio.gather(send(self._entry_url), send(self._other_entry_url))
 
-    async def _expect_refusal(self, path: str, body: dict, **headers: str) -> None:
-        async with self._post(path, body, **headers) as ans:
-            self._count(ans)
-            self._out.bodies.append(await ans.read())
+    async def _post_refused(self, path: str, body: dict, **headers: str) -> None:
+        async with self._post(path, body, **headers) as resp:
+            self._record_response(resp)
+            self._outcome.bodies.append(await resp.read())
 
     async def _refused_key(self) -> None:
         headers = {"Authorization": "Bearer nobody"}
-        await self._expect_refusal(
-            "/v1/completions", self._body(stream=False), **headers
-        )
+        await self._post_refused("/v1/completions", self._body(stream=False), **headers)
 
     async def _refused_model(self) -> None:
         body = self._body(stream=False, model="absent")
-        await self._expect_refusal("/v1/completions", body)
+        await self._post_refused("/v1/completions", body)
 
     async def _refused_rule(self) -> None:
-        await self._expect_refusal("/directory/closed", {"number": self._task.number})
+        await self._post_refused("/directory/closed", {"number": self._task.number})
 
     async def _malformed(self) -> None:
-        url = f"{self._here}/v1/completions"
+        url = f"{self._entry_url}/v1/completions"
         headers = self._headers | {"Content-Type": "application/json"}
-        async with self._http.post(url, data=b'{"model": ', headers=headers) as ans:
-            self._count(ans)
-            self._out.bodies.append(await ans.read())
+        async with self._http.post(url, data=b'{"model": ', headers=headers) as resp:
+            self._record_response(resp)
+            self._outcome.bodies.append(await resp.read())
--- a/demo/processes.py
+++ b/demo/processes.py
@@ -1,4 +1,4 @@
-"""Starts the demonstration's processes and stops them by SIGTERM."""
+"""Starts the processes of the demonstration and stops them with SIGTERM."""
 
 __all__ = ["Child", "free_ports", "start", "stop_all"]
 
@@ -13,48 +13,48 @@
 
 STOP_TIMEOUT_S = 40.0
 
-PORTS = range(15000, 30000)
-# Two runs at once shall not try the same ports in the same order.
+PORT_RANGE = range(15000, 30000)
+# Seeded by process id, so that concurrent runs try ports in different orders.
 _rng = random.Random(os.getpid())
-# Ports already handed out; their users may not listen on them yet.
-_given: set[int] = set()
+# Ports returned before. They may look free, since their processes may not listen yet.
+_allocated_ports: set[int] = set()
 
 
 @dataclass(slots=True)
 class Child:
-    """One started process.
+    """One child process.
 
     Attributes:
-        name: Name used in messages and as the stem of its log file.
+        name: Name for messages and the stem of the log file.
         proc: The process.
-        log: File that holds its standard output and error.
-        stand_in: Whether it stands in for an outside system; those end by the
-            signal itself.
+        log: File with standard output and standard error.
+        is_fake: Whether the process is a fake of an external system. Fakes may be
+            terminated by SIGTERM itself instead of exiting with code 0.
     """
 
     name: str
     proc: asyncio.subprocess.Process
     log: pathlib.Path
-    stand_in: bool
+    is_fake: bool
 
 
 def free_ports(count: int) -> list[int]:
     """Return free TCP ports on loopback that no earlier call returned.
 
-    The ports lie below those that the system gives to outgoing connections, one
-    of which could otherwise take a port before its user listens.
+    The ports lie below the ephemeral port range. An outgoing connection could otherwise
+    take a port before the process that it is meant for listens on it.
 
     Args:
-        count: How many ports.
+        count: Number of ports.
 
     Returns:
-        Port numbers that were free a moment ago.
+        Port numbers that were free when they were checked.
     """
     ports: list[int] = []
     while len(ports) < count:
-        port = _rng.choice(PORTS)
-        if port not in _given and _is_free(port):
-            _given.add(port)
+        port = _rng.choice(PORT_RANGE)
+        if port not in _allocated_ports and _is_free(port):
+            _allocated_ports.add(port)
             ports.append(port)
     return ports
 
@@ -78,7 +78,7 @@
         *args: Command-line arguments.
 
     Returns:
-        The started process.
+        The started process, which may not be ready yet.
     """
     log = folder / f"{name}.log"
     with log.open("wb") as out:
@@ -92,25 +92,25 @@
             stdin=asyncio.subprocess.DEVNULL,
             env=os.environ | {"PYTHONUNBUFFERED": "1"},
         )
-    stand_in = module.startswith("wigeonscale.testing.")
-    return Child(name=name, proc=proc, log=log, stand_in=stand_in)
+    is_fake = module.startswith("wigeonscale.testing.")
+    return Child(name=name, proc=proc, log=log, is_fake=is_fake)
 
 
 async def stop_all(children: list[Child]) -> list[str]:
-    """Stop processes by SIGTERM, in the given order, and wait for their end.
+    """Stop processes one by one with SIGTERM and wait until each has exited.
 
     Args:
-        children: The processes to stop.
+        children: Processes in the order in which they are stopped.
 
     Returns:
-        Names of those that had ended before, ended with another code than 0 or
-        had to be killed.
+        Name and exit code of each process that had exited before, exited with an
+        unexpected code, or had to be killed after ``STOP_TIMEOUT_S``.
     """
-    bad = []
+    unclean = []
     for child in children:
         if not await _stop(child):
-            bad.append(f"{child.name} (exit code {child.proc.returncode})")
-    return bad
+            unclean.append(f"{child.name} (exit code {child.proc.returncode})")
+    return unclean
 
 
 async def _stop(child: Child) -> bool:
@@ -124,4 +124,4 @@
         child.proc.kill()
         await child.proc.wait()
         return False
-    return code in (0, -signal.SIGTERM) if child.stand_in else code == 0
+    return code in (0, -signal.SIGTERM) if child.is_fake else code == 0
--- a/wigeonscale/lab/compare.py
+++ b/wigeonscale/lab/compare.py
@@ -1,6 +1,6 @@
-"""Plays a scenario with a constant of the product at several values."""
+"""Simulates a scenario with several values of one of the router's constants."""
 
-__all__ = ["Comparison", "compare", "constant"]
+__all__ = ["Comparison", "compare", "override_constant"]
 
 import importlib
 import math
@@ -10,56 +10,59 @@
 from dataclasses import dataclass
 
 from wigeonscale.errors import SettingsError
-from wigeonscale.lab.figures import Figures
-from wigeonscale.lab.play import play
+from wigeonscale.lab.results import SimulationResult
 from wigeonscale.lab.scenario import Scenario
+from wigeonscale.lab.simulation import simulate
 
-# Half the width of a normal confidence interval of 95 in 100.
-CONFIDENCE = 1.96
+# Half-width of a 95 % normal confidence interval, in standard errors.
+NORMAL_95_QUANTILE = 1.96
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Comparison:
-    """What one value of a constant gives beside the first one, seed by seed.
+    """Results of one value of a constant, paired by seed with the baseline value.
 
     Attributes:
-        value: The value.
-        figures: One for each seed.
-        gain: Mean difference of the shares in time.
-        spread: Half the width of the confidence interval of that mean; infinite for a
+        value: Value of the constant.
+        results: One result per seed.
+        gain: Mean difference from the baseline in the share of requests answered in
+            time.
+        spread: Half-width of the 95 % confidence interval of ``gain``; infinite for a
             single seed.
     """
 
     value: float
-    figures: tuple[Figures, ...]
+    results: tuple[SimulationResult, ...]
     gain: float
     spread: float
 
 
 @contextmanager
-def constant(name: str, value: float) -> Iterator[None]:
-    """Give a constant of the product another value for a while.
+def override_constant(name: str, value: float) -> Iterator[None]:
+    """Override a module-level constant of ``wigeonscale`` within a ``with`` block.
+
+    Modules that import the constant by name keep its original value.
 
     Args:
-        name: ``module.NAME``, the module without the package's name.
-        value: Its value.
+        name: ``module.NAME``, with the module relative to the ``wigeonscale`` package.
+        value: Temporary value; converted to the type of the constant.
 
     Raises:
-        SettingsError: There is no such number.
+        SettingsError: The constant does not exist or is not a number.
     """
     module_name, _, constant_name = name.rpartition(".")
     try:
         module = importlib.import_module(f"wigeonscale.{module_name}")
-        before = getattr(module, constant_name)
+        original = getattr(module, constant_name)
     except (ImportError, AttributeError, ValueError) as exc:
         raise SettingsError(f"constant {name!r}: {exc}") from exc
-    if isinstance(before, bool) or not isinstance(before, int | float):
-        raise SettingsError(f"constant {name!r}: is {before!r}; allowed: a number")
-    setattr(module, constant_name, type(before)(value))
+    if isinstance(original, bool) or not isinstance(original, int | float):
+        raise SettingsError(f"constant {name!r}: is {original!r}; allowed: a number")
+    setattr(module, constant_name, type(original)(value))
     try:
         yield
     finally:
-        setattr(module, constant_name, before)
+        setattr(module, constant_name, original)
 
 
 def compare(
@@ -68,29 +71,29 @@
     """Yield a comparison for each value, paired by seed with the first value.
 
     Args:
-        scenario: What is played.
-        name: The constant, see :func:`constant`.
-        values: Its values; the first is the one to compare with.
-        seeds: Seeds, each played with each value.
+        scenario: Scenario to simulate.
+        name: Name of the constant, as in :func:`override_constant`.
+        values: Values of the constant; the first is the baseline.
+        seeds: Seeds; each is simulated with each value.
     """
-    base: tuple[Figures, ...] = ()
+    baseline: tuple[SimulationResult, ...] = ()
     for value in values:
-        with constant(name, value):
-            figures = tuple(play(scenario, seed=seed) for seed in seeds)
-        base = base or figures
+        with override_constant(name, value):
+            results = tuple(simulate(scenario, seed=seed) for seed in seeds)
+        baseline = baseline or results
         gains = [
             each.in_time_share() - other.in_time_share()
-            for each, other in zip(figures, base, strict=True)
+            for each, other in zip(results, baseline, strict=True)
         ]
         yield Comparison(
             value=value,
-            figures=figures,
+            results=results,
             gain=statistics.fmean(gains),
-            spread=_half_width(gains),
+            spread=_confidence_half_width(gains),
         )
 
 
-def _half_width(gains: Sequence[float]) -> float:
+def _confidence_half_width(gains: Sequence[float]) -> float:
     if len(gains) < 2:
         return math.inf
-    return CONFIDENCE * statistics.stdev(gains) / math.sqrt(len(gains))
+    return NORMAL_95_QUANTILE * statistics.stdev(gains) / math.sqrt(len(gains))
--- a/wigeonscale/lab/engines.py
+++ b/wigeonscale/lab/engines.py
@@ -1,12 +1,15 @@
-"""A model of engines that serve generations along paths of layers.
+"""Simulated engines that serve generations along paths of layers.
 
-What it has: memory in tokens times layers, refusals where a prompt does not fit, the
-newest put back where memory runs out while answers grow, slots of the first engine,
-steps that take longer the more requests run, prompts that are read one after another.
-What it leaves out: passes and chunks, links, and the lag of an engine's own report.
+Modelled: KV-cache memory in token-layers (tokens times layers), rejection of prompts
+that do not fit, preemption of the newest runs when memory runs out as answers grow, the
+slots of the first engine of a path, decode steps that slow down as more requests run,
+and prompts that are prefilled one after another.
+
+Not modelled: forward passes and prefill chunks, network links, and the delay of an
+engine's own load report.
 """
 
-__all__ = ["EngineModel", "ModelRun", "advance", "start", "stop"]
+__all__ = ["SimulatedEngine", "SimulatedRun", "advance", "start", "stop"]
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -16,125 +19,129 @@
 from wigeonscale.layers import Part
 from wigeonscale.routes import EngineProfile
 
-# A run whose next token takes this long has a pause that its caller finds too long:
-# events hold some four tokens and are wanted every 300 ms.
-SLOW_TOKEN_MS = 75.0
+# Slower tokens make an answer late: an event holds about four tokens, and callers
+# expect an event every 300 ms.
+MAX_TOKEN_INTERVAL_MS = 75.0
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class ModelRun:
-    """One generation on its way.
+class SimulatedRun:
+    """One generation in progress.
 
     Attributes:
-        prompt: Tokens of its prompt.
-        answer: Tokens of its answer.
-        parts: Its path; empty while it has none.
-        written: Tokens of the answer so far.
-        reading_ms: Time of reading that is left before the next token.
-        is_late: Whether a pause was too long.
-        is_waiting: Whether it was put back and waits for memory.
-        first_token_at: Instant of its first token; None before it.
+        prompt_tokens: Length of the prompt in tokens.
+        answer_tokens: Length of the complete answer in tokens.
+        parts: Path of the run; empty while none is assigned.
+        generated_tokens: Tokens of the answer so far; fractional between two tokens.
+        prefill_left_ms: Prefill time left before the next token, in milliseconds.
+        is_late: Whether the answer was delayed: a token took too long, or the run was
+            preempted or moved after the loss of an engine.
+        is_preempted: Whether the run was preempted and waits for memory.
+        first_token_at: Time of the first token, in seconds; None before it.
     """
 
-    prompt: int
-    answer: int
+    prompt_tokens: int
+    answer_tokens: int
     parts: tuple[Part, ...] = ()
-    written: float = 0.0
-    reading_ms: float = 0.0
+    generated_tokens: float = 0.0
+    prefill_left_ms: float = 0.0
     is_late: bool = False
-    is_waiting: bool = False
+    is_preempted: bool = False
     first_token_at: float | None = None
 
     @property
     def tokens(self) -> float:
-        """Tokens that it holds in memory."""
-        return self.prompt + self.written
+        """Tokens of the run in the KV cache."""
+        return self.prompt_tokens + self.generated_tokens
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class EngineModel:
-    """One engine.
+class SimulatedEngine:
+    """Memory and timing of one engine.
 
     Args:
-        server: What the router knows of it.
-        profile: Sizes and times of its model.
+        server: The engine as the router knows it.
+        profile: Sizes and times of the served model.
 
     Attributes:
-        runs: Runs that hold memory here, and their layers, in order of arrival.
-        room: Memory for requests, in tokens times layers.
-        is_lost: Whether it is gone.
+        runs: Number of layers for each run that holds memory here, in order of arrival.
+        capacity: Memory for requests, in token-layers.
+        is_lost: Whether the engine has failed and has not recovered.
     """
 
     server: BackendServer
     profile: EngineProfile
-    runs: dict[ModelRun, int] = field(default_factory=dict)
+    runs: dict[SimulatedRun, int] = field(default_factory=dict)
     is_lost: bool = False
-    room: float = field(init=False)
+    capacity: float = field(init=False)
 
     def __post_init__(self):
-        kind = self.profile.accelerators[self.server.accelerator]
-        self.room = kv_cache_capacity(self.profile, self.server, kind.size_mb)
+        accelerator = self.profile.accelerators[self.server.accelerator]
+        self.capacity = kv_cache_capacity(
+            self.profile, self.server, accelerator.size_mb
+        )
 
     @property
     def used(self) -> float:
-        """Memory taken, in tokens times layers."""
+        """Memory in use, in token-layers."""
         return sum(run.tokens * layers for run, layers in self.runs.items())
 
-    def takes(self, run: ModelRun, layers: int) -> bool:
-        """Return whether it takes a run in now."""
-        return not self.is_lost and self.used + run.tokens * layers <= self.room
+    def can_accept(self, run: SimulatedRun, layers: int) -> bool:
+        """Return whether the run fits into memory on that many layers now."""
+        return not self.is_lost and self.used + run.tokens * layers <= self.capacity
 
     def token_ms(self, layers: int) -> float:
-        """Return the time of one token in so many layers."""
-        kind = self.profile.accelerators[self.server.accelerator]
+        """Return the decode time of one token in that many layers, in milliseconds."""
+        accelerator = self.profile.accelerators[self.server.accelerator]
         context = sum(run.tokens for run in self.runs) / 1000.0
         step_ms = (
             self.profile.step_ms
             + self.profile.sequence_ms * len(self.runs)
             + self.profile.context_ms * context
         )
-        return kind.pace * step_ms * layers / self.profile.layers + NEAR_HOP_MS
+        return accelerator.pace * step_ms * layers / self.profile.layers + NEAR_HOP_MS
 
-    def read_ms(self, tokens: float, layers: int) -> float:
-        """Return the time to read a prompt in so many layers."""
-        kind = self.profile.accelerators[self.server.accelerator]
+    def prefill_ms(self, tokens: float, layers: int) -> float:
+        """Return the prefill time of a prompt in that many layers, in milliseconds."""
+        accelerator = self.profile.accelerators[self.server.accelerator]
         alone_ms = 1000.0 * tokens / self.profile.read_tokens_per_s
-        readers = sum(run.reading_ms > 0 for run in self.runs)
+        prefilling = sum(run.prefill_left_ms > 0 for run in self.runs)
         share = layers / self.profile.layers
-        return kind.read_factor * alone_ms * share * (1 + readers)
+        return accelerator.read_factor * alone_ms * share * (1 + prefilling)
 
-    def put_back(self) -> list[ModelRun]:
-        """Take memory from the newest runs until the others fit; return those."""
-        evicted = []
-        while self.used > self.room:
+    def preempt_newest(self) -> list[SimulatedRun]:
+        """Preempt the newest runs until the others fit; return the preempted runs."""
+        preempted = []
+        while self.used > self.capacity:
             run = next(reversed(self.runs))
             del self.runs[run]
-            evicted.append(run)
-        return evicted
+            preempted.append(run)
+        return preempted
 
 
 def start(
-    run: ModelRun, parts: Sequence[Part], engines: Mapping[str, EngineModel]
+    run: SimulatedRun, parts: Sequence[Part], engines: Mapping[str, SimulatedEngine]
 ) -> str | None:
-    """Begin a run along a path.
+    """Start a run along a path.
 
     Args:
-        run: It takes the path, also where it is refused.
-        parts: Its path.
-        engines: All engines by name.
+        run: The run; the path is assigned to it even if an engine refuses it.
+        parts: Path of the run.
+        engines: All engines by backend id.
 
     Returns:
-        The engine that refused it, and nothing was begun; None where it runs.
+        Backend id of the engine that refused the run, in which case no engine holds
+        memory for it; None if the run started.
     """
     run.parts = tuple(parts)
     for part in run.parts:
-        if not engines[part.backend_id].takes(run, part.layers.count):
+        if not engines[part.backend_id].can_accept(run, part.layers.count):
             return part.backend_id
-    head = engines[run.parts[0].backend_id]
-    if len(head.runs) >= head.profile.slots:
-        return head.server.backend_id
-    run.reading_ms = sum(
-        engines[part.backend_id].read_ms(run.tokens, part.layers.count)
+    first_engine = engines[run.parts[0].backend_id]
+    if len(first_engine.runs) >= first_engine.profile.slots:
+        return first_engine.server.backend_id
+    run.prefill_left_ms = sum(
+        engines[part.backend_id].prefill_ms(run.tokens, part.layers.count)
         for part in run.parts
     )
     for part in run.parts:
@@ -142,37 +149,37 @@
     return None
 
 
-def stop(run: ModelRun, engines: Mapping[str, EngineModel]) -> None:
-    """Free the memory of a run."""
+def stop(run: SimulatedRun, engines: Mapping[str, SimulatedEngine]) -> None:
+    """Free the memory of a run on all engines of its path."""
     for part in run.parts:
         engines[part.backend_id].runs.pop(run, None)
 
 
 def advance(
-    runs: Iterable[ModelRun],
-    engines: Mapping[str, EngineModel],
+    runs: Iterable[SimulatedRun],
+    engines: Mapping[str, SimulatedEngine],
     *,
     now: float,
     step_s: float,
-) -> tuple[list[ModelRun], int]:
-    """Let time pass.
+) -> tuple[list[SimulatedRun], int]:
+    """Advance all runs by one time step.
 
     Args:
         runs: Runs that have a path.
-        engines: All engines by name.
-        now: Instant at the end of the step.
+        engines: All engines by backend id.
+        now: Time at the end of the step, in seconds.
         step_s: Length of the step, in seconds.
 
     Returns:
-        Runs that are done, and how many were put back.
+        The completed runs, and the number of runs preempted in this step.
 
     Notes:
-        Costs runs times parts.
+        Takes time proportional to the number of runs times the parts of their paths.
     """
     done = []
     token_ms: dict[tuple[str, int], float] = {}
 
-    def token_of(part: Part) -> float:
+    def part_token_ms(part: Part) -> float:
         key = part.backend_id, part.layers.count
         if key not in token_ms:
             token_ms[key] = engines[part.backend_id].token_ms(part.layers.count)
@@ -180,39 +187,39 @@
 
     for run in runs:
         left_ms = step_s * 1000.0
-        if run.is_waiting and not _come_back(run, engines):
+        if run.is_preempted and not _resume(run, engines):
             continue
-        reading_ms = min(run.reading_ms, left_ms)
-        run.reading_ms -= reading_ms
-        left_ms -= reading_ms
+        prefill_now_ms = min(run.prefill_left_ms, left_ms)
+        run.prefill_left_ms -= prefill_now_ms
+        left_ms -= prefill_now_ms
         if left_ms <= 0:
             continue
-        one_ms = sum(token_of(part) for part in run.parts)
-        run.is_late = run.is_late or one_ms > SLOW_TOKEN_MS
-        run.written += left_ms / one_ms
-        if run.first_token_at is None and run.written >= 1:
+        path_token_ms = sum(part_token_ms(part) for part in run.parts)
+        run.is_late = run.is_late or path_token_ms > MAX_TOKEN_INTERVAL_MS
+        run.generated_tokens += left_ms / path_token_ms
+        if run.first_token_at is None and run.generated_tokens >= 1:
             run.first_token_at = now
-        if run.written >= run.answer:
+        if run.generated_tokens >= run.answer_tokens:
             done.append(run)
     for run in done:
         stop(run, engines)
-    return done, _make_room(engines)
+    return done, _preempt_where_full(engines)
 
 
-def _make_room(engines: Mapping[str, EngineModel]) -> int:
-    """Put back the newest runs where memory ran out; return how many."""
+def _preempt_where_full(engines: Mapping[str, SimulatedEngine]) -> int:
+    """Preempt the newest runs of engines out of memory; return how many."""
     count = 0
     for engine in engines.values():
-        for run in engine.put_back():
+        for run in engine.preempt_newest():
             stop(run, engines)
-            run.is_waiting = True
+            run.is_preempted = True
             run.is_late = True
             count += 1
     return count
 
 
-def _come_back(run: ModelRun, engines: Mapping[str, EngineModel]) -> bool:
+def _resume(run: SimulatedRun, engines: Mapping[str, SimulatedEngine]) -> bool:
     if start(run, run.parts, engines) is not None:
         return False
-    run.is_waiting = False
+    run.is_preempted = False
     return True
--- a/wigeonscale/lab/fleet.py
+++ b/wigeonscale/lab/fleet.py
@@ -1,31 +1,33 @@
-"""The engines of a scenario, with the layers that the product plans for them."""
+"""Engines of a scenario, with layers assigned by the router's own planner."""
 
-__all__ = ["planned_engines"]
+__all__ = ["plan_engines"]
 
 from wigeonscale.control.layer_assigner import model_size
 from wigeonscale.direct.fleet import BackendServer
-from wigeonscale.lab.engines import EngineModel
+from wigeonscale.lab.engines import SimulatedEngine
 from wigeonscale.lab.scenario import Scenario
 from wigeonscale.layers import Holder, LayerRange, plan_layers
 
 
-def planned_engines(scenario: Scenario) -> dict[str, EngineModel]:
-    """Return the engines by name, planned from nothing.
+def plan_engines(scenario: Scenario) -> dict[str, SimulatedEngine]:
+    """Return the engines by backend id, with layers planned from an empty fleet.
 
     Args:
-        scenario: Names how many of which kind stand where.
+        scenario: Gives the number of engines by domain and kind of accelerator.
     """
     holders = _holders(scenario)
-    wanted = plan_layers([holder for _, holder in holders], model_size(scenario.model))
+    planned_layers = plan_layers(
+        [holder for _, holder in holders], model_size(scenario.model)
+    )
     return {
-        holder.backend_id: EngineModel(
+        holder.backend_id: SimulatedEngine(
             server=BackendServer(
                 backend_id=holder.backend_id,
                 service="model",
                 address=holder.backend_id,
                 domain=holder.domain,
                 accelerator=kind,
-                layers=wanted.get(holder.backend_id, LayerRange(0, 0)),
+                layers=planned_layers.get(holder.backend_id, LayerRange(0, 0)),
                 slots=scenario.model.slots,
             ),
             profile=scenario.model,
--- a/wigeonscale/lab/scenario.py
+++ b/wigeonscale/lab/scenario.py
@@ -1,4 +1,4 @@
-"""What a play is about: model, fleet, load and faults, as read from an INI file."""
+"""Scenario of a simulation: model, fleet, load and faults, read from an INI file."""
 
 __all__ = ["Burst", "Loss", "Scenario", "load_scenario"]
 
@@ -18,19 +18,19 @@
 Count = Annotated[int, Field(ge=0, le=10_000)]
 
 
-checked = dataclass(
+validated_dataclass = dataclass(
     frozen=True, slots=True, kw_only=True, config=ConfigDict(extra="forbid")
 )
 
 
-@checked
+@validated_dataclass
 class Burst:
-    """More requests for a while.
+    """Temporary change of the request rate.
 
     Attributes:
-        at_s: Its beginning.
-        for_s: Its length.
-        factor: Times as many as usual.
+        at_s: Start, in seconds of simulated time.
+        for_s: Duration in seconds.
+        factor: Multiplier of the request rate of all domains.
     """
 
     at_s: Seconds
@@ -38,16 +38,17 @@
     factor: Rate
 
 
-@checked
+@validated_dataclass
 class Loss:
-    """Engines of one domain that hold neighbouring layers go at once.
+    """Simultaneous failure of engines of one domain that hold neighbouring layers.
 
     Attributes:
-        at_s: When.
-        domain: Where.
-        count: How many.
-        for_s: Time until their layers are held again, there or by others.
-        from_share: Where in the order of layers they begin, 0 to 1.
+        at_s: Time of the failure, in seconds of simulated time.
+        domain: Failure domain of the engines.
+        count: Number of engines that fail.
+        for_s: Seconds until the layers are served again, by the same or other engines.
+        from_share: Position of the first failed engine among the engines of the domain
+            in order of their layers, as a share from 0 to 1.
     """
 
     at_s: Seconds
@@ -57,19 +58,20 @@
     from_share: Annotated[float, Field(ge=0, le=1)] = 0.3
 
 
-@checked
+@validated_dataclass
 class Scenario:
-    """Fleet, load and faults of a play.
+    """Fleet, load and faults of a simulation.
 
     Attributes:
-        model: The model that is served.
-        engines: Engines by domain and kind of accelerator.
-        entries: Entries by domain.
-        per_s: Requests a second by domain.
-        seconds: Time in which requests come; the play ends once they are answered.
-        word_s: Interval of an entry's word on its load.
-        bursts: Bursts.
-        losses: Losses of engines.
+        model: Profile of the served model.
+        engines: Number of engines by domain and kind of accelerator.
+        entries: Number of entries by domain.
+        per_s: Requests per second by domain.
+        seconds: Duration of request arrivals, in seconds. The simulation ends once all
+            requests are answered or rejected.
+        word_s: Interval between two load reports of an entry, in seconds.
+        bursts: Temporary changes of the request rate.
+        losses: Failures of engines.
     """
 
     model: EngineProfile
@@ -83,7 +85,7 @@
 
 
 def load_scenario(path: str) -> Scenario:
-    """Read a scenario.
+    """Read a scenario from an INI file.
 
     Args:
         path: An INI file with the sections ``[model]``, ``[accelerator KIND]``,
@@ -91,7 +93,8 @@
             ``[burst NAME]`` and ``[loss NAME]``.
 
     Raises:
-        SettingsError: Names the file, what is wrong there, and the value.
+        SettingsError: The file cannot be read or is invalid; the message names the
+            file, the problem and the offending value.
     """
     parser = configparser.ConfigParser(
         interpolation=None, delimiters=("=",), default_section="\0"
@@ -102,7 +105,7 @@
     except (OSError, UnicodeDecodeError, configparser.Error) as exc:
         raise SettingsError(f"{path}: cannot be read: {exc}") from exc
     try:
-        scenario = TypeAdapter(Scenario).validate_python(_fields(parser))
+        scenario = TypeAdapter(Scenario).validate_python(_raw_fields(parser))
     except SettingsError as exc:
         raise SettingsError(f"{path}: {exc.message}") from exc
     except ValidationError as exc:
@@ -112,14 +115,14 @@
             for each in exc.errors()
         ]
         raise SettingsError("\n".join(problems)) from exc
-    problems = [f"{path}: {problem}" for problem in _contradictions(scenario)]
+    problems = [f"{path}: {problem}" for problem in _inconsistencies(scenario)]
     if problems:
         raise SettingsError("\n".join(problems))
     return scenario
 
 
-def _fields(parser: configparser.ConfigParser) -> dict:
-    """Return the fields of a scenario as the sections name them, unchecked."""
+def _raw_fields(parser: configparser.ConfigParser) -> dict:
+    """Return the unvalidated fields of a scenario from the sections of its file."""
     fields: dict = {"engines": {}, "bursts": [], "losses": []}
     model: dict = {}
     kinds: dict = {}
@@ -147,7 +150,7 @@
     return fields | {"model": model | {"accelerators": kinds}}
 
 
-def _contradictions(scenario: Scenario) -> Iterator[str]:
+def _inconsistencies(scenario: Scenario) -> Iterator[str]:
     kinds = scenario.model.accelerators
     for domain, counts in scenario.engines.items():
         for kind in counts.keys() - kinds.keys():
