--- a/wigeonscale/control/commands.py
+++ b/wigeonscale/control/commands.py
@@ -50,13 +50,13 @@
         """Close the stream to the leader."""
         await self._submitter.close()
 
-    def follow_addresses(self, addresses: Sequence[str]) -> None:
+    def set_addresses(self, addresses: Sequence[str]) -> None:
         """Set the replicas to which commands are forwarded.
 
         Args:
             addresses: gRPC addresses of all control replicas.
         """
-        self._submitter.follow_addresses(addresses)
+        self._submitter.set_addresses(addresses)
 
     async def propose(self, command: wire.Command) -> wire.CommandResult:
         """Commit a command through this replica, which must be the leader.
--- a/wigeonscale/control/replica_membership.py
+++ b/wigeonscale/control/replica_membership.py
@@ -118,7 +118,7 @@
         """Join the group and maintain its members until cancelled."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_S)
-            self._commands.follow_addresses(self._addresses())
+            self._commands.set_addresses(self._addresses())
             if self._replica.role is Role.LEADER:
                 await self._review_members()
                 continue
--- a/wigeonscale/membership/client.py
+++ b/wigeonscale/membership/client.py
@@ -354,8 +354,8 @@
         if grant.HasField("loads") and self._on_loads is not None:
             self._on_loads(grant.loads)
         if grant.control:
-            self._watcher.follow_addresses(grant.control)
-            self._submitter.follow_addresses(grant.control)
+            self._watcher.set_addresses(grant.control)
+            self._submitter.set_addresses(grant.control)
         if conn is self._watcher.attached and self._announcer is not None:
             self._announcer.announce_if_missing(self._members)
         return self._state.apply_grant(grant, conn.last_sent_us)
--- a/wigeonscale/membership/submitter.py
+++ b/wigeonscale/membership/submitter.py
@@ -138,7 +138,7 @@
         self._connect_lock = asyncio.Lock()
         self._closed = False
 
-    def follow_addresses(self, addresses: Sequence[str]) -> None:
+    def set_addresses(self, addresses: Sequence[str]) -> None:
         """Replace the addresses of the replicas.
 
         Args:
--- a/wigeonscale/membership/watcher.py
+++ b/wigeonscale/membership/watcher.py
@@ -87,7 +87,7 @@
         self._tasks: dict[WatchConnection, asyncio.Task] = {}
         self._wake = asyncio.Event()
 
-    def follow_addresses(self, addresses: Sequence[str]) -> None:
+    def set_addresses(self, addresses: Sequence[str]) -> None:
         """Replace the replicas to try by the members that a replica reported.
 
         Args:
