--- a/wigeonscale/control/hub.py
+++ b/wigeonscale/control/hub.py
@@ -60,7 +60,7 @@
         self._replica = replica
         self._clock = clock
         self._lease_s = lease_s
-        self._loads = loads
+        self._max_loads = loads
         self._agents: dict[str, Watcher] = {}
         self._released_loads: dict[str, wire.LoadLayers] | None = None
         self._unpublished_changes: list[Change] = []
@@ -288,7 +288,7 @@
 
     def _load_orders(self):
         if self._released_loads is None:
-            self._released_loads = load_orders(self._state, loads=self._loads)
+            self._released_loads = load_orders(self._state, max_loads=self._max_loads)
         return self._released_loads
 
     def _on_change(self, change):
--- a/wigeonscale/control/layer_assigner.py
+++ b/wigeonscale/control/layer_assigner.py
@@ -36,7 +36,7 @@
 # CPU time. If all were sent at once, most replies would miss their timeout, count as
 # unknown and cause another query and order.
 MAX_CONCURRENT_ORDERS = 100
-# Packs (term, index) into one fencing number that JSON represents exactly.
+# Packs (term, index) into one fencing token that JSON represents exactly.
 TERM_SHIFT = 32
 BYTES_PER_MB = 1e6
 
@@ -183,16 +183,16 @@
         self._queued_layers.pop(name, None)
 
     def _holder(self, backend: wire.Backend, engine: EngineProfile) -> Holder | None:
-        kind = engine.accelerators.get(backend.accelerator)
-        if kind is None:
+        accelerator = engine.accelerators.get(backend.accelerator)
+        if accelerator is None:
             return None
         issued = self._issued_orders.get(backend.agent_id)
         queued = self._queued_layers.get(backend.agent_id)
         return Holder(
             backend_id=backend.agent_id,
             domain=backend.domain,
-            size_mb=kind.size_mb,
-            pace=kind.pace,
+            size_mb=accelerator.size_mb,
+            pace=accelerator.pace,
             held=queued or (issued.layers if issued else _announced_layers(backend)),
             is_available=not (backend.silent or backend.draining),
         )
@@ -218,12 +218,14 @@
         expected = await self._expected_orders(backend, layers)
         if expected is None:
             return None
-        fence = (self._replica.applied_term << TERM_SHIFT) + self._replica.applied_index
+        fencing_token = (
+            self._replica.applied_term << TERM_SHIFT
+        ) + self._replica.applied_index
         outcome = await self._orders.place(
             backend.address,
             first=layers.first,
             end=layers.end,
-            fence=fence,
+            fence=fencing_token,
             expected_orders=expected,
             waits=waits,
         )
@@ -247,7 +249,10 @@
             layers.first,
             layers.end,
             extra=log_fields(
-                outcome=outcome, fence=fence, expected_orders=expected, waits=waits
+                outcome=outcome,
+                fence=fencing_token,
+                expected_orders=expected,
+                waits=waits,
             ),
         )
         return outcome
--- a/wigeonscale/control/orders.py
+++ b/wigeonscale/control/orders.py
@@ -12,16 +12,16 @@
 """Used instead of a chain id in the load orders of spares."""
 
 
-def load_orders(state: ControlState, *, loads: int) -> dict[str, wire.LoadLayers]:
+def load_orders(state: ControlState, *, max_loads: int) -> dict[str, wire.LoadLayers]:
     """Return the weight loads that may run now, by agent id.
 
     Args:
         state: Replicated state.
-        loads: Maximum number of concurrent loads; limits the traffic of the weight
+        max_loads: Maximum number of concurrent loads; limits the traffic of the weight
             store.
 
     Returns:
-        At most ``loads`` orders. The next one is released when a loaded range is
+        At most ``max_loads`` orders. The next one is released when a loaded range is
         announced or when its agent is gone. If no chain waits for a load, spares load,
         one after the other, the layers of stages that they may have to replace.
 
@@ -33,14 +33,14 @@
     loading = {m.backend.agent_id for m in state.members if m.backend.loading}
     ranked = order_loads(chains, is_loaded=state.chains.is_loaded, loading=loading)
     # Loads that are no longer needed still use bandwidth of the weight store.
-    free_slots = loads - len(loading - {stage.agent_id for _, stage in ranked})
+    free_slots = max_loads - len(loading - {stage.agent_id for _, stage in ranked})
     for chain, stage in ranked:
         if len(orders) >= free_slots:
             break
         if state.members.is_announced(stage.agent_id, stage.incarnation):
             orders.setdefault(stage.agent_id, _load(chain, stage))
     # A repair must not wait for the load of a spare.
-    if not ranked and loads >= MIN_LOADS_FOR_SPARES:
+    if not ranked and max_loads >= MIN_LOADS_FOR_SPARES:
         return _spare_orders(state, chains, loading)
     return orders
 
--- a/wigeonscale/control/probe.py
+++ b/wigeonscale/control/probe.py
@@ -43,11 +43,11 @@
         self._states: dict[Hashable, _ProbeState] = {}
         self._tasks: set[asyncio.Task] = set()
 
-    def answer(self, name: Hashable, address: str, since: float) -> ProbeResult | None:
+    def answer(self, key: Hashable, address: str, since: float) -> ProbeResult | None:
         """Return the newest answer of an agent; starts a new probe if it is old.
 
         Args:
-            name: Key of the agent's incarnation.
+            key: Key of the agent's incarnation.
             address: ip:port of the agent's gRPC server.
             since: Time since which the agent is in doubt, in seconds.
 
@@ -55,24 +55,24 @@
             The newest answer to a probe sent since then, or None.
         """
         now = self._clock.now()
-        state = self._states.get(name)
+        state = self._states.get(key)
         if state is not None and state.asked_at < since and not state.is_pending:
             state = None
         is_due = state is None or now - state.asked_at >= PROBE_INTERVAL_S
         if is_due and (state is None or not state.is_pending):
             answer = state.answer if state else None
-            state = self._states[name] = _ProbeState(asked_at=now, answer=answer)
+            state = self._states[key] = _ProbeState(asked_at=now, answer=answer)
             self._start(self._run_probe(address, state))
         return state.answer if state.asked_at >= since else None
 
-    def retain(self, names: set) -> None:
+    def retain(self, keys: set) -> None:
         """Drop the answers of all agents but these.
 
         Args:
-            names: Keys of the agents to keep.
+            keys: Keys of the agents to keep.
         """
-        for name in self._states.keys() - names:
-            del self._states[name]
+        for key in self._states.keys() - keys:
+            del self._states[key]
 
     async def close(self) -> None:
         """Cancel all running probes."""
--- a/wigeonscale/control/replica_membership.py
+++ b/wigeonscale/control/replica_membership.py
@@ -40,7 +40,7 @@
 
 def member_to_remove(
     members: Sequence[Member],
-    silences: Mapping[str, float],
+    silence_s: Mapping[str, float],
     *,
     has_candidate: bool,
 ) -> str | None:
@@ -48,7 +48,7 @@
 
     Args:
         members: All members.
-        silences: Time since the last message of each other member, in seconds, by
+        silence_s: Time since the last message of each other member, in seconds, by
             node id.
         has_candidate: Whether another replica waits to be added.
 
@@ -64,9 +64,9 @@
         >>> member_to_remove(trio, {"b": 0.1, "c": 9.0}, has_candidate=False)
     """
     silent = {
-        member.node_id: silences[member.node_id]
+        member.node_id: silence_s[member.node_id]
         for member in members
-        if silences.get(member.node_id, 0.0) > REPLACE_AFTER_S
+        if silence_s.get(member.node_id, 0.0) > REPLACE_AFTER_S
     }
     if not silent or len(members) - (not has_candidate) < MIN_MEMBERS:
         return None
@@ -204,15 +204,15 @@
 
     async def _remove_silent(self, *, has_candidate: bool) -> None:
         members = self._replica.members()
-        silences = self._silences(members)
-        name = member_to_remove(members, silences, has_candidate=has_candidate)
+        silence_s = self._peer_silence_s(members)
+        name = member_to_remove(members, silence_s, has_candidate=has_candidate)
         if name is not None:
             logger.warning(
-                "removing replica %s after %.1f s of silence", name, silences[name]
+                "removing replica %s after %.1f s of silence", name, silence_s[name]
             )
             await self._change_members(remove=name)
 
-    def _silences(self, members: Sequence[Member]) -> dict[str, float]:
+    def _peer_silence_s(self, members: Sequence[Member]) -> dict[str, float]:
         """Return how long each other member has been silent towards this leader."""
         now = self._clock.now()
         others = [m.node_id for m in members if m.node_id != self._join_request.node_id]
--- a/wigeonscale/control/tests/support.py
+++ b/wigeonscale/control/tests/support.py
@@ -46,7 +46,7 @@
         self.may_vote = True
         self.stale_s = 0.0
         self.fails = None
-        self.silences = {}
+        self.silence_s = {}
         self.peers = [Member("c1", "one"), Member("c2", "two")]
         self.proposed = []
         self._state = state
@@ -68,7 +68,7 @@
         return tuple(self.peers)
 
     def seconds_since_peer_contact(self, node_id):
-        return self.silences.get(node_id, float("inf"))
+        return self.silence_s.get(node_id, float("inf"))
 
     async def propose(self, data):
         if self.role is not Role.LEADER:
--- a/wigeonscale/control/tests/test_entry_counter.py
+++ b/wigeonscale/control/tests/test_entry_counter.py
@@ -15,7 +15,7 @@
     async def prepare(self):
         self.fixture = ControlFixture()
         self.addCleanup(self.fixture.hub.close)
-        self.fixture.replica.silences = {"c2": 0.0}
+        self.fixture.replica.silence_s = {"c2": 0.0}
         count = EntryCounter(
             node_id="c1",
             state=self.fixture.state,
@@ -104,11 +104,11 @@
         self.assertEqual("c1", self.fixture.state.entries.replica_of("e1"))
 
     async def test_entries_of_a_lost_replica_are_dropped(self):
-        self.fixture.replica.silences = {"c2": GRACE_S - 0.1}
+        self.fixture.replica.silence_s = {"c2": GRACE_S - 0.1}
         await self.attach_elsewhere("e1", "e2")
         await self.pass_time(1)
         self.assertEqual(2, self.count())
-        self.fixture.replica.silences = {"c2": GRACE_S}
+        self.fixture.replica.silence_s = {"c2": GRACE_S}
         await self.pass_time(1)
         self.assertEqual(0, self.count())
 
--- a/wigeonscale/control/tests/test_layer_assigner.py
+++ b/wigeonscale/control/tests/test_layer_assigner.py
@@ -30,7 +30,7 @@
         await self.clock.advance(5)
         self.assertEqual([], self.engines.orders)
 
-    async def test_fencing_numbers_grow_with_the_log(self):
+    async def test_fencing_tokens_grow_with_the_log(self):
         await self.announce_all("e1", "e2", "e3")
         await self.clock.advance(2.0)
         before = max(order[3] for order in self.engines.orders)
--- a/wigeonscale/control/tests/test_liveness.py
+++ b/wigeonscale/control/tests/test_liveness.py
@@ -146,7 +146,7 @@
     async def test_leader_ends_agents_of_a_lost_replica_after_grace(self):
         await self.fixture.announce("a", replica="c2")
         await self.fixture.announce("b", replica="c3")
-        self.fixture.replica.silences = {"c2": GRACE_S, "c3": GRACE_S - 0.1}
+        self.fixture.replica.silence_s = {"c2": GRACE_S, "c3": GRACE_S - 0.1}
         self.fixture.replica.role = Role.FOLLOWER
         await self.pass_time(20)
         self.assertTrue(self.is_alive("a"))
@@ -157,7 +157,7 @@
         self.assertEqual([False, True], [self.is_alive("a"), self.is_alive("b")])
 
     async def test_suspicion_is_forwarded_to_the_replica_with_the_stream(self):
-        self.fixture.replica.silences = {"c2": 0.0}
+        self.fixture.replica.silence_s = {"c2": 0.0}
         await self.fixture.announce("a", replica="c2")
         self.suspect()
         await self.pass_time(CHECK_S)
@@ -168,7 +168,7 @@
         self.assertTrue(self.is_alive())
 
     async def test_suspected_agent_of_an_unreachable_replica_ends(self):
-        self.fixture.replica.silences = {"c2": 0.0}
+        self.fixture.replica.silence_s = {"c2": 0.0}
         self.fixture.peer_answers = False
         await self.fixture.announce("a", replica="c2")
         self.suspect()
@@ -176,7 +176,7 @@
         self.assertFalse(self.is_alive())
 
     async def test_suspected_agent_that_moves_between_replicas_stays_alive(self):
-        self.fixture.replica.silences = {"c2": 0.0}
+        self.fixture.replica.silence_s = {"c2": 0.0}
         self.fixture.peer_answers = False
         self.fixture.probe_answer = ProbeResult.ANSWERED
         await self.fixture.announce("a", replica="c2")
--- a/wigeonscale/control/tests/test_orders.py
+++ b/wigeonscale/control/tests/test_orders.py
@@ -16,7 +16,7 @@
         self.machine.place(chain("one", 1, ("a", 0, 1), ("b", 2, 3)))
 
     def released(self):
-        return sorted(load_orders(self.machine.state, loads=LOADS))
+        return sorted(load_orders(self.machine.state, max_loads=LOADS))
 
     def place_more_urgent(self):
         wanted = chain("two", 1, ("c", 0, 0), ("d", 1, 1))
@@ -56,7 +56,7 @@
         self.machine.place(chain("one", 1, ("a", 0, 1), ("b", 2, 3)))
 
     def released(self, loads=LOADS):
-        orders = load_orders(self.machine.state, loads=loads)
+        orders = load_orders(self.machine.state, max_loads=loads)
         return {name: (o.first_layer, o.last_layer) for name, o in orders.items()}
 
     def load_chain(self):
--- a/wigeonscale/control/tests/test_registry.py
+++ b/wigeonscale/control/tests/test_registry.py
@@ -118,13 +118,13 @@
 
     async def test_backends_of_another_replica_are_not_checked(self):
         await self.new_registry("c2").announce(backend(), 1)
-        self.replica.silences["c2"] = 0.0
+        self.replica.silence_s["c2"] = 0.0
         await self.clock.advance(30)
         self.assertFalse(self.member().backend.silent)
 
     async def test_leader_checks_backends_of_a_lost_replica(self):
         await self.new_registry("c2").announce(backend(), 1)
-        self.replica.silences["c2"] = 9.0
+        self.replica.silence_s["c2"] = 9.0
         self.replica.role = Role.FOLLOWER
         await self.clock.advance(5)
         self.assertFalse(self.member().backend.silent)
@@ -139,7 +139,7 @@
         for name in names:
             await other.announce(backend(name), 1)
         await self.clock.advance(60)
-        self.replica.silences["c2"] = 9.0
+        self.replica.silence_s["c2"] = 9.0
         await self.clock.advance(2)
         for name in names:
             await self.registry.announce(backend(name), 2)
--- a/wigeonscale/control/tests/test_replica_membership.py
+++ b/wigeonscale/control/tests/test_replica_membership.py
@@ -15,39 +15,39 @@
 
 class RemovalTest(AsyncTestCase):
     def test_one_of_three_is_removed_only_for_a_candidate(self):
-        silences = {"b": 0.1, "c": 9.0}
+        silence_s = {"b": 0.1, "c": 9.0}
         trio = members("abc")
-        self.assertIsNone(member_to_remove(trio, silences, has_candidate=False))
-        self.assertEqual("c", member_to_remove(trio, silences, has_candidate=True))
+        self.assertIsNone(member_to_remove(trio, silence_s, has_candidate=False))
+        self.assertEqual("c", member_to_remove(trio, silence_s, has_candidate=True))
 
     def test_silent_fourth_member_is_removed(self):
-        silences = {"b": 0.1, "c": 9.0, "d": 0.1}
+        silence_s = {"b": 0.1, "c": 9.0, "d": 0.1}
         self.assertEqual(
-            "c", member_to_remove(members("abcd"), silences, has_candidate=False)
+            "c", member_to_remove(members("abcd"), silence_s, has_candidate=False)
         )
 
     def test_none_is_removed_without_a_responsive_majority(self):
-        silences = {"b": 9.0, "c": 8.0}
+        silence_s = {"b": 9.0, "c": 8.0}
         self.assertIsNone(
-            member_to_remove(members("abc"), silences, has_candidate=True)
+            member_to_remove(members("abc"), silence_s, has_candidate=True)
         )
 
     def test_short_silence_is_tolerated(self):
-        silences = {"b": 0.1, "c": 2.0}
+        silence_s = {"b": 0.1, "c": 2.0}
         self.assertIsNone(
-            member_to_remove(members("abc"), silences, has_candidate=True)
+            member_to_remove(members("abc"), silence_s, has_candidate=True)
         )
 
     def test_member_with_longest_silence_is_removed_first(self):
-        silences = {"b": 0.1, "c": 5.0, "d": 9.0, "e": 0.1}
+        silence_s = {"b": 0.1, "c": 5.0, "d": 9.0, "e": 0.1}
         self.assertEqual(
-            "d", member_to_remove(members("abcde"), silences, has_candidate=False)
+            "d", member_to_remove(members("abcde"), silence_s, has_candidate=False)
         )
 
     def test_member_without_a_vote_does_not_count_for_a_majority(self):
-        silences = {"b": 9.0, "c": 0.1}
+        silence_s = {"b": 9.0, "c": 0.1}
         trio = members("abc", waiting="c")
-        self.assertIsNone(member_to_remove(trio, silences, has_candidate=True))
+        self.assertIsNone(member_to_remove(trio, silence_s, has_candidate=True))
 
 
 class MemberReplica(FakeReplica):
@@ -103,21 +103,21 @@
 
 class LeaderTest(MembershipCase):
     async def test_leader_admits_a_replica_once(self):
-        self.replica.silences = {"b": 0.0, "c": 0.0, "d": 0.0}
+        self.replica.silence_s = {"b": 0.0, "c": 0.0, "d": 0.0}
         req = wire.JoinRequest(node_id="d", address="d")
         for _ in range(2):
             self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["d"], self.replica.changes)
 
     async def test_candidate_replaces_a_lost_member(self):
-        self.replica.silences = {"b": 0.0, "c": 60.0, "d": 0.0}
+        self.replica.silence_s = {"b": 0.0, "c": 60.0, "d": 0.0}
         await self.clock.advance(4.0)
         req = wire.JoinRequest(node_id="d", address="d")
         self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["-c", "d"], self.replica.changes)
 
     async def test_new_leader_gives_members_time_to_reply(self):
-        self.replica.silences = {"b": 0.0, "c": 60.0, "d": 0.0}
+        self.replica.silence_s = {"b": 0.0, "c": 60.0, "d": 0.0}
         req = wire.JoinRequest(node_id="d", address="d")
         self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["d"], self.replica.changes)
--- a/wigeonscale/layers/path.py
+++ b/wigeonscale/layers/path.py
@@ -95,7 +95,7 @@
 def _least_crossing_cost(domains: Iterable[str], costs: _Costs) -> float:
     """Return a lower bound on the cost of a path that crosses domains."""
     pairs = itertools.permutations(domains, 2)
-    hop = min(costs.hop(here, there) for here, there in pairs)
+    hop = min(costs.hop(source, target) for source, target in pairs)
     return hop + min(costs.start(domain) for domain in domains)
 
 
@@ -186,7 +186,7 @@
         clipped,
         layers=layers.count,
         part_cost=lambda clip, count: part_cost(clip.holder, count),
-        hop_cost=lambda here, there: 0.0,
+        hop_cost=lambda source, target: 0.0,
         start_cost=lambda domain: 0.0,
     )
     if parts is None:
@@ -254,13 +254,13 @@
     boundary, *stops = boundaries
     costs_by_domain = {domain: found[0] for domain, found in best[boundary].items()}
     cheapest_arrival = {}
-    for there in {holder.domain for holder in holders}:
-        cheapest_arrival[there] = min(
-            (cost + costs.hop(here, there), here)
-            for here, cost in costs_by_domain.items()
+    for target in {holder.domain for holder in holders}:
+        cheapest_arrival[target] = min(
+            (cost + costs.hop(source, target), source)
+            for source, cost in costs_by_domain.items()
         )
     for holder in holders:
-        base, here = cheapest_arrival[holder.domain]
+        base, source = cheapest_arrival[holder.domain]
         for stop in stops:
             if stop > holder.layers.end:
                 break
@@ -268,7 +268,7 @@
             known = best.setdefault(stop, {})
             if holder.domain not in known or total < known[holder.domain][0]:
                 part = Part(holder.backend_id, LayerRange(boundary, stop))
-                known[holder.domain] = total, (boundary, here), part
+                known[holder.domain] = total, (boundary, source), part
 
 
 def _reconstruct_path(best, key):
--- a/wigeonscale/membership/client.py
+++ b/wigeonscale/membership/client.py
@@ -15,7 +15,7 @@
 from wigeonscale.membership.announcer import Announcer
 from wigeonscale.membership.backoff import CAP_S
 from wigeonscale.membership.connection import DisconnectCause, WatchConnection
-from wigeonscale.membership.floor import query_floor
+from wigeonscale.membership.floor import query_fencing_floor
 from wigeonscale.membership.members import MembersView
 from wigeonscale.membership.orders import OrderRunner
 from wigeonscale.membership.submitter import Submitter
@@ -205,7 +205,7 @@
 
     async def floor(self) -> tuple[int, int]:
         """Wait for a majority of replicas and return their largest (term, index)."""
-        return await query_floor(
+        return await query_fencing_floor(
             addresses=self._addresses, clock=self._clock, rng=self._rng, tls=self._tls
         )
 
--- a/wigeonscale/membership/floor.py
+++ b/wigeonscale/membership/floor.py
@@ -1,6 +1,6 @@
-"""Queries a majority of control replicas for a lower bound of fencing numbers."""
+"""Queries a majority of control replicas for a lower bound on fencing tokens."""
 
-__all__ = ["query_floor"]
+__all__ = ["query_fencing_floor"]
 
 import asyncio
 import logging
@@ -21,7 +21,7 @@
 logger = logging.getLogger(__name__)
 
 
-async def query_floor(
+async def query_fencing_floor(
     *,
     addresses: Sequence[str],
     clock: Clock,
--- a/wigeonscale/membership/members.py
+++ b/wigeonscale/membership/members.py
@@ -8,7 +8,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 
-class _Index:
+class _MessageGroups:
     """Messages grouped by a key, for example chains by pipeline."""
 
     def __init__(self):
@@ -26,8 +26,8 @@
             self._groups.pop(group, None)
         self._lists.pop(group, None)
 
-    def copy(self) -> "_Index":
-        other = _Index()
+    def copy(self) -> "_MessageGroups":
+        other = _MessageGroups()
         other._groups = {name: dict(group) for name, group in self._groups.items()}
         return other
 
@@ -51,8 +51,8 @@
         self.index = 0
         self._backends: dict[str, wire.Backend] = {}
         self._chains: dict[str, wire.Chain] = {}
-        self._by_service = _Index()
-        self._by_pipeline = _Index()
+        self._by_service = _MessageGroups()
+        self._by_pipeline = _MessageGroups()
 
     @property
     def backends(self) -> Mapping[str, wire.Backend]:
--- a/wigeonscale/membership/orders.py
+++ b/wigeonscale/membership/orders.py
@@ -18,7 +18,7 @@
     """Runs each order in its own task, because loading weights takes long.
 
     Orders are declarative and fenced, so reordered and repeated orders need no handling
-    here: ``on_order`` compares their fencing numbers.
+    here: ``on_order`` compares their fencing tokens.
 
     Args:
         on_order: Executes an order.
--- a/wigeonscale/membership/tests/test_floor.py
+++ b/wigeonscale/membership/tests/test_floor.py
@@ -1,13 +1,13 @@
 import asyncio
 import random
 
-from wigeonscale.membership.floor import query_floor
+from wigeonscale.membership.floor import query_fencing_floor
 from wigeonscale.membership.tests.fake_control import FakeControlCase
 
 
 class FloorTest(FakeControlCase):
     def ask(self, *fakes):
-        coro = query_floor(
+        coro = query_fencing_floor(
             addresses=[fake.address for fake in fakes],
             clock=self.clock,
             rng=random.Random(1),
