--- a/wigeonscale/adapters/channels.py
+++ b/wigeonscale/adapters/channels.py
@@ -1,6 +1,6 @@
 """gRPC channels and servers between the daemons, and their TLS configuration.
 
-All settings for keepalive, message size and reconnection are defined here.
+This module defines all settings for keepalive, message size and reconnection.
 """
 
 __all__ = [
--- a/wigeonscale/control/announcements.py
+++ b/wigeonscale/control/announcements.py
@@ -12,8 +12,9 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 RETRY_DELAY_S = 0.2
-# Another replica that committed an agent last may be where the agent has moved to.
-# The replica that still receives its messages after this delay keeps it.
+# If another replica committed the last announcement of an agent, the agent may have
+# moved to it. This replica commits the agent again only if it still receives messages
+# from the agent after this delay.
 MOVED_CHECK_DELAY_S = 1.0
 
 logger = logging.getLogger(__name__)
--- a/wigeonscale/control/backend_health.py
+++ b/wigeonscale/control/backend_health.py
@@ -23,7 +23,7 @@
 # counts as silent. The path of its heartbeats may be cut while the engine is alive.
 PROBE_ATTEMPTS = 2
 PROBE_RETRY_S = 0.1
-# A backend that answered is not probed again because of a hint within this time. Many
+# Time after an answer within which a hint causes no further probe of the backend. Many
 # entries see the same path stall, and a probe costs some engines 5 ms of work.
 HINT_PROBE_INTERVAL_S = 1.0
 # Interval at which a slow backend is probed to see whether it has recovered.
@@ -176,9 +176,11 @@
         return replica == self._node_id or replica in self._replica_lost_since
 
     def _silence_s(self, member: Member) -> float:
-        """Return how long a backend could have sent a heartbeat here and did not.
+        """Return how long this replica has missed heartbeats of a backend, in seconds.
 
-        Backends of a lost replica need one or two heartbeats to find another one.
+        Counts from the last heartbeat, but not from before this replica started or
+        noticed that the backend's replica is lost: backends of a lost replica need one
+        or two heartbeats to find another one.
         """
         last = self._last_heartbeats.get(member.backend.agent_id)
         since = self._replica_lost_since.get(member.replica, self._started_at)
--- a/wigeonscale/control/entry_counter.py
+++ b/wigeonscale/control/entry_counter.py
@@ -22,7 +22,7 @@
 
 
 class EntryCounter:
-    """Records which entries are attached here and, as leader, drops lost replicas'.
+    """Records the entries of this replica and, as leader, drops those of lost ones.
 
     Args:
         node_id: Node id of this replica.
@@ -94,8 +94,9 @@
 
     def _local_changes(self, streams) -> Iterator[wire.CountEntries]:
         entries = self._state.entries
-        # An entry that another replica recorded later has moved there. Its stream here,
-        # already recorded once, is outdated and must not claim the entry back.
+        # An entry that another replica recorded later has moved to that replica. Its
+        # stream to this one was recorded before and is outdated, so it is not recorded
+        # again.
         attached = [
             name
             for name, watcher in streams.items()
--- a/wigeonscale/control/hub.py
+++ b/wigeonscale/control/hub.py
@@ -139,7 +139,7 @@
         """Return whether the state lists an agent as attached to another replica.
 
         Args:
-            watcher: The agent's stream here.
+            watcher: The agent's stream to this replica.
 
         Returns:
             True if the state lists its incarnation under another replica.
@@ -273,7 +273,7 @@
 
     def _pending_drain(self, watcher):
         # Sent on each new stream, since the agent may still apply a drain that was
-        # undone while it moved here.
+        # undone while it moved to this replica.
         wanted = self._state.members.is_drained(watcher.node_id)
         if wanted != watcher.sent_drain:
             watcher.sent_drain = wanted
--- a/wigeonscale/control/liveness.py
+++ b/wigeonscale/control/liveness.py
@@ -35,7 +35,7 @@
 
 
 class Liveness:
-    """Monitors the agents attached here and, as leader, those of lost replicas.
+    """Monitors the agents of this replica and, as leader, those of lost replicas.
 
     Args:
         node_id: Node id of this replica.
@@ -86,7 +86,7 @@
         self._metrics = metrics
         # No agent is ended before this time.
         self._suspended_until = clock.now()
-        # Agents that were attached here before a restart may attach to another replica.
+        # Agents attached to this replica before a restart may attach to another one.
         self._startup_grace_until = clock.now() + self._grace_s
         self._attached_before: set[tuple[str, int]] = set()
         self._checked_at = clock.now()
--- a/wigeonscale/control/load_aggregator.py
+++ b/wigeonscale/control/load_aggregator.py
@@ -5,8 +5,8 @@
 and has to be polled. Entries know what they have sent, so each reports it with its
 heartbeats. Replicas exchange sums with the messages of the replicated log that they
 send anyway, and each entry gets the sum over all entries with its next lease grant, at
-most half a second old. This is soft state: nothing is committed, and outdated reports
-are ignored.
+most half a second old. The sums are soft state: nothing is committed, and outdated
+reports are ignored.
 """
 
 __all__ = ["LoadAggregator"]
@@ -26,7 +26,7 @@
 
 
 class LoadAggregator:
-    """Sums the loads of the entries attached here and at other replicas.
+    """Sums the loads of the entries attached to this replica and to others.
 
     Args:
         watchers: Open watch streams of this replica; a live collection.
@@ -44,7 +44,7 @@
         self._peer_loads: dict[str, tuple[float, wire.Loads]] = {}
 
     def local_total(self) -> wire.Loads:
-        """Return the sum over the entries attached here."""
+        """Return the sum over the entries attached to this replica."""
         now = self._clock.now()
         return _sum(
             (watcher.loads, now - watcher.last_message_at)
@@ -54,7 +54,7 @@
         )
 
     def total(self, *, exclude: str = "") -> wire.Loads:
-        """Return the sum over all entries known here.
+        """Return the sum over all entries known to this replica.
 
         Args:
             exclude: Node id of a replica whose entries are not counted.
@@ -68,7 +68,7 @@
         return _sum([(self.local_total(), 0.0), *others])
 
     def receive(self, node_id: str, data: bytes) -> None:
-        """Store the loads that another replica reports for entries not attached here.
+        """Store the loads that another replica reports for the entries of others.
 
         Args:
             node_id: Node id of the replica.
@@ -84,7 +84,7 @@
         """Drop the loads of all replicas but these.
 
         Args:
-            node_ids: Node ids of the replicas that are heard in this term.
+            node_ids: Node ids of the replicas that sent messages in this term.
         """
         kept = set(node_ids)
         self._peer_loads = {
@@ -145,7 +145,10 @@
 
 
 def _drop_non_sharers(limit: wire.NamedLimit) -> None:
-    """Drop entries that get no share; else hundreds of names go out twice a second."""
+    """Drop entries without a share.
+
+    Otherwise hundreds of names would be sent twice a second.
+    """
     if limit.HasField("per_s"):
         demands = _demands(limit)
         kept = share_weights(limit.backend_id, limit.per_s, demands)
--- a/wigeonscale/control/planning.py
+++ b/wigeonscale/control/planning.py
@@ -39,12 +39,12 @@
 ) -> Plan:
     """Plan chains, after replacing draining stages with free engines.
 
-    A draining head stage stays until it is gone, since it holds its callers' answers.
-    Any other draining stage is replaced while it still works; the state keeps the old
-    chain serving until the new engine has loaded. A serving chain that is no longer
-    wanted is retired, and its engines are not planned with until it is gone. If there
-    is nothing of this kind to do, one chain per pipeline may be rebuilt with engines
-    that joined since (:func:`improve_chains`).
+    A draining head stage stays until its agent is gone, since it holds its callers'
+    answers. Any other draining stage is replaced while it still works; the state keeps
+    the old chain serving until the new engine has loaded. A serving chain that is no
+    longer wanted is retired, and the plan does not use its engines until it is removed.
+    If none of this applies, one chain per pipeline may be rebuilt with engines that
+    joined since (:func:`improve_chains`).
 
     Args:
         pipelines: Configured pipelines.
--- a/wigeonscale/control/probe.py
+++ b/wigeonscale/control/probe.py
@@ -49,7 +49,7 @@
         Args:
             key: Key of the agent's incarnation.
             address: ip:port of the agent's gRPC server.
-            since: Time since which the agent is in doubt, in seconds.
+            since: Time since which the agent is suspected or absent, in seconds.
 
         Returns:
             The newest answer to a probe sent since then, or None.
@@ -103,7 +103,7 @@
         timeout_s: Timeout for the answer, in seconds.
 
     Returns:
-        Whether the agent answered, the connection was refused, or nothing came.
+        Whether the agent answered, the connection was refused, or no answer arrived.
     """
     try:
         async with asyncio.timeout(timeout_s):
--- a/wigeonscale/control/registry.py
+++ b/wigeonscale/control/registry.py
@@ -2,7 +2,7 @@
 
 A heartbeat is soft state of the replica that receives it. Only changes go through the
 log: a new incarnation, a different state or other layers, and a backend that becomes
-silent or is heard again. Heartbeats that change nothing cost no log entries.
+silent or resumes its heartbeats. Heartbeats that change nothing cost no log entries.
 """
 
 __all__ = ["Registry"]
@@ -204,7 +204,7 @@
         self._health_checker.suspect(req, source_role=source_role)
 
     def wake(self) -> None:
-        """Do nothing, since backends here are not attached by a stream."""
+        """Do nothing, since backends without an agent have no stream that can end."""
 
     async def run(self) -> None:
         """Check all backends periodically until cancelled."""
--- a/wigeonscale/control/replica_membership.py
+++ b/wigeonscale/control/replica_membership.py
@@ -1,9 +1,9 @@
 """Dynamic membership of control replicas, without listing them in the settings.
 
-A replica that is not a member, or that hears no leader, asks the others to join. The
-leader adds it by a committed membership change. It removes a member that has been
-silent for a long time only if another member or candidate takes its place, so that a
-short network cut of one of three replicas changes nothing.
+A replica that is not a member, or that receives no messages from a leader, asks the
+others to join. The leader adds it by a committed membership change. The leader removes
+a member that has been silent for a long time only if another member or candidate takes
+its place, so that a short network partition of one of three replicas changes nothing.
 """
 
 __all__ = ["ReplicaMembership", "member_to_remove"]
@@ -23,8 +23,8 @@
 from wigeonscale.wire import wire_pb2_grpc
 
 CHECK_INTERVAL_S = 0.5
-# Elections take much less time. A replica that hears no leader for this long is cut off
-# or has been removed.
+# Elections take much less time. A replica without a message from a leader for this long
+# is disconnected or has been removed.
 NO_LEADER_TIMEOUT_S = 3.0
 # Time without a message after which a member may be replaced. A restart takes one or
 # two seconds.
@@ -50,7 +50,7 @@
         members: All members.
         silence_s: Time since the last message of each other member, in seconds, by
             node id.
-        has_candidate: Whether another replica waits to be added.
+        has_candidate: Whether another replica has asked to be added.
 
     Returns:
         Node id of the member that has been silent longest, provided that it has been
--- a/wigeonscale/control/watcher.py
+++ b/wigeonscale/control/watcher.py
@@ -31,11 +31,11 @@
         crashes_index: Log index of the crash records that were last sent; 0 for none.
         applied_revision: Configuration revision that it reports as applied.
         last_message_at: Time of its last message, in seconds.
-        incarnation: Incarnation that an agent announced here; 0 before that.
+        incarnation: Incarnation that an agent announced on this stream; 0 before that.
         pending_announcement: Newest announcement if it is not committed yet, or None.
         announced: Newest announcement, or None.
         sent_load: Load order that was sent and is still wanted, or None.
-        sent_drain: Drain state that was last sent here; None before that.
+        sent_drain: Drain state that was last sent on this stream; None before that.
         load_sent_at: Time at which ``sent_load`` was first sent, in seconds.
         failed_orders: Failed orders since the last success.
         load_resend_at: Time at which an unchanged load order is sent again.
--- a/wigeonscale/layers/path.py
+++ b/wigeonscale/layers/path.py
@@ -48,8 +48,9 @@
         Parts in the order of layers; no engine occurs twice.
 
     Notes:
-        A shortest-path search over the boundaries of the held ranges. Per domain it
-        takes boundaries times engines at a boundary times boundaries within a range.
+        A shortest-path search over the boundaries of the held ranges. Per domain its
+        time is proportional to the number of boundaries, times the engines at a
+        boundary, times the boundaries within a range.
     """
     domains: dict[str, list[LayerHolder]] = {}
     for holder in holders:
--- a/wigeonscale/layers/plan.py
+++ b/wigeonscale/layers/plan.py
@@ -27,13 +27,13 @@
 
 # Shares of ``room_tokens`` that engines reserve for requests. The smaller ones are used
 # only if a set or a gap cannot be completed otherwise. With the last one an engine of
-# 22 GB holds some seven requests of 900 tokens.
+# 22 GB holds about seven requests of 900 tokens.
 ROOM_SHARES = (1.0, 0.75, 0.5, 0.3, 0.12)
 # Shares of ``room_tokens`` for the engines of two complete sets. With less than the
 # smallest share a set would hold too few requests to take over those of the other set.
 # With more than 1 a set has more engines with fewer layers each: memory for requests
 # grows faster than the latency of the path, until the slots of the first engine limit
-# it, at some 1.9 with 96 slots and requests of 1,000 tokens.
+# it, at about 1.9 with 96 slots and requests of 1,000 tokens.
 TWO_SET_ROOM_SHARES = (2.0, 1.75, 1.5, 1.25, 1.0, 0.75, 0.5)
 # Cost of one more engine on a path, in layers: a hop for each token, and one more
 # engine whose loss breaks the path.
@@ -52,7 +52,8 @@
         leaves memory for at least a tenth of ``room_tokens``.
 
     Notes:
-        Takes engines times gaps. Deterministic: the same input gives the same plan.
+        Takes time proportional to engines times gaps. Deterministic: the same input
+        gives the same plan.
     """
     wanted: dict[str, LayerRange] = {}
     available = sorted(
@@ -144,7 +145,7 @@
         capacity = model.capacity(holder.size_mb, room)
         end = min(model.layers, reached + capacity)
         if end > reached:
-            # The last engine is filled too: layers that overlap others are copies.
+            # The last engine is filled too; its layers that others hold are copies.
             wanted[holder.backend_id] = LayerRange(max(0, end - capacity), end)
             reached = end
     return wanted
@@ -240,7 +241,7 @@
 def _extend_neighbours(
     gap: LayerRange, holders: Sequence[Holder], capacity: Callable[[Holder], int]
 ) -> dict[str, LayerRange]:
-    """Return longer ranges for the engines at both ends of a gap; empty if too small.
+    """Return longer ranges for the engines beside a gap; empty if they cannot fill it.
 
     Each engine is extended by at most what it has memory for.
     """
@@ -278,7 +279,7 @@
 def _shift_up(
     gap: LayerRange, holders: Sequence[Holder], capacity: Callable[[Holder], int]
 ) -> dict[str, LayerRange]:
-    """Return a shift of the engines below a gap upwards; empty if too small."""
+    """Return ranges that shift the engines below a gap up; empty if not possible."""
     moved: dict[str, LayerRange] = {}
     first, end = gap
     while True:
@@ -296,7 +297,7 @@
 def _shift_down(
     gap: LayerRange, holders: Sequence[Holder], capacity: Callable[[Holder], int]
 ) -> dict[str, LayerRange]:
-    """Return a shift of the engines above a gap downwards; empty if too small."""
+    """Return ranges that shift the engines above a gap down; empty if not possible."""
     moved: dict[str, LayerRange] = {}
     first, end = gap
     while True:
--- a/wigeonscale/membership/orders.py
+++ b/wigeonscale/membership/orders.py
@@ -17,8 +17,8 @@
 class OrderRunner:
     """Runs each order in its own task, because loading weights takes long.
 
-    Orders are declarative and fenced, so reordered and repeated orders need no handling
-    here: ``on_order`` compares their fencing tokens.
+    Orders are declarative and fenced, so this class does not handle reordered and
+    repeated orders: ``on_order`` compares their fencing tokens.
 
     Args:
         on_order: Executes an order.
--- a/wigeonscale/membership/watcher.py
+++ b/wigeonscale/membership/watcher.py
@@ -14,12 +14,12 @@
 from wigeonscale.membership.lease import Lease
 from wigeonscale.ports import Clock
 
-# Time without an answered heartbeat, in heartbeats, after which the attached connection
-# counts as silent. The sum of this, of CANDIDATE_TIMEOUT_HEARTBEATS and of the check
-# intervals between them must stay below the length of a lease, which is at least
-# MIN_HEARTBEATS_PER_LEASE of the settings.
+# Time without an answered heartbeat, in heartbeat intervals, after which the attached
+# connection counts as silent. The sum of this, of CANDIDATE_TIMEOUT_HEARTBEATS and of
+# the check intervals between them must stay below the duration of a lease, which is at
+# least MIN_HEARTBEATS_PER_LEASE of the settings.
 SILENCE_TIMEOUT_HEARTBEATS = 2.5
-# The same for a candidate; shorter, because the lease is about to expire.
+# The same time for a candidate; shorter, because the lease is about to expire.
 CANDIDATE_TIMEOUT_HEARTBEATS = 2
 # Fraction of the lease without confirmation after which another replica is tried even
 # though the attached one answers. A leader election takes less time than this.
--- a/wigeonscale/platform/callers.py
+++ b/wigeonscale/platform/callers.py
@@ -135,7 +135,7 @@
 
     async def _close_idle(self) -> None:
         # aiohttp's pre_shutdown is not used: it stops reading from idle connections but
-        # leaves them open, so that a request sent there would never be answered.
+        # leaves them open, so that a request sent on one would never be answered.
         if self._runner is None:
             return
         idle = [
--- a/wigeonscale/platform/connection_limiter.py
+++ b/wigeonscale/platform/connection_limiter.py
@@ -3,7 +3,7 @@
 When entries start together, or an engine comes back, dozens of requests go to the same
 first engine at once, each over a new connection. Without a limit the engine's listen
 backlog overflows; excess connection attempts are silently dropped and retransmitted
-only after a second or more, and the waiting requests take the engine for failed.
+only after a second or more, and the waiting requests count the engine as failed.
 """
 
 __all__ = ["limit_concurrent_connects"]
--- a/wigeonscale/platform/engine_orders.py
+++ b/wigeonscale/platform/engine_orders.py
@@ -24,7 +24,8 @@
 # timeout and is sent twice.
 ORDER_TIMEOUT_S = 0.7
 PROBE_TIMEOUT_S = 0.3
-# A stalled stream waits for this response; sending it elsewhere would take 100 ms.
+# A stalled stream waits for this response. Sending it to another engine instead would
+# take 100 ms.
 PATH_CHANGE_TIMEOUT_S = 0.15
 
 OUTCOME_BY_STATUS = {
--- a/wigeonscale/platform/reachability.py
+++ b/wigeonscale/platform/reachability.py
@@ -20,7 +20,7 @@
         timeout_s: Maximum wait, in seconds.
 
     Returns:
-        ``ANSWERED``, ``REFUSED`` if nothing listens there, or ``NO_ANSWER``.
+        ``ANSWERED``, ``REFUSED`` if nothing listens at it, or ``NO_ANSWER``.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/wigeonscale/ports/probe.py
+++ b/wigeonscale/ports/probe.py
@@ -12,7 +12,7 @@
 
     ANSWERED = "answered"
     REFUSED = "refused"  # the VM is up, but nothing listens at the address
-    REPLACED = "replaced"  # a later incarnation listens there
+    REPLACED = "replaced"  # a later incarnation listens at the address
     NO_ANSWER = "nothing"
 
 
--- a/wigeonscale/state/claims.py
+++ b/wigeonscale/state/claims.py
@@ -17,7 +17,7 @@
 
     Notes:
         Records are kept serialised, which saves memory and makes snapshots cheap.
-        Ending an incarnation costs time in proportion to its own claims only.
+        Ending an incarnation takes time linear in the number of its own claims.
     """
 
     def __init__(self):
--- a/wigeonscale/state/numbered_document.py
+++ b/wigeonscale/state/numbered_document.py
@@ -1,4 +1,4 @@
-"""Document that its author numbers; the highest number wins."""
+"""Document with a number assigned by its author; the highest number wins."""
 
 __all__ = ["LatestNumberedDocument"]
 
