--- a/wigeonscale/config/keys.py
+++ b/wigeonscale/config/keys.py
@@ -161,13 +161,16 @@
     tuple[Annotated[str, AfterValidator(_peer_address)], ...],
     BeforeValidator(_split_list),
     AfterValidator(_check_unique),
-    Allowed(f"a comma list, each once, of {ADDRESS_EXAMPLE}"),
+    Allowed(f"a comma-separated list without duplicates of {ADDRESS_EXAMPLE}"),
 ]
 PeerList = Annotated[
     tuple[Annotated[Peer, BeforeValidator(_parse_peer)], ...],
     BeforeValidator(_split_list),
     AfterValidator(_check_unique),
-    Allowed("a comma list, each once, of name@ip:port, such as c1@127.0.0.1:7001"),
+    Allowed(
+        "a comma-separated list without duplicates of name@ip:port, such as"
+        " c1@127.0.0.1:7001"
+    ),
 ]
 BackendUrl = Annotated[
     str,
--- a/wigeonscale/config/tests/test_load.py
+++ b/wigeonscale/config/tests/test_load.py
@@ -92,7 +92,9 @@
     scenarios = [
         wrong(ENTRY, "127.0.0.1:8000", "localhost:80", "[entry] listen", "ip:port"),
         wrong(ENTRY, "127.0.0.1:8000", "127.0.0.1:65536", "listen", "65536"),
-        wrong(ENTRY, "127.0.0.1:7001,", "127.0.0.1:7002,", "control", "each once"),
+        wrong(
+            ENTRY, "127.0.0.1:7001,", "127.0.0.1:7002,", "control", "without duplicates"
+        ),
         wrong(ENTRY, "127.0.0.1:7001,", "127.0.0.1:0,", "control"),
         wrong(ENTRY, "listen = 127.0.0.1:8000\n", "", "[entry] listen: missing"),
         wrong(ENTRY, "[entry]", "[entry]\nlease_s = nan", "'nan'", "0.1 to 60"),
