--- a/wigeonscale/control/tests/layer_assigner_case.py
+++ b/wigeonscale/control/tests/layer_assigner_case.py
@@ -30,7 +30,7 @@
         self.held = defaultdict(lambda: (0, 0))
         self.counts = defaultdict(int)
         self.orders = []
-        self.asked = []
+        self.status_queries = []
         self.outcomes = {}
         self.waits = {}
         self.starts = defaultdict(int)
@@ -48,7 +48,7 @@
         return OrderOutcome.STARTED
 
     async def status(self, address, **_):
-        self.asked.append(address)
+        self.status_queries.append(address)
         return EngineStatus(
             self.counts[address],
             False,
--- a/wigeonscale/control/tests/support.py
+++ b/wigeonscale/control/tests/support.py
@@ -135,7 +135,7 @@
         return await self.run(announce=wire.Announce(backend=backend, replica=replica))
 
     async def attach(self, agent_id, incarnation=1, **fields):
-        """Attach an agent here and return its stream."""
+        """Attach an agent to this replica and return its stream."""
         watcher = self.watcher(agent_id, "agent")
         self.hub.announce(watcher, engine(agent_id, incarnation, **fields))
         await self.announce(agent_id, incarnation, **fields)
--- a/wigeonscale/control/tests/test_entry_counter.py
+++ b/wigeonscale/control/tests/test_entry_counter.py
@@ -34,10 +34,10 @@
 
         self.addCleanup(stop)
 
-    async def pass_time(self, seconds, *heard):
+    async def pass_time(self, seconds, *active):
         end = self.fixture.clock.now() + seconds
         while self.fixture.clock.now() < end - 1e-9:
-            for watcher in heard:
+            for watcher in active:
                 watcher.last_message_at = self.fixture.clock.now()
             await self.fixture.clock.advance(0.25)
 
@@ -57,7 +57,7 @@
         ]
         return grant.entries
 
-    async def test_lease_grants_tell_entries_the_count_over_all_replicas(self):
+    async def test_lease_grants_report_the_count_over_all_replicas(self):
         await self.attach_elsewhere("e8", "e9")
         watcher = self.fixture.watcher("e1")
         agent = self.fixture.watcher("a", "agent")
--- a/wigeonscale/control/tests/test_hub.py
+++ b/wigeonscale/control/tests/test_hub.py
@@ -255,7 +255,7 @@
         (order,) = await self.orders(await self.fixture.attach("a"))
         self.assertTrue(order.drain)
 
-    async def test_agent_is_told_that_its_incarnation_ended(self):
+    async def test_end_of_an_incarnation_is_sent_to_its_agent(self):
         watcher = await self.fixture.attach("a", 5)
         await self.pending_events(watcher)
         end = wire.EndIncarnation(agent_id="a", incarnation=5)
--- a/wigeonscale/control/tests/test_layer_assigner.py
+++ b/wigeonscale/control/tests/test_layer_assigner.py
@@ -19,7 +19,7 @@
         await self.announce_all("e1", "e2")
         await self.clock.advance(3.0)
         self.assertEqual(2, len(self.engines.orders))
-        self.assertEqual([], self.engines.asked)
+        self.assertEqual([], self.engines.status_queries)
 
     async def test_only_the_leader_orders(self):
         await self.announce_all("e1", "e2")
@@ -53,7 +53,7 @@
         self.engines.held["e1"] = (0, 5)
         await self.clock.advance(5.0)
         self.assertEqual(2, len(self.engines.orders))
-        self.assertIn("e1", self.engines.asked)
+        self.assertIn("e1", self.engines.status_queries)
 
     async def test_another_order_uses_the_order_count_of_the_engine(self):
         self.engines.outcomes["e1"] = OrderOutcome.UNKNOWN
@@ -109,7 +109,7 @@
     async def test_the_first_plan_waits_for_heartbeats(self):
         await self.announce_all("e1", "e2")
         await self.clock.advance(3.0)
-        self.assertEqual([], self.engines.asked)
+        self.assertEqual([], self.engines.status_queries)
 
 
 class RestartTest(LayerAssignerCase):
--- a/wigeonscale/control/tests/test_layer_assigner_load.py
+++ b/wigeonscale/control/tests/test_layer_assigner_load.py
@@ -40,7 +40,7 @@
         self.assertEqual(self.ENGINES, len(self.engines.orders))
         self.assertEqual(set(names), set(self.engines.held))
         # No engine had to be queried for the outcome of an order.
-        self.assertEqual([], self.engines.asked)
+        self.assertEqual([], self.engines.status_queries)
         self.assertTrue(self.max_in_flight <= 100, self.max_in_flight)
 
 
--- a/wigeonscale/control/tests/test_liveness.py
+++ b/wigeonscale/control/tests/test_liveness.py
@@ -27,11 +27,11 @@
         self.addCleanup(stop)
         await self.pass_time(GRACE_S + 1)
 
-    async def pass_time(self, seconds, *heard):
-        """Advance time by single checks; the streams in ``heard`` get heartbeats."""
+    async def pass_time(self, seconds, *active):
+        """Advance time by single checks; the streams in ``active`` get heartbeats."""
         end = self.fixture.clock.now() + seconds
         while self.fixture.clock.now() < end - 1e-9:
-            for watcher in heard:
+            for watcher in active:
                 watcher.last_message_at = self.fixture.clock.now()
             await self.fixture.clock.advance(CHECK_S)
 
--- a/wigeonscale/control/tests/test_placement_loop.py
+++ b/wigeonscale/control/tests/test_placement_loop.py
@@ -20,7 +20,7 @@
         self.fixture = ControlFixture()
         self.addCleanup(self.fixture.hub.close)
         self.plans = self.count(placement_loop, "plan_placement")
-        self.readings = self.count(engine_specs, "engine_spec")
+        self.spec_builds = self.count(engine_specs, "engine_spec")
         loop = PlacementLoop(
             state=self.fixture.state,
             replica=self.fixture.replica,
@@ -70,10 +70,10 @@
     async def plans_after(self, command):
         """Return how many plans and rebuilt engine specs a command causes."""
         self.plans.clear()
-        self.readings.clear()
+        self.spec_builds.clear()
         await command
         await self.pass_time(4 * TICK_S)
-        return len(self.plans), len(self.readings)
+        return len(self.plans), len(self.spec_builds)
 
     async def test_claims_do_not_trigger_planning(self):
         for number in range(3):
@@ -91,19 +91,19 @@
     async def test_only_pipeline_changes_trigger_planning(self):
         other_rule = DOCUMENT.replace("then = route", "priority = 1\nthen = route")
         self.assertEqual((0, 0), await self.plans_after(self.apply(other_rule)))
-        plans, readings = await self.plans_after(
+        plans, spec_builds = await self.plans_after(
             self.apply(DOCUMENT.replace("layers = 4", "layers = 4\nreplicas = 2"))
         )
         self.assertGreaterEqual(plans, 1)
-        self.assertEqual(0, readings)
+        self.assertEqual(0, spec_builds)
 
     async def test_only_the_changed_engine_spec_is_rebuilt(self):
         for number in range(20):
             await self.fixture.announce(f"b{number}")
         await self.pass_time(SETTLED_S)
-        plans, readings = await self.plans_after(self.fixture.announce("c"))
+        plans, spec_builds = await self.plans_after(self.fixture.announce("c"))
         self.assertGreaterEqual(plans, 1)
-        self.assertEqual(1, readings)
+        self.assertEqual(1, spec_builds)
 
     async def test_restored_state_rebuilds_all_specs(self):
         await self.fixture.announce("b")
--- a/wigeonscale/control/tests/test_planning.py
+++ b/wigeonscale/control/tests/test_planning.py
@@ -255,8 +255,12 @@
         await self.apply()
         await self.fixture.announce("a")
         await self.until(lambda: len(self.planned()) == 1)
-        gone = wire.Backend(agent_id="a", incarnation=1, kind=wire.ENGINE, model="m")
-        await self.fixture.run(announce=wire.Announce(backend=gone, replica="c1"))
+        unresponsive = wire.Backend(
+            agent_id="a", incarnation=1, kind=wire.ENGINE, model="m"
+        )
+        await self.fixture.run(
+            announce=wire.Announce(backend=unresponsive, replica="c1")
+        )
         await self.fixture.announce("s")
         await self.until(lambda: self.stages() == ["s"])
 
--- a/wigeonscale/control/tests/test_registry.py
+++ b/wigeonscale/control/tests/test_registry.py
@@ -107,7 +107,7 @@
 
 
 class SilenceTest(RegistryCase):
-    async def test_backend_is_silent_after_three_heartbeats_until_heard(self):
+    async def test_backend_is_silent_from_three_missed_heartbeats_to_the_next(self):
         await self.registry.announce(backend(), 1)
         await self.clock.advance(2.9)
         self.assertFalse(self.member().backend.silent)
--- a/wigeonscale/control/tests/test_replica_membership.py
+++ b/wigeonscale/control/tests/test_replica_membership.py
@@ -51,15 +51,15 @@
 
 
 class MemberReplica(FakeReplica):
-    """Fake with changeable members and a settable silence of the leader."""
+    """Fake whose members and time since a message of the leader can be set."""
 
     def __init__(self, **fields):
         super().__init__(**fields)
-        self.silence_of_leader = 0.0
+        self.leader_silence_s = 0.0
         self.changes = []
 
     def seconds_since_leader_contact(self):
-        return self.silence_of_leader
+        return self.leader_silence_s
 
     async def change_members(self, *, add=None, remove=None):
         self.changes.append(add.node_id if add else f"-{remove}")
@@ -78,7 +78,7 @@
             replica=self.replica, addresses=["a"], clock=self.clock
         )
         self.addCleanup(self.commands.close)
-        self.asked = []
+        self.dialed = []
         self.replies = {}
         self.membership = ReplicaMembership(
             node_id="a",
@@ -97,7 +97,7 @@
         await asyncio.gather(self.task, return_exceptions=True)
 
     async def dial(self, address, req):
-        self.asked.append(address)
+        self.dialed.append(address)
         return self.replies.get(address)
 
 
@@ -138,19 +138,19 @@
         await super().prepare()
         self.replica.role = Role.FOLLOWER
 
-    async def test_sends_no_join_request_while_a_leader_is_heard(self):
+    async def test_sends_no_join_request_while_a_leader_sends_messages(self):
         await self.clock.advance(10)
-        self.assertEqual([], self.asked)
+        self.assertEqual([], self.dialed)
 
     async def test_asks_members_and_seeds_and_follows_redirects(self):
-        self.replica.silence_of_leader = 5.0
+        self.replica.leader_silence_s = 5.0
         self.replies["c"] = wire.JoinReply(leader="x", control=["x", "y"])
         self.replies["x"] = wire.JoinReply(taken=True)
         await self.clock.advance(0.6)
-        self.assertEqual(["b", "c", "x"], self.asked)
+        self.assertEqual(["b", "c", "x"], self.dialed)
 
     async def test_changed_seeds_are_used(self):
-        self.replica.silence_of_leader = 5.0
+        self.replica.leader_silence_s = 5.0
         self.membership.follow_seeds(["n"])
         await self.clock.advance(0.6)
-        self.assertEqual(["b", "c", "n"], self.asked)
+        self.assertEqual(["b", "c", "n"], self.dialed)
--- a/wigeonscale/control/tests/test_service.py
+++ b/wigeonscale/control/tests/test_service.py
@@ -80,7 +80,7 @@
         backend = engine("a", 7)
         orders, ended = [], []
 
-        async def obey(order):
+        async def execute_order(order):
             orders.append(order)
             return wire.OrderResult(order_id=order.order_id, done=True)
 
@@ -88,7 +88,7 @@
             "a",
             "agent",
             announce=lambda: backend,
-            on_order=obey,
+            on_order=execute_order,
             on_ended=ended.append,
         )
         await client.ready()
@@ -116,7 +116,7 @@
         await self.until(lambda: watcher.pending_announcement is None)
         self.assertEqual(count, len(self.fixture.replica.proposed))
 
-    async def test_replica_that_still_hears_the_agent_keeps_it(self):
+    async def test_replica_with_messages_from_the_agent_keeps_it(self):
         backend = engine("a", 7)
         client = self.client("a", "agent", announce=lambda: backend)
         await client.ready()
@@ -136,7 +136,7 @@
         async with open_channel(self.address) as channel:
             call = wire_pb2_grpc.ControlStub(channel).Watch()
             hello = wire.Hello(node_id="x", role="agent")
-            strange = [
+            unexpected = [
                 wire.WatchRequest(hello=hello),
                 wire.WatchRequest(hello=hello),
                 wire.WatchRequest(),
@@ -146,7 +146,7 @@
                 wire.WatchRequest(order_result=wire.OrderResult(kind="odd")),
                 wire.WatchRequest(heartbeat=wire.Heartbeat(sent_us=5)),
             ]
-            for message in strange:
+            for message in unexpected:
                 await call.write(message)
             async with asyncio.timeout(LIMIT_S):
                 async for event in call:
