--- a/wigeonscale/layers/tests/test_path.py
+++ b/wigeonscale/layers/tests/test_path.py
@@ -27,7 +27,7 @@
         engines,
         layers=LAYERS,
         part_cost=lambda e, n: e.cost * n,
-        hop_cost=lambda here, there: 0.0 if here == there else hop,
+        hop_cost=lambda source, target: 0.0 if source == target else hop,
         start_cost=lambda domain: 0.0 if domain == start else hop,
     )
 
@@ -73,7 +73,7 @@
             engines,
             layers=40,
             part_cost=lambda e, n: n,
-            hop_cost=lambda here, there: 0.0,
+            hop_cost=lambda source, target: 0.0,
             start_cost=lambda domain: 0.0,
         )
         self.assertIsNone(parts)
@@ -118,7 +118,7 @@
     best = {(None, frozenset()): 0.0}
     by_name = {each.backend_id: each for each in engines}
     for layer in range(LAYERS):
-        here = {}
+        extended = {}
         for (last, left), cost in best.items():
             domain = by_name[last].domain if last else start
             for each in engines:
@@ -127,11 +127,13 @@
                 name = each.backend_id
                 if name in left:
                     continue
-                gone = left if may_return or last in (None, name) else left | {last}
+                left_after = (
+                    left if may_return or last in (None, name) else left | {last}
+                )
                 total = cost + each.cost + (0.0 if domain == each.domain else hop)
-                key = name, gone
-                here[key] = min(total, here.get(key, total))
-        best = here
+                key = name, left_after
+                extended[key] = min(total, extended.get(key, total))
+        best = extended
     return min(best.values(), default=None)
 
 
@@ -191,7 +193,7 @@
             engines,
             layers=80,
             part_cost=lambda e, n: evaluated.append(e) or float(n),
-            hop_cost=lambda here, there: 0.0 if here == there else 1e6,
+            hop_cost=lambda source, target: 0.0 if source == target else 1e6,
             start_cost=lambda domain: 0.0 if domain == "c" else 300.0,
         )
         self.assertEqual({"c"}, {part.backend_id[0] for part in parts})
--- a/wigeonscale/layers/tests/test_plan.py
+++ b/wigeonscale/layers/tests/test_plan.py
@@ -179,7 +179,7 @@
                 n for n in range(LAYERS) if sum(n in range(*h.held) for h in mine) == 1
             }
             held = plan_grown([*left, holder("new", "b", "l4")])["new"]
-            # Layers held once need not be adjacent: no range covers more of them.
+            # Layers held once need not be adjacent, so a range may not cover all.
             wanted = max(
                 len(once & set(range(first, first + held.count)))
                 for first in range(LAYERS - held.count + 1)
@@ -204,8 +204,8 @@
 class ManyRequestsTest(AsyncTestCase):
     """145 requests a second, 54 of them in one domain, of 992 tokens each.
 
-    Two sets with memory for 50,000 tokens each were full there on a day without
-    failures, while the slower engines held only copies.
+    Two sets with memory for 50,000 tokens each were full in that domain on a day
+    without failures, while the slower engines held only copies.
     """
 
     KINDS = {"a100": (72_000, 2.4), "l40s": (43_200, 5.6), "l4": (21_600, 16.0)}
--- a/wigeonscale/membership/tests/test_client.py
+++ b/wigeonscale/membership/tests/test_client.py
@@ -161,16 +161,16 @@
         self.assertEqual(["n1", "n2"], list(known.backends))
 
     async def test_crash_records_are_applied_once_over_all_replicas(self):
-        taken = []
+        applied = []
         fakes = await self.start_fakes(2)
-        options = {"on_crashes": lambda update: taken.append(update.index)}
+        options = {"on_crashes": lambda update: applied.append(update.index)}
         client, first, (other,) = await self.attached(*fakes, **options)
         for index in (7, 7, 5):
             update = wire.CrashUpdate(index=index)
             await first.push(wire.WatchEvent(crashes=update))
         await first.push(wire.WatchEvent(crashes=wire.CrashUpdate(index=8)))
-        await self.until(lambda: taken[-1:] == [8])
-        self.assertEqual([7, 8], taken)
+        await self.until(lambda: applied[-1:] == [8])
+        self.assertEqual([7, 8], applied)
         first.answers_heartbeats = False
         hello = await self.next_hello(client, other)
         self.assertEqual(8, hello.known_crashes)
@@ -186,7 +186,7 @@
         await self.clock.advance(HEARTBEAT_S)
         await self.within_limit(client.ready())
 
-    async def expect_whole_document_asked(self, event):
+    async def expect_request_for_whole_document(self, event):
         (fake,) = await self.start_fakes()
         client, _, _ = await self.attached(fake)
         fake.revision = 3
@@ -204,16 +204,16 @@
         self.assertEqual(3, hello.known_revision)
 
     async def test_delta_on_another_base(self):
-        await self.expect_whole_document_asked(config_update(3, base=2))
+        await self.expect_request_for_whole_document(config_update(3, base=2))
 
     async def test_delta_with_a_wrong_digest(self):
         event = config_update(3, base=1, digest="0" * 64)
-        await self.expect_whole_document_asked(event)
+        await self.expect_request_for_whole_document(event)
 
     async def test_delta_that_cannot_be_parsed(self):
         change = wire.SectionChange(name="rule x", text="[rule x]\nthen = fly\n")
         event = config_update(3, base=1, changes=[change])
-        await self.expect_whole_document_asked(event)
+        await self.expect_request_for_whole_document(event)
 
     async def test_unexpected_events_change_nothing(self):
         (fake,) = await self.start_fakes()
--- a/wigeonscale/membership/tests/test_submitter.py
+++ b/wigeonscale/membership/tests/test_submitter.py
@@ -151,9 +151,9 @@
         self.assertEqual(["slow", "slow"], [sent[0], sent[2]])
 
     async def test_unreachable_replica_is_skipped(self):
-        gone, other = await self.start_fakes(2)
-        await gone.stop()
-        submitter = self.new_submitter(gone.address, other.address)
+        unreachable, other = await self.start_fakes(2)
+        await unreachable.stop()
+        submitter = self.new_submitter(unreachable.address, other.address)
         self.assertEqual(wire.CommandResult(), await self.result_of(submitter))
 
     async def expect_no_quorum(self, submitter, run_state):
--- a/wigeonscale/membership/tests/test_watcher.py
+++ b/wigeonscale/membership/tests/test_watcher.py
@@ -126,7 +126,7 @@
 
         await pass_while(lambda: self.clock.now() < lost_at + 30)
         self.assertLessEqual(other.hellos.qsize(), 7)
-        # Wait until one more candidate is given up, because the time since the last one
+        # Wait until one more candidate is closed, because the time since the last one
         # depends on how fast connections opened.
         await pass_while(lambda: watcher._candidate is None)
         await pass_while(lambda: watcher._candidate is not None)
--- a/wigeonscale/platform/tests/test_callers.py
+++ b/wigeonscale/platform/tests/test_callers.py
@@ -54,16 +54,16 @@
 
 class CloseTest(CallerCase):
     async def test_close_does_not_wait_for_unfinished_responses(self):
-        begun = asyncio.Event()
+        started = asyncio.Event()
 
         async def serve(req, sink):
             await sink.begin(ResponseHead(200, ()))
-            begun.set()
+            started.set()
             await asyncio.get_running_loop().create_future()
 
         self.serve = serve
         reader, _, _ = await self.raw(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", b"\r\n\r\n")
-        await begun.wait()
+        await started.wait()
         async with asyncio.timeout(WAIT_S):
             await self.server.close()
             # The response lacks its last chunk, so that it is visibly incomplete.
@@ -92,7 +92,7 @@
             self.assertEqual(413, res.status)
         self.assertEqual([], self.requests)
 
-    async def test_error_status_tells_whether_the_work_ran(self):
+    async def test_error_status_shows_whether_the_work_ran(self):
         for run_state, status in ((RunState.NOT_RUN, 503), (RunState.UNKNOWN, 502)):
 
             async def serve(req, sink, run_state=run_state):
--- a/wigeonscale/platform/tests/test_connection_limiter.py
+++ b/wigeonscale/platform/tests/test_connection_limiter.py
@@ -12,10 +12,10 @@
 
 
 class ConnectionLimitTest(AsyncTestCase):
-    """Many requests to one engine at once overflow its listen backlog.
+    """Guards against a listen backlog that overflows from many concurrent connects.
 
-    This happens when entries start together or an engine comes back, and each request
-    opens a new connection.
+    When entries start together or an engine comes back, many requests go to one engine
+    at once, and each opens a new connection.
     """
 
     async def prepare(self):
--- a/wigeonscale/state/tests/test_numbered_document.py
+++ b/wigeonscale/state/tests/test_numbered_document.py
@@ -28,12 +28,12 @@
         self.assertEqual((3, b"first"), self.held())
 
     def test_change_is_emitted_for_new_documents_only(self):
-        heard = []
-        self.machine.state.changes.subscribe(lambda change: heard.append(change))
+        emitted = []
+        self.machine.state.changes.subscribe(lambda change: emitted.append(change))
         self.put(3, b"a")
         self.put(3, b"b")
         self.put(2, b"c")
-        self.assertEqual([True], [change.document for change in heard])
+        self.assertEqual([True], [change.document for change in emitted])
 
     def test_snapshot_keeps_the_document(self):
         self.put(3, b"a")
