--- a/wigeonscale/membership/connection.py
+++ b/wigeonscale/membership/connection.py
@@ -15,7 +15,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 from wigeonscale.wire import wire_pb2_grpc
 
-MICROSECONDS_PER_SECOND = 1_000_000
+US_PER_S = 1_000_000
 MAX_QUEUED_MESSAGES = 256
 
 logger = logging.getLogger(__name__)
@@ -126,7 +126,7 @@
             echo_us: Local send time of that heartbeat, in microseconds.
         """
         if echo_us <= self.last_sent_us:
-            self.answered_at = max(self.answered_at, echo_us / MICROSECONDS_PER_SECOND)
+            self.answered_at = max(self.answered_at, echo_us / US_PER_S)
 
     async def run(self) -> None:
         """Run the stream until it ends, then set :attr:`cause`."""
@@ -190,7 +190,7 @@
 
     async def _send_heartbeats(self) -> None:
         while True:
-            self.last_sent_us = int(self._clock.now() * MICROSECONDS_PER_SECOND)
+            self.last_sent_us = int(self._clock.now() * US_PER_S)
             heartbeat = wire.Heartbeat(
                 sent_us=self.last_sent_us, applied_revision=self._applied_revision()
             )
--- a/wigeonscale/membership/crash_messages.py
+++ b/wigeonscale/membership/crash_messages.py
@@ -5,7 +5,7 @@
 from wigeonscale.crashes import CrashReport, KnownCrashes
 from wigeonscale.wire import wire_pb2 as wire
 
-MILLISECONDS_PER_SECOND = 1000
+MS_PER_S = 1000
 
 
 def known_crashes(update: wire.CrashUpdate) -> list[KnownCrashes]:
@@ -18,8 +18,8 @@
         KnownCrashes(
             fingerprint=record.fingerprint,
             backends=tuple(record.backends),
-            age_s=max(0, update.now_ms - record.wall_ms) / MILLISECONDS_PER_SECOND,
-            span_s=(record.wall_ms - record.first_ms) / MILLISECONDS_PER_SECOND,
+            age_s=max(0, update.now_ms - record.wall_ms) / MS_PER_S,
+            span_s=(record.wall_ms - record.first_ms) / MS_PER_S,
         )
         for record in update.records
     ]
--- a/wigeonscale/membership/lease.py
+++ b/wigeonscale/membership/lease.py
@@ -7,7 +7,7 @@
 from wigeonscale.ports import Clock
 from wigeonscale.wire import wire_pb2 as wire
 
-MICROSECONDS_PER_SECOND = 1_000_000
+US_PER_S = 1_000_000
 MAX_PENDING_GRANTS = 16
 
 
@@ -66,7 +66,7 @@
         """
         if grant.echo_us > last_sent_us or grant.age_us < 0:
             return False
-        at = (grant.echo_us - grant.age_us) / MICROSECONDS_PER_SECOND
+        at = (grant.echo_us - grant.age_us) / US_PER_S
         if grant.revision > applied_revision:
             self._pending.append(_Confirmation(at, grant.revision))
             del self._pending[:-MAX_PENDING_GRANTS]
--- a/wigeonscale/state/crash_records.py
+++ b/wigeonscale/state/crash_records.py
@@ -13,7 +13,7 @@
 )
 from wigeonscale.wire import wire_pb2 as wire
 
-MILLISECONDS_PER_SECOND = 1000
+MS_PER_S = 1000
 
 
 class CrashRecords:
@@ -109,8 +109,7 @@
         expired = [
             fingerprint
             for fingerprint, record in self._records.items()
-            if now_ms - record.wall_ms
-            > MILLISECONDS_PER_SECOND * retention_s(len(record.backends))
+            if now_ms - record.wall_ms > MS_PER_S * retention_s(len(record.backends))
         ]
         for fingerprint in expired:
             del self._records[fingerprint]
