--- a/wigeonscale/control/backend_health.py
+++ b/wigeonscale/control/backend_health.py
@@ -203,7 +203,7 @@
                 return
             if answer in (ProbeResult.REFUSED, ProbeResult.REPLACED):
                 # The port refuses, or a later incarnation answers. This one has ended,
-                # and streams through it stall until entries learn of it.
+                # and streams through it stall until entries are notified.
                 break
             await self._clock.sleep(PROBE_RETRY_S)
         await self._mark_silent(member)
@@ -219,7 +219,7 @@
             last.received_at = now
 
     async def _update_slowness(self, name: str, started_ms: int, pace: float) -> None:
-        """Commit the slowness of an engine if it changed; entries then learn of it."""
+        """Commit the slowness of an engine if it changed, which notifies entries."""
         member = self._state.members.get(name)
         slowness = _slowness(pace)
         if member is None or member.backend.started_ms != started_ms:
--- a/wigeonscale/control/change_feed.py
+++ b/wigeonscale/control/change_feed.py
@@ -14,9 +14,9 @@
 class ChangeFeed:
     """Keeps recent changes of the state and builds updates from them.
 
-    A watcher is just a position in this feed. A slow watcher costs no memory, since its
-    next update is built from the state at that time. Watchers at the same position
-    share one message.
+    A watcher is represented only by its position in this feed. A slow watcher takes no
+    memory, since its next update is built from the state at that time. Watchers at the
+    same position share one message.
 
     Args:
         state: Replicated state.
--- a/wigeonscale/control/layer_assigner.py
+++ b/wigeonscale/control/layer_assigner.py
@@ -24,7 +24,8 @@
 # each heartbeat, so all do within about 1.2 s.
 SETTLE_S = 0.7
 # An engine whose order has had no visible effect for this long is queried again.
-# Loading a whole engine takes 14 s x 20 / 80 alone, and longer if many load at once.
+# Loading all layers of an engine takes 14 s x 20 / 80 if no other engine loads, and
+# longer if many load at once.
 ORDER_TIMEOUT_S = 12.0
 UNKNOWN_RETRY_S = 1.5
 # Interval at which an engine is polled while it loads layers that requests wait for.
@@ -49,7 +50,7 @@
 
     Attributes:
         layers: Layers that the engine is to hold.
-        retry_at: Time from which the engine is queried and ordered again.
+        retry_at: Time from which the engine is queried and may get an order again.
         previous_layers: Layers that the plan assumed the engine holds.
         is_accepted: Whether the engine confirmed that it carries out the order.
     """
@@ -350,10 +351,10 @@
 def _is_finished(order: _Order, held: LayerRange) -> bool:
     """Return whether an order is done or another one was carried out instead.
 
-    Load pattern: all control replicas are killed, and the new leader plans before it
-    learns what engines loaded for the previous leader. The engines refuse its orders
-    because of the order count. Sending these again with the right count would break up
-    a set of layers that is complete by now.
+    Load pattern: all control replicas are killed, and the new leader plans before
+    heartbeats report what engines loaded for the previous leader. The engines refuse
+    its orders because of the order count. Sending these again with the right count
+    would break up a set of layers that is complete by now.
     """
     return held == order.layers or (
         not order.is_accepted and held != order.previous_layers
--- a/wigeonscale/control/placement_loop.py
+++ b/wigeonscale/control/placement_loop.py
@@ -35,7 +35,7 @@
     Args:
         state: Replicated state.
         replica: Local replica of the log.
-        hub: Watch hub of this replica, which knows whether the state is fresh.
+        hub: Watch hub of this replica; reports whether the state is fresh.
         commands: Submits commands to the replicated log.
         clock: Time source.
         spares: Engines per model that are kept out of new chains for repairs.
--- a/wigeonscale/control/planning.py
+++ b/wigeonscale/control/planning.py
@@ -137,9 +137,9 @@
         agent_id: Name of the backend server.
 
     Returns:
-        The spec, draining if the agent or an operator says so. None if the name is
-        unknown or not an engine, and for an engine that does not answer its agent: its
-        rate is 0, and it counts as lost.
+        The spec, marked as draining if the agent or an operator drains the engine. None
+        if the name is unknown or not an engine, and for an engine that does not answer
+        its agent: its rate is 0, and it counts as lost.
     """
     member = state.members.get(agent_id)
     if member is None:
--- a/wigeonscale/control/service.py
+++ b/wigeonscale/control/service.py
@@ -26,7 +26,7 @@
 
 
 class ControlServicer(wire_pb2_grpc.ControlServicer):
-    """Serves watch streams, commands and replicas that want to join.
+    """Serves watch streams, commands and join requests.
 
     Args:
         node_id: Node id of this replica.
--- a/wigeonscale/platform/reachability.py
+++ b/wigeonscale/platform/reachability.py
@@ -11,7 +11,7 @@
 async def check_reachable(address: str, timeout_s: float) -> ProbeResult:
     """Open a TCP connection and close it.
 
-    A request for a status report would say more, but takes about ten times the CPU time
+    A status report would give more information, but takes about ten times the CPU time
     of the entry. With 0.39 of a core, an entry that requests the reports of twenty
     engines at once needs more time for them than healthy engines have to respond.
 
--- a/wigeonscale/state/chains.py
+++ b/wigeonscale/state/chains.py
@@ -51,7 +51,7 @@
     def planned(self) -> list[wire.Chain]:
         """Return each chain as last planned by placement, sorted by id.
 
-        A successor stands in for its active chain.
+        A chain with a successor is listed as the successor.
         """
         return [
             self._successors.get(chain_id, chain)
--- a/wigeonscale/state/crash_records.py
+++ b/wigeonscale/state/crash_records.py
@@ -25,7 +25,7 @@
     Notes:
         Eviction depends on commands only, so that it is the same on all replicas. A
         cleared record is kept with no backends until it expires, so that watchers
-        learn that it was cleared.
+        are notified that it was cleared.
     """
 
     def __init__(self):
