--- a/wigeonscale/control/hub.py
+++ b/wigeonscale/control/hub.py
@@ -60,7 +60,7 @@
         self._replica = replica
         self._clock = clock
         self._lease_s = lease_s
-        self._loads = loads
+        self._max_loads = loads
         self._agents: dict[str, Watcher] = {}
         self._released_loads: dict[str, wire.LoadLayers] | None = None
         self._unpublished_changes: list[Change] = []
@@ -139,7 +139,7 @@
         """Return whether the state lists an agent as attached to another replica.
 
         Args:
-            watcher: The agent's stream here.
+            watcher: The agent's stream to this replica.
 
         Returns:
             True if the state lists its incarnation under another replica.
@@ -273,7 +273,7 @@
 
     def _pending_drain(self, watcher):
         # Sent on each new stream, since the agent may still apply a drain that was
-        # undone while it moved here.
+        # undone while it moved to this replica.
         wanted = self._state.members.is_drained(watcher.node_id)
         if wanted != watcher.sent_drain:
             watcher.sent_drain = wanted
@@ -288,7 +288,7 @@
 
     def _load_orders(self):
         if self._released_loads is None:
-            self._released_loads = load_orders(self._state, loads=self._loads)
+            self._released_loads = load_orders(self._state, max_loads=self._max_loads)
         return self._released_loads
 
     def _on_change(self, change):
--- a/wigeonscale/control/layer_assigner.py
+++ b/wigeonscale/control/layer_assigner.py
@@ -24,7 +24,8 @@
 # each heartbeat, so all do within about 1.2 s.
 SETTLE_S = 0.7
 # An engine whose order has had no visible effect for this long is queried again.
-# Loading a whole engine takes 14 s x 20 / 80 alone, and longer if many load at once.
+# Loading all layers of an engine takes 14 s x 20 / 80 if no other engine loads, and
+# longer if many load at once.
 ORDER_TIMEOUT_S = 12.0
 UNKNOWN_RETRY_S = 1.5
 # Interval at which an engine is polled while it loads layers that requests wait for.
@@ -36,7 +37,7 @@
 # CPU time. If all were sent at once, most replies would miss their timeout, count as
 # unknown and cause another query and order.
 MAX_CONCURRENT_ORDERS = 100
-# Packs (term, index) into one fencing number that JSON represents exactly.
+# Packs (term, index) into one fencing token that JSON represents exactly.
 TERM_SHIFT = 32
 BYTES_PER_MB = 1e6
 
@@ -49,7 +50,7 @@
 
     Attributes:
         layers: Layers that the engine is to hold.
-        retry_at: Time from which the engine is queried and ordered again.
+        retry_at: Time from which the engine is queried and may get an order again.
         previous_layers: Layers that the plan assumed the engine holds.
         is_accepted: Whether the engine confirmed that it carries out the order.
     """
@@ -183,16 +184,16 @@
         self._queued_layers.pop(name, None)
 
     def _holder(self, backend: wire.Backend, engine: EngineProfile) -> Holder | None:
-        kind = engine.accelerators.get(backend.accelerator)
-        if kind is None:
+        accelerator = engine.accelerators.get(backend.accelerator)
+        if accelerator is None:
             return None
         issued = self._issued_orders.get(backend.agent_id)
         queued = self._queued_layers.get(backend.agent_id)
         return Holder(
             backend_id=backend.agent_id,
             domain=backend.domain,
-            size_mb=kind.size_mb,
-            pace=kind.pace,
+            size_mb=accelerator.size_mb,
+            pace=accelerator.pace,
             held=queued or (issued.layers if issued else _announced_layers(backend)),
             is_available=not (backend.silent or backend.draining),
         )
@@ -218,12 +219,14 @@
         expected = await self._expected_orders(backend, layers)
         if expected is None:
             return None
-        fence = (self._replica.applied_term << TERM_SHIFT) + self._replica.applied_index
+        fencing_token = (
+            self._replica.applied_term << TERM_SHIFT
+        ) + self._replica.applied_index
         outcome = await self._orders.place(
             backend.address,
             first=layers.first,
             end=layers.end,
-            fence=fence,
+            fence=fencing_token,
             expected_orders=expected,
             waits=waits,
         )
@@ -247,7 +250,10 @@
             layers.first,
             layers.end,
             extra=log_fields(
-                outcome=outcome, fence=fence, expected_orders=expected, waits=waits
+                outcome=outcome,
+                fence=fencing_token,
+                expected_orders=expected,
+                waits=waits,
             ),
         )
         return outcome
@@ -345,10 +351,10 @@
 def _is_finished(order: _Order, held: LayerRange) -> bool:
     """Return whether an order is done or another one was carried out instead.
 
-    Load pattern: all control replicas are killed, and the new leader plans before it
-    learns what engines loaded for the previous leader. The engines refuse its orders
-    because of the order count. Sending these again with the right count would break up
-    a set of layers that is complete by now.
+    Load pattern: all control replicas are killed, and the new leader plans before
+    heartbeats report what engines loaded for the previous leader. The engines refuse
+    its orders because of the order count. Sending these again with the right count
+    would break up a set of layers that is complete by now.
     """
     return held == order.layers or (
         not order.is_accepted and held != order.previous_layers
--- a/wigeonscale/control/replica_membership.py
+++ b/wigeonscale/control/replica_membership.py
@@ -1,9 +1,9 @@
 """Dynamic membership of control replicas, without listing them in the settings.
 
-A replica that is not a member, or that hears no leader, asks the others to join. The
-leader adds it by a committed membership change. It removes a member that has been
-silent for a long time only if another member or candidate takes its place, so that a
-short network cut of one of three replicas changes nothing.
+A replica that is not a member, or that receives no messages from a leader, asks the
+others to join. The leader adds it by a committed membership change. The leader removes
+a member that has been silent for a long time only if another member or candidate takes
+its place, so that a short network partition of one of three replicas changes nothing.
 """
 
 __all__ = ["ReplicaMembership", "member_to_remove"]
@@ -23,8 +23,8 @@
 from wigeonscale.wire import wire_pb2_grpc
 
 CHECK_INTERVAL_S = 0.5
-# Elections take much less time. A replica that hears no leader for this long is cut off
-# or has been removed.
+# Elections take much less time. A replica without a message from a leader for this long
+# is disconnected or has been removed.
 NO_LEADER_TIMEOUT_S = 3.0
 # Time without a message after which a member may be replaced. A restart takes one or
 # two seconds.
@@ -40,7 +40,7 @@
 
 def member_to_remove(
     members: Sequence[Member],
-    silences: Mapping[str, float],
+    silence_s: Mapping[str, float],
     *,
     has_candidate: bool,
 ) -> str | None:
@@ -48,9 +48,9 @@
 
     Args:
         members: All members.
-        silences: Time since the last message of each other member, in seconds, by
+        silence_s: Time since the last message of each other member, in seconds, by
             node id.
-        has_candidate: Whether another replica waits to be added.
+        has_candidate: Whether another replica has asked to be added.
 
     Returns:
         Node id of the member that has been silent longest, provided that it has been
@@ -64,9 +64,9 @@
         >>> member_to_remove(trio, {"b": 0.1, "c": 9.0}, has_candidate=False)
     """
     silent = {
-        member.node_id: silences[member.node_id]
+        member.node_id: silence_s[member.node_id]
         for member in members
-        if silences.get(member.node_id, 0.0) > REPLACE_AFTER_S
+        if silence_s.get(member.node_id, 0.0) > REPLACE_AFTER_S
     }
     if not silent or len(members) - (not has_candidate) < MIN_MEMBERS:
         return None
@@ -118,7 +118,7 @@
         """Join the group and maintain its members until cancelled."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_S)
-            self._commands.follow_addresses(self._addresses())
+            self._commands.set_addresses(self._addresses())
             if self._replica.role is Role.LEADER:
                 await self._review_members()
                 continue
@@ -204,15 +204,15 @@
 
     async def _remove_silent(self, *, has_candidate: bool) -> None:
         members = self._replica.members()
-        silences = self._silences(members)
-        name = member_to_remove(members, silences, has_candidate=has_candidate)
+        silence_s = self._peer_silence_s(members)
+        name = member_to_remove(members, silence_s, has_candidate=has_candidate)
         if name is not None:
             logger.warning(
-                "removing replica %s after %.1f s of silence", name, silences[name]
+                "removing replica %s after %.1f s of silence", name, silence_s[name]
             )
             await self._change_members(remove=name)
 
-    def _silences(self, members: Sequence[Member]) -> dict[str, float]:
+    def _peer_silence_s(self, members: Sequence[Member]) -> dict[str, float]:
         """Return how long each other member has been silent towards this leader."""
         now = self._clock.now()
         others = [m.node_id for m in members if m.node_id != self._join_request.node_id]
--- a/wigeonscale/control/tests/test_replica_membership.py
+++ b/wigeonscale/control/tests/test_replica_membership.py
@@ -15,51 +15,51 @@
 
 class RemovalTest(AsyncTestCase):
     def test_one_of_three_is_removed_only_for_a_candidate(self):
-        silences = {"b": 0.1, "c": 9.0}
+        silence_s = {"b": 0.1, "c": 9.0}
         trio = members("abc")
-        self.assertIsNone(member_to_remove(trio, silences, has_candidate=False))
-        self.assertEqual("c", member_to_remove(trio, silences, has_candidate=True))
+        self.assertIsNone(member_to_remove(trio, silence_s, has_candidate=False))
+        self.assertEqual("c", member_to_remove(trio, silence_s, has_candidate=True))
 
     def test_silent_fourth_member_is_removed(self):
-        silences = {"b": 0.1, "c": 9.0, "d": 0.1}
+        silence_s = {"b": 0.1, "c": 9.0, "d": 0.1}
         self.assertEqual(
-            "c", member_to_remove(members("abcd"), silences, has_candidate=False)
+            "c", member_to_remove(members("abcd"), silence_s, has_candidate=False)
         )
 
     def test_none_is_removed_without_a_responsive_majority(self):
-        silences = {"b": 9.0, "c": 8.0}
+        silence_s = {"b": 9.0, "c": 8.0}
         self.assertIsNone(
-            member_to_remove(members("abc"), silences, has_candidate=True)
+            member_to_remove(members("abc"), silence_s, has_candidate=True)
         )
 
     def test_short_silence_is_tolerated(self):
-        silences = {"b": 0.1, "c": 2.0}
+        silence_s = {"b": 0.1, "c": 2.0}
         self.assertIsNone(
-            member_to_remove(members("abc"), silences, has_candidate=True)
+            member_to_remove(members("abc"), silence_s, has_candidate=True)
         )
 
     def test_member_with_longest_silence_is_removed_first(self):
-        silences = {"b": 0.1, "c": 5.0, "d": 9.0, "e": 0.1}
+        silence_s = {"b": 0.1, "c": 5.0, "d": 9.0, "e": 0.1}
         self.assertEqual(
-            "d", member_to_remove(members("abcde"), silences, has_candidate=False)
+            "d", member_to_remove(members("abcde"), silence_s, has_candidate=False)
         )
 
     def test_member_without_a_vote_does_not_count_for_a_majority(self):
-        silences = {"b": 9.0, "c": 0.1}
+        silence_s = {"b": 9.0, "c": 0.1}
         trio = members("abc", waiting="c")
-        self.assertIsNone(member_to_remove(trio, silences, has_candidate=True))
+        self.assertIsNone(member_to_remove(trio, silence_s, has_candidate=True))
 
 
 class MemberReplica(FakeReplica):
-    """Fake with changeable members and a settable silence of the leader."""
+    """Fake whose members and time since a message of the leader can be set."""
 
     def __init__(self, **fields):
         super().__init__(**fields)
-        self.silence_of_leader = 0.0
+        self.leader_silence_s = 0.0
         self.changes = []
 
     def seconds_since_leader_contact(self):
-        return self.silence_of_leader
+        return self.leader_silence_s
 
     async def change_members(self, *, add=None, remove=None):
         self.changes.append(add.node_id if add else f"-{remove}")
@@ -78,7 +78,7 @@
             replica=self.replica, addresses=["a"], clock=self.clock
         )
         self.addCleanup(self.commands.close)
-        self.asked = []
+        self.dialed = []
         self.replies = {}
         self.membership = ReplicaMembership(
             node_id="a",
@@ -97,27 +97,27 @@
         await asyncio.gather(self.task, return_exceptions=True)
 
     async def dial(self, address, req):
-        self.asked.append(address)
+        self.dialed.append(address)
         return self.replies.get(address)
 
 
 class LeaderTest(MembershipCase):
     async def test_leader_admits_a_replica_once(self):
-        self.replica.silences = {"b": 0.0, "c": 0.0, "d": 0.0}
+        self.replica.silence_s = {"b": 0.0, "c": 0.0, "d": 0.0}
         req = wire.JoinRequest(node_id="d", address="d")
         for _ in range(2):
             self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["d"], self.replica.changes)
 
     async def test_candidate_replaces_a_lost_member(self):
-        self.replica.silences = {"b": 0.0, "c": 60.0, "d": 0.0}
+        self.replica.silence_s = {"b": 0.0, "c": 60.0, "d": 0.0}
         await self.clock.advance(4.0)
         req = wire.JoinRequest(node_id="d", address="d")
         self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["-c", "d"], self.replica.changes)
 
     async def test_new_leader_gives_members_time_to_reply(self):
-        self.replica.silences = {"b": 0.0, "c": 60.0, "d": 0.0}
+        self.replica.silence_s = {"b": 0.0, "c": 60.0, "d": 0.0}
         req = wire.JoinRequest(node_id="d", address="d")
         self.assertTrue((await self.membership.answer(req)).taken)
         self.assertEqual(["d"], self.replica.changes)
@@ -138,19 +138,19 @@
         await super().prepare()
         self.replica.role = Role.FOLLOWER
 
-    async def test_sends_no_join_request_while_a_leader_is_heard(self):
+    async def test_sends_no_join_request_while_a_leader_sends_messages(self):
         await self.clock.advance(10)
-        self.assertEqual([], self.asked)
+        self.assertEqual([], self.dialed)
 
     async def test_asks_members_and_seeds_and_follows_redirects(self):
-        self.replica.silence_of_leader = 5.0
+        self.replica.leader_silence_s = 5.0
         self.replies["c"] = wire.JoinReply(leader="x", control=["x", "y"])
         self.replies["x"] = wire.JoinReply(taken=True)
         await self.clock.advance(0.6)
-        self.assertEqual(["b", "c", "x"], self.asked)
+        self.assertEqual(["b", "c", "x"], self.dialed)
 
     async def test_changed_seeds_are_used(self):
-        self.replica.silence_of_leader = 5.0
+        self.replica.leader_silence_s = 5.0
         self.membership.follow_seeds(["n"])
         await self.clock.advance(0.6)
-        self.assertEqual(["b", "c", "n"], self.asked)
+        self.assertEqual(["b", "c", "n"], self.dialed)
--- a/wigeonscale/membership/client.py
+++ b/wigeonscale/membership/client.py
@@ -15,7 +15,7 @@
 from wigeonscale.membership.announcer import Announcer
 from wigeonscale.membership.backoff import CAP_S
 from wigeonscale.membership.connection import DisconnectCause, WatchConnection
-from wigeonscale.membership.floor import query_floor
+from wigeonscale.membership.floor import query_fencing_floor
 from wigeonscale.membership.members import MembersView
 from wigeonscale.membership.orders import OrderRunner
 from wigeonscale.membership.submitter import Submitter
@@ -205,7 +205,7 @@
 
     async def floor(self) -> tuple[int, int]:
         """Wait for a majority of replicas and return their largest (term, index)."""
-        return await query_floor(
+        return await query_fencing_floor(
             addresses=self._addresses, clock=self._clock, rng=self._rng, tls=self._tls
         )
 
@@ -354,8 +354,8 @@
         if grant.HasField("loads") and self._on_loads is not None:
             self._on_loads(grant.loads)
         if grant.control:
-            self._watcher.follow_addresses(grant.control)
-            self._submitter.follow_addresses(grant.control)
+            self._watcher.set_addresses(grant.control)
+            self._submitter.set_addresses(grant.control)
         if conn is self._watcher.attached and self._announcer is not None:
             self._announcer.announce_if_missing(self._members)
         return self._state.apply_grant(grant, conn.last_sent_us)
--- a/wigeonscale/platform/reachability.py
+++ b/wigeonscale/platform/reachability.py
@@ -11,7 +11,7 @@
 async def check_reachable(address: str, timeout_s: float) -> ProbeResult:
     """Open a TCP connection and close it.
 
-    A request for a status report would say more, but takes about ten times the CPU time
+    A status report would give more information, but takes about ten times the CPU time
     of the entry. With 0.39 of a core, an entry that requests the reports of twenty
     engines at once needs more time for them than healthy engines have to respond.
 
@@ -20,7 +20,7 @@
         timeout_s: Maximum wait, in seconds.
 
     Returns:
-        ``ANSWERED``, ``REFUSED`` if nothing listens there, or ``NO_ANSWER``.
+        ``ANSWERED``, ``REFUSED`` if nothing listens at it, or ``NO_ANSWER``.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
