--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -15,9 +15,15 @@
 from dataclasses import dataclass
 
 from bench.report import Figure
-from wigeonscale.testing.matrix.cluster import Cluster, until
-from wigeonscale.testing.matrix.load import Answer, Told, apply_rules, ask, call_once
-from wigeonscale.testing.matrix.trial import settle
+from wigeonscale.testing.matrix.cluster import Cluster, wait_until
+from wigeonscale.testing.matrix.load import (
+    Answer,
+    Outcome,
+    apply_rules,
+    request_completion,
+    send_note,
+)
+from wigeonscale.testing.matrix.trial import wait_until_ready
 
 RUNS = 20
 TOKENS = 80
@@ -50,21 +56,21 @@
 async def _stream(cluster: Cluster) -> tuple[Answer, asyncio.Task]:
     """Return a stream that has given its first tokens, and its task."""
     answer = Answer(tag=f"page-{time.monotonic_ns()}", max_tokens=TOKENS)
-    task = asyncio.create_task(ask(cluster, "e1", answer=answer))
-    await until(lambda: len(answer.texts) >= SEEN, "the first tokens")
+    task = asyncio.create_task(request_completion(cluster, "e1", answer=answer))
+    await wait_until(lambda: len(answer.texts) >= SEEN, "the first tokens")
     return answer, task
 
 
 def _moving_again(answer: Answer, struck_at: float) -> float:
     """Return the seconds until the stream moved after its longest pause."""
-    times = [struck_at] + [at for at in answer.arrived if at > struck_at]
+    times = [struck_at] + [at for at in answer.token_times if at > struck_at]
     gaps = [after - before for before, after in zip(times, times[1:], strict=False)]
     longest = max(range(len(gaps)), key=gaps.__getitem__)
     return times[longest + 1] - struck_at
 
 
 async def _elapsed(condition: Callable[[], object], struck_at: float) -> float:
-    await until(condition, "the detection")
+    await wait_until(condition, "the detection")
     return time.monotonic() - struck_at
 
 
@@ -74,7 +80,7 @@
 
 
 async def _lost_stage(cluster: Cluster, *, cut: bool) -> Sample:
-    stage = cluster.chain()[1].agent_id
+    stage = cluster.ready_stages()[1].agent_id
     members = cluster.leader().daemon.state.members
     incarnation, epoch = cluster.agents[stage].state.incarnation, _epoch(cluster)
     answer, task = await _stream(cluster)
@@ -93,7 +99,7 @@
     else:
         await cluster.restart(stage)
     total_s = _moving_again(answer, struck_at)
-    return Sample(total_s, detected_s, rounds, answer.told is Told.WHOLE)
+    return Sample(total_s, detected_s, rounds, answer.outcome is Outcome.WHOLE)
 
 
 async def _killed_stage(cluster: Cluster) -> Sample:
@@ -105,18 +111,18 @@
 
 
 async def _silent_connection(cluster: Cluster) -> Sample:
-    head = cluster.chain()[0].agent_id
-    [relay] = cluster.net.into(head)
+    head = cluster.ready_stages()[0].agent_id
+    [relay] = cluster.net.inbound_relays(head)
     answer, task = await _stream(cluster)
     connections = relay.accepted
     struck_at = time.monotonic()
-    relay.stall_standing()
+    relay.stall_existing()
     detected_s = await _elapsed(lambda: relay.accepted > connections, struck_at)
     await task
     rounds = relay.accepted - connections
     relay.heal()
     total_s = _moving_again(answer, struck_at)
-    return Sample(total_s, detected_s, rounds, answer.told is Told.WHOLE)
+    return Sample(total_s, detected_s, rounds, answer.outcome is Outcome.WHOLE)
 
 
 async def _lost_leader(cluster: Cluster) -> Sample:
@@ -142,8 +148,8 @@
     await cluster.kill("s0")
     refused, answered = 0, 0
     while answered < len(cluster.entries):
-        answer = await call_once(cluster, f"e{answered + 1}")
-        if answer.told is Told.WHOLE:
+        answer = await send_note(cluster, f"e{answered + 1}")
+        if answer.outcome is Outcome.WHOLE:
             answered += 1
             continue
         refused += 1
@@ -189,7 +195,7 @@
                 node.engine.step_s = STEP_S
         samples = []
         for _ in range(RUNS):
-            await settle(cluster)
+            await wait_until_ready(cluster)
             samples.append(await fault.run(cluster))
         await cluster.close()
     return samples
--- a/wigeonscale/testing/matrix/checks.py
+++ b/wigeonscale/testing/matrix/checks.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from wigeonscale.testing.fake_engine import expected_tokens
-from wigeonscale.testing.matrix.load import Answer, Told
+from wigeonscale.testing.matrix.load import Answer, Outcome
 from wigeonscale.testing.traces import Violation, repeated_effects
 
 UNAVAILABLE = 503
@@ -37,7 +37,11 @@
     for answer in answers:
         want = expected_tokens(answer.prompt, layers, answer.max_tokens)
         problem = _answer_problem(answer, want)
-        if not problem and answer.told is Told.REFUSED and answer.run not in allows:
+        if (
+            not problem
+            and answer.outcome is Outcome.REFUSED
+            and answer.run not in allows
+        ):
             problem = (
                 f"refused, run {answer.run}: {answer.status} {answer.kind}:"
                 f" {answer.message}"
@@ -49,15 +53,15 @@
 
 def _answer_problem(answer: Answer, want: Sequence[str]) -> str:
     if not answer.max_tokens:
-        return _refusal_problem(answer) if answer.told is Told.REFUSED else ""
+        return _refusal_problem(answer) if answer.outcome is Outcome.REFUSED else ""
     count = len(answer.texts)
     if answer.texts != list(want[:count]):
         return f"{count} tokens differ from those due"
-    if answer.told is Told.CUT:
+    if answer.outcome is Outcome.CUT:
         return f"cut without a word after {count} tokens: {answer.message}"
-    if answer.told is Told.WHOLE and (count, answer.declared) != (len(want),) * 2:
+    if answer.outcome is Outcome.WHOLE and (count, answer.declared) != (len(want),) * 2:
         return f"{count} tokens, {answer.declared} declared, {len(want)} due"
-    if answer.told is Told.REFUSED:
+    if answer.outcome is Outcome.REFUSED:
         return _refusal_problem(answer)
     return ""
 
@@ -83,7 +87,7 @@
     """
     runs: dict[str, set[str]] = defaultdict(set)
     for answer in answers:
-        runs[answer.tag].add("whole" if answer.told is Told.WHOLE else answer.run)
+        runs[answer.tag].add("whole" if answer.outcome is Outcome.WHOLE else answer.run)
     return [
         Violation(tag, "ran but was refused as not run")
         for tag, states in runs.items()
@@ -110,7 +114,7 @@
             unknown.add(tag)
         if answer.run == "not-run" and tag in unknown:
             found.append(Violation(tag, "not-run after it was said to be unknown"))
-        if answer.told is not Told.WHOLE:
+        if answer.outcome is not Outcome.WHOLE:
             continue
         if tag not in done:
             found.append(Violation(tag, "answered but had no effect"))
--- a/wigeonscale/testing/matrix/cluster.py
+++ b/wigeonscale/testing/matrix/cluster.py
@@ -1,6 +1,6 @@
 """A small deployment in this process: control, entries, agents and fakes."""
 
-__all__ = ["KEY", "LAYERS", "MODEL", "Cluster", "rules_text", "until"]
+__all__ = ["KEY", "LAYERS", "MODEL", "Cluster", "rules_text", "wait_until"]
 
 import asyncio
 import itertools
@@ -72,7 +72,7 @@
 """
 
 
-async def until(condition: Callable[[], object], what: str = "") -> None:
+async def wait_until(condition: Callable[[], object], what: str = "") -> None:
     """Wait until a condition holds.
 
     Args:
@@ -169,7 +169,7 @@
                 return node
         return None
 
-    def chain(self):
+    def ready_stages(self):
         """Return the stages of the pipeline's ready chain, or an empty list."""
         leader = self.leader()
         chains = leader.daemon.state.chains if leader else []
--- a/wigeonscale/testing/matrix/faults.py
+++ b/wigeonscale/testing/matrix/faults.py
@@ -95,7 +95,7 @@
 
 async def _double(trial: "Trial") -> None:
     """Pass everything through a doubler; what stands has to connect anew."""
-    [relay] = trial.cluster.net.into(trial.node)
+    [relay] = trial.cluster.net.inbound_relays(trial.node)
     trial.doubler = Doubler(target=relay.target)
     await trial.doubler.start()
     relay.target = trial.doubler.address
@@ -103,7 +103,7 @@
 
 
 async def _single(trial: "Trial") -> None:
-    [relay] = trial.cluster.net.into(trial.node)
+    [relay] = trial.cluster.net.inbound_relays(trial.node)
     relay.target = trial.cluster.agents[trial.node].cfg.grpc
     relay.abort()
     await trial.doubler.close()
--- a/wigeonscale/testing/matrix/load.py
+++ b/wigeonscale/testing/matrix/load.py
@@ -2,9 +2,9 @@
 
 __all__ = [
     "Answer",
-    "Told",
-    "ask",
-    "call_once",
+    "Outcome",
+    "request_completion",
+    "send_note",
     "apply_rules",
     "drain",
     "new_tag",
@@ -32,7 +32,7 @@
 _numbers = itertools.count(1)
 
 
-class Told(StrEnum):
+class Outcome(StrEnum):
     """What a caller was told in the end."""
 
     WHOLE = "whole"
@@ -61,7 +61,7 @@
 
     tag: str
     max_tokens: int = 0
-    told: Told = Told.CUT
+    outcome: Outcome = Outcome.CUT
     status: int = 0
     run: str = ""
     kind: str = ""
@@ -69,7 +69,7 @@
     retry_after: bool = False
     request_id: str = ""
     texts: list[str] = field(default_factory=list)
-    arrived: list[float] = field(default_factory=list)
+    token_times: list[float] = field(default_factory=list)
     declared: int | None = None
     body: bytes = b""
 
@@ -84,7 +84,7 @@
     return f"{kind}-{next(_numbers)}"
 
 
-async def ask(
+async def request_completion(
     cluster: Cluster,
     entry: str,
     *,
@@ -128,7 +128,7 @@
     return answer
 
 
-async def call_once(
+async def send_note(
     cluster: Cluster, entry: str, *, tag: str = "", body: str = "note"
 ) -> Answer:
     """Send a transfer note, which must not run twice.
@@ -146,7 +146,7 @@
         async with cluster.http.post(url, data=body, headers=headers) as resp:
             _take_head(resp, answer)
             answer.body = await resp.read()
-            answer.told = Told.WHOLE if resp.status == 200 else Told.REFUSED
+            answer.outcome = Outcome.WHOLE if resp.status == 200 else Outcome.REFUSED
             _take_error(answer, answer.body)
     except (aiohttp.ClientError, OSError, TimeoutError) as exc:
         answer.message = f"{type(exc).__name__}: {exc}"
@@ -154,13 +154,13 @@
 
 
 async def _read(request, answer: Answer) -> None:
-    answer.told = Told.CUT
+    answer.outcome = Outcome.CUT
     try:
         async with request as resp:
             _take_head(resp, answer)
             if resp.status != 200:
                 _take_error(answer, await resp.read())
-                answer.told = Told.REFUSED
+                answer.outcome = Outcome.REFUSED
                 return
             async for line in resp.content:
                 if line.startswith(b"data: "):
@@ -178,19 +178,19 @@
 
 def _take_event(answer: Answer, data: bytes) -> None:
     if data == b"[DONE]":
-        answer.told = Told.WHOLE
+        answer.outcome = Outcome.WHOLE
         return
     event = json.loads(data)
     if "error" in event:
         _take_error(answer, data)
-        answer.told = Told.REFUSED
+        answer.outcome = Outcome.REFUSED
         return
     answer.request_id = event["id"]
     if event.get("usage"):
         answer.declared = event["usage"]["completion_tokens"]
     else:
         answer.texts.append(event["choices"][0]["text"])
-        answer.arrived.append(time.monotonic())
+        answer.token_times.append(time.monotonic())
 
 
 def _take_error(answer: Answer, data: bytes) -> None:
--- a/wigeonscale/testing/matrix/process_runs.py
+++ b/wigeonscale/testing/matrix/process_runs.py
@@ -13,7 +13,13 @@
 from wigeonscale.errors import RunState
 from wigeonscale.testing.matrix import checks
 from wigeonscale.testing.matrix.cluster import LAYERS
-from wigeonscale.testing.matrix.load import Answer, Told, apply_rules, ask, call_once
+from wigeonscale.testing.matrix.load import (
+    Answer,
+    Outcome,
+    apply_rules,
+    request_completion,
+    send_note,
+)
 from wigeonscale.testing.matrix.processes import ROLES, Processes
 from wigeonscale.testing.traces import (
     Violation,
@@ -64,10 +70,11 @@
     for answer in answers:
         answer.max_tokens = max_tokens
     streams = [
-        ask(system, ENTRIES[n % 2], answer=answer) for n, answer in enumerate(answers)
+        request_completion(system, ENTRIES[n % 2], answer=answer)
+        for n, answer in enumerate(answers)
     ]
     calls = [
-        call_once(system, entry, tag=f"n-{time.monotonic_ns()}") for entry in ENTRIES
+        send_note(system, entry, tag=f"n-{time.monotonic_ns()}") for entry in ENTRIES
     ]
     *_, first, second = await asyncio.gather(*streams, *calls)
     told.calls += [first, second]
@@ -82,9 +89,9 @@
 async def _check(
     system: Processes, told: CallersWord, allows: frozenset[RunState]
 ) -> list[Violation]:
-    await system.settle()
-    after = [await ask(system, entry) for entry in ENTRIES]
-    again = [await call_once(system, entry) for entry in ENTRIES]
+    await system.wait_until_ready()
+    after = [await request_completion(system, entry) for entry in ENTRIES]
+    again = [await send_note(system, entry) for entry in ENTRIES]
     reply = await apply_rules(system, await system.revision())
     found = checks.answer_violations(told.streams, layers=LAYERS, allows=allows)
     found += checks.answer_violations(after + again, layers=LAYERS, allows=())
@@ -95,7 +102,7 @@
     refused = [
         answer.request_id
         for answer in told.streams
-        if answer.told is Told.REFUSED and answer.run == RunState.NOT_RUN
+        if answer.outcome is Outcome.REFUSED and answer.run == RunState.NOT_RUN
     ]
     found += refused_but_ran(refused, steps=steps)
     keys = {record["key"] for record in effects}
@@ -194,7 +201,7 @@
         if code != 0:
             found.append(Violation(name, f"exit code {code} after SIGTERM"))
         await system.restart(name)
-        await system.settle()
+        await system.wait_until_ready()
     done.set()
     await traffic
     # A caller whose connection is refused by a stopped entry asks the other one.
@@ -217,7 +224,7 @@
 async def _watch_revisions(system: Processes, what: str) -> list[Violation]:
     """Look at every page until all is settled: nothing older may show."""
     found = []
-    settled = asyncio.create_task(system.settle())
+    settled = asyncio.create_task(system.wait_until_ready())
     while not settled.done():
         for name in system.controls:
             shown = await system.page(name, "rules")
--- a/wigeonscale/testing/matrix/processes.py
+++ b/wigeonscale/testing/matrix/processes.py
@@ -53,7 +53,7 @@
             cfg = types.SimpleNamespace(http=address)
             self.controls[f"control-{number}"] = types.SimpleNamespace(cfg=cfg)
         await apply_rules(self, 0)
-        await self.settle()
+        await self.wait_until_ready()
 
     async def close(self) -> list[str]:
         """Stop all processes; return those that did not stop cleanly."""
@@ -149,7 +149,7 @@
         leader = await self.leader()
         return (await self.page(leader, "status")).get("revision", 0) if leader else 0
 
-    async def settle(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until every process takes part and knows what was accepted."""
         for url in self.dep.health:
             await wait_ready(f"{url}/readyz")
--- a/wigeonscale/testing/matrix/relay.py
+++ b/wigeonscale/testing/matrix/relay.py
@@ -88,7 +88,7 @@
             conn.block(ways)
         self._blocked_new = ways if new else Direction(0)
 
-    def stall_standing(self) -> None:
+    def stall_existing(self) -> None:
         """Hold back both directions of what stands; new connections work."""
         self.block(Direction.BOTH, new=False)
 
@@ -195,7 +195,7 @@
         """Return the relay by which one node reaches the other."""
         return self._relays[one, other]
 
-    def into(self, node: str, *, callers: bool = False) -> list[Relay]:
+    def inbound_relays(self, node: str, *, callers: bool = False) -> list[Relay]:
         """Return the relays whose connections end at a node.
 
         Args:
@@ -215,13 +215,13 @@
     def isolate(self, node: str) -> None:
         """Hold back everything from and to a node."""
         self._faulty.add(node)
-        for relay in self.into(node) + self.out_of(node):
+        for relay in self.inbound_relays(node) + self.out_of(node):
             relay.block(Direction.BOTH, new=True)
 
     def mute(self, node: str) -> None:
         """Hold back what a node says, while it still hears the others."""
         self._faulty.add(node)
-        for relay in self.into(node):
+        for relay in self.inbound_relays(node):
             relay.block(Direction.DOWN, new=True)
         for relay in self.out_of(node):
             relay.block(Direction.UP, new=True)
@@ -235,7 +235,7 @@
         """
         self._faulty.add(node)
         up, down = Direction.UP, Direction.DOWN
-        for relay in self.into(node):
+        for relay in self.inbound_relays(node):
             relay.block(up if inbound else down, new=False)
         for relay in self.out_of(node):
             relay.block(down if inbound else up, new=False)
@@ -243,13 +243,13 @@
     def slow(self, node: str, delay_s: float) -> None:
         """Delay everything from and to a node."""
         self._faulty.add(node)
-        for relay in self.into(node) + self.out_of(node):
+        for relay in self.inbound_relays(node) + self.out_of(node):
             relay.delay_s = delay_s
 
     def kill(self, node: str) -> None:
         """Reset every connection of a node and let no new one pass."""
         self._faulty.add(node)
-        for relay in self.into(node, callers=True) + self.out_of(node):
+        for relay in self.inbound_relays(node, callers=True) + self.out_of(node):
             relay.dead = True
             relay.abort()
 
--- a/wigeonscale/testing/matrix/rivals.py
+++ b/wigeonscale/testing/matrix/rivals.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from wigeonscale.testing.matrix.load import (
-    Told,
+    Outcome,
     apply_rules,
-    ask,
-    call_once,
     new_tag,
     post_to_leader,
+    request_completion,
+    send_note,
 )
 from wigeonscale.testing.traces import Violation
 
@@ -59,10 +59,10 @@
     tag = new_tag("resent-note")
     entries = ("e1", "e2", "e1", "e2")
     trial.calls += await asyncio.gather(
-        *(call_once(trial.cluster, entry, tag=tag) for entry in entries)
+        *(send_note(trial.cluster, entry, tag=tag) for entry in entries)
     )
-    trial.calls.append(await call_once(trial.cluster, "e1", tag=tag))
-    other = await call_once(trial.cluster, "e2", tag=tag, body="another note")
+    trial.calls.append(await send_note(trial.cluster, "e1", tag=tag))
+    other = await send_note(trial.cluster, "e2", tag=tag, body="another note")
     if other.kind != "idempotency-key-reused":
         what = f"another body under the same key got {other.status} {other.kind}"
         trial.violations.append(Violation(tag, what))
@@ -71,10 +71,13 @@
 async def _resend_billed_work(trial: "Trial") -> None:
     tag = new_tag("billed")
     answers = await asyncio.gather(
-        *(ask(trial.cluster, entry, once=True, tag=tag) for entry in ("e1", "e2"))
+        *(
+            request_completion(trial.cluster, entry, once=True, tag=tag)
+            for entry in ("e1", "e2")
+        )
     )
     trial.streams += answers
-    ids = {answer.request_id for answer in answers if answer.told is Told.WHOLE}
+    ids = {answer.request_id for answer in answers if answer.outcome is Outcome.WHOLE}
     if len(ids) > 1:
         what = f"ran as {sorted(ids)}"
         trial.violations.append(Violation(tag, what))
--- a/wigeonscale/testing/matrix/runner.py
+++ b/wigeonscale/testing/matrix/runner.py
@@ -14,7 +14,7 @@
 from wigeonscale.testing.matrix.load import apply_rules
 from wigeonscale.testing.matrix.steps import Step
 from wigeonscale.testing.matrix.table import Cell
-from wigeonscale.testing.matrix.trial import Trial, settle
+from wigeonscale.testing.matrix.trial import Trial, wait_until_ready
 from wigeonscale.testing.traces import Violation
 
 RUN_LIMIT_S = 120.0
@@ -56,7 +56,7 @@
             self.cluster = Cluster(folder=self._folder.name)
             await self.cluster.start()
             await apply_rules(self.cluster, 0)
-        await settle(self.cluster)
+        await wait_until_ready(self.cluster)
         return self.cluster
 
     async def discard(self) -> None:
--- a/wigeonscale/testing/matrix/steps.py
+++ b/wigeonscale/testing/matrix/steps.py
@@ -9,7 +9,7 @@
 
 from wigeonscale.errors import RunState
 from wigeonscale.testing.matrix.backends import Moment
-from wigeonscale.testing.matrix.cluster import SNAPSHOT_ENTRIES, until
+from wigeonscale.testing.matrix.cluster import SNAPSHOT_ENTRIES, wait_until
 from wigeonscale.testing.matrix.load import apply_rules, drain
 from wigeonscale.testing.matrix.relay import Direction
 from wigeonscale.testing.matrix.trial import Trial
@@ -132,7 +132,7 @@
     terms = [replica.term for replica in others]
     await cluster.kill(old)
     traffic = asyncio.create_task(trial.traffic())
-    await until(
+    await wait_until(
         lambda: any(
             replica.role != "follower" or replica.term > term
             for replica, term in zip(others, terms, strict=True)
@@ -151,7 +151,7 @@
     trial.strike_at_command("place", after=True)
     traffic = asyncio.create_task(trial.traffic())
     await trial.cluster.kill(lost)
-    await until(trial.struck.is_set, "a spare in place of the lost stage")
+    await wait_until(trial.struck.is_set, "a spare in place of the lost stage")
     await traffic
     await trial.cluster.restart(lost)
 
--- a/wigeonscale/testing/matrix/tests/test_checks.py
+++ b/wigeonscale/testing/matrix/tests/test_checks.py
@@ -6,7 +6,7 @@
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.testing.fake_engine import expected_tokens
 from wigeonscale.testing.matrix import checks
-from wigeonscale.testing.matrix.load import Answer, Told
+from wigeonscale.testing.matrix.load import Answer, Outcome
 
 LAYERS = 3
 ANY = frozenset(RunState)
@@ -14,7 +14,7 @@
 
 def whole(**changes) -> Answer:
     """Return a whole answer, but for the changes."""
-    answer = Answer(tag="page-1", max_tokens=4, told=Told.WHOLE, status=200)
+    answer = Answer(tag="page-1", max_tokens=4, outcome=Outcome.WHOLE, status=200)
     answer.texts = expected_tokens(answer.prompt, LAYERS, 4)
     answer.declared = 4
     return dataclasses.replace(answer, **changes)
@@ -24,12 +24,12 @@
     """Return an honest refusal, but for the changes."""
     fields = {"status": 503, "run": "not-run", "kind": "overloaded"}
     fields |= {"retry_after": True, "texts": [], "declared": None}
-    return whole(told=Told.REFUSED, **fields | changes)
+    return whole(outcome=Outcome.REFUSED, **fields | changes)
 
 
 def note(**changes) -> Answer:
     """Return the answer to a note that ran, but for the changes."""
-    fields = {"tag": "note-1", "told": Told.WHOLE, "status": 200, "body": b"b"}
+    fields = {"tag": "note-1", "outcome": Outcome.WHOLE, "status": 200, "body": b"b"}
     return Answer(**fields | changes)
 
 
@@ -48,7 +48,7 @@
             "another's answer": whole(tag="page-2"),
             "too short": whole(texts=texts[:3], declared=3),
             "wrong count": whole(declared=5),
-            "cut": whole(told=Told.CUT, texts=texts[:2]),
+            "cut": whole(outcome=Outcome.CUT, texts=texts[:2]),
             "no run state": refused(run=""),
             "not run after tokens": refused(texts=texts[:1]),
             "no word when to come back": refused(retry_after=False),
@@ -77,7 +77,7 @@
             return len(checks.at_most_once_violations(answers, list(effects)))
 
         unknown = note(
-            told=Told.REFUSED, status=409, run="unknown", kind="outcome-unknown"
+            outcome=Outcome.REFUSED, status=409, run="unknown", kind="outcome-unknown"
         )
         self.assertEqual(0, find([note(), note()]))
         self.assertEqual(1, find([note()], [EFFECT, EFFECT]))
--- a/wigeonscale/testing/matrix/tests/test_matrix.py
+++ b/wigeonscale/testing/matrix/tests/test_matrix.py
@@ -9,7 +9,7 @@
 from wigeonscale.testing.matrix.faults import FAULTS
 from wigeonscale.testing.matrix.load import apply_rules
 from wigeonscale.testing.matrix.table import cells
-from wigeonscale.testing.matrix.trial import Trial, settle
+from wigeonscale.testing.matrix.trial import Trial, wait_until_ready
 
 GENEROUS_S = 30.0
 QUICK = {
@@ -37,7 +37,7 @@
         chosen = [c for c in cells() if c.fault == self.fault and c.step in self.steps]
         self.assertEqual(len(self.steps), len(chosen))
         for variant, role in [run for cell in chosen for run in cell.runs]:
-            await settle(self.cluster)
+            await wait_until_ready(self.cluster)
             trial = Trial(
                 cluster=self.cluster,
                 fault=FAULTS[self.fault],
--- a/wigeonscale/testing/matrix/trial.py
+++ b/wigeonscale/testing/matrix/trial.py
@@ -1,6 +1,6 @@
 """One run of one cell: a fault at a step, and what is checked after it."""
 
-__all__ = ["Trial", "settle"]
+__all__ = ["Trial", "wait_until_ready"]
 
 import asyncio
 import functools
@@ -10,17 +10,23 @@
 from wigeonscale.errors import RunState
 from wigeonscale.testing.matrix import checks
 from wigeonscale.testing.matrix.backends import Moment
-from wigeonscale.testing.matrix.cluster import ENGINES, LAYERS, SERVICES, Cluster, until
+from wigeonscale.testing.matrix.cluster import (
+    ENGINES,
+    LAYERS,
+    SERVICES,
+    Cluster,
+    wait_until,
+)
 from wigeonscale.testing.matrix.doubling import Doubler
 from wigeonscale.testing.matrix.faults import Fault
 from wigeonscale.testing.matrix.load import (
     Answer,
-    Told,
+    Outcome,
     apply_rules,
-    ask,
-    call_once,
     post_to,
+    request_completion,
     rules_body,
+    send_note,
     take_up,
 )
 from wigeonscale.testing.matrix.watch import RevisionWatch
@@ -34,27 +40,27 @@
 STAGES = ("head", "middle", "last")
 
 
-async def settle(cluster: Cluster) -> None:
+async def wait_until_ready(cluster: Cluster) -> None:
     """Wait until every node takes part again and a pipeline serves."""
-    await until(cluster.leader, "a leader")
+    await wait_until(cluster.leader, "a leader")
     for node in cluster.controls.values():
         await _control_settled(node)
     for node in [*cluster.agents.values(), *cluster.entries.values()]:
-        await until(node.control.lease_valid, f"lease of {node.name}")
+        await wait_until(node.control.lease_valid, f"lease of {node.name}")
     for node in cluster.agents.values():
         is_member = functools.partial(_is_member, cluster, node)
-        await until(is_member, f"{node.name} as a member")
-    await until(cluster.chain, "a ready chain")
+        await wait_until(is_member, f"{node.name} as a member")
+    await wait_until(cluster.ready_stages, "a ready chain")
     for entry in cluster.entries.values():
         knows = functools.partial(_knows, cluster, entry)
-        await until(knows, f"{entry.name} to know the chain")
+        await wait_until(knows, f"{entry.name} to know the chain")
 
 
 async def _control_settled(node) -> None:
     replica = node.daemon.replica
-    await until(node.daemon.is_ready, f"{node.name} to be fresh")
+    await wait_until(node.daemon.is_ready, f"{node.name} to be fresh")
     # A replica that lost its disk is a repair in progress until it may vote.
-    await until(lambda: replica.may_vote, f"{node.name} to be admitted")
+    await wait_until(lambda: replica.may_vote, f"{node.name} to be admitted")
 
 
 def _is_member(cluster: Cluster, node) -> bool:
@@ -114,7 +120,7 @@
         self.allows: frozenset[RunState] = frozenset()
         self.back_at_ns: dict[str, int] = {}
         self.node = ""
-        self.stages = [stage.agent_id for stage in cluster.chain()]
+        self.stages = [stage.agent_id for stage in cluster.ready_stages()]
         self.first_step = len(cluster.recorder.steps)
         self._leader = cluster.leader().name
         self._strike: asyncio.Task | None = None
@@ -220,9 +226,9 @@
 
     async def stream(self, entry: str, max_tokens: int = 24) -> Answer:
         """Ask for a completion; taken up elsewhere if the entry is lost."""
-        answer = await ask(self.cluster, entry, max_tokens=max_tokens)
+        answer = await request_completion(self.cluster, entry, max_tokens=max_tokens)
         self.streams.append(answer)
-        if answer.told is Told.CUT and self.node == entry:
+        if answer.outcome is Outcome.CUT and self.node == entry:
             if answer.request_id:
                 await take_up(self.cluster, "e2", answer)
             else:
@@ -232,9 +238,9 @@
 
     async def call(self, entry: str, tag: str = "") -> Answer:
         """Send a note that must not run twice."""
-        answer = await call_once(self.cluster, entry, tag=tag)
-        if answer.told is Told.CUT and self.node == entry:
-            answer = await call_once(self.cluster, "e2", tag=answer.tag)
+        answer = await send_note(self.cluster, entry, tag=tag)
+        if answer.outcome is Outcome.CUT and self.node == entry:
+            answer = await send_note(self.cluster, "e2", tag=answer.tag)
         self.calls.append(answer)
         return answer
 
@@ -286,11 +292,11 @@
 
     async def _ask_isolated_entry(self) -> None:
         for answer in (
-            await ask(self.cluster, self.node),
-            await call_once(self.cluster, self.node),
+            await request_completion(self.cluster, self.node),
+            await send_note(self.cluster, self.node),
         ):
-            told = (answer.told, answer.run, answer.retry_after)
-            if told != (Told.REFUSED, "not-run", True):
+            told = (answer.outcome, answer.run, answer.retry_after)
+            if told != (Outcome.REFUSED, "not-run", True):
                 what = f"isolated entry answers {told}"
                 self.violations.append(Violation(answer.tag, what))
 
@@ -301,14 +307,16 @@
             Every violation of the run.
         """
         cluster = self.cluster
-        await settle(cluster)
+        await wait_until_ready(cluster)
         await self._ask_unknown_again()
         after = [
             answer
             for entry in cluster.entries
             for answer in (
-                await self._served_again(lambda entry=entry: ask(cluster, entry)),
-                await self._served_again(lambda entry=entry: call_once(cluster, entry)),
+                await self._served_again(
+                    lambda entry=entry: request_completion(cluster, entry)
+                ),
+                await self._served_again(lambda entry=entry: send_note(cluster, entry)),
             )
         ]
         await self._change_rules()
@@ -333,7 +341,7 @@
         claims = self.cluster.leader().daemon.state.claims
         for answer in [each for each in self.calls if each.run == "unknown"]:
             record = claims.find(ORGANISATION, answer.tag)
-            again = await call_once(self.cluster, "e2", tag=answer.tag)
+            again = await send_note(self.cluster, "e2", tag=answer.tag)
             is_lost = record is not None and record.state == wire.UNKNOWN
             if is_lost and again.kind != "outcome-unknown":
                 what = f"unknown for good, then {again.status} {again.kind}"
@@ -347,7 +355,7 @@
             return
         revision = reply.body["revision"]
         clients = [n.control for n in self.cluster.entries.values()]
-        await until(
+        await wait_until(
             lambda: all(client.revision >= revision for client in clients),
             f"revision {revision} at the entries",
         )
--- a/wigeonscale/testing/soak/faults.py
+++ b/wigeonscale/testing/soak/faults.py
@@ -120,7 +120,7 @@
     if fault.kind == "delay":
         relay.delay_s = DELAY_S
     elif fault.kind == "silence":
-        relay.stall_standing()
+        relay.stall_existing()
     else:
         relay.block(Direction.DOWN, new=True)
     await asyncio.sleep(fault.for_s)
