--- a/wigeonscale/testing/case.py
+++ b/wigeonscale/testing/case.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-CASE_TIMEOUT_S = 120.0
+TEST_TIMEOUT_S = 120.0
 
 
 class AsyncRunTest(testtools.RunTest):
@@ -22,27 +22,27 @@
         def run_to_end():
             result = fn(*args, **kwargs)
             if inspect.iscoroutine(result):
-                return self._runner.run(_within(result, CASE_TIMEOUT_S))
+                return self._runner.run(_with_timeout(result, TEST_TIMEOUT_S))
             return result
 
         return super()._run_user(run_to_end)
 
     def _run_cleanups(self, result):
         outcome = super()._run_cleanups(result)
-        leftover = self._run_user(self._check_no_tasks_left)
-        if self.exception_caught in (outcome, leftover):
+        task_check = self._run_user(self._check_no_tasks_left)
+        if self.exception_caught in (outcome, task_check):
             return self.exception_caught
         return None
 
     async def _check_no_tasks_left(self):
         await asyncio.sleep(0)
-        left = asyncio.all_tasks() - {asyncio.current_task()}
-        names = sorted(str(task.get_coro()) for task in left)
+        tasks = asyncio.all_tasks() - {asyncio.current_task()}
+        names = sorted(str(task.get_coro()) for task in tasks)
         if names:
             raise AssertionError(f"tasks left over at the end of the test: {names}")
 
 
-async def _within(coro, seconds):
+async def _with_timeout(coro, seconds):
     # Not wait_for: it would add a task of its own to those left over.
     async with asyncio.timeout(seconds):
         return await coro
--- a/wigeonscale/testing/clock.py
+++ b/wigeonscale/testing/clock.py
@@ -16,7 +16,7 @@
 
     def __init__(self, *, start: float = 1000.0):
         self._now = start
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._sleepers: list[tuple[float, int, asyncio.Future]] = []
 
     def now(self) -> float:
@@ -33,21 +33,21 @@
             await asyncio.sleep(0)
             return
         fut = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._sleepers, (self._now + seconds, next(self._order), fut))
+        heapq.heappush(self._sleepers, (self._now + seconds, next(self._sequence), fut))
         await fut
 
     async def advance(self, seconds: float) -> None:
         """Move time on, waking sleepers in order and letting them run."""
         end = self._now + seconds
-        await self._settle()
+        await self._run_ready_tasks()
         while self._sleepers and self._sleepers[0][0] <= end:
             due, _, fut = heapq.heappop(self._sleepers)
             self._now = max(self._now, due)
             if not fut.done():
                 fut.set_result(None)
-            await self._settle()
+            await self._run_ready_tasks()
         self._now = end
-        await self._settle()
+        await self._run_ready_tasks()
 
     async def jump(self, seconds: float) -> None:
         """Move time on at once, as while this process was paused.
@@ -57,6 +57,6 @@
         self._now += seconds
         await self.advance(0.0)
 
-    async def _settle(self, rounds: int = 20) -> None:
+    async def _run_ready_tasks(self, rounds: int = 20) -> None:
         for _ in range(rounds):
             await asyncio.sleep(0)
--- a/wigeonscale/testing/fake_engine.py
+++ b/wigeonscale/testing/fake_engine.py
@@ -61,10 +61,10 @@
     Returns:
         The whole answer, token by token.
     """
-    raw = prompt.encode() if isinstance(prompt, str) else prompt
+    data = prompt.encode() if isinstance(prompt, str) else prompt
     cache: dict[int, str] = {}
     hidden = ""
-    for piece in tokenise(raw):
+    for piece in tokenise(data):
         hidden = _run_layers(cache, 0, layers - 1, piece)
     texts: list[str] = []
     while len(texts) < max_tokens:
@@ -121,26 +121,26 @@
         self.busy_s = 0.0
         self.failing = False
         self._trace = trace
-        self._fence = (0, 0)
-        self._busy = asyncio.Lock()
+        self._last_order = (0, 0)
+        self._iteration_lock = asyncio.Lock()
 
     async def info(self) -> EngineInfo:
         """Return what the engine says of itself."""
-        self._check_alive()
+        self._check_available()
         return self.state
 
     async def run(self, steps: Sequence[EngineStep]) -> list[EngineResult]:
         """Run one iteration; iterations run one after the other."""
-        self._check_alive()
-        async with self._busy:
-            began = time.monotonic()
+        self._check_available()
+        async with self._iteration_lock:
+            started_at = time.monotonic()
             busy_s = self.step_s + self.sequence_s * len(steps)
-            busy_s += self.position_s * sum(map(self._positions, steps))
+            busy_s += self.position_s * sum(map(self._count_positions, steps))
             if busy_s:
                 await asyncio.sleep(busy_s)
             results = [self._run_step(step) for step in steps]
             self.iterations += 1
-            self.busy_s += time.monotonic() - began
+            self.busy_s += time.monotonic() - started_at
             return results
 
     async def cancel(self, sequence_ids: Sequence[str]) -> None:
@@ -169,12 +169,12 @@
         self, *, term: int, sequence: int, action: str, args: dict[str, object]
     ) -> None:
         """Carry out an order, refusing an old fencing number if it checks them."""
-        if self.state.checks_fencing and (term, sequence) < self._fence:
+        if self.state.checks_fencing and (term, sequence) < self._last_order:
             raise WigeonscaleError(
                 ErrorKind.STALE_TERM,
-                f"order ({term}, {sequence}) is older than {self._fence}",
+                f"order ({term}, {sequence}) is older than {self._last_order}",
             )
-        self._fence = max(self._fence, (term, sequence))
+        self._last_order = max(self._last_order, (term, sequence))
         if action == "load":
             await asyncio.sleep(self.load_s)
             self._install(args)
@@ -191,7 +191,7 @@
             adapters=tuple(filter(None, [str(args.get("adapter", ""))])),
         )
 
-    def _check_alive(self) -> None:
+    def _check_available(self) -> None:
         if self.failing:
             raise WigeonscaleError(
                 ErrorKind.BACKEND_FAILED,
@@ -199,18 +199,18 @@
                 run_state=RunState.UNKNOWN,
             )
 
-    def _positions(self, step: EngineStep) -> int:
+    def _count_positions(self, step: EngineStep) -> int:
         """Return the positions to be computed; cached ones are not."""
         if not step.first:
             return step.count
         pieces = _decode_inputs(step.hidden) or []
-        return step.count - self.prefixes.use(step.sequence_id, pieces)
+        return step.count - self.prefixes.lookup(step.sequence_id, pieces)
 
     def _run_step(self, step: EngineStep) -> EngineResult:
         first, last = self.state.first_layer, self.state.last_layer
-        wanted = (step.first_layer, step.last_layer)
-        if step.last_layer >= 0 and wanted != (first, last):
-            return _failed(step, f"layers {wanted} wanted, {(first, last)} loaded")
+        requested = (step.first_layer, step.last_layer)
+        if step.last_layer >= 0 and requested != (first, last):
+            return _failed(step, f"layers {requested} wanted, {(first, last)} loaded")
         if step.first:
             self.caches[step.sequence_id] = {}
         cache = self.caches.get(step.sequence_id)
@@ -220,19 +220,19 @@
         if inputs is None or len(inputs) != step.count:
             return _failed(step, f"{step.hidden!r} is no {step.count} inputs")
         outputs = [_run_layers(cache, first, last, piece) for piece in inputs]
-        self._record(step, first, last)
+        self._trace_step(step, first, last)
         # The engine does not know whether its stage is the last, so it gives both.
-        number = int(outputs[-1][-4:], 16)
+        token_id = int(outputs[-1][-4:], 16)
         return EngineResult(
             step.sequence_id,
             step.position,
             hidden=json.dumps(outputs).encode(),
-            token_id=number,
+            token_id=token_id,
             token_text=_token_text(outputs[-1]),
-            end=number < self.end_share,
+            end=token_id < self.end_share,
         )
 
-    def _record(self, step: EngineStep, first: int, last: int) -> None:
+    def _trace_step(self, step: EngineStep, first: int, last: int) -> None:
         if self._trace is None:
             return
         self._trace(
@@ -257,8 +257,8 @@
     return inputs if is_texts else None
 
 
-def _failed(step: EngineStep, why: str) -> EngineResult:
-    return EngineResult(step.sequence_id, step.position, error=why)
+def _failed(step: EngineStep, reason: str) -> EngineResult:
+    return EngineResult(step.sequence_id, step.position, error=reason)
 
 
 async def serve_engine(
@@ -318,7 +318,7 @@
         step_s=args.step_ms / 1000.0,
         sequence_s=args.sequence_ms / 1000.0,
         load_s=args.load_ms / 1000.0,
-        trace=line_writer(args.trace) if args.trace else None,
+        trace=json_lines_writer(args.trace) if args.trace else None,
         end_share=args.end_share,
         position_s=args.position_ms / 1000.0,
         prefix_slots=args.prefix_slots,
@@ -331,7 +331,7 @@
         await runner.cleanup()
 
 
-def line_writer(path: str) -> Callable[[dict], None]:
+def json_lines_writer(path: str) -> Callable[[dict], None]:
     """Return a function that appends records to a file as JSON lines."""
     file = open(path, "a", buffering=1, encoding="utf-8")
 
--- a/wigeonscale/testing/fake_service.py
+++ b/wigeonscale/testing/fake_service.py
@@ -13,9 +13,9 @@
 
 from aiohttp import web
 
-from wigeonscale.testing.fake_engine import line_writer
+from wigeonscale.testing.fake_engine import json_lines_writer
 
-LARGEST_BODY_BYTES = 1 << 26
+MAX_BODY_BYTES = 1 << 26
 
 
 async def serve_service(
@@ -40,7 +40,7 @@
     Returns:
         The runner, to be cleaned up by the caller, and the service's URL.
     """
-    app = web.Application(client_max_size=LARGEST_BODY_BYTES)
+    app = web.Application(client_max_size=MAX_BODY_BYTES)
     handler = _call_handler(name, trace, delay_s, before_answer)
     app.router.add_route("*", "/{path:.*}", handler)
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=1.0)
@@ -92,7 +92,7 @@
     host, _, port = args.listen.rpartition(":")
     runner, url = await serve_service(
         name=args.name,
-        trace=line_writer(args.trace) if args.trace else lambda record: None,
+        trace=json_lines_writer(args.trace) if args.trace else lambda record: None,
         host=host,
         port=int(port),
         delay_s=args.delay_ms / 1000.0,
--- a/wigeonscale/testing/matrix/__main__.py
+++ b/wigeonscale/testing/matrix/__main__.py
@@ -16,7 +16,7 @@
 from wigeonscale.testing.matrix.faults import FAULTS
 from wigeonscale.testing.matrix.process_runner import (
     run_process_cells,
-    unmet_process_cells,
+    uncovered_process_cells,
 )
 from wigeonscale.testing.matrix.process_runs import PROCESS_CELLS
 from wigeonscale.testing.matrix.report import print_table
@@ -37,11 +37,11 @@
     args = parser.parse_args(argv)
     faults, steps = set(args.fault or faults), set(args.step or STEPS)
     if args.worker:
-        asyncio.run(_work(faults, steps))
+        asyncio.run(_run_worker(faults, steps))
         return 0
-    began = time.monotonic()
-    results = asyncio.run(_spread(faults, steps))
-    print(f"matrix: {time.monotonic() - began:.0f} s", flush=True)
+    started_at = time.monotonic()
+    results = asyncio.run(_run_in_workers(faults, steps))
+    print(f"matrix: {time.monotonic() - started_at:.0f} s", flush=True)
     return print_table(results)
 
 
@@ -49,7 +49,7 @@
     return [cell for cell in cells if cell.fault in faults and cell.step in steps]
 
 
-async def _work(faults: set[str], steps: set[str]) -> None:
+async def _run_worker(faults: set[str], steps: set[str]) -> None:
     chosen = _chosen(cells(), faults, steps)
     await run_cells(chosen, on_result=_print_result)
     chosen = _chosen(PROCESS_CELLS, faults, steps)
@@ -60,26 +60,26 @@
     print(json.dumps(dataclasses.asdict(result)), flush=True)
 
 
-async def _spread(faults: set[str], steps: set[str]) -> list[CellResult]:
+async def _run_in_workers(faults: set[str], steps: set[str]) -> list[CellResult]:
     """Run the cells row by row in worker processes of their own."""
-    gate = asyncio.Semaphore(WORKERS)
+    semaphore = asyncio.Semaphore(WORKERS)
     rows: dict[str, list[str]] = {}
     for cell in _chosen([*PROCESS_CELLS, *cells()], faults, steps):
         rows.setdefault(cell.fault, []).append(cell.step)
     done = await asyncio.gather(
-        *(_run_row(gate, fault, steps) for fault, steps in rows.items())
+        *(_run_row(semaphore, fault, steps) for fault, steps in rows.items())
     )
     results = [result for row in done for result in row]
-    return results + _chosen(unmet_process_cells(), faults, steps)
+    return results + _chosen(uncovered_process_cells(), faults, steps)
 
 
 async def _run_row(
-    gate: asyncio.Semaphore, fault: str, steps: list[str]
+    semaphore: asyncio.Semaphore, fault: str, steps: list[str]
 ) -> list[CellResult]:
     args = ["--worker", "--fault", fault]
     for step in steps:
         args += ["--step", step]
-    async with gate:
+    async with semaphore:
         worker = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -90,12 +90,12 @@
         )
         out, _ = await worker.communicate()
     results = [CellResult(**json.loads(line)) for line in out.splitlines()]
-    told = {result.step for result in results}
-    ended = f"the worker ended with exit code {worker.returncode}"
+    reported_steps = {result.step for result in results}
+    exit_message = f"the worker ended with exit code {worker.returncode}"
     results += [
-        CellResult(fault=fault, step=step, runs=1, violations=[ended])
+        CellResult(fault=fault, step=step, runs=1, violations=[exit_message])
         for step in steps
-        if step not in told
+        if step not in reported_steps
     ]
     print(f"matrix: {fault} done", flush=True)
     return results
--- a/wigeonscale/testing/matrix/backends.py
+++ b/wigeonscale/testing/matrix/backends.py
@@ -46,7 +46,7 @@
     prompts: set[str] = field(default_factory=set)
     hook: Hook | None = None
 
-    async def at(self, moment: Moment) -> None:
+    async def notify(self, moment: Moment) -> None:
         """Call the hook."""
         if self.hook is not None:
             await self.hook(moment)
@@ -69,12 +69,12 @@
         for step in steps:
             if step.first and self.state.first_layer == 0:
                 self._recorder.prompts.add(json.loads(step.hidden)[0])
-            await self._recorder.at(self._moment(step))
+            await self._recorder.notify(self._moment(step))
         return await super().run(steps)
 
     async def order(self, **kwargs) -> None:
         """Carry out an order."""
-        await self._recorder.at(Moment(step="order", node=self.name))
+        await self._recorder.notify(Moment(step="order", node=self.name))
         await super().order(**kwargs)
 
     def _moment(self, step: EngineStep) -> Moment:
--- a/wigeonscale/testing/matrix/checks.py
+++ b/wigeonscale/testing/matrix/checks.py
@@ -4,10 +4,10 @@
     "answer_violations",
     "at_most_once_violations",
     "not_run_violations",
-    "RevisionSeen",
+    "RevisionObservation",
     "order_violations",
     "revision_violations",
-    "work_after_leaving",
+    "work_after_drain",
 ]
 
 from collections import defaultdict
@@ -20,11 +20,11 @@
 
 UNAVAILABLE = 503
 # A server that leaves gets no new work after this long, in seconds.
-LEAVING_LIMIT_S = 3.0
+DRAIN_EFFECTIVE_AFTER_S = 3.0
 
 
 def answer_violations(
-    answers: Iterable[Answer], *, layers: int, allows: Collection[str]
+    answers: Iterable[Answer], *, layers: int, allowed_run_states: Collection[str]
 ) -> list[Violation]:
     """Return answers that are wrong, cut without a word or refused without need.
 
@@ -33,34 +33,37 @@
         layers: Layers of the model.
         allows: Run states that a refusal may name.
     """
-    found = []
+    violations = []
     for answer in answers:
-        want = expected_tokens(answer.prompt, layers, answer.max_tokens)
-        problem = _answer_problem(answer, want)
+        expected = expected_tokens(answer.prompt, layers, answer.max_tokens)
+        problem = _answer_problem(answer, expected)
         if (
             not problem
             and answer.outcome is Outcome.REFUSED
-            and answer.run not in allows
+            and answer.run not in allowed_run_states
         ):
             problem = (
                 f"refused, run {answer.run}: {answer.status} {answer.kind}:"
                 f" {answer.message}"
             )
         if problem:
-            found.append(Violation(answer.tag, problem))
-    return found
+            violations.append(Violation(answer.tag, problem))
+    return violations
 
 
-def _answer_problem(answer: Answer, want: Sequence[str]) -> str:
+def _answer_problem(answer: Answer, expected: Sequence[str]) -> str:
     if not answer.max_tokens:
         return _refusal_problem(answer) if answer.outcome is Outcome.REFUSED else ""
     count = len(answer.texts)
-    if answer.texts != list(want[:count]):
+    if answer.texts != list(expected[:count]):
         return f"{count} tokens differ from those due"
     if answer.outcome is Outcome.CUT:
         return f"cut without a word after {count} tokens: {answer.message}"
-    if answer.outcome is Outcome.WHOLE and (count, answer.declared) != (len(want),) * 2:
-        return f"{count} tokens, {answer.declared} declared, {len(want)} due"
+    if (
+        answer.outcome is Outcome.WHOLE
+        and (count, answer.declared) != (len(expected),) * 2
+    ):
+        return f"{count} tokens, {answer.declared} declared, {len(expected)} due"
     if answer.outcome is Outcome.REFUSED:
         return _refusal_problem(answer)
     return ""
@@ -85,12 +88,14 @@
         answers: All answers; several may bear one idempotency key.
         ran: Tags and keys that backend servers saw.
     """
-    runs: dict[str, set[str]] = defaultdict(set)
+    run_states_by_tag: dict[str, set[str]] = defaultdict(set)
     for answer in answers:
-        runs[answer.tag].add("whole" if answer.outcome is Outcome.WHOLE else answer.run)
+        run_states_by_tag[answer.tag].add(
+            "whole" if answer.outcome is Outcome.WHOLE else answer.run
+        )
     return [
         Violation(tag, "ran but was refused as not run")
-        for tag, states in runs.items()
+        for tag, states in run_states_by_tag.items()
         if states == {"not-run"} and tag in ran
     ]
 
@@ -104,8 +109,8 @@
         answers: Answers to calls, per key in the order in which they came.
         effects: Records of plain services.
     """
-    found = repeated_effects(effects)
-    done = {record["key"] for record in effects}
+    violations = repeated_effects(effects)
+    executed = {record["key"] for record in effects}
     unknown: set[str] = set()
     bodies: dict[str, bytes] = {}
     for answer in answers:
@@ -113,14 +118,14 @@
         if answer.run == "unknown":
             unknown.add(tag)
         if answer.run == "not-run" and tag in unknown:
-            found.append(Violation(tag, "not-run after it was said to be unknown"))
+            violations.append(Violation(tag, "not-run after it was said to be unknown"))
         if answer.outcome is not Outcome.WHOLE:
             continue
-        if tag not in done:
-            found.append(Violation(tag, "answered but had no effect"))
+        if tag not in executed:
+            violations.append(Violation(tag, "answered but had no effect"))
         if bodies.setdefault(tag, answer.body) != answer.body:
-            found.append(Violation(tag, "two callers got different answers"))
-    return found
+            violations.append(Violation(tag, "two callers got different answers"))
+    return violations
 
 
 def order_violations(
@@ -131,19 +136,19 @@
     Args:
         orders: Term, sequence and action of each order, by engine.
     """
-    found = []
-    for name, carried_out in orders.items():
+    violations = []
+    for name, executed in orders.items():
         newest = (0, 0)
-        for term, sequence, action in carried_out:
+        for term, sequence, action in executed:
             if (term, sequence) < newest:
-                what = f"{action} ({term}, {sequence}) after {newest}"
-                found.append(Violation(name, what))
+                description = f"{action} ({term}, {sequence}) after {newest}"
+                violations.append(Violation(name, description))
             newest = max(newest, (term, sequence))
-    return found
+    return violations
 
 
 @dataclass(frozen=True, slots=True)
-class RevisionSeen:
+class RevisionObservation:
     """The configuration that one process had in force at one moment.
 
     Attributes:
@@ -154,51 +159,56 @@
 
     process: str
     revision: int
-    due: int
+    min_revision: int
 
 
-def revision_violations(seen: Iterable[RevisionSeen]) -> list[Violation]:
+def revision_violations(observations: Iterable[RevisionObservation]) -> list[Violation]:
     """Return where a configuration went back or came too late.
 
     Args:
         seen: In the order of time; only moments at which the process served.
     """
-    found: dict[tuple[str, str], Violation] = {}
+    violations: dict[tuple[str, str], Violation] = {}
     newest: dict[str, int] = {}
-    for moment in seen:
-        name, revision = moment.process, moment.revision
+    for observation in observations:
+        name, revision = observation.process, observation.revision
         if revision < newest.get(name, 0):
-            what = f"revision {revision} after {newest[name]}"
-            found.setdefault((name, "back"), Violation(name, what))
-        if revision < moment.due:
-            what = f"serves by revision {revision} where {moment.due} was due"
-            found.setdefault((name, "late"), Violation(name, what))
+            description = f"revision {revision} after {newest[name]}"
+            violations.setdefault((name, "back"), Violation(name, description))
+        if revision < observation.min_revision:
+            description = (
+                f"serves by revision {revision}"
+                f" where {observation.min_revision} was due"
+            )
+            violations.setdefault((name, "late"), Violation(name, description))
         newest[name] = max(revision, newest.get(name, 0))
-    return list(found.values())
+    return list(violations.values())
 
 
-def work_after_leaving(
+def work_after_drain(
     steps: Iterable[dict],
     *,
-    left_at_ns: Mapping[str, int],
-    back_at_ns: Mapping[str, int],
+    drained_at_ns: Mapping[str, int],
+    undrained_at_ns: Mapping[str, int],
 ) -> list[Violation]:
     """Return sequences that began at an engine too long after it left.
 
     Args:
         steps: Records of engines.
-        left_at_ns: When each leaving server's order was accepted.
-        back_at_ns: When it was asked to take work again.
+        drained_at_ns: When each leaving server's order was accepted.
+        undrained_at_ns: When it was asked to take work again.
     """
-    limit_ns = int(LEAVING_LIMIT_S * 1e9)
-    found = []
+    limit_ns = int(DRAIN_EFFECTIVE_AFTER_S * 1e9)
+    violations = []
     for record in steps:
-        left_ns = left_at_ns.get(record["engine"])
-        if left_ns is None or record["position"] > 0:
+        drained_ns = drained_at_ns.get(record["engine"])
+        if drained_ns is None or record["position"] > 0:
             continue
-        back_ns = back_at_ns.get(record["engine"], record["at_ns"] + 1)
-        if left_ns + limit_ns < record["at_ns"] < back_ns:
-            late_s = (record["at_ns"] - left_ns) / 1e9
-            what = f"new work at {record['engine']} {late_s:.1f} s after it left"
-            found.append(Violation(record["sequence"], what))
-    return found
+        undrained_ns = undrained_at_ns.get(record["engine"], record["at_ns"] + 1)
+        if drained_ns + limit_ns < record["at_ns"] < undrained_ns:
+            delay_s = (record["at_ns"] - drained_ns) / 1e9
+            description = (
+                f"new work at {record['engine']} {delay_s:.1f} s after it left"
+            )
+            violations.append(Violation(record["sequence"], description))
+    return violations
--- a/wigeonscale/testing/matrix/cluster.py
+++ b/wigeonscale/testing/matrix/cluster.py
@@ -17,10 +17,10 @@
 from wigeonscale.testing.fake_service import serve_service
 from wigeonscale.testing.matrix.backends import Moment, Recorder, RecordingEngine
 from wigeonscale.testing.matrix.nodes import AgentNode, ControlNode, EntryNode
-from wigeonscale.testing.matrix.relay import ANYONE, CALLERS, Network
+from wigeonscale.testing.matrix.relay import ANY_SOURCE, CALLERS, Network
 
-LIMIT_S = 60.0
-LOOK_S = 0.02
+WAIT_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.02
 KEY = "matrix-key"
 MODEL = "proof-12"
 LAYERS = 12
@@ -32,7 +32,7 @@
 DOMAINS = ("hall-a", "hall-b", "hall-c")
 SNAPSHOT_ENTRIES = 40
 
-_numbers = itertools.count(1)
+_counter = itertools.count(1)
 
 
 def rules_text(note: str) -> str:
@@ -72,7 +72,7 @@
 """
 
 
-async def wait_until(condition: Callable[[], object], what: str = "") -> None:
+async def wait_until(condition: Callable[[], object], description: str = "") -> None:
     """Wait until a condition holds.
 
     Args:
@@ -80,19 +80,19 @@
         what: What is waited for, for the error.
 
     Raises:
-        TimeoutError: It did not hold within ``LIMIT_S``.
+        TimeoutError: It did not hold within ``WAIT_TIMEOUT_S``.
     """
     try:
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not condition():  # noqa: ASYNC110 (spans several objects)
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
     except TimeoutError:
-        raise TimeoutError(f"waited {LIMIT_S:g} s for {what}") from None
+        raise TimeoutError(f"waited {WAIT_TIMEOUT_S:g} s for {description}") from None
 
 
 def free_address() -> str:
     """Return an address on a loopback host that only this process uses."""
-    number = next(_numbers)
+    number = next(_counter)
     high, low = divmod(os.getpid(), 200)
     host = f"127.{20 + low}.{high % 250}.{1 + number % 250}"
     with socket.socket() as sock:
@@ -132,12 +132,12 @@
 
     async def start(self) -> None:
         """Start every node and wait until a pipeline serves."""
-        timeout = aiohttp.ClientTimeout(total=LIMIT_S)
+        timeout = aiohttp.ClientTimeout(total=WAIT_TIMEOUT_S)
         connector = aiohttp.TCPConnector(force_close=True, limit=0)
         self.http = aiohttp.ClientSession(timeout=timeout, connector=connector)
         self._grpc = {name: free_address() for name in CONTROLS}
         for name in CONTROLS:
-            await self.net.add(ANYONE, name, self._grpc[name])
+            await self.net.add(ANY_SOURCE, name, self._grpc[name])
         for number, name in enumerate(CONTROLS):
             self.controls[name] = await self._control(name, number)
         for number in range(ENGINES):
@@ -180,15 +180,15 @@
         """Return the base URL by which callers reach an entry."""
         return f"http://{self.net.between(CALLERS, name).address}"
 
-    def note_accepted(self, revision: int) -> None:
+    def record_accepted(self, revision: int) -> None:
         """Note that an operator was told that a revision is accepted."""
         self.accepted.append((time.monotonic(), revision))
 
     def revision(self) -> int:
         """Return the newest revision that a fresh replica knows."""
         fresh = [n.daemon for n in self.controls.values() if n.daemon]
-        known = [d.state.configuration.revision for d in fresh if d.is_ready()]
-        return max(known, default=0)
+        revisions = [d.state.configuration.revision for d in fresh if d.is_ready()]
+        return max(revisions, default=0)
 
     async def kill(self, name: str) -> None:
         """End a node at once, together with its connections."""
@@ -201,11 +201,11 @@
         await self.nodes[name].start()
 
     async def _control(self, name: str, number: int) -> ControlNode:
-        peers = [Peer(p, self.net.between(ANYONE, p).address) for p in CONTROLS]
-        view = {peer.address: peer.address for peer in peers}
+        peers = [Peer(p, self.net.between(ANY_SOURCE, p).address) for p in CONTROLS]
+        dial_addresses = {peer.address: peer.address for peer in peers}
         for peer in peers:
             if peer.name != name:
-                view[peer.address] = await self.net.add(
+                dial_addresses[peer.address] = await self.net.add(
                     name, peer.name, self._grpc[peer.name]
                 )
         cfg = ControlSettings(
@@ -217,9 +217,9 @@
             peers=tuple(peers),
             snapshot_entries=SNAPSHOT_ENTRIES,
         )
-        return ControlNode(cfg=cfg, view=view)
+        return ControlNode(cfg=cfg, dial_addresses=dial_addresses)
 
-    async def _to_controls(self, name: str) -> tuple[str, ...]:
+    async def _add_control_relays(self, name: str) -> tuple[str, ...]:
         return tuple(
             [await self.net.add(name, peer, self._grpc[peer]) for peer in CONTROLS]
         )
@@ -230,7 +230,7 @@
             domain=DOMAINS[number % len(DOMAINS)],
             http="127.0.0.1:0",
             listen=free_address(),
-            control=await self._to_controls(name),
+            control=await self._add_control_relays(name),
         )
         await self.net.add(CALLERS, name, cfg.listen)
         return EntryNode(cfg=cfg)
@@ -241,7 +241,7 @@
             domain=DOMAINS[number % len(DOMAINS)],
             http="127.0.0.1:0",
             grpc=free_address(),
-            control=await self._to_controls(name),
+            control=await self._add_control_relays(name),
             **kwargs,
         )
 
@@ -259,18 +259,20 @@
             link_rate=10000.0,
         )
         engine = RecordingEngine(recorder=self.recorder, name=name, info=info)
-        announced = await self.net.add(ANYONE, name, cfg.grpc)
-        self.agents[name] = AgentNode(cfg=cfg, announced=announced, engine=engine)
+        advertised_address = await self.net.add(ANY_SOURCE, name, cfg.grpc)
+        self.agents[name] = AgentNode(
+            cfg=cfg, advertised_address=advertised_address, engine=engine
+        )
 
     async def _add_service(self, name: str, number: int) -> None:
         runner, url = await serve_service(
             name="directory",
             trace=self.recorder.effects.append,
-            before_answer=lambda: self.recorder.at(Moment(step="call", node=name)),
+            before_answer=lambda: self.recorder.notify(Moment(step="call", node=name)),
         )
         self._service_runners.append(runner)
         cfg = await self._agent_settings(
             name, number, kind="service", service="directory", backend=url
         )
-        announced = await self.net.add(ANYONE, name, cfg.grpc)
-        self.agents[name] = AgentNode(cfg=cfg, announced=announced)
+        advertised_address = await self.net.add(ANY_SOURCE, name, cfg.grpc)
+        self.agents[name] = AgentNode(cfg=cfg, advertised_address=advertised_address)
--- a/wigeonscale/testing/matrix/rivals.py
+++ b/wigeonscale/testing/matrix/contention.py
@@ -37,7 +37,7 @@
     # Both lose against a third, who is at work in some steps.
     if statuses not in ([ACCEPTED, CONFLICT], [CONFLICT, CONFLICT]):
         trial.violations.append(Violation("race", f"rivals were told {replies}"))
-    if statuses[0] != ACCEPTED and not trial.has_operator:
+    if statuses[0] != ACCEPTED and not trial.has_concurrent_operator:
         trial.violations.append(Violation("race", f"nobody won: {replies}"))
 
 
@@ -64,8 +64,8 @@
     trial.calls.append(await send_note(trial.cluster, "e1", tag=tag))
     other = await send_note(trial.cluster, "e2", tag=tag, body="another note")
     if other.kind != "idempotency-key-reused":
-        what = f"another body under the same key got {other.status} {other.kind}"
-        trial.violations.append(Violation(tag, what))
+        description = f"another body under the same key got {other.status} {other.kind}"
+        trial.violations.append(Violation(tag, description))
 
 
 async def _resend_billed_work(trial: "Trial") -> None:
@@ -79,8 +79,8 @@
     trial.streams += answers
     ids = {answer.request_id for answer in answers if answer.outcome is Outcome.WHOLE}
     if len(ids) > 1:
-        what = f"ran as {sorted(ids)}"
-        trial.violations.append(Violation(tag, what))
+        description = f"ran as {sorted(ids)}"
+        trial.violations.append(Violation(tag, description))
 
 
 async def _resend_rules(trial: "Trial") -> None:
@@ -90,8 +90,8 @@
     )
     others.append(await apply_rules(trial.cluster, base, operation=operation))
     if any(other != first for other in others):
-        what = f"operator was told {first}, then {others}"
-        trial.violations.append(Violation(operation, what))
+        description = f"operator was told {first}, then {others}"
+        trial.violations.append(Violation(operation, description))
 
 
 async def _resend_drain(trial: "Trial") -> None:
@@ -102,5 +102,5 @@
             await post_to_leader(trial.cluster, "drain", order) for _ in range(2)
         ]
         if replies[0] != replies[1]:
-            what = f"operator was told {replies}"
-            trial.violations.append(Violation(body["operation_id"], what))
+            description = f"operator was told {replies}"
+            trial.violations.append(Violation(body["operation_id"], description))
--- a/wigeonscale/testing/matrix/doubling.py
+++ b/wigeonscale/testing/matrix/duplication.py
@@ -1,6 +1,6 @@
 """An agent's server in front of the true one, which passes every message twice."""
 
-__all__ = ["Doubler"]
+__all__ = ["Duplicator"]
 
 from collections.abc import AsyncIterator
 
@@ -10,7 +10,7 @@
 from wigeonscale.wire import wire_pb2_grpc
 
 
-class Doubler(wire_pb2_grpc.AgentServicer):
+class Duplicator(wire_pb2_grpc.AgentServicer):
     """Passes each request on twice, and each answer back twice.
 
     Args:
@@ -33,19 +33,19 @@
     async def Dispatch(self, request_iterator, context):  # noqa: N802
         """Pass on an entry's stream."""
         async with open_channel(self._target) as channel:
-            async for event in self._pass_on(channel, "Dispatch", request_iterator):
+            async for event in self._forward(channel, "Dispatch", request_iterator):
                 yield event
 
     async def Steps(self, request_iterator, context):  # noqa: N802
         """Pass on a stage's stream."""
         async with open_channel(self._target) as channel:
-            async for reply in self._pass_on(channel, "Steps", request_iterator):
+            async for reply in self._forward(channel, "Steps", request_iterator):
                 yield reply
 
-    async def _pass_on(self, channel, method: str, requests) -> AsyncIterator:
-        call = getattr(wire_pb2_grpc.AgentStub(channel), method)(_twice(requests))
+    async def _forward(self, channel, method: str, requests) -> AsyncIterator:
+        call = getattr(wire_pb2_grpc.AgentStub(channel), method)(_duplicated(requests))
         try:
-            async for answer in _twice(call):
+            async for answer in _duplicated(call):
                 yield answer
         except grpc.aio.AioRpcError:
             return
@@ -53,7 +53,7 @@
             call.cancel()
 
 
-async def _twice(messages) -> AsyncIterator:
+async def _duplicated(messages) -> AsyncIterator:
     async for message in messages:
         yield message
         yield message
--- a/wigeonscale/testing/matrix/faults.py
+++ b/wigeonscale/testing/matrix/faults.py
@@ -8,18 +8,18 @@
 from typing import TYPE_CHECKING
 
 from wigeonscale.errors import RunState
-from wigeonscale.testing.matrix import rivals
-from wigeonscale.testing.matrix.doubling import Doubler
+from wigeonscale.testing.matrix import contention
+from wigeonscale.testing.matrix.duplication import Duplicator
 
 if TYPE_CHECKING:
     from wigeonscale.testing.matrix.trial import Trial
 
-SLOW_S = 0.05
-ANY = frozenset(RunState)
+SLOW_LINK_DELAY_S = 0.05
+ANY_RUN_STATE = frozenset(RunState)
 # A planned stop cuts nothing, but may leave no server for new requests.
 NOT_RUN_ONLY = frozenset({RunState.NOT_RUN})
 
-Act = Callable[["Trial"], Awaitable[None]]
+FaultAction = Callable[["Trial"], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,19 +30,19 @@
         name: Row of the table.
         strike: Makes the fault at the node of a trial.
         heal: Takes it away; what it broke is left to the system.
-        hold_s: How long it lasts at least, in seconds.
+        min_duration_s: How long it lasts at least, in seconds.
         allows: Run states that an honest refusal may name while it lasts.
         silences: Whether the node loses its link to the others.
-        at_node: Whether it meets one node; else one run for each step is enough.
+        targets_node: Whether it meets one node; else one run for each step is enough.
     """
 
     name: str
-    strike: Act
-    heal: Act
-    hold_s: float = 0.0
-    allows: frozenset[RunState] = ANY
-    silences: bool = False
-    at_node: bool = True
+    inject: FaultAction
+    heal: FaultAction
+    min_duration_s: float = 0.0
+    allowed_run_states: frozenset[RunState] = ANY_RUN_STATE
+    disconnects: bool = False
+    targets_node: bool = True
 
 
 async def _kill(trial: "Trial") -> None:
@@ -62,8 +62,8 @@
     trial.cluster.net.isolate(trial.node)
 
 
-async def _mute(trial: "Trial") -> None:
-    trial.cluster.net.mute(trial.node)
+async def _block_outgoing(trial: "Trial") -> None:
+    trial.cluster.net.block_outgoing(trial.node)
 
 
 async def _stall_in(trial: "Trial") -> None:
@@ -75,7 +75,7 @@
 
 
 async def _slow(trial: "Trial") -> None:
-    trial.cluster.net.slow(trial.node, SLOW_S)
+    trial.cluster.net.slow(trial.node, SLOW_LINK_DELAY_S)
 
 
 async def _heal_network(trial: "Trial") -> None:
@@ -93,28 +93,28 @@
     await trial.cluster.nodes[trial.node].start()
 
 
-async def _double(trial: "Trial") -> None:
+async def _duplicate(trial: "Trial") -> None:
     """Pass everything through a doubler; what stands has to connect anew."""
     [relay] = trial.cluster.net.inbound_relays(trial.node)
-    trial.doubler = Doubler(target=relay.target)
-    await trial.doubler.start()
-    relay.target = trial.doubler.address
+    trial.duplicator = Duplicator(target=relay.target)
+    await trial.duplicator.start()
+    relay.target = trial.duplicator.address
     relay.abort()
 
 
-async def _single(trial: "Trial") -> None:
+async def _stop_duplicating(trial: "Trial") -> None:
     [relay] = trial.cluster.net.inbound_relays(trial.node)
     relay.target = trial.cluster.agents[trial.node].cfg.grpc
     relay.abort()
-    await trial.doubler.close()
+    await trial.duplicator.close()
 
 
 async def _race(trial: "Trial") -> None:
-    trial.background.append(asyncio.create_task(rivals.race(trial)))
+    trial.background.append(asyncio.create_task(contention.race(trial)))
 
 
 async def _resend(trial: "Trial") -> None:
-    trial.background.append(asyncio.create_task(rivals.resend(trial)))
+    trial.background.append(asyncio.create_task(contention.resend(trial)))
 
 
 async def _wait(trial: "Trial") -> None:
@@ -126,15 +126,41 @@
     for fault in (
         Fault("kill", _kill, _restart),
         Fault("lost disk", _lose_disk, _restart),
-        Fault("cut both ways", _isolate, _heal_network, hold_s=4.0, silences=True),
-        Fault("cut one way", _mute, _heal_network, hold_s=4.0, silences=True),
-        Fault("silent inbound", _stall_in, _heal_network, hold_s=2.0),
-        Fault("silent outbound", _stall_out, _heal_network, hold_s=2.0),
-        Fault("slow link", _slow, _heal_network, hold_s=1.0, allows=frozenset()),
-        Fault("racing operators", _race, _wait, allows=frozenset(), at_node=False),
-        Fault("resend", _resend, _wait, allows=frozenset(), at_node=False),
-        Fault("delayed messages", _isolate, _heal_network, hold_s=0.7),
-        Fault("doubled messages", _double, _single),
-        Fault("graceful stop", _stop, _start_stopped, allows=NOT_RUN_ONLY),
+        Fault(
+            "cut both ways",
+            _isolate,
+            _heal_network,
+            min_duration_s=4.0,
+            disconnects=True,
+        ),
+        Fault(
+            "cut one way",
+            _block_outgoing,
+            _heal_network,
+            min_duration_s=4.0,
+            disconnects=True,
+        ),
+        Fault("silent inbound", _stall_in, _heal_network, min_duration_s=2.0),
+        Fault("silent outbound", _stall_out, _heal_network, min_duration_s=2.0),
+        Fault(
+            "slow link",
+            _slow,
+            _heal_network,
+            min_duration_s=1.0,
+            allowed_run_states=frozenset(),
+        ),
+        Fault(
+            "racing operators",
+            _race,
+            _wait,
+            allowed_run_states=frozenset(),
+            targets_node=False,
+        ),
+        Fault(
+            "resend", _resend, _wait, allowed_run_states=frozenset(), targets_node=False
+        ),
+        Fault("delayed messages", _isolate, _heal_network, min_duration_s=0.7),
+        Fault("doubled messages", _duplicate, _stop_duplicating),
+        Fault("graceful stop", _stop, _start_stopped, allowed_run_states=NOT_RUN_ONLY),
     )
 }
--- a/wigeonscale/testing/matrix/load.py
+++ b/wigeonscale/testing/matrix/load.py
@@ -11,7 +11,7 @@
     "post_to",
     "post_to_leader",
     "rules_body",
-    "take_up",
+    "resume_completion",
 ]
 
 import asyncio
@@ -25,11 +25,11 @@
 
 from wigeonscale.testing.matrix.cluster import KEY, MODEL, Cluster, rules_text
 
-OPERATOR_TRIES_S = 45.0
-OPERATOR_PAUSE_S = 0.05
+OPERATOR_TIMEOUT_S = 45.0
+OPERATOR_RETRY_INTERVAL_S = 0.05
 ADMIN_TIMEOUT_S = 5.0
 # Between the tokens of the fake engines pass milliseconds.
-_numbers = itertools.count(1)
+_counter = itertools.count(1)
 
 
 class Outcome(StrEnum):
@@ -81,7 +81,7 @@
 
 def new_tag(kind: str) -> str:
     """Return a tag that no other request has."""
-    return f"{kind}-{next(_numbers)}"
+    return f"{kind}-{next(_counter)}"
 
 
 async def request_completion(
@@ -115,16 +115,16 @@
         "stream": True,
     }
     url = f"{cluster.entry_url(entry)}/v1/completions"
-    await _read(cluster.http.post(url, json=body, headers=headers), answer)
+    await _read_stream(cluster.http.post(url, json=body, headers=headers), answer)
     return answer
 
 
-async def take_up(cluster: Cluster, entry: str, answer: Answer) -> Answer:
+async def resume_completion(cluster: Cluster, entry: str, answer: Answer) -> Answer:
     """Take up an answer that was cut, at another entry, from the next token."""
     url = f"{cluster.entry_url(entry)}/v1/requests/{answer.request_id}"
     params = {"from": str(len(answer.texts))}
     headers = {"Authorization": f"Bearer {KEY}"}
-    await _read(cluster.http.get(url, params=params, headers=headers), answer)
+    await _read_stream(cluster.http.get(url, params=params, headers=headers), answer)
     return answer
 
 
@@ -144,45 +144,45 @@
     url = f"{cluster.entry_url(entry)}/notes"
     try:
         async with cluster.http.post(url, data=body, headers=headers) as resp:
-            _take_head(resp, answer)
+            _record_headers(resp, answer)
             answer.body = await resp.read()
             answer.outcome = Outcome.WHOLE if resp.status == 200 else Outcome.REFUSED
-            _take_error(answer, answer.body)
+            _record_error(answer, answer.body)
     except (aiohttp.ClientError, OSError, TimeoutError) as exc:
         answer.message = f"{type(exc).__name__}: {exc}"
     return answer
 
 
-async def _read(request, answer: Answer) -> None:
+async def _read_stream(request, answer: Answer) -> None:
     answer.outcome = Outcome.CUT
     try:
         async with request as resp:
-            _take_head(resp, answer)
+            _record_headers(resp, answer)
             if resp.status != 200:
-                _take_error(answer, await resp.read())
+                _record_error(answer, await resp.read())
                 answer.outcome = Outcome.REFUSED
                 return
             async for line in resp.content:
                 if line.startswith(b"data: "):
-                    _take_event(answer, line[len(b"data: ") :].strip())
+                    _record_event(answer, line[len(b"data: ") :].strip())
     except (aiohttp.ClientError, OSError, TimeoutError) as exc:
         answer.message = f"{type(exc).__name__}: {exc}"
 
 
-def _take_head(resp: aiohttp.ClientResponse, answer: Answer) -> None:
+def _record_headers(resp: aiohttp.ClientResponse, answer: Answer) -> None:
     answer.status = resp.status
     answer.run = resp.headers.get("Wigeonscale-Run", "")
     answer.retry_after = "Retry-After" in resp.headers
     answer.request_id = resp.headers.get("Wigeonscale-Request", answer.request_id)
 
 
-def _take_event(answer: Answer, data: bytes) -> None:
+def _record_event(answer: Answer, data: bytes) -> None:
     if data == b"[DONE]":
         answer.outcome = Outcome.WHOLE
         return
     event = json.loads(data)
     if "error" in event:
-        _take_error(answer, data)
+        _record_error(answer, data)
         answer.outcome = Outcome.REFUSED
         return
     answer.request_id = event["id"]
@@ -193,7 +193,7 @@
         answer.token_times.append(time.monotonic())
 
 
-def _take_error(answer: Answer, data: bytes) -> None:
+def _record_error(answer: Answer, data: bytes) -> None:
     try:
         error = json.loads(data).get("error")
     except ValueError:
@@ -230,13 +230,13 @@
 
 async def post_to_leader(cluster: Cluster, page: str, body: dict) -> Reply:
     """Post to one replica after the other until one accepts or refuses for good."""
-    async with asyncio.timeout(OPERATOR_TRIES_S):
+    async with asyncio.timeout(OPERATOR_TIMEOUT_S):
         while True:
             for name in cluster.controls:
                 reply = await post_to(cluster, name, page, body)
                 if reply is not None and reply.status not in (421, 500, 503):
                     return reply
-            await asyncio.sleep(OPERATOR_PAUSE_S)
+            await asyncio.sleep(OPERATOR_RETRY_INTERVAL_S)
 
 
 async def apply_rules(
@@ -254,7 +254,7 @@
     body = rules_body(base, operation, note or operation)
     reply = await post_to_leader(cluster, "rules/apply", body)
     if reply.status == 200:
-        cluster.note_accepted(reply.body["revision"])
+        cluster.record_accepted(reply.body["revision"])
     return reply
 
 
--- a/wigeonscale/testing/matrix/nodes.py
+++ b/wigeonscale/testing/matrix/nodes.py
@@ -37,7 +37,7 @@
         """Stop as the daemon does on SIGTERM."""
 
 
-async def _end(tasks: list[asyncio.Task]) -> None:
+async def _cancel(tasks: list[asyncio.Task]) -> None:
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -51,21 +51,23 @@
         view: Address by which this replica reaches the one that all know by another.
     """
 
-    def __init__(self, *, cfg: ControlSettings, view: Mapping[str, str]):
+    def __init__(self, *, cfg: ControlSettings, dial_addresses: Mapping[str, str]):
         self.name = cfg.name
         self.cfg = cfg
-        self._view = view
+        self._dial_addresses = dial_addresses
         self.daemon: ControlDaemon | None = None
         self._task: asyncio.Task | None = None
 
     async def start(self) -> None:
         """Start from its data folder."""
-        view = self._view
+        dial_addresses = self._dial_addresses
         self.daemon = ControlDaemon(
             cfg=self.cfg,
             clock=SystemClock(),
-            links=GrpcTransport(channel=lambda address: open_channel(view[address])),
-            addresses=list(view.values()),
+            links=GrpcTransport(
+                channel=lambda address: open_channel(dial_addresses[address])
+            ),
+            addresses=list(dial_addresses.values()),
         )
         await self.daemon.start()
         self._task = asyncio.create_task(self.daemon.run())
@@ -75,14 +77,14 @@
         daemon, self.daemon = self.daemon, None
         if daemon is None:
             return
-        await _end([self._task])
+        await _cancel([self._task])
         await daemon.stop()
 
     async def stop(self) -> None:
         """Stop gracefully."""
         daemon, self.daemon = self.daemon, None
         await daemon.stop()
-        await _end([self._task])
+        await _cancel([self._task])
 
     def lose_disk(self) -> None:
         """Remove the data folder of an ended replica."""
@@ -136,7 +138,7 @@
         if self.control is None:
             return
         self.control = None
-        await _end(self._tasks)
+        await _cancel(self._tasks)
         await self._server.close()
 
     async def stop(self) -> None:
@@ -156,14 +158,18 @@
     """
 
     def __init__(
-        self, *, cfg: AgentSettings, announced: str, engine: Engine | None = None
+        self,
+        *,
+        cfg: AgentSettings,
+        advertised_address: str,
+        engine: Engine | None = None,
     ):
         self.name = cfg.name
         self.cfg = cfg
         self.engine = engine
         self.control: ControlClient | None = None
         self.state: BackendState | None = None
-        self._announced = announced
+        self._advertised_address = advertised_address
         self._tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
@@ -216,7 +222,7 @@
         if self.control is None:
             return
         self.control = None
-        await _end(self._tasks)
+        await _cancel(self._tasks)
         await self._server.stop(grace=0)
         await self._agent.close()
         await self._session.close()
@@ -231,7 +237,7 @@
         cfg = self.cfg
         return wire.Backend(
             agent_id=cfg.name,
-            address=self._announced,
+            address=self._advertised_address,
             domain=cfg.domain,
             region=cfg.region,
             kind=wire.ENGINE if cfg.kind == "engine" else wire.SERVICE,
--- a/wigeonscale/testing/matrix/process_runner.py
+++ b/wigeonscale/testing/matrix/process_runner.py
@@ -1,6 +1,6 @@
 """Runs the cells that need whole processes, on one deployment after the other."""
 
-__all__ = ["run_process_cells", "unmet_process_cells"]
+__all__ = ["run_process_cells", "uncovered_process_cells"]
 
 import asyncio
 import logging
@@ -12,21 +12,23 @@
 from wigeonscale.testing.matrix.runner import CellResult
 from wigeonscale.testing.matrix.steps import STEPS
 
-RUN_LIMIT_S = 240.0
-UNMET = "a step inside a process can't be met from outside; see the rows in one process"
+RUN_TIMEOUT_S = 240.0
+NOT_REACHABLE = (
+    "a step inside a process can't be met from outside; see the rows in one process"
+)
 
 logger = logging.getLogger(__name__)
 
 
-def unmet_process_cells() -> list[CellResult]:
+def uncovered_process_cells() -> list[CellResult]:
     """Return the cells of the whole-process rows that nothing is run for."""
-    met = {(cell.fault, cell.step) for cell in PROCESS_CELLS}
+    covered = {(cell.fault, cell.step) for cell in PROCESS_CELLS}
     faults = dict.fromkeys(cell.fault for cell in PROCESS_CELLS)
     return [
-        CellResult(fault=fault, step=step, reason=UNMET)
+        CellResult(fault=fault, step=step, reason=NOT_REACHABLE)
         for fault in faults
         for step in STEPS
-        if (fault, step) not in met
+        if (fault, step) not in covered
     ]
 
 
@@ -43,7 +45,7 @@
     try:
         for cell in cells:
             result = CellResult(fault=cell.fault, step=cell.step)
-            began = time.monotonic()
+            started_at = time.monotonic()
             for name, run in cell.runs.items():
                 system, found = await _run(system, run)
                 result.runs += 1
@@ -51,7 +53,7 @@
                 if found:
                     await system.close()
                     system = None
-            result.seconds = time.monotonic() - began
+            result.seconds = time.monotonic() - started_at
             on_result(result)
     finally:
         if system is not None:
@@ -62,7 +64,7 @@
     is_new = system is None
     system = system or Processes()
     try:
-        async with asyncio.timeout(RUN_LIMIT_S):
+        async with asyncio.timeout(RUN_TIMEOUT_S):
             if is_new:
                 await system.start()
             return system, [str(violation) for violation in await run(system)]
--- a/wigeonscale/testing/matrix/process_runs.py
+++ b/wigeonscale/testing/matrix/process_runs.py
@@ -27,17 +27,17 @@
     refused_but_ran,
 )
 
-LONG = 600  # tokens: a stream that goes on for about two seconds
-SEEN = 20  # tokens after which a stream is in the middle
+LONG_STREAM_TOKENS = 600  # the stream lasts about two seconds
+MID_STREAM_TOKENS = 20  # a stream with this many tokens counts as mid-stream
 FREEZE_S = 4.5  # longer than the lease
-CHANGES = 500
+CONFIG_CHANGES = 500
 ENTRIES = ("e1", "e2")
-ANY = frozenset(RunState)
-NOT_RUN = frozenset({RunState.NOT_RUN})
+ANY_RUN_STATE = frozenset(RunState)
+NOT_RUN_ONLY = frozenset({RunState.NOT_RUN})
 
 
 @dataclass(slots=True)
-class CallersWord:
+class ClientResults:
     """What callers of one run were told."""
 
     streams: list[Answer]
@@ -63,10 +63,10 @@
 
 
 async def _traffic(
-    system: Processes, told: CallersWord, max_tokens: int = LONG
+    system: Processes, results: ClientResults, max_tokens: int = LONG_STREAM_TOKENS
 ) -> None:
     answers = [Answer(tag=f"p-{time.monotonic_ns()}-{n}") for n in range(4)]
-    told.streams += answers
+    results.streams += answers
     for answer in answers:
         answer.max_tokens = max_tokens
     streams = [
@@ -77,42 +77,46 @@
         send_note(system, entry, tag=f"n-{time.monotonic_ns()}") for entry in ENTRIES
     ]
     *_, first, second = await asyncio.gather(*streams, *calls)
-    told.calls += [first, second]
+    results.calls += [first, second]
 
 
-async def _mid_stream(told: CallersWord) -> None:
+async def _wait_mid_stream(results: ClientResults) -> None:
     async with asyncio.timeout(30):
-        while sum(len(each.texts) >= SEEN for each in told.streams) < 2:  # noqa: ASYNC110
+        while sum(len(each.texts) >= MID_STREAM_TOKENS for each in results.streams) < 2:  # noqa: ASYNC110
             await asyncio.sleep(0.005)
 
 
 async def _check(
-    system: Processes, told: CallersWord, allows: frozenset[RunState]
+    system: Processes, results: ClientResults, allowed_run_states: frozenset[RunState]
 ) -> list[Violation]:
     await system.wait_until_ready()
-    after = [await request_completion(system, entry) for entry in ENTRIES]
-    again = [await send_note(system, entry) for entry in ENTRIES]
+    streams_after = [await request_completion(system, entry) for entry in ENTRIES]
+    calls_after = [await send_note(system, entry) for entry in ENTRIES]
     reply = await apply_rules(system, await system.revision())
-    found = checks.answer_violations(told.streams, layers=LAYERS, allows=allows)
-    found += checks.answer_violations(after + again, layers=LAYERS, allows=())
+    found = checks.answer_violations(
+        results.streams, layers=LAYERS, allowed_run_states=allowed_run_states
+    )
+    found += checks.answer_violations(
+        streams_after + calls_after, layers=LAYERS, allowed_run_states=()
+    )
     steps = await system.steps()
     found += layer_order_violations(steps, layers=LAYERS)
     effects = system.effects()
-    found += checks.at_most_once_violations(told.calls + again, effects)
+    found += checks.at_most_once_violations(results.calls + calls_after, effects)
     refused = [
         answer.request_id
-        for answer in told.streams
+        for answer in results.streams
         if answer.outcome is Outcome.REFUSED and answer.run == RunState.NOT_RUN
     ]
     found += refused_but_ran(refused, steps=steps)
     keys = {record["key"] for record in effects}
-    found += checks.not_run_violations(told.calls, ran=keys)
+    found += checks.not_run_violations(results.calls, ran=keys)
     if reply.status != 200:
         found.append(Violation("rules", f"not accepted: {reply.body}"))
     return found
 
 
-async def _role(system: Processes, role: str) -> str:
+async def _node_for_role(system: Processes, role: str) -> str:
     stages = await system.stages()
     roles = {"head": stages[0], "middle": stages[1], "last": stages[-1]}
     if role in roles:
@@ -122,63 +126,63 @@
     return {"entry": "entry-1", "service": "agent-directory"}[role]
 
 
-def _frozen(role: str, *, mid_stream: bool) -> Run:
+def _freeze_run(role: str, *, mid_stream: bool) -> Run:
     async def run(system: Processes) -> list[Violation]:
-        told = CallersWord([], [])
-        name = await _role(system, role)
+        results = ClientResults([], [])
+        name = await _node_for_role(system, role)
         traffic = None
         if mid_stream:
-            traffic = asyncio.create_task(_traffic(system, told))
-            await _mid_stream(told)
+            traffic = asyncio.create_task(_traffic(system, results))
+            await _wait_mid_stream(results)
         system.signal(name, signal.SIGSTOP)
-        traffic = traffic or asyncio.create_task(_traffic(system, told, 24))
+        traffic = traffic or asyncio.create_task(_traffic(system, results, 24))
         await asyncio.sleep(FREEZE_S)
         system.signal(name, signal.SIGCONT)
         await traffic
-        return await _check(system, told, ANY)
+        return await _check(system, results, ANY_RUN_STATE)
 
     return run
 
 
-def _killed(role: str, *, mid_stream: bool) -> Run:
+def _kill_run(role: str, *, mid_stream: bool) -> Run:
     async def run(system: Processes) -> list[Violation]:
-        told = CallersWord([], [])
-        name = await _role(system, role)
-        traffic = asyncio.create_task(_traffic(system, told))
+        results = ClientResults([], [])
+        name = await _node_for_role(system, role)
+        traffic = asyncio.create_task(_traffic(system, results))
         if mid_stream:
-            await _mid_stream(told)
+            await _wait_mid_stream(results)
         await system.kill(name)
         await traffic
         await system.restart(name)
-        return await _check(system, told, ANY)
+        return await _check(system, results, ANY_RUN_STATE)
 
     return run
 
 
-async def _frozen_commit(system: Processes) -> list[Violation]:
+async def _commit_with_frozen_leader(system: Processes) -> list[Violation]:
     """Freeze the leader, change the rules, and thaw it as the old leader."""
-    told = CallersWord([], [])
+    results = ClientResults([], [])
     leader, base = await system.leader(), await system.revision()
     system.signal(leader, signal.SIGSTOP)
     reply = await apply_rules(system, base, operation=f"frozen-{time.monotonic_ns()}")
     system.signal(leader, signal.SIGCONT)
-    await _traffic(system, told, 24)
-    found = await _check(system, told, ANY)
+    await _traffic(system, results, 24)
+    found = await _check(system, results, ANY_RUN_STATE)
     if reply.status != 200 or reply.body["revision"] != base + 1:
         found.append(Violation("rules", f"operator was told {reply}"))
     return found
 
 
-def _stopped(role: str) -> Run:
+def _sigterm_run(role: str) -> Run:
     async def run(system: Processes) -> list[Violation]:
-        told = CallersWord([], [])
-        name = await _role(system, role)
-        traffic = asyncio.create_task(_traffic(system, told))
-        await _mid_stream(told)
+        results = ClientResults([], [])
+        name = await _node_for_role(system, role)
+        traffic = asyncio.create_task(_traffic(system, results))
+        await _wait_mid_stream(results)
         code = await system.stop(name)
         await traffic
         await system.restart(name)
-        found = await _check(system, told, NOT_RUN)
+        found = await _check(system, results, NOT_RUN_ONLY)
         if code != 0:
             found.append(Violation(name, f"exit code {code} after SIGTERM"))
         return found
@@ -188,13 +192,13 @@
 
 async def _rolling_restart(system: Processes) -> list[Violation]:
     """Stop and start each daemon in turn while traffic flows."""
-    told, done = CallersWord([], []), asyncio.Event()
+    results, done = ClientResults([], []), asyncio.Event()
 
-    async def keep_asking() -> None:
+    async def send_traffic() -> None:
         while not done.is_set():
-            await _traffic(system, told, 100)
+            await _traffic(system, results, 100)
 
-    traffic = asyncio.create_task(keep_asking())
+    traffic = asyncio.create_task(send_traffic())
     found = []
     for name in [name for role in ROLES for name in system.names(role)]:
         code = await system.stop(name)
@@ -205,23 +209,23 @@
     done.set()
     await traffic
     # A caller whose connection is refused by a stopped entry asks the other one.
-    told.streams = [each for each in told.streams if each.status]
-    told.calls = [each for each in told.calls if each.status]
-    return found + await _check(system, told, NOT_RUN)
+    results.streams = [each for each in results.streams if each.status]
+    results.calls = [each for each in results.calls if each.status]
+    return found + await _check(system, results, NOT_RUN_ONLY)
 
 
-async def _restarted_in_every_order(system: Processes) -> list[Violation]:
+async def _restart_in_every_order(system: Processes) -> list[Violation]:
     """After 500 changes kill all and start them, in every order of the roles."""
-    for _ in range(CHANGES):
+    for _ in range(CONFIG_CHANGES):
         await apply_rules(system, system.accepted)
     found = []
     for order in itertools.permutations(ROLES):
         await system.restart_all(order)
-        found += await _watch_revisions(system, " ".join(order))
-    return found + await _check(system, CallersWord([], []), ANY)
+        found += await _check_revisions(system, " ".join(order))
+    return found + await _check(system, ClientResults([], []), ANY_RUN_STATE)
 
 
-async def _watch_revisions(system: Processes, what: str) -> list[Violation]:
+async def _check_revisions(system: Processes, event: str) -> list[Violation]:
     """Look at every page until all is settled: nothing older may show."""
     found = []
     settled = asyncio.create_task(system.wait_until_ready())
@@ -230,35 +234,35 @@
             shown = await system.page(name, "rules")
             if shown and shown["revision"] < system.accepted:
                 old = f"{shown['revision']} of {system.accepted}"
-                found.append(Violation(name, f"shows revision {old} after {what}"))
+                found.append(Violation(name, f"shows revision {old} after {event}"))
         await asyncio.wait([settled], timeout=0.1)
     await settled
     return found
 
 
-def _broken_files(what: str) -> Run:
+def _corruption_run(damage: str) -> Run:
     async def run(system: Processes) -> list[Violation]:
         leader = await system.leader()
         name = next(each for each in system.controls if each != leader)
         await system.kill(name)
-        _break(system, name, what)
+        _damage_files(system, name, damage)
         await system.restart(name)
-        found = await _watch_revisions(system, what)
-        if what == "flipped byte" and "corrupt" not in system.log_text(name):
+        found = await _check_revisions(system, damage)
+        if damage == "flipped byte" and "corrupt" not in system.log_text(name):
             found.append(Violation(name, "does not name the broken file"))
-        return found + await _check(system, CallersWord([], []), ANY)
+        return found + await _check(system, ClientResults([], []), ANY_RUN_STATE)
 
     return run
 
 
-def _break(system: Processes, name: str, what: str) -> None:
+def _damage_files(system: Processes, name: str, damage: str) -> None:
     folder = system.data(name)
-    if what == "lost disk":
+    if damage == "lost disk":
         shutil.rmtree(folder)
         return
     log = max(folder.glob("*log*"), key=lambda path: path.stat().st_size)
     data = bytearray(log.read_bytes())
-    if what == "torn file":
+    if damage == "torn file":
         log.write_bytes(data[:-3])
     else:
         data[len(data) // 2] ^= 0x40
@@ -270,7 +274,7 @@
         "freeze",
         "dispatch",
         {
-            role: _frozen(role, mid_stream=False)
+            role: _freeze_run(role, mid_stream=False)
             for role in ("head", "middle", "entry", "leader")
         },
     ),
@@ -278,35 +282,37 @@
         "freeze",
         "decode",
         {
-            role: _frozen(role, mid_stream=True)
+            role: _freeze_run(role, mid_stream=True)
             for role in ("head", "middle", "last", "entry", "leader")
         },
     ),
-    ProcessCell("freeze", "outcome", {"service": _frozen("service", mid_stream=False)}),
-    ProcessCell("freeze", "commit", {"leader": _frozen_commit}),
+    ProcessCell(
+        "freeze", "outcome", {"service": _freeze_run("service", mid_stream=False)}
+    ),
+    ProcessCell("freeze", "commit", {"leader": _commit_with_frozen_leader}),
     ProcessCell(
         "kill -9",
         "dispatch",
-        {role: _killed(role, mid_stream=False) for role in ("head", "leader")},
+        {role: _kill_run(role, mid_stream=False) for role in ("head", "leader")},
     ),
     ProcessCell(
         "kill -9",
         "decode",
-        {role: _killed(role, mid_stream=True) for role in ("head", "middle", "last")},
+        {role: _kill_run(role, mid_stream=True) for role in ("head", "middle", "last")},
     ),
-    ProcessCell("kill -9", "commit", {"all, any order": _restarted_in_every_order}),
+    ProcessCell("kill -9", "commit", {"all, any order": _restart_in_every_order}),
     ProcessCell(
         "SIGTERM",
         "decode",
-        {role: _stopped(role) for role in ("head", "middle", "entry", "leader")},
+        {role: _sigterm_run(role) for role in ("head", "middle", "entry", "leader")},
     ),
     ProcessCell("SIGTERM", "drain", {"rolling restart": _rolling_restart}),
     ProcessCell(
         "broken files",
         "commit",
-        {what: _broken_files(what) for what in ("lost disk", "torn file")},
+        {damage: _corruption_run(damage) for damage in ("lost disk", "torn file")},
     ),
     ProcessCell(
-        "broken files", "snapshot", {"flipped byte": _broken_files("flipped byte")}
+        "broken files", "snapshot", {"flipped byte": _corruption_run("flipped byte")}
     ),
 )
--- a/wigeonscale/testing/matrix/processes.py
+++ b/wigeonscale/testing/matrix/processes.py
@@ -15,12 +15,12 @@
 
 from demo.deployment import Deployment, deploy, stop_order, wait_ready
 from demo.processes import Child, start, stop_all
-from wigeonscale.testing.matrix.cluster import LIMIT_S
+from wigeonscale.testing.matrix.cluster import WAIT_TIMEOUT_S
 from wigeonscale.testing.matrix.load import apply_rules
 from wigeonscale.testing.traces import Record, read_trace
 
-LOOK_S = 0.1
-QUIET_S = 0.5
+POLL_INTERVAL_S = 0.1
+TRACE_POLL_INTERVAL_S = 0.5
 BACKENDS = 7
 DAEMONS = "wigeonscale.cli.wigeond"
 ROLES = ("control", "agent", "entry")
@@ -45,7 +45,7 @@
 
     async def start(self) -> None:
         """Start all processes and wait until a pipeline serves."""
-        timeout = aiohttp.ClientTimeout(total=LIMIT_S)
+        timeout = aiohttp.ClientTimeout(total=WAIT_TIMEOUT_S)
         connector = aiohttp.TCPConnector(force_close=True, limit=0)
         self.http = aiohttp.ClientSession(timeout=timeout, connector=connector)
         await deploy(self.dep)
@@ -66,7 +66,7 @@
         """Return the base URL of ``e1`` or ``e2``."""
         return self.dep.entries[int(name[1:]) - 1]
 
-    def note_accepted(self, revision: int) -> None:
+    def record_accepted(self, revision: int) -> None:
         """Note that an operator was told that a revision is accepted."""
         self.accepted = max(self.accepted, revision)
 
@@ -96,10 +96,10 @@
     async def restart(self, name: str) -> None:
         """Start an ended daemon again with the same settings."""
         for role, children in self.dep.children.items():
-            for place, child in enumerate(children):
+            for index, child in enumerate(children):
                 if child.name == name:
                     new = await self._start(role, name)
-                    children[place] = new
+                    children[index] = new
 
     async def _start(self, role: str, name: str) -> Child:
         config = str(self._folder / f"{name}.ini")
@@ -157,7 +157,7 @@
             await wait_ready(f"http://{address}/readyz")
         await self._until(self.stages, "a ready chain")
         await self._until(self._all_members, "all members")
-        await self._until(self._all_in_force, f"revision {self.accepted} everywhere")
+        await self._until(self._all_up_to_date, f"revision {self.accepted} everywhere")
 
     async def _all_members(self) -> bool:
         leader = await self.leader()
@@ -166,7 +166,7 @@
         leaving = any(backend["draining"] for backend in backends)
         return len(backends) == BACKENDS and not leaving
 
-    async def _all_in_force(self) -> bool:
+    async def _all_up_to_date(self) -> bool:
         revisions = await self.revisions()
         watchers = len(self.names("entry")) + len(self.names("agent"))
         expected = watchers + len(self.controls)
@@ -174,21 +174,23 @@
 
     async def revisions(self) -> list[int]:
         """Return the revision in force at every replica and every watcher."""
-        found = []
+        applied = []
         for name in self.controls:
             status = await self.page(name, "status")
             if status:
-                found.append(status["revision"])
-                found += [w["applied_revision"] for w in status["watchers"]]
-        return found
+                applied.append(status["revision"])
+                applied += [w["applied_revision"] for w in status["watchers"]]
+        return applied
 
-    async def _until(self, condition: Callable, what: str) -> None:
+    async def _until(self, condition: Callable, description: str) -> None:
         try:
-            async with asyncio.timeout(LIMIT_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while not await condition():  # noqa: ASYNC110 (another process)
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
-            raise TimeoutError(f"waited {LIMIT_S:g} s for {what}") from None
+            raise TimeoutError(
+                f"waited {WAIT_TIMEOUT_S:g} s for {description}"
+            ) from None
 
     async def steps(self) -> list[Record]:
         """Return the records of all engines, once none runs any more.
@@ -197,7 +199,7 @@
         after the other would then show it as out of order.
         """
         records: list[Record] | None = None
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 before = records
                 records = [
@@ -205,7 +207,7 @@
                 ]
                 if before is not None and len(before) == len(records):
                     return records
-                await asyncio.sleep(QUIET_S)
+                await asyncio.sleep(TRACE_POLL_INTERVAL_S)
 
     def effects(self) -> list[Record]:
         """Return the records of the plain service."""
--- a/wigeonscale/testing/matrix/relay.py
+++ b/wigeonscale/testing/matrix/relay.py
@@ -1,14 +1,14 @@
 """TCP relays between nodes, through which link faults are made."""
 
-__all__ = ["ANYONE", "CALLERS", "Direction", "Network", "Relay"]
+__all__ = ["ANY_SOURCE", "CALLERS", "Direction", "Network", "Relay"]
 
 import asyncio
 import contextlib
 from enum import Flag, auto
 
 CHUNK_BYTES = 64 * 1024
-MIN_GAP_S = 1e-6
-ANYONE = "*"
+MIN_DELIVERY_GAP_S = 1e-6
+ANY_SOURCE = "*"
 CALLERS = "callers"
 
 
@@ -28,13 +28,15 @@
     """
 
     def __init__(self, *, blocked: Direction):
-        self.gates = {way: asyncio.Event() for way in (Direction.UP, Direction.DOWN)}
+        self.gates = {
+            direction: asyncio.Event() for direction in (Direction.UP, Direction.DOWN)
+        }
         self.writers: list[asyncio.StreamWriter] = []
         self.block(blocked)
 
     def block(self, blocked: Direction) -> None:
-        for way, gate in self.gates.items():
-            if way in blocked:
+        for direction, gate in self.gates.items():
+            if direction in blocked:
                 gate.clear()
             else:
                 gate.set()
@@ -60,7 +62,7 @@
     def __init__(self, *, target: str):
         self.target = target
         self.delay_s = 0.0
-        self.dead = False
+        self.refusing = False
         self.accepted = 0
         self._blocked_new = Direction(0)
         self._conns: set[_Conn] = set()
@@ -77,7 +79,7 @@
         """Listen."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
 
-    def block(self, ways: Direction, *, new: bool) -> None:
+    def block(self, directions: Direction, *, new: bool) -> None:
         """Hold data back.
 
         Args:
@@ -85,8 +87,8 @@
             new: Whether this holds for new connections too.
         """
         for conn in self._conns:
-            conn.block(ways)
-        self._blocked_new = ways if new else Direction(0)
+            conn.block(directions)
+        self._blocked_new = directions if new else Direction(0)
 
     def stall_existing(self) -> None:
         """Hold back both directions of what stands; new connections work."""
@@ -95,7 +97,7 @@
     def heal(self) -> None:
         """Pass everything on again, what was held back first."""
         self.delay_s = 0.0
-        self.dead = False
+        self.refusing = False
         self.block(Direction(0), new=True)
 
     def abort(self) -> None:
@@ -116,23 +118,27 @@
     ) -> None:
         self.accepted += 1
         # A task of its own: the server's would be reported as left over.
-        task = asyncio.create_task(self._carry(reader, writer))
+        task = asyncio.create_task(self._relay_connection(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _carry(
+    async def _relay_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         conn = _Conn(blocked=self._blocked_new)
         conn.writers.append(writer)
         self._conns.add(conn)
         try:
-            if self.dead:
+            if self.refusing:
                 return
             host, _, port = self.target.rpartition(":")
-            there_reader, there = await asyncio.open_connection(host, int(port))
-            conn.writers.append(there)
-            await self._pump_both(conn, (reader, there), (there_reader, writer))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
+            conn.writers.append(target_writer)
+            await self._pump_both(
+                conn, (reader, target_writer), (target_reader, writer)
+            )
         except OSError:
             return
         finally:
@@ -153,18 +159,20 @@
 
     async def _pump(self, reader, writer, gate: asyncio.Event) -> None:
         loop = asyncio.get_running_loop()
-        due = 0.0
+        deliver_at = 0.0
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 await gate.wait()
                 # Grows strictly, so that nothing overtakes what was delayed before.
-                due = max(due + MIN_GAP_S, loop.time() + self.delay_s)
-                if due - loop.time() > MIN_GAP_S:
-                    loop.call_at(due, writer.write, data)
+                deliver_at = max(
+                    deliver_at + MIN_DELIVERY_GAP_S, loop.time() + self.delay_s
+                )
+                if deliver_at - loop.time() > MIN_DELIVERY_GAP_S:
+                    loop.call_at(deliver_at, writer.write, data)
                     continue
                 writer.write(data)
                 await writer.drain()
-            await asyncio.sleep(due - loop.time())
+            await asyncio.sleep(deliver_at - loop.time())
 
 
 class Network:
@@ -176,7 +184,7 @@
 
     def __init__(self):
         self._relays: dict[tuple[str, str], Relay] = {}
-        self._faulty: set[str] = set()
+        self._faulty_nodes: set[str] = set()
 
     async def add(self, source: str, target: str, address: str) -> str:
         """Make a relay and return its address.
@@ -208,22 +216,22 @@
             if target == node and (callers or source != CALLERS)
         ]
 
-    def out_of(self, node: str) -> list[Relay]:
+    def outbound_relays(self, node: str) -> list[Relay]:
         """Return the relays whose connections begin at a node."""
         return [r for (source, _), r in self._relays.items() if source == node]
 
     def isolate(self, node: str) -> None:
         """Hold back everything from and to a node."""
-        self._faulty.add(node)
-        for relay in self.inbound_relays(node) + self.out_of(node):
+        self._faulty_nodes.add(node)
+        for relay in self.inbound_relays(node) + self.outbound_relays(node):
             relay.block(Direction.BOTH, new=True)
 
-    def mute(self, node: str) -> None:
+    def block_outgoing(self, node: str) -> None:
         """Hold back what a node says, while it still hears the others."""
-        self._faulty.add(node)
+        self._faulty_nodes.add(node)
         for relay in self.inbound_relays(node):
             relay.block(Direction.DOWN, new=True)
-        for relay in self.out_of(node):
+        for relay in self.outbound_relays(node):
             relay.block(Direction.UP, new=True)
 
     def stall(self, node: str, *, inbound: bool) -> None:
@@ -233,31 +241,33 @@
             node: The node.
             inbound: Whether what is sent to the node is lost, or what it sends.
         """
-        self._faulty.add(node)
+        self._faulty_nodes.add(node)
         up, down = Direction.UP, Direction.DOWN
         for relay in self.inbound_relays(node):
             relay.block(up if inbound else down, new=False)
-        for relay in self.out_of(node):
+        for relay in self.outbound_relays(node):
             relay.block(down if inbound else up, new=False)
 
     def slow(self, node: str, delay_s: float) -> None:
         """Delay everything from and to a node."""
-        self._faulty.add(node)
-        for relay in self.inbound_relays(node) + self.out_of(node):
+        self._faulty_nodes.add(node)
+        for relay in self.inbound_relays(node) + self.outbound_relays(node):
             relay.delay_s = delay_s
 
     def kill(self, node: str) -> None:
         """Reset every connection of a node and let no new one pass."""
-        self._faulty.add(node)
-        for relay in self.inbound_relays(node, callers=True) + self.out_of(node):
-            relay.dead = True
+        self._faulty_nodes.add(node)
+        for relay in self.inbound_relays(node, callers=True) + self.outbound_relays(
+            node
+        ):
+            relay.refusing = True
             relay.abort()
 
     def heal(self, node: str) -> None:
         """Pass on everything from and to a node, but for nodes still faulty."""
-        self._faulty.discard(node)
+        self._faulty_nodes.discard(node)
         for ends, relay in self._relays.items():
-            if node in ends and not self._faulty.intersection(ends):
+            if node in ends and not self._faulty_nodes.intersection(ends):
                 relay.heal()
 
     async def close(self) -> None:
--- a/wigeonscale/testing/matrix/report.py
+++ b/wigeonscale/testing/matrix/report.py
@@ -34,12 +34,12 @@
     Returns:
         1 when a violation was found, else 0.
     """
-    told = {result.step for result in results}
-    steps = [step for step in STEPS if step in told]
+    known_steps = {result.step for result in results}
+    columns = [step for step in STEPS if step in known_steps]
     by_cell = {(result.fault, result.step): result for result in results}
-    print(" " * 18 + "".join(f"{step:>{WIDTH}}" for step in steps))
+    print(" " * 18 + "".join(f"{step:>{WIDTH}}" for step in columns))
     for fault in dict.fromkeys(result.fault for result in results):
-        row = [_cell_text(by_cell.get((fault, step))) for step in steps]
+        row = [_cell_text(by_cell.get((fault, step))) for step in columns]
         print(f"{fault:<18}" + "".join(f"{text:>{WIDTH}}" for text in row))
     for reason in dict.fromkeys(result.reason for result in results if result.reason):
         where = [f"{r.fault} / {r.step}" for r in results if r.reason == reason]
--- a/wigeonscale/testing/matrix/runner.py
+++ b/wigeonscale/testing/matrix/runner.py
@@ -17,7 +17,7 @@
 from wigeonscale.testing.matrix.trial import Trial, wait_until_ready
 from wigeonscale.testing.traces import Violation
 
-RUN_LIMIT_S = 120.0
+RUN_TIMEOUT_S = 120.0
 
 logger = logging.getLogger(__name__)
 
@@ -79,14 +79,14 @@
     try:
         for cell in cells:
             result = CellResult(fault=cell.fault, step=cell.step, reason=cell.reason)
-            began = time.monotonic()
+            started_at = time.monotonic()
             for variant, role in cell.runs:
                 found = await _run(deployment, cell.fault, variant, role)
                 result.runs += 1
                 result.violations += [f"{variant.name}/{role}: {v}" for v in found]
                 if found:
                     await deployment.discard()
-            result.seconds = time.monotonic() - began
+            result.seconds = time.monotonic() - started_at
             on_result(result)
     finally:
         await deployment.discard()
@@ -97,11 +97,11 @@
 ) -> list[Violation]:
     trial: Trial | None = None
     try:
-        async with asyncio.timeout(RUN_LIMIT_S):
+        async with asyncio.timeout(RUN_TIMEOUT_S):
             cluster = await deployment.ready()
             trial = Trial(cluster=cluster, fault=FAULTS[fault], role=role)
             await variant.run(trial)
-            await trial.end()
+            await trial.end_fault()
             return await trial.finish()
     except Exception as exc:
         # Whatever ends a run early is a finding of that run, not of the matrix.
--- a/wigeonscale/testing/matrix/steps.py
+++ b/wigeonscale/testing/matrix/steps.py
@@ -21,7 +21,7 @@
 MAX_TOKENS = 24
 ACCEPTED, CONFLICT = 200, 409
 # While the only replica of the pipeline lacks a stage, new work may be refused.
-NO_SERVER = frozenset({RunState.NOT_RUN})
+NOT_RUN_ONLY = frozenset({RunState.NOT_RUN})
 LAST_POSITION = PROMPT_PIECES + MAX_TOKENS - 2
 
 
@@ -41,7 +41,7 @@
 
 
 async def _dispatch(trial: Trial) -> None:
-    await trial.strike(trial.stage())
+    await trial.inject(trial.stage())
     await trial.traffic()
 
 
@@ -49,7 +49,7 @@
     def matches(moment: Moment) -> bool:
         return moment.step == "prefill" and moment.node == trial.stage()
 
-    trial.strike_at(matches)
+    trial.inject_at(matches)
     await trial.traffic()
 
 
@@ -58,7 +58,7 @@
         at_position = moment.position == DECODE_POSITION
         return at_position and moment.node == trial.stage()
 
-    trial.strike_at(matches)
+    trial.inject_at(matches)
     await trial.traffic()
 
 
@@ -66,59 +66,59 @@
     def matches(moment: Moment) -> bool:
         return moment.position == LAST_POSITION and moment.node == trial.stage()
 
-    trial.strike_at(matches)
+    trial.inject_at(matches)
     await trial.traffic()
 
 
 async def _claim(trial: Trial) -> None:
-    trial.strike_at_command("claim")
+    trial.inject_at_command("claim")
     await trial.traffic()
 
 
 async def _claimed(trial: Trial) -> None:
-    trial.strike_at_command("claim", after=True)
+    trial.inject_at_command("claim", after=True)
     await trial.traffic()
 
 
 async def _call(trial: Trial) -> None:
-    trial.strike_at(lambda moment: moment.step == "call")
+    trial.inject_at(lambda moment: moment.step == "call")
     await trial.traffic()
 
 
 async def _outcome(trial: Trial) -> None:
-    trial.strike_at_command("outcome", after=True)
+    trial.inject_at_command("outcome", after=True)
     await trial.traffic()
 
 
 async def _apply(trial: Trial) -> None:
-    trial.has_operator = True
+    trial.has_concurrent_operator = True
     base = trial.cluster.revision()
     operation = f"commit-{time.monotonic_ns()}"
     reply = await apply_rules(trial.cluster, base, operation=operation)
     again = await apply_rules(trial.cluster, base, operation=operation)
-    told = (reply.status, reply.body.get("revision"))
+    got = (reply.status, reply.body.get("revision"))
     # Rivals may have been first; then the other is told so, again and again.
-    lost = not trial.fault.at_node and reply.status == CONFLICT
-    if not (lost or told == (ACCEPTED, base + 1)) or again != reply:
-        what = f"operator was told {reply}, then {again}; base {base}"
-        trial.violations.append(Violation(operation, what))
+    lost_race = not trial.fault.targets_node and reply.status == CONFLICT
+    if not (lost_race or got == (ACCEPTED, base + 1)) or again != reply:
+        description = f"operator was told {reply}, then {again}; base {base}"
+        trial.violations.append(Violation(operation, description))
 
 
 async def _commit(trial: Trial) -> None:
-    trial.strike_at_command("apply_config")
+    trial.inject_at_command("apply_config")
     await asyncio.gather(_apply(trial), trial.traffic())
 
 
 async def _committed(trial: Trial) -> None:
-    trial.strike_at_command("apply_config", after=True)
+    trial.inject_at_command("apply_config", after=True)
     await asyncio.gather(_apply(trial), trial.traffic())
 
 
 async def _snapshot(trial: Trial) -> None:
-    trial.strike_at_snapshot()
+    trial.inject_at_snapshot()
     traffic = asyncio.create_task(trial.traffic())
     for _ in range(2 * SNAPSHOT_ENTRIES):
-        if trial.struck.is_set():
+        if trial.injected.is_set():
             break
         await _apply(trial)
     await traffic
@@ -126,7 +126,7 @@
 
 async def _election(trial: Trial) -> None:
     # The step itself loses the leader without a word.
-    trial.allows = frozenset(RunState)
+    trial.allowed_run_states = frozenset(RunState)
     cluster, old = trial.cluster, trial.cluster.leader().name
     others = [n.daemon.replica for n in cluster.controls.values() if n.name != old]
     terms = [replica.term for replica in others]
@@ -139,35 +139,35 @@
         ),
         "an election",
     )
-    await trial.strike()
+    await trial.inject()
     await traffic
     await cluster.restart(old)
 
 
 async def _repair(trial: Trial) -> None:
-    trial.allows = NO_SERVER
-    lost = trial.stages[1]
+    trial.allowed_run_states = NOT_RUN_ONLY
+    lost_stage = trial.stages[1]
     # The spare that takes the lost stage's place is the node where this happens.
-    trial.strike_at_command("place", after=True)
+    trial.inject_at_command("place", after=True)
     traffic = asyncio.create_task(trial.traffic())
-    await trial.cluster.kill(lost)
-    await wait_until(trial.struck.is_set, "a spare in place of the lost stage")
+    await trial.cluster.kill(lost_stage)
+    await wait_until(trial.injected.is_set, "a spare in place of the lost stage")
     await traffic
-    await trial.cluster.restart(lost)
+    await trial.cluster.restart(lost_stage)
 
 
 async def _drain(trial: Trial) -> None:
-    trial.allows = NO_SERVER
+    trial.allowed_run_states = NOT_RUN_ONLY
     drained = trial.stage()
-    trial.strike_at_command("drain", after=True)
+    trial.inject_at_command("drain", after=True)
     traffic = asyncio.create_task(trial.traffic())
     reply = await drain(trial.cluster, drained, draining=True)
-    trial.left_at_ns[drained] = time.monotonic_ns()
+    trial.drained_at_ns[drained] = time.monotonic_ns()
     if reply.status != 200:
         trial.violations.append(Violation(drained, f"not drained: {reply.body}"))
     await traffic
     await asyncio.gather(*(trial.stream(entry) for entry in ("e1", "e2")))
-    trial.back_at_ns[drained] = time.monotonic_ns()
+    trial.undrained_at_ns[drained] = time.monotonic_ns()
     await drain(trial.cluster, drained, draining=False)
 
 
@@ -175,21 +175,21 @@
     """Restart an agent that reaches nobody but the isolated replica."""
     cluster, agent, isolated = trial.cluster, trial.stages[1], trial.target()
     node, net = cluster.agents[agent], cluster.net
-    trial.allows = frozenset(RunState)
-    await trial.strike()
+    trial.allowed_run_states = frozenset(RunState)
+    await trial.inject()
     await cluster.kill(agent)
     net.heal(agent)
     for name in cluster.controls:
         net.between(agent, name).block(Direction.BOTH, new=True)
     net.between(agent, isolated).heal()
-    carried_out = len(node.engine.orders)
+    orders_before = len(node.engine.orders)
     traffic = asyncio.create_task(trial.traffic())
     await node.start()
-    await asyncio.sleep(trial.fault.hold_s)
-    if len(node.engine.orders) != carried_out:
-        orders = node.engine.orders[carried_out:]
-        what = f"obeys the isolated {isolated}: {orders}"
-        trial.violations.append(Violation(agent, what))
+    await asyncio.sleep(trial.fault.min_duration_s)
+    if len(node.engine.orders) != orders_before:
+        orders = node.engine.orders[orders_before:]
+        description = f"obeys the isolated {isolated}: {orders}"
+        trial.violations.append(Violation(agent, description))
     net.heal(agent)
     await traffic
 
--- a/wigeonscale/testing/matrix/table.py
+++ b/wigeonscale/testing/matrix/table.py
@@ -9,7 +9,7 @@
 
 CONTROL_ROLES = ("leader", "follower")
 AGENT_ROLES = ("head", "middle", "last", "here")
-ONE_STREAM = (
+CONTROL_STREAM_REASON = (
     "not applicable: a stream between control replicas doubles nothing by itself;"
     " what its users send again is in the row of resends"
 )
@@ -36,11 +36,11 @@
     pairs = [(variant, role) for variant in STEPS[step] for role in variant.roles]
     if fault == "lost disk":
         # Only control has disks; it is met while the pipeline works.
-        met = [pair for pair in pairs if pair[1] in CONTROL_ROLES]
-        return tuple(met or [(STEPS[step][0], "leader")])
+        selected = [pair for pair in pairs if pair[1] in CONTROL_ROLES]
+        return tuple(selected or [(STEPS[step][0], "leader")])
     if fault == "doubled messages":
         return tuple(pair for pair in pairs if pair[1] in AGENT_ROLES)
-    if not FAULTS[fault].at_node:
+    if not FAULTS[fault].targets_node:
         return tuple((variant, variant.roles[0]) for variant in STEPS[step])
     if (fault, step) == ("cut both ways", "repair"):
         pairs += [(ISOLATED_ORDERS, role) for role in ISOLATED_ORDERS.roles]
@@ -49,7 +49,9 @@
 
 def _cell(fault: str, step: str) -> Cell:
     runs = _runs(fault, step)
-    return Cell(fault=fault, step=step, runs=runs, reason="" if runs else ONE_STREAM)
+    return Cell(
+        fault=fault, step=step, runs=runs, reason="" if runs else CONTROL_STREAM_REASON
+    )
 
 
 def cells() -> list[Cell]:
--- a/wigeonscale/testing/matrix/tests/test_checks.py
+++ b/wigeonscale/testing/matrix/tests/test_checks.py
@@ -9,7 +9,7 @@
 from wigeonscale.testing.matrix.load import Answer, Outcome
 
 LAYERS = 3
-ANY = frozenset(RunState)
+ANY_RUN_STATE = frozenset(RunState)
 
 
 def whole(**changes) -> Answer:
@@ -37,8 +37,10 @@
 
 
 class ChecksTest(AsyncTestCase):
-    def answers(self, *answers, allows=ANY):
-        return checks.answer_violations(answers, layers=LAYERS, allows=allows)
+    def answers(self, *answers, allowed_run_states=ANY_RUN_STATE):
+        return checks.answer_violations(
+            answers, layers=LAYERS, allowed_run_states=allowed_run_states
+        )
 
     def test_answers_that_are_wrong_are_found(self):
         texts = whole().texts
@@ -60,8 +62,8 @@
 
     def test_refusals_that_the_fault_does_not_excuse_are_found(self):
         answers = refused(), refused(run="unknown")
-        self.assertEqual(1, len(self.answers(*answers, allows={"not-run"})))
-        self.assertEqual(2, len(self.answers(*answers, allows=())))
+        self.assertEqual(1, len(self.answers(*answers, allowed_run_states={"not-run"})))
+        self.assertEqual(2, len(self.answers(*answers, allowed_run_states=())))
 
     def test_work_that_ran_though_refused_as_not_run_is_found(self):
         def find(*answers):
@@ -94,7 +96,10 @@
 
     def test_revisions_that_go_back_or_come_late_are_found(self):
         def find(*seen):
-            moments = [checks.RevisionSeen(name, rev, due) for name, rev, due in seen]
+            moments = [
+                checks.RevisionObservation(name, rev, min_revision)
+                for name, rev, min_revision in seen
+            ]
             return len(checks.revision_violations(moments))
 
         self.assertEqual(1, find(("e1", 4, 0), ("e1", 3, 0)))
@@ -106,9 +111,9 @@
         def find(seconds, back=None, **changes):
             record = {"engine": "a", "sequence": "d#1", "position": 0}
             record |= {"at_ns": int(seconds * 1e9)} | changes
-            back_ns = {"a": int(back * 1e9)} if back else {}
-            return checks.work_after_leaving(
-                [record], left_at_ns={"a": 0}, back_at_ns=back_ns
+            undrained_ns = {"a": int(back * 1e9)} if back else {}
+            return checks.work_after_drain(
+                [record], drained_at_ns={"a": 0}, undrained_at_ns=undrained_ns
             )
 
         self.assertEqual(1, len(find(3.1)))
--- a/wigeonscale/testing/matrix/tests/test_matrix.py
+++ b/wigeonscale/testing/matrix/tests/test_matrix.py
@@ -11,7 +11,7 @@
 from wigeonscale.testing.matrix.table import cells
 from wigeonscale.testing.matrix.trial import Trial, wait_until_ready
 
-GENEROUS_S = 30.0
+SLOW_MACHINE_TIMEOUT_S = 30.0
 QUICK = {
     "kill": ("prefill", "decode", "outcome"),
     "lost disk": ("commit",),
@@ -42,12 +42,12 @@
                 cluster=self.cluster,
                 fault=FAULTS[self.fault],
                 role=role,
-                served_again_s=GENEROUS_S,
+                recovery_timeout_s=SLOW_MACHINE_TIMEOUT_S,
             )
             # On a slow machine an agent may be suspected that only was slow.
-            trial.allows = frozenset(RunState)
+            trial.allowed_run_states = frozenset(RunState)
             self.addCleanup(trial.close)
             await variant.run(trial)
-            await trial.end()
+            await trial.end_fault()
             found = [str(violation) for violation in await trial.finish()]
             self.assertEqual([], found, f"{variant.name} at {role}")
--- a/wigeonscale/testing/matrix/tests/test_relay.py
+++ b/wigeonscale/testing/matrix/tests/test_relay.py
@@ -5,12 +5,12 @@
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.testing.matrix.relay import CALLERS, Network
 
-LIMIT_S = 30
+WAIT_TIMEOUT_S = 30
 
 
 class RelayTest(AsyncTestCase):
     async def prepare(self):
-        self.heard = asyncio.Queue()
+        self.received = asyncio.Queue()
         server = await asyncio.start_server(self.echo, "127.0.0.1", 0)
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()
@@ -21,7 +21,7 @@
 
     async def echo(self, reader, writer):
         while data := await reader.read(100):
-            self.heard.put_nowait(data)
+            self.received.put_nowait(data)
             writer.write(data)
         writer.close()
 
@@ -31,13 +31,13 @@
         self.addCleanup(writer.close)
         return reader, writer
 
-    async def says(self, reader, writer, data=b"x"):
+    async def exchange(self, reader, writer, data=b"x"):
         writer.write(data)
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await reader.read(100)
 
-    async def has_ended(self, reader):
-        async with asyncio.timeout(LIMIT_S):
+    async def is_closed(self, reader):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             try:
                 return await reader.read(100) == b""
             except ConnectionError:
@@ -45,50 +45,50 @@
 
     async def test_stalled_connection_is_silent_while_new_ones_work(self):
         old, new = await self.connect(), None
-        self.assertEqual(b"x", await self.says(*old))
+        self.assertEqual(b"x", await self.exchange(*old))
         self.net.stall("b", inbound=True)
         old[1].write(b"late")
         new = await self.connect()
-        self.assertEqual(b"new", await self.says(*new, b"new"))
-        self.assertEqual([b"x", b"new"], [self.heard.get_nowait() for _ in range(2)])
+        self.assertEqual(b"new", await self.exchange(*new, b"new"))
+        self.assertEqual([b"x", b"new"], [self.received.get_nowait() for _ in range(2)])
         self.net.heal("b")
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             self.assertEqual(b"late", await old[0].read(100))
 
     async def test_muted_node_hears_but_is_not_heard(self):
         old = await self.connect()
-        self.assertEqual(b"x", await self.says(*old))
-        self.net.mute("b")
+        self.assertEqual(b"x", await self.exchange(*old))
+        self.net.block_outgoing("b")
         old[1].write(b"y")
-        async with asyncio.timeout(LIMIT_S):
-            heard = [await self.heard.get() for _ in range(2)]
-        self.assertEqual([b"x", b"y"], heard)
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            received = [await self.received.get() for _ in range(2)]
+        self.assertEqual([b"x", b"y"], received)
         answer = asyncio.create_task(old[0].read(100))
-        self.assertEqual(b"z", await self.says(*await self.connect(CALLERS), b"z"))
+        self.assertEqual(b"z", await self.exchange(*await self.connect(CALLERS), b"z"))
         self.assertFalse(answer.done())
         self.net.heal("b")
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             self.assertEqual(b"y", await answer)
 
     async def test_killed_node_resets_and_refuses_also_its_callers(self):
         olds = [await self.connect(source) for source in ("a", CALLERS)]
         for old in olds:
-            self.assertEqual(b"x", await self.says(*old))
+            self.assertEqual(b"x", await self.exchange(*old))
         self.net.kill("b")
         for reader, _ in olds:
-            self.assertTrue(await self.has_ended(reader))
-        self.assertTrue(await self.has_ended((await self.connect())[0]))
+            self.assertTrue(await self.is_closed(reader))
+        self.assertTrue(await self.is_closed((await self.connect())[0]))
         self.net.heal("b")
-        self.assertEqual(b"x", await self.says(*await self.connect()))
+        self.assertEqual(b"x", await self.exchange(*await self.connect()))
 
     async def test_nothing_overtakes_what_was_delayed(self):
         reader, writer = await self.connect()
-        self.assertEqual(b"x", await self.says(reader, writer))
+        self.assertEqual(b"x", await self.exchange(reader, writer))
         self.net.slow("b", 0.05)
         writer.write(b"1")
-        async with asyncio.timeout(LIMIT_S):
-            self.assertEqual(b"x", await self.heard.get())
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            self.assertEqual(b"x", await self.received.get())
         self.net.heal("b")
         writer.write(b"2")
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             self.assertEqual(b"12", await reader.readexactly(2))
--- a/wigeonscale/testing/matrix/trial.py
+++ b/wigeonscale/testing/matrix/trial.py
@@ -17,7 +17,7 @@
     Cluster,
     wait_until,
 )
-from wigeonscale.testing.matrix.doubling import Doubler
+from wigeonscale.testing.matrix.duplication import Duplicator
 from wigeonscale.testing.matrix.faults import Fault
 from wigeonscale.testing.matrix.load import (
     Answer,
@@ -25,17 +25,17 @@
     apply_rules,
     post_to,
     request_completion,
+    resume_completion,
     rules_body,
     send_note,
-    take_up,
 )
 from wigeonscale.testing.matrix.watch import RevisionWatch
 from wigeonscale.testing.traces import Violation, layer_order_violations
 from wigeonscale.wire import wire_pb2 as wire
 
-LEASE_OUT_S = 3.5
-SERVED_AGAIN_S = 5.0
-COME_BACK_S = 0.2
+LEASE_EXPIRED_AFTER_S = 3.5
+RECOVERY_TIMEOUT_S = 5.0
+RETRY_INTERVAL_S = 0.2
 ORGANISATION = "matrix"
 STAGES = ("head", "middle", "last")
 
@@ -44,7 +44,7 @@
     """Wait until every node takes part again and a pipeline serves."""
     await wait_until(cluster.leader, "a leader")
     for node in cluster.controls.values():
-        await _control_settled(node)
+        await _wait_control_ready(node)
     for node in [*cluster.agents.values(), *cluster.entries.values()]:
         await wait_until(node.control.lease_valid, f"lease of {node.name}")
     for node in cluster.agents.values():
@@ -52,11 +52,11 @@
         await wait_until(is_member, f"{node.name} as a member")
     await wait_until(cluster.ready_stages, "a ready chain")
     for entry in cluster.entries.values():
-        knows = functools.partial(_knows, cluster, entry)
-        await wait_until(knows, f"{entry.name} to know the chain")
+        is_current = functools.partial(_has_current_members, cluster, entry)
+        await wait_until(is_current, f"{entry.name} to know the chain")
 
 
-async def _control_settled(node) -> None:
+async def _wait_control_ready(node) -> None:
     replica = node.daemon.replica
     await wait_until(node.daemon.is_ready, f"{node.name} to be fresh")
     # A replica that lost its disk is a repair in progress until it may vote.
@@ -72,16 +72,16 @@
     return not shown.draining and not node.state.leaving
 
 
-def _knows(cluster: Cluster, entry) -> bool:
+def _has_current_members(cluster: Cluster, entry) -> bool:
     leader = cluster.leader()
     if leader is None:
         return False
-    there = {c.chain_id: (c.epoch, c.ready) for c in leader.daemon.state.chains}
-    here = {
+    leader_chains = {c.chain_id: (c.epoch, c.ready) for c in leader.daemon.state.chains}
+    entry_chains = {
         c.chain_id: (c.epoch, c.ready) for c in entry.control.members.chains.values()
     }
     backends = entry.control.members.backends
-    return there == here and len(backends) == ENGINES + SERVICES
+    return leader_chains == entry_chains and len(backends) == ENGINES + SERVICES
 
 
 class Trial:
@@ -93,7 +93,7 @@
         role: Which node it meets: a stage of the chain (``head``, ``middle``,
             ``last``), ``leader``, ``follower``, ``entry``, or ``here`` for the node
             at which the step happens.
-        served_again_s: Seconds after the repair within which a new request must be
+        recovery_timeout_s: Seconds after the repair within which a new request must be
             served, asked again and again.
     """
 
@@ -103,29 +103,29 @@
         cluster: Cluster,
         fault: Fault,
         role: str,
-        served_again_s: float = SERVED_AGAIN_S,
+        recovery_timeout_s: float = RECOVERY_TIMEOUT_S,
     ):
         self.cluster = cluster
         self.fault = fault
         self.role = role
-        self._served_again_s = served_again_s
+        self._recovery_timeout_s = recovery_timeout_s
         self.streams: list[Answer] = []
         self.calls: list[Answer] = []
         self.violations: list[Violation] = []
-        self.left_at_ns: dict[str, int] = {}
-        self.struck = asyncio.Event()
+        self.drained_at_ns: dict[str, int] = {}
+        self.injected = asyncio.Event()
         self.background: list[asyncio.Task] = []
-        self.doubler: Doubler | None = None
-        self.has_operator = False
-        self.allows: frozenset[RunState] = frozenset()
-        self.back_at_ns: dict[str, int] = {}
+        self.duplicator: Duplicator | None = None
+        self.has_concurrent_operator = False
+        self.allowed_run_states: frozenset[RunState] = frozenset()
+        self.undrained_at_ns: dict[str, int] = {}
         self.node = ""
         self.stages = [stage.agent_id for stage in cluster.ready_stages()]
-        self.first_step = len(cluster.recorder.steps)
+        self.first_step_index = len(cluster.recorder.steps)
         self._leader = cluster.leader().name
-        self._strike: asyncio.Task | None = None
-        self._struck_at = 0.0
-        self._undo: list[Callable[[], None]] = []
+        self._injection: asyncio.Task | None = None
+        self._injected_at = 0.0
+        self._undo_patches: list[Callable[[], None]] = []
         self._watch = RevisionWatch(cluster=cluster)
 
     def stage(self) -> str:
@@ -133,7 +133,7 @@
         role = self.role if self.role in STAGES else "middle"
         return self.stages[STAGES.index(role)]
 
-    def target(self, here: str = "") -> str:
+    def target(self, step_node: str = "") -> str:
         """Return the node that the fault meets.
 
         Args:
@@ -146,35 +146,35 @@
             return self._leader
         if self.role == "follower":
             return next(name for name in cluster.controls if name != self._leader)
-        return "e1" if self.role == "entry" else here
+        return "e1" if self.role == "entry" else step_node
 
-    async def strike(self, here: str = "") -> None:
+    async def inject(self, step_node: str = "") -> None:
         """Make the fault, once, and wait until it is made."""
-        if self._strike is None:
-            self.node = self.target(here)
+        if self._injection is None:
+            self.node = self.target(step_node)
             # A task of its own: the fault may end the very task that stands here.
-            self._strike = asyncio.create_task(self._make_fault())
-        await self.struck.wait()
-
-    async def _make_fault(self) -> None:
-        self._struck_at = time.monotonic()
-        strike = asyncio.create_task(self.fault.strike(self))
-        if self.fault.silences:
-            await strike
+            self._injection = asyncio.create_task(self._inject_fault())
+        await self.injected.wait()
+
+    async def _inject_fault(self) -> None:
+        self._injected_at = time.monotonic()
+        fault_task = asyncio.create_task(self.fault.inject(self))
+        if self.fault.disconnects:
+            await fault_task
         await asyncio.sleep(0)
-        self.struck.set()
-        await strike
+        self.injected.set()
+        await fault_task
 
-    def strike_at(self, matches: Callable[[Moment], bool]) -> None:
+    def inject_at(self, matches: Callable[[Moment], bool]) -> None:
         """Make the fault when a backend server comes to a moment."""
 
         async def hook(moment: Moment) -> None:
-            if self._strike is None and matches(moment):
-                await self.strike(moment.node)
+            if self._injection is None and matches(moment):
+                await self.inject(moment.node)
 
         self.cluster.recorder.hook = hook
 
-    def strike_at_command(self, body: str, *, after: bool = False) -> None:
+    def inject_at_command(self, body: str, *, after: bool = False) -> None:
         """Make the fault when a replica proposes a command, or has committed it.
 
         Args:
@@ -187,42 +187,42 @@
     def _wrap_propose(self, commands, body: str, after: bool) -> None:
         propose = commands.propose
 
-        async def proposing(command: wire.Command) -> wire.CommandResult:
-            if command.WhichOneof("body") != body or self._strike is not None:
+        async def propose_and_inject(command: wire.Command) -> wire.CommandResult:
+            if command.WhichOneof("body") != body or self._injection is not None:
                 return await propose(command)
-            here = self._place_of(command)
-            if body == "place" and not here:
+            step_node = self._node_of_command(command)
+            if body == "place" and not step_node:
                 return await propose(command)
             if not after:
-                await self.strike(here)
+                await self.inject(step_node)
                 return await propose(command)
             result = await propose(command)
-            await self.strike(here)
+            await self.inject(step_node)
             return result
 
-        commands.propose = proposing
-        self._undo.append(lambda: commands.__dict__.pop("propose", None))
+        commands.propose = propose_and_inject
+        self._undo_patches.append(lambda: commands.__dict__.pop("propose", None))
 
-    def _place_of(self, command: wire.Command) -> str:
+    def _node_of_command(self, command: wire.Command) -> str:
         if command.WhichOneof("body") != "place":
             return command.claim.agent_id or command.drain.agent_id
         placed = [stage for chain in command.place.chains for stage in chain.stages]
         new = [s.agent_id for s in placed if s.agent_id not in self.stages]
         return new[0] if new else ""
 
-    def strike_at_snapshot(self) -> None:
+    def inject_at_snapshot(self) -> None:
         """Make the fault when the target makes a snapshot."""
         state = self.cluster.controls[self.target()].daemon.state
         snapshot = state.snapshot
-        strikes: list[asyncio.Task] = []
+        injections: list[asyncio.Task] = []
 
-        def snapshotting() -> bytes:
-            if not strikes:
-                strikes.append(asyncio.create_task(self.strike()))
+        def snapshot_and_inject() -> bytes:
+            if not injections:
+                injections.append(asyncio.create_task(self.inject()))
             return snapshot()
 
-        state.snapshot = snapshotting
-        self._undo.append(lambda: state.__dict__.pop("snapshot", None))
+        state.snapshot = snapshot_and_inject
+        self._undo_patches.append(lambda: state.__dict__.pop("snapshot", None))
 
     async def stream(self, entry: str, max_tokens: int = 24) -> Answer:
         """Ask for a completion; taken up elsewhere if the entry is lost."""
@@ -230,7 +230,7 @@
         self.streams.append(answer)
         if answer.outcome is Outcome.CUT and self.node == entry:
             if answer.request_id:
-                await take_up(self.cluster, "e2", answer)
+                await resume_completion(self.cluster, "e2", answer)
             else:
                 # Nothing was promised yet: the caller asks again.
                 self.streams.remove(answer)
@@ -258,47 +258,47 @@
         for task in self.background:
             task.cancel()
         await asyncio.gather(*self.background, return_exceptions=True)
-        if self.doubler is not None:
-            await self.doubler.close()
+        if self.duplicator is not None:
+            await self.duplicator.close()
 
-    async def end(self) -> None:
+    async def end_fault(self) -> None:
         """Let the fault last as long as it must, then take it away."""
         self.cluster.recorder.hook = None
-        for undo in self._undo:
+        for undo in self._undo_patches:
             undo()
-        if self._strike is None:
+        if self._injection is None:
             raise TimeoutError(f"the step never came at {self.role}")
-        await self.struck.wait()
-        if self.fault.silences:
-            await self._use_isolated()
-        await self._lasts(self.fault.hold_s)
-        await self._strike
+        await self.injected.wait()
+        if self.fault.disconnects:
+            await self._probe_isolated_node()
+        await self._wait_since_injection(self.fault.min_duration_s)
+        await self._injection
         await self.fault.heal(self)
 
-    async def _lasts(self, seconds: float) -> None:
-        left_s = self._struck_at + seconds - time.monotonic()
-        await asyncio.sleep(max(0.0, left_s))
+    async def _wait_since_injection(self, seconds: float) -> None:
+        remaining_s = self._injected_at + seconds - time.monotonic()
+        await asyncio.sleep(max(0.0, remaining_s))
 
-    async def _use_isolated(self) -> None:
-        await self._lasts(LEASE_OUT_S)
+    async def _probe_isolated_node(self) -> None:
+        await self._wait_since_injection(LEASE_EXPIRED_AFTER_S)
         if self.node in self.cluster.controls:
             base = self.cluster.controls[self.node].daemon.state.configuration.revision
-            body = rules_body(base, f"isolated-{self._struck_at}", "isolated")
+            body = rules_body(base, f"isolated-{self._injected_at}", "isolated")
             reply = await post_to(self.cluster, self.node, "rules/apply", body)
             if reply is not None and reply.status == 200:
                 self.violations.append(Violation(self.node, "accepts while isolated"))
         elif self.node in self.cluster.entries:
-            await self._ask_isolated_entry()
+            await self._probe_isolated_entry()
 
-    async def _ask_isolated_entry(self) -> None:
+    async def _probe_isolated_entry(self) -> None:
         for answer in (
             await request_completion(self.cluster, self.node),
             await send_note(self.cluster, self.node),
         ):
-            told = (answer.outcome, answer.run, answer.retry_after)
-            if told != (Outcome.REFUSED, "not-run", True):
-                what = f"isolated entry answers {told}"
-                self.violations.append(Violation(answer.tag, what))
+            got = (answer.outcome, answer.run, answer.retry_after)
+            if got != (Outcome.REFUSED, "not-run", True):
+                description = f"isolated entry answers {got}"
+                self.violations.append(Violation(answer.tag, description))
 
     async def finish(self) -> list[Violation]:
         """Wait until all works again, use it, and check everything.
@@ -308,35 +308,41 @@
         """
         cluster = self.cluster
         await wait_until_ready(cluster)
-        await self._ask_unknown_again()
+        await self._retry_unknown_calls()
         after = [
             answer
             for entry in cluster.entries
             for answer in (
-                await self._served_again(
+                await self._retry_until_served(
                     lambda entry=entry: request_completion(cluster, entry)
                 ),
-                await self._served_again(lambda entry=entry: send_note(cluster, entry)),
+                await self._retry_until_served(
+                    lambda entry=entry: send_note(cluster, entry)
+                ),
             )
         ]
         await self._change_rules()
-        self.violations += checks.answer_violations(after, layers=LAYERS, allows=())
+        self.violations += checks.answer_violations(
+            after, layers=LAYERS, allowed_run_states=()
+        )
         self.calls += [answer for answer in after if not answer.max_tokens]
         await self._watch.stop()
-        self.violations += checks.revision_violations(self._watch.seen)
+        self.violations += checks.revision_violations(self._watch.observations)
         return self.violations + self._recorded_violations()
 
-    async def _served_again(self, send: Callable[[], Awaitable[Answer]]) -> Answer:
+    async def _retry_until_served(
+        self, send: Callable[[], Awaitable[Answer]]
+    ) -> Answer:
         """Send new requests, as a caller does who was told to come back."""
-        end = time.monotonic() + self._served_again_s
+        end = time.monotonic() + self._recovery_timeout_s
         while True:
             answer = await send()
-            may_come_back = answer.run == "not-run" and answer.retry_after
-            if not may_come_back or time.monotonic() > end:
+            may_retry = answer.run == "not-run" and answer.retry_after
+            if not may_retry or time.monotonic() > end:
                 return answer
-            await asyncio.sleep(COME_BACK_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _ask_unknown_again(self) -> None:
+    async def _retry_unknown_calls(self) -> None:
         """Ask for lost work again: what is unknown to the log stays unknown."""
         claims = self.cluster.leader().daemon.state.claims
         for answer in [each for each in self.calls if each.run == "unknown"]:
@@ -344,8 +350,8 @@
             again = await send_note(self.cluster, "e2", tag=answer.tag)
             is_lost = record is not None and record.state == wire.UNKNOWN
             if is_lost and again.kind != "outcome-unknown":
-                what = f"unknown for good, then {again.status} {again.kind}"
-                self.violations.append(Violation(answer.tag, what))
+                description = f"unknown for good, then {again.status} {again.kind}"
+                self.violations.append(Violation(answer.tag, description))
             self.calls.append(again)
 
     async def _change_rules(self) -> None:
@@ -362,17 +368,21 @@
 
     def _recorded_violations(self) -> list[Violation]:
         recorder = self.cluster.recorder
-        steps = recorder.steps[self.first_step :]
+        steps = recorder.steps[self.first_step_index :]
         answers = self.streams + self.calls
         found = checks.answer_violations(
-            answers, layers=LAYERS, allows=self.fault.allows | self.allows
+            answers,
+            layers=LAYERS,
+            allowed_run_states=self.fault.allowed_run_states | self.allowed_run_states,
         )
         found += layer_order_violations(steps, layers=LAYERS)
         found += checks.at_most_once_violations(self.calls, recorder.effects)
         ran = recorder.prompts | {record["key"] for record in recorder.effects}
         found += checks.not_run_violations(answers, ran=ran)
-        found += checks.work_after_leaving(
-            steps, left_at_ns=self.left_at_ns, back_at_ns=self.back_at_ns
+        found += checks.work_after_drain(
+            steps,
+            drained_at_ns=self.drained_at_ns,
+            undrained_at_ns=self.undrained_at_ns,
         )
         engines = [node.engine for node in self.cluster.agents.values() if node.engine]
         found += checks.order_violations({e.name: e.orders for e in engines})
--- a/wigeonscale/testing/matrix/watch.py
+++ b/wigeonscale/testing/matrix/watch.py
@@ -6,12 +6,12 @@
 import time
 
 from wigeonscale.membership import ControlClient
-from wigeonscale.testing.matrix.checks import RevisionSeen
+from wigeonscale.testing.matrix.checks import RevisionObservation
 from wigeonscale.testing.matrix.cluster import Cluster
 
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 # What was accepted longer ago than this is in force wherever something serves.
-IN_FORCE_S = 4.0
+CONFIG_PROPAGATION_S = 4.0
 
 
 class RevisionWatch:
@@ -25,11 +25,11 @@
     """
 
     def __init__(self, *, cluster: Cluster):
-        self.seen: list[RevisionSeen] = []
+        self.observations: list[RevisionObservation] = []
         self._cluster = cluster
         # Holds the clients, so that no two have the same id.
         self._clients: dict[int, ControlClient] = {}
-        self._last: dict[str, RevisionSeen] = {}
+        self._last: dict[str, RevisionObservation] = {}
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
@@ -39,24 +39,26 @@
 
     async def _run(self) -> None:
         while True:
-            due = self._due()
+            min_revision = self._min_revision()
             for node in [
                 *self._cluster.entries.values(),
                 *self._cluster.agents.values(),
             ]:
                 if node.control is not None and node.control.lease_valid():
-                    self._note(node.name, node.control, due)
-            await asyncio.sleep(LOOK_S)
+                    self._record(node.name, node.control, min_revision)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _due(self) -> int:
-        before = time.monotonic() - IN_FORCE_S
+    def _min_revision(self) -> int:
+        cutoff = time.monotonic() - CONFIG_PROPAGATION_S
         accepted = self._cluster.accepted
-        return max((revision for at, revision in accepted if at < before), default=0)
+        return max((revision for at, revision in accepted if at < cutoff), default=0)
 
-    def _note(self, name: str, client: ControlClient, due: int) -> None:
+    def _record(self, name: str, client: ControlClient, min_revision: int) -> None:
         self._clients.setdefault(id(client), client)
         process = f"{name}#{id(client)}"
-        moment = RevisionSeen(process=process, revision=client.revision, due=due)
-        if self._last.get(process) != moment:
-            self._last[process] = moment
-            self.seen.append(moment)
+        observation = RevisionObservation(
+            process=process, revision=client.revision, min_revision=min_revision
+        )
+        if self._last.get(process) != observation:
+            self._last[process] = observation
+            self.observations.append(observation)
--- a/wigeonscale/testing/prefix_cache.py
+++ b/wigeonscale/testing/prefix_cache.py
@@ -8,7 +8,7 @@
 
 from wigeonscale.ports import CacheEvent
 
-EVENTS_KEPT = 1024
+MAX_EVENTS = 1024
 
 PREFIX_POSITIONS = 32
 """Positions of a prompt that the cache keeps for other prompts."""
@@ -27,38 +27,38 @@
         self.misses = 0
         self._slots = slots
         self._lose_every = lose_every
-        self._held: OrderedDict[str, None] = OrderedDict()
-        self._events: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
-        self._number = 0
+        self._prefixes: OrderedDict[str, None] = OrderedDict()
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
+        self._last_number = 0
 
-    def use(self, sequence_id: str, pieces: Sequence[str]) -> int:
+    def lookup(self, sequence_id: str, pieces: Sequence[str]) -> int:
         """Look up a prompt's prefix; returns how many positions it saves."""
         if not self._slots:
             return 0
-        shared = "|".join(pieces[:PREFIX_POSITIONS])
-        prefix = hashlib.blake2b(shared.encode(), digest_size=8).hexdigest()
-        if prefix in self._held:
+        prefix_text = "|".join(pieces[:PREFIX_POSITIONS])
+        prefix = hashlib.blake2b(prefix_text.encode(), digest_size=8).hexdigest()
+        if prefix in self._prefixes:
             self.hits += 1
-            self._held.move_to_end(prefix)
+            self._prefixes.move_to_end(prefix)
             return min(PREFIX_POSITIONS, len(pieces) - 1)
         self.misses += 1
-        self._held[prefix] = None
-        self._tell(prefix, held=True, sequence_id=sequence_id)
-        if len(self._held) > self._slots:
-            self._tell(self._held.popitem(last=False)[0], held=False)
+        self._prefixes[prefix] = None
+        self._emit_event(prefix, held=True, sequence_id=sequence_id)
+        if len(self._prefixes) > self._slots:
+            self._emit_event(self._prefixes.popitem(last=False)[0], held=False)
         return 0
 
     def clear(self) -> None:
         """Evict everything."""
-        while self._held:
-            self._tell(self._held.popitem(last=False)[0], held=False)
+        while self._prefixes:
+            self._emit_event(self._prefixes.popitem(last=False)[0], held=False)
 
     def events_after(self, number: int) -> list[CacheEvent]:
         """Return the events above a number that were not lost."""
         return [event for event in self._events if event.number > number]
 
-    def _tell(self, prefix: str, *, held: bool, sequence_id: str = "") -> None:
-        self._number += 1
-        if not self._lose_every or self._number % self._lose_every:
-            event = CacheEvent(self._number, prefix, held, sequence_id)
+    def _emit_event(self, prefix: str, *, held: bool, sequence_id: str = "") -> None:
+        self._last_number += 1
+        if not self._lose_every or self._last_number % self._lose_every:
+            event = CacheEvent(self._last_number, prefix, held, sequence_id)
             self._events.append(event)
--- a/wigeonscale/testing/rpcs.py
+++ b/wigeonscale/testing/rpcs.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-LIMIT_S = 30
+TIMEOUT_S = 30
 
 
 async def rpcs_ended() -> None:
@@ -15,9 +15,9 @@
     channels, so that it runs after their clean-up. A call that never ends fails
     the test by ``TimeoutError``.
     """
-    async with asyncio.timeout(LIMIT_S):
-        while left := [task for task in asyncio.all_tasks() if _is_rpc(task)]:
-            await asyncio.wait(left)
+    async with asyncio.timeout(TIMEOUT_S):
+        while tasks := [task for task in asyncio.all_tasks() if _is_rpc(task)]:
+            await asyncio.wait(tasks)
 
 
 def _is_rpc(task: asyncio.Task) -> bool:
--- a/wigeonscale/testing/run.py
+++ b/wigeonscale/testing/run.py
@@ -28,15 +28,19 @@
     suite = loader.loadTestsFromNames(names) if names else _discover(loader)
     result = unittest.TextTestRunner(verbosity=1, buffer=True).run(suite)
     known_red = _known_red()
-    red = {case.id() for case, _ in result.failures + result.errors}
-    red |= {case.id() for case in result.unexpectedSuccesses}
-    for test_id in sorted(red & known_red):
+    failed_ids = {case.id() for case, _ in result.failures + result.errors}
+    failed_ids |= {case.id() for case in result.unexpectedSuccesses}
+    for test_id in sorted(failed_ids & known_red):
         print(f"known red: {test_id}")
-    for test_id in sorted(red - known_red):
+    for test_id in sorted(failed_ids - known_red):
         print(f"failed: {test_id}")
-    passed = result.testsRun - len(red) - len(result.skipped)
-    print(f"{passed} passed, {len(red)} failed, {len(result.skipped)} skipped")
-    ok = result.testsRun > 0 and red <= known_red and len(known_red) <= MAX_KNOWN_RED
+    passed = result.testsRun - len(failed_ids) - len(result.skipped)
+    print(f"{passed} passed, {len(failed_ids)} failed, {len(result.skipped)} skipped")
+    ok = (
+        result.testsRun > 0
+        and failed_ids <= known_red
+        and len(known_red) <= MAX_KNOWN_RED
+    )
     return 0 if ok else 1
 
 
--- a/wigeonscale/testing/soak/__main__.py
+++ b/wigeonscale/testing/soak/__main__.py
@@ -26,11 +26,11 @@
     for seed in range(int(first), int(last or first) + 1):
         folder = _folder(args.keep, seed)
         result = asyncio.run(run_soak(seed, seconds=args.seconds, folder=folder))
-        verdict = "broken" if result.broken else "kept"
+        verdict = "broken" if result.violations else "kept"
         print(f"seed {seed}: {verdict} {result.answers}", flush=True)
-        for promise in result.broken:
+        for promise in result.violations:
             print(f"  {promise} (logs in {folder})", flush=True)
-        bad += bool(result.broken)
+        bad += bool(result.violations)
     print(f"soak: {bad} seeds with a broken promise")
     return 1 if bad else 0
 
--- a/wigeonscale/testing/soak/backends.py
+++ b/wigeonscale/testing/soak/backends.py
@@ -1,6 +1,6 @@
 """Stand-ins for model engines and a plain service, each behind a relay."""
 
-__all__ = ["CRASHING", "LAYERS", "Backend", "event_data", "plain_body"]
+__all__ = ["CRASHING_BODY", "LAYERS", "Backend", "event_data", "plain_body"]
 
 import asyncio
 import itertools
@@ -11,17 +11,17 @@
 from aiohttp import web
 
 from wigeonscale.testing.matrix.relay import Relay
-from wigeonscale.testing.soak.ledger import Ledger
+from wigeonscale.testing.soak.invariants import InvariantChecker
 
 LAYERS = 8
-EVENTS = 12
-EVENT_S = 0.02
-WORK_S = 0.03
-HEARTBEAT_S = 0.3
+EVENT_COUNT = 12
+EVENT_INTERVAL_S = 0.02
+PLAIN_DELAY_S = 0.03
+HEARTBEAT_INTERVAL_S = 0.3
 CALL_TIMEOUT_S = 1.0
 # Bodies of requests that crash the backend server that begins to run them.
-CRASHING = b"crash"
-BACK_AFTER_S = 0.3
+CRASHING_BODY = b"crash"
+RESTART_DELAY_S = 0.3
 
 _names = itertools.count(1)
 
@@ -48,7 +48,7 @@
 
     Attributes:
         says: Headers of each of its answers, in which it tells how it is.
-        rest_s: Rest that it asks of all that it turns away; None to turn none away.
+        retry_after_s: Rest that it asks of all that it turns away; None to turn none away.
         arrived: Ids of the requests that reached it, and when by the loop.
     """
 
@@ -57,35 +57,35 @@
         *,
         service: str,
         controls: list[str],
-        ledger: Ledger,
+        checker: InvariantChecker,
         engines: dict[str, "Backend"],
         rng: random.Random,
     ):
         self.service = service
         self.relay: Relay | None = None
-        self.held = (0, 0)
-        self.says: dict[str, str] = {}
-        self.rest_s: float | None = None
-        self.arrived: list[tuple[str, float]] = []
+        self.layer_range = (0, 0)
+        self.notice_headers: dict[str, str] = {}
+        self.retry_after_s: float | None = None
+        self.arrivals: list[tuple[str, float]] = []
         self._controls = controls
-        self._ledger = ledger
+        self._checker = checker
         self._engines = engines
         self._rng = rng
-        self._orders = 0
-        self._fence = -1
+        self._order_count = 0
+        self._fencing_token = -1
         self._runner: web.ServerRunner | None = None
-        self._beats: asyncio.Task | None = None
+        self._heartbeat_task: asyncio.Task | None = None
         self._crashes: set[asyncio.Task] = set()
 
     @property
-    def is_alive(self) -> bool:
+    def is_running(self) -> bool:
         """Whether it runs."""
         return self._runner is not None
 
     async def start(self) -> None:
         """Start a new incarnation, empty, at the same address."""
         self.name = f"i-{next(_names):06x}"
-        self.held, self._orders, self._fence = (0, 0), 0, -1
+        self.layer_range, self._order_count, self._fencing_token = (0, 0), 0, -1
         self._runner = web.ServerRunner(
             web.Server(self._handle, handler_cancellation=True), shutdown_timeout=0.1
         )
@@ -97,22 +97,22 @@
             await self.relay.start()
             self._engines[self.relay.address] = self
         self.relay.target = f"{host}:{port}"
-        self._beats = asyncio.create_task(self._beat())
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
     async def stop(self) -> None:
         """Die without a word."""
         if self._runner is None:
             return
         runner, self._runner = self._runner, None
-        self._beats.cancel()
-        await asyncio.gather(self._beats, return_exceptions=True)
+        self._heartbeat_task.cancel()
+        await asyncio.gather(self._heartbeat_task, return_exceptions=True)
         self.relay.abort()
         await runner.cleanup()
 
-    async def _crash_and_return(self) -> None:
+    async def _crash_and_restart(self) -> None:
         await self.stop()
-        await asyncio.sleep(BACK_AFTER_S)
-        if not self.is_alive:
+        await asyncio.sleep(RESTART_DELAY_S)
+        if not self.is_running:
             await self.start()
 
     async def close(self) -> None:
@@ -124,15 +124,17 @@
         if self.relay is not None:
             await self.relay.close()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         async with aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         ) as session:
             for sequence in itertools.count(1):
-                await self._tell(session, sequence)
-                await asyncio.sleep(HEARTBEAT_S)
+                await self._send_heartbeat(session, sequence)
+                await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def _tell(self, session: aiohttp.ClientSession, sequence: int) -> None:
+    async def _send_heartbeat(
+        self, session: aiohttp.ClientSession, sequence: int
+    ) -> None:
         body = {
             "service": self.service,
             "address": self.relay.address,
@@ -142,7 +144,7 @@
             "seq": sequence,
         }
         if self.service == "model":
-            first, end = self.held
+            first, end = self.layer_range
             body |= {"models": [], "kind": "k", "layers": {"from": first, "to": end}}
         for control in self._rng.sample(self._controls, len(self._controls)):
             url = f"http://{control}/instances/{self.name}"
@@ -160,52 +162,56 @@
             return self._order(json.loads(await req.read()))
         request_id = req.headers["Attempt-Id"]
         now = asyncio.get_running_loop().time()
-        self.arrived.append((request_id, now))
-        self._ledger.notices.arrived(request_id, self.name, now)
+        self.arrivals.append((request_id, now))
+        self._checker.notices.record_arrival(request_id, self.name, now)
         refusal = self._refusal(req, request_id)
         if refusal is not None:
             return refusal
-        self._ledger.ran(request_id)
+        self._checker.record_run(request_id)
         body = await req.read()
-        if body.startswith(CRASHING):
+        if body.startswith(CRASHING_BODY):
             loop = asyncio.get_running_loop()
-            self._ledger.crashed(body, loop.time())
-            task = asyncio.create_task(self._crash_and_return())
+            self._checker.record_crash(body, loop.time())
+            task = asyncio.create_task(self._crash_and_restart())
             self._crashes.add(task)
             task.add_done_callback(self._crashes.discard)
             await loop.create_future()
         headers = {"Attempt-Id": request_id, "Response-Stamp": f"stamp {request_id}"}
-        headers |= self.says
-        self._note_said(request_id, headers)
+        headers |= self.notice_headers
+        self._record_notice(request_id, headers)
         if self.service == "plain":
-            await asyncio.sleep(WORK_S)
+            await asyncio.sleep(PLAIN_DELAY_S)
             return web.Response(body=plain_body(request_id), headers=headers)
         return await self._stream(req, request_id, headers)
 
-    def _note_said(self, request_id: str, headers: dict[str, str]) -> None:
+    def _record_notice(self, request_id: str, headers: dict[str, str]) -> None:
         now = asyncio.get_running_loop().time()
-        self._ledger.notices.said(request_id, self.name, headers, now)
+        self._checker.notices.record_notice(request_id, self.name, headers, now)
 
     def _refusal(self, req: web.BaseRequest, request_id: str) -> web.Response | None:
         headers = {"Attempt-Id": request_id, "Not-Run": "1"}
         if req.headers.get("Expect-Instance") != self.name:
             return web.Response(status=421, headers=headers)
-        headers |= self.says
-        if self.rest_s is not None:
-            headers["Retry-After"] = str(self.rest_s)
-            self._note_said(request_id, headers)
+        headers |= self.notice_headers
+        if self.retry_after_s is not None:
+            headers["Retry-After"] = str(self.retry_after_s)
+            self._record_notice(request_id, headers)
             return web.Response(status=503, headers=headers)
         if self.service == "plain":
             return None
-        parts = [part.split("=") for part in req.headers["Hop-Count"].split(",")]
-        ranges = [tuple(map(int, each.split("-"))) for _, each in parts]
-        self._ledger.pathway(request_id, ranges, LAYERS)
-        for (address, _), (first, end) in zip(parts, ranges, strict=True):
+        hops = [part.split("=") for part in req.headers["Hop-Count"].split(",")]
+        ranges = [tuple(map(int, layers.split("-"))) for _, layers in hops]
+        self._checker.record_path(request_id, ranges, LAYERS)
+        for (address, _), (first, end) in zip(hops, ranges, strict=True):
             engine = self._engines.get(address)
-            alive = engine is not None and engine.is_alive
-            if not alive or not (engine.held[0] <= first < end <= engine.held[1]):
+            is_running = engine is not None and engine.is_running
+            if not is_running or not (
+                engine.layer_range[0] <= first < end <= engine.layer_range[1]
+            ):
                 headers["At-Server"] = address
-                return web.Response(status=503 if not alive else 421, headers=headers)
+                return web.Response(
+                    status=503 if not is_running else 421, headers=headers
+                )
         return None
 
     async def _stream(self, req, request_id, headers) -> web.StreamResponse:
@@ -213,28 +219,28 @@
         response.enable_chunked_encoding()
         await response.prepare(req)
         first = int(req.headers.get("Last-Event-Id", 0)) + 1
-        for number in range(first, EVENTS + 1):
-            await asyncio.sleep(EVENT_S)
+        for number in range(first, EVENT_COUNT + 1):
+            await asyncio.sleep(EVENT_INTERVAL_S)
             await response.write(event_data(request_id, number))
         await response.write_eof()
         return response
 
     def _report(self) -> dict:
-        first, end = self.held
+        first, end = self.layer_range
         return {
             "busy": False,
-            "seq": self._orders,
+            "seq": self._order_count,
             "layers": {"from": first, "to": end},
             "running": 0,
             "pace": 1.0,
         }
 
     def _order(self, order: dict) -> web.Response:
-        if order["fencing-token"] < self._fence:
+        if order["fencing-token"] < self._fencing_token:
             return web.Response(status=412)
-        self._fence = order["fencing-token"]
-        if order["precondition"] != self._orders:
+        self._fencing_token = order["fencing-token"]
+        if order["precondition"] != self._order_count:
             return web.Response(status=409)
-        self._orders += 1
-        self.held = order["from"], order["to"]
+        self._order_count += 1
+        self.layer_range = order["from"], order["to"]
         return web.Response(status=202)
--- a/wigeonscale/testing/soak/deployment.py
+++ b/wigeonscale/testing/soak/deployment.py
@@ -13,7 +13,7 @@
 CONTROLS = ("127.0.0.11", "127.0.0.12", "127.0.0.13")
 ENTRIES = ("127.0.0.21", "127.0.0.22")
 DAEMON = "wigeonscale.cli.wigeond"
-STOP_S = 20.0
+STOP_TIMEOUT_S = 20.0
 
 
 @dataclass(slots=True)
@@ -34,9 +34,9 @@
     ip: str
     child: Child | None = None
     starts: int = 0
-    restarting: asyncio.Lock = field(default_factory=asyncio.Lock)
+    restart_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
-    def send(self, signum: signal.Signals) -> None:
+    def send_signal(self, signum: signal.Signals) -> None:
         """Send a signal, if it runs. Only processes started here are ever meant."""
         if self.child is not None and self.child.proc.returncode is None:
             self.child.proc.send_signal(signum)
@@ -86,10 +86,10 @@
 
     async def kill(self, node: Node, signum: signal.Signals) -> int:
         """End a daemon by a signal and return its exit code."""
-        node.send(signal.SIGCONT)
-        node.send(signum)
+        node.send_signal(signal.SIGCONT)
+        node.send_signal(signum)
         try:
-            async with asyncio.timeout(STOP_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 return await node.child.proc.wait()
         except TimeoutError:
             node.child.proc.kill()
--- a/wigeonscale/testing/soak/faults.py
+++ b/wigeonscale/testing/soak/faults.py
@@ -28,10 +28,10 @@
         for_s: How long it lasts, in seconds.
     """
 
-    at_s: float
+    start_s: float
     kind: str
     target: int
-    for_s: float
+    duration_s: float
 
 
 def draw_faults(
@@ -50,17 +50,21 @@
         is_node = rng.random() < 0.5
         faults.append(
             Fault(
-                at_s=rng.uniform(0.0, 0.8 * seconds),
+                start_s=rng.uniform(0.0, 0.8 * seconds),
                 kind=rng.choice(NODE_KINDS if is_node else LINK_KINDS),
                 target=rng.randrange(nodes if is_node else backends),
-                for_s=rng.uniform(0.2, 2.5),
+                duration_s=rng.uniform(0.2, 2.5),
             )
         )
-    return sorted(faults, key=lambda fault: fault.at_s)
+    return sorted(faults, key=lambda fault: fault.start_s)
 
 
 async def inject(
-    fault: Fault, *, dep: Deployment, backends: list[Backend], disks: asyncio.Lock
+    fault: Fault,
+    *,
+    dep: Deployment,
+    backends: list[Backend],
+    control_lock: asyncio.Lock,
 ) -> None:
     """Make one fault and take it back.
 
@@ -71,50 +75,50 @@
         disks: Held while a control replica is down: one at a time is borne.
     """
     if fault.kind in LINK_KINDS:
-        await _harm_link(fault, backends[fault.target])
+        await _inject_link_fault(fault, backends[fault.target])
         return
     node = dep.nodes[fault.target]
     if node.role == "direct-control" and fault.kind != "hangup":
-        async with disks:
-            await _harm_node(fault, dep, node)
+        async with control_lock:
+            await _inject_node_fault(fault, dep, node)
             # Until it has caught up it counts as lost.
             await asyncio.sleep(2.0)
     else:
-        await _harm_node(fault, dep, node)
+        await _inject_node_fault(fault, dep, node)
 
 
-async def _harm_node(fault, dep, node) -> None:
+async def _inject_node_fault(fault, dep, node) -> None:
     if node.child.proc.returncode is not None:
         return  # another fault has it down just now
     if fault.kind == "hangup":
-        node.send(signal.SIGHUP)
+        node.send_signal(signal.SIGHUP)
     elif fault.kind == "pause":
-        node.send(signal.SIGSTOP)
-        await asyncio.sleep(fault.for_s)
-        node.send(signal.SIGCONT)
+        node.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(fault.duration_s)
+        node.send_signal(signal.SIGCONT)
     else:
         await _restart(fault, dep, node)
 
 
 async def _restart(fault, dep, node) -> None:
-    async with node.restarting:
-        gentle = fault.kind == "stop"
-        await dep.kill(node, signal.SIGTERM if gentle else signal.SIGKILL)
-        await asyncio.sleep(fault.for_s / 2)
+    async with node.restart_lock:
+        graceful = fault.kind == "stop"
+        await dep.kill(node, signal.SIGTERM if graceful else signal.SIGKILL)
+        await asyncio.sleep(fault.duration_s / 2)
         if fault.kind == "wipe":
             dep.wipe(node)
         await dep.start(node)
 
 
-async def _harm_link(fault, backend) -> None:
+async def _inject_link_fault(fault, backend) -> None:
     relay = backend.relay
     if fault.kind == "reset":
         relay.abort()
         return
     if fault.kind == "die":
         await backend.stop()
-        await asyncio.sleep(fault.for_s)
-        if not backend.is_alive:
+        await asyncio.sleep(fault.duration_s)
+        if not backend.is_running:
             await backend.start()
         return
     if fault.kind == "delay":
@@ -123,5 +127,5 @@
         relay.stall_existing()
     else:
         relay.block(Direction.DOWN, new=True)
-    await asyncio.sleep(fault.for_s)
+    await asyncio.sleep(fault.duration_s)
     relay.heal()
--- a/wigeonscale/testing/soak/load.py
+++ b/wigeonscale/testing/soak/load.py
@@ -10,20 +10,20 @@
 import aiohttp
 
 from wigeonscale.testing.soak.backends import (
-    CRASHING,
-    EVENTS,
+    CRASHING_BODY,
+    EVENT_COUNT,
     LAYERS,
     event_data,
     plain_body,
 )
 from wigeonscale.testing.soak.deployment import Deployment
-from wigeonscale.testing.soak.ledger import Ledger
+from wigeonscale.testing.soak.invariants import InvariantChecker
 
 HOST = "soak.example"
 KINDS = ("stream", "unsafe", "safe")
 DEADLINES_S = {"stream": 6.0, "unsafe": 2.0, "safe": 2.0}
 OPERATOR_TIMEOUT_S = 2.0
-NOTHING = "nothing"
+NO_RESPONSE = "nothing"
 
 
 def document(number: int) -> dict:
@@ -69,15 +69,17 @@
         sent_to: Name of the entry that each request was sent to, by its id.
     """
 
-    def __init__(self, *, dep: Deployment, ledger: Ledger, rng: random.Random):
+    def __init__(
+        self, *, dep: Deployment, checker: InvariantChecker, rng: random.Random
+    ):
         self._dep = dep
-        self._ledger = ledger
+        self._checker = checker
         self._rng = rng
         self._ids = itertools.count(1)
         self._numbers = itertools.count(1)
         self.sent_to: dict[str, str] = {}
 
-    async def call_for_ever(self) -> None:
+    async def run_callers(self) -> None:
         """Call one entry after another on kept connections until cancelled."""
         async with new_session() as session:
             while True:
@@ -85,46 +87,50 @@
                 await self.call(session, entry, self._rng.choice(KINDS))
                 await asyncio.sleep(self._rng.uniform(0.0, 0.05))
 
-    async def crash_for_ever(self) -> None:
+    async def run_crashing_caller(self) -> None:
         """Send one request that crashes its server at any entry, until cancelled."""
         kind = self._rng.choice(KINDS)
         async with new_session() as session:
             while True:
                 entry = self._rng.choice(self._dep.entries)
-                await self.call(session, entry, kind, CRASHING)
+                await self.call(session, entry, kind, CRASHING_BODY)
                 await asyncio.sleep(self._rng.uniform(0.1, 0.6))
 
     async def call(self, session, entry, kind: str, body: bytes = b"q") -> bool:
         """Make one request; return whether it was served."""
         request_id = f"r{next(self._ids):05d}"
         if kind == "unsafe":
-            self._ledger.once.add(request_id)
+            self._checker.at_most_once_ids.add(request_id)
         self.sent_to[request_id] = entry.name
         now = asyncio.get_running_loop().time
-        self._ledger.notices.sent(request_id, f"{entry.name}.{entry.starts}", now())
-        limit_s = DEADLINES_S[kind]
+        self._checker.notices.record_sent(
+            request_id, f"{entry.name}.{entry.starts}", now()
+        )
+        deadline_s = DEADLINES_S[kind]
         headers = {
             "Host": HOST,
             "Attempt-Id": request_id,
-            "Request-Deadline": str(int(limit_s * 1000)),
+            "Request-Deadline": str(int(deadline_s * 1000)),
             "Token-Count": "10,12",
         }
         url = f"http://{self._dep.caller_address(entry)}/{kind}/x"
         try:
-            async with asyncio.timeout(limit_s + 1.0):
+            async with asyncio.timeout(deadline_s + 1.0):
                 async with session.post(url, headers=headers, data=body) as res:
-                    got = await res.read()
+                    response_body = await res.read()
         except (aiohttp.ClientError, OSError, TimeoutError):
-            self._ledger.answers[NOTHING] += 1
+            self._checker.answers[NO_RESPONSE] += 1
             return False
-        self._ledger.answered(request_id, res.status)
-        self._ledger.notices.answered(request_id, now())
+        self._checker.record_answer(request_id, res.status)
+        self._checker.notices.record_answer(request_id, now())
         if res.status != 200:
             return False
-        self._ledger.whole(request_id, got, _wanted(kind, request_id))
+        self._checker.record_success(
+            request_id, response_body, _expected_body(kind, request_id)
+        )
         return True
 
-    async def change_for_ever(self) -> None:
+    async def run_operator(self) -> None:
         """Change the configuration, and read it back, until cancelled."""
         async with new_session() as session:
             while True:
@@ -137,21 +143,21 @@
         body = json.dumps(document(number)).encode()
         while True:
             control = self._rng.choice(self._dep.control_addresses)
-            status, _ = await _ask(session, "PUT", control, body)
+            status, _ = await _request_config(session, "PUT", control, body)
             if status == 200:
-                self._ledger.acknowledge(number)
+                self._checker.record_acknowledged(number)
                 return
             await asyncio.sleep(0.1)
 
     async def read(self, session) -> int | None:
         """Read the configuration at any replica; return its number if it is told."""
-        floor = self._ledger.acknowledged
+        acknowledged_before = self._checker.acknowledged
         control = self._rng.choice(self._dep.control_addresses)
-        status, body = await _ask(session, "GET", control)
+        status, body = await _request_config(session, "GET", control)
         if status != 200:
             return None
         number = json.loads(body)["version"]
-        self._ledger.read(number, floor)
+        self._checker.record_read(number, acknowledged_before)
         return number
 
 
@@ -162,7 +168,7 @@
     )
 
 
-async def _ask(session, method, control, body=None) -> tuple[int, bytes]:
+async def _request_config(session, method, control, body=None) -> tuple[int, bytes]:
     try:
         async with session.request(
             method,
@@ -175,7 +181,7 @@
         return 0, b""
 
 
-def _wanted(kind: str, request_id: str) -> bytes:
+def _expected_body(kind: str, request_id: str) -> bytes:
     if kind != "stream":
         return plain_body(request_id)
-    return b"".join(event_data(request_id, n) for n in range(1, EVENTS + 1))
+    return b"".join(event_data(request_id, n) for n in range(1, EVENT_COUNT + 1))
--- a/wigeonscale/testing/soak/notices.py
+++ b/wigeonscale/testing/soak/notices.py
@@ -4,7 +4,7 @@
 caller sends to the same process after that must heed it, however slow the machine is.
 """
 
-__all__ = ["Notice", "NoticeBook", "draw_notices", "say"]
+__all__ = ["Notice", "NoticeChecker", "draw_notices", "apply_notice"]
 
 import asyncio
 import random
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, field
 
 LIMIT_PER_S = 1.0
-REST_S = 1.5
+RETRY_AFTER_S = 1.5
 # The users' rule on limits: judged from so long after the first answer that names it,
 # in a sliding window, with a factor and some requests more.
-JUDGED_AFTER_S = 3.0
+LIMIT_GRACE_S = 3.0
 WINDOW_S = 4.0
-FACTOR = 1.5
-SLACK = 5
+LIMIT_FACTOR = 1.5
+LIMIT_SLACK_REQUESTS = 5
 KINDS = ("limit", "rest", "leave")
 
 
@@ -33,10 +33,10 @@
         for_s: How long, in seconds.
     """
 
-    at_s: float
+    start_s: float
     kind: str
     target: int
-    for_s: float
+    duration_s: float
 
 
 def draw_notices(seed: int, *, seconds: float, backends: int) -> list[Notice]:
@@ -50,16 +50,16 @@
     rng = random.Random(f"notices {seed}")
     return [
         Notice(
-            at_s=rng.uniform(0.0, 0.5 * seconds),
+            start_s=rng.uniform(0.0, 0.5 * seconds),
             kind=kind,
             target=rng.randrange(backends),
-            for_s=rng.uniform(0.3, 0.5) * seconds,
+            duration_s=rng.uniform(0.3, 0.5) * seconds,
         )
         for kind in KINDS
     ]
 
 
-async def say(notice: Notice, backend, book: "NoticeBook") -> None:
+async def apply_notice(notice: Notice, backend, checker: "NoticeChecker") -> None:
     """Let a backend server say one thing, and take it back.
 
     Args:
@@ -70,23 +70,23 @@
     now = asyncio.get_running_loop().time
     name = backend.name
     if notice.kind == "limit":
-        backend.says = {"Server-Limit": str(LIMIT_PER_S)}
-        named_at = now()
-        await asyncio.sleep(notice.for_s)
-        book.limited[name].append((named_at, now()))
+        backend.notice_headers = {"Server-Limit": str(LIMIT_PER_S)}
+        announced_at = now()
+        await asyncio.sleep(notice.duration_s)
+        checker.limit_periods[name].append((announced_at, now()))
     elif notice.kind == "rest":
-        backend.rest_s = REST_S
-        await asyncio.sleep(notice.for_s)
+        backend.retry_after_s = RETRY_AFTER_S
+        await asyncio.sleep(notice.duration_s)
     else:
-        backend.says = {"Server-Leaving": "1"}
-        await asyncio.sleep(notice.for_s)
+        backend.notice_headers = {"Server-Leaving": "1"}
+        await asyncio.sleep(notice.duration_s)
         await backend.stop()
         await backend.start()
-    backend.says, backend.rest_s = {}, None
+    backend.notice_headers, backend.retry_after_s = {}, None
 
 
 @dataclass(slots=True)
-class NoticeBook:
+class NoticeChecker:
     """What backend servers said through which entries, and what they got since then.
 
     Attributes:
@@ -94,70 +94,74 @@
         broken: Promises broken so far, in words.
     """
 
-    limited: dict[str, list[tuple[float, float]]] = field(
+    limit_periods: dict[str, list[tuple[float, float]]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     _sent: dict[str, tuple[str, float]] = field(default_factory=dict)
     # What the answers to a request said: server, header and time, until it is answered.
-    _said: dict[str, list[tuple[str, str, float]]] = field(
+    _pending_notices: dict[str, list[tuple[str, str, float]]] = field(
         default_factory=lambda: defaultdict(list)
     )
     # Since when an entry knows something of a server.
-    _left_at: dict[tuple[str, str], float] = field(default_factory=dict)
-    _limit_at: dict[tuple[str, str], float] = field(default_factory=dict)
-    _rests: dict[tuple[str, str], tuple[float, float]] = field(default_factory=dict)
-    _arrived: dict[str, list[tuple[float, str, float]]] = field(
+    _leaving_known_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    _limit_known_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    _retry_after: dict[tuple[str, str], tuple[float, float]] = field(
+        default_factory=dict
+    )
+    _arrivals: dict[str, list[tuple[float, str, float]]] = field(
         default_factory=lambda: defaultdict(list)
     )
 
-    def sent(self, request_id: str, entry: str, at: float) -> None:
+    def record_sent(self, request_id: str, entry: str, at: float) -> None:
         """Note that a caller sends a request to one start of an entry."""
         self._sent[request_id] = entry, at
 
-    def said(self, request_id: str, server: str, headers, at: float) -> None:
+    def record_notice(self, request_id: str, server: str, headers, at: float) -> None:
         """Note what a server's answer to a request says."""
         for header in ("Server-Limit", "Server-Leaving", "Retry-After"):
             if header in headers:
-                self._said[request_id].append((server, header, at))
+                self._pending_notices[request_id].append((server, header, at))
 
-    def answered(self, request_id: str, at: float) -> None:
+    def record_answer(self, request_id: str, at: float) -> None:
         """Note that a caller has its answer, and its entry knows what was said."""
         entry, _ = self._sent[request_id]
-        for server, header, said_at in self._said.pop(request_id, ()):
+        for server, header, noticed_at in self._pending_notices.pop(request_id, ()):
             key = entry, server
             if header == "Server-Leaving":
-                self._left_at.setdefault(key, at)
+                self._leaving_known_at.setdefault(key, at)
             elif header == "Server-Limit":
-                self._limit_at.setdefault(key, at)
+                self._limit_known_at.setdefault(key, at)
             else:
-                self._rests[key] = at, said_at + REST_S
+                self._retry_after[key] = at, noticed_at + RETRY_AFTER_S
 
-    def arrived(self, request_id: str, server: str, at: float) -> None:
+    def record_arrival(self, request_id: str, server: str, at: float) -> None:
         """Note that a request reaches a server."""
         entry, sent_at = self._sent[request_id]
         key = entry, server
-        self._arrived[server].append((at, entry, sent_at))
-        if sent_at > self._left_at.get(key, float("inf")):
-            self.broken.append(f"{request_id} reached {server}, which leaves")
-        known_at, ends_at = self._rests.get(key, (float("inf"), 0.0))
+        self._arrivals[server].append((at, entry, sent_at))
+        if sent_at > self._leaving_known_at.get(key, float("inf")):
+            self.violations.append(f"{request_id} reached {server}, which leaves")
+        known_at, ends_at = self._retry_after.get(key, (float("inf"), 0.0))
         if sent_at > known_at and at < ends_at:
-            self.broken.append(f"{request_id} reached {server}, which rests")
+            self.violations.append(f"{request_id} reached {server}, which rests")
 
     def check_limits(self) -> None:
         """Judge the limits, once no more can come."""
-        for server, spans in self.limited.items():
-            for named_at, ended_at in spans:
-                self._check_limit(server, named_at + JUDGED_AFTER_S, ended_at)
+        for server, periods in self.limit_periods.items():
+            for announced_at, ended_at in periods:
+                self._check_limit(server, announced_at + LIMIT_GRACE_S, ended_at)
 
-    def _check_limit(self, server: str, judged_from: float, ended_at: float) -> None:
-        told = [
+    def _check_limit(self, server: str, checked_from: float, ended_at: float) -> None:
+        arrivals = [
             at
-            for at, entry, sent_at in self._arrived[server]
-            if sent_at > self._limit_at.get((entry, server), float("inf"))
+            for at, entry, sent_at in self._arrivals[server]
+            if sent_at > self._limit_known_at.get((entry, server), float("inf"))
         ]
-        allowed = FACTOR * WINDOW_S * LIMIT_PER_S + SLACK
-        for end in told:
-            got = sum(end - WINDOW_S < at <= end for at in told)
-            if judged_from <= end <= ended_at and got > allowed:
-                self.broken.append(f"{server} got {got} requests, {allowed} allowed")
+        allowed = LIMIT_FACTOR * WINDOW_S * LIMIT_PER_S + LIMIT_SLACK_REQUESTS
+        for end in arrivals:
+            got = sum(end - WINDOW_S < at <= end for at in arrivals)
+            if checked_from <= end <= ended_at and got > allowed:
+                self.violations.append(
+                    f"{server} got {got} requests, {allowed} allowed"
+                )
--- a/wigeonscale/testing/soak/run.py
+++ b/wigeonscale/testing/soak/run.py
@@ -10,15 +10,15 @@
 from wigeonscale.testing.soak.backends import Backend
 from wigeonscale.testing.soak.deployment import Deployment
 from wigeonscale.testing.soak.faults import draw_faults, inject
-from wigeonscale.testing.soak.ledger import Ledger
+from wigeonscale.testing.soak.invariants import InvariantChecker
 from wigeonscale.testing.soak.load import KINDS, Load, new_session
-from wigeonscale.testing.soak.notices import draw_notices, say
+from wigeonscale.testing.soak.notices import apply_notice, draw_notices
 
 ENGINES = 4
-PLAIN = 2
+PLAIN_SERVERS = 2
 CALLERS = 6
 # Far above what a busy machine needs; a run that gets here is broken.
-LIMIT_S = 60.0
+TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
     seed: int
     answers: dict
-    broken: tuple[str, ...]
+    violations: tuple[str, ...]
 
 
 async def run_soak(seed: int, *, seconds: float, folder: pathlib.Path) -> SoakResult:
@@ -45,20 +45,20 @@
         folder: Empty folder for settings, data and logs, which are kept.
     """
     rng = random.Random(seed)
-    ledger = Ledger()
+    checker = InvariantChecker()
     dep = Deployment(folder=folder)
     engines: dict[str, Backend] = {}
     backends = [
         Backend(
             service=service,
             controls=dep.control_addresses,
-            ledger=ledger,
+            checker=checker,
             engines=engines,
             rng=rng,
         )
-        for service in ["model"] * ENGINES + ["plain"] * PLAIN
+        for service in ["model"] * ENGINES + ["plain"] * PLAIN_SERVERS
     ]
-    load = Load(dep=dep, ledger=ledger, rng=rng)
+    load = Load(dep=dep, checker=checker, rng=rng)
     try:
         for node in dep.nodes:
             await dep.start(node)
@@ -66,68 +66,72 @@
             await backend.start()
         async with new_session() as session:
             await load.change(session, 1)
-            await _until_served(load, session, dep, ledger, "at first")
+            await _wait_until_served(load, session, dep, checker, "at first")
             notices = draw_notices(seed, seconds=seconds, backends=len(backends))
-            await _under_faults(rng, load, dep, backends, seconds, ledger, notices)
-            await _until_served(load, session, dep, ledger, "after the faults")
-            await _until_read(load, session, ledger)
-            ledger.check_crashes()
-            ledger.notices.check_limits()
+            await _run_load_with_faults(
+                rng, load, dep, backends, seconds, checker, notices
+            )
+            await _wait_until_served(load, session, dep, checker, "after the faults")
+            await _wait_until_read(load, session, checker)
+            checker.check_crashes()
+            checker.notices.check_limits()
     finally:
         for backend in backends:
             await backend.close()
         await dep.close()
     return SoakResult(
-        seed, dict(ledger.answers), (*ledger.broken, *ledger.notices.broken)
+        seed, dict(checker.answers), (*checker.violations, *checker.notices.violations)
     )
 
 
-async def _under_faults(rng, load, dep, backends, seconds, ledger, notices) -> None:
+async def _run_load_with_faults(
+    rng, load, dep, backends, seconds, checker, notices
+) -> None:
     faults = draw_faults(
         rng, seconds=seconds, nodes=len(dep.nodes), backends=len(backends)
     )
-    disks = asyncio.Lock()
-    loads = [asyncio.create_task(load.call_for_ever()) for _ in range(CALLERS)]
-    loads.append(asyncio.create_task(load.change_for_ever()))
-    loads.append(asyncio.create_task(load.crash_for_ever()))
+    control_lock = asyncio.Lock()
+    loads = [asyncio.create_task(load.run_callers()) for _ in range(CALLERS)]
+    loads.append(asyncio.create_task(load.run_operator()))
+    loads.append(asyncio.create_task(load.run_crashing_caller()))
 
-    async def later(fault) -> None:
-        await asyncio.sleep(fault.at_s)
-        await inject(fault, dep=dep, backends=backends, disks=disks)
+    async def inject_later(fault) -> None:
+        await asyncio.sleep(fault.start_s)
+        await inject(fault, dep=dep, backends=backends, control_lock=control_lock)
 
-    async def say_later(notice) -> None:
-        await asyncio.sleep(notice.at_s)
-        await say(notice, backends[notice.target], ledger.notices)
+    async def apply_later(notice) -> None:
+        await asyncio.sleep(notice.start_s)
+        await apply_notice(notice, backends[notice.target], checker.notices)
 
     try:
         await asyncio.gather(
-            *(later(fault) for fault in faults),
-            *(say_later(notice) for notice in notices),
+            *(inject_later(fault) for fault in faults),
+            *(apply_later(notice) for notice in notices),
         )
     finally:
         for task in loads:
             task.cancel()
         for outcome in await asyncio.gather(*loads, return_exceptions=True):
             if not isinstance(outcome, asyncio.CancelledError):
-                ledger.broken.append(f"the load failed: {outcome!r}")
+                checker.violations.append(f"the load failed: {outcome!r}")
 
 
-async def _until_served(load, session, dep, ledger, when) -> None:
+async def _wait_until_served(load, session, dep, checker, when) -> None:
     """Wait until each entry serves each kind; a promise is broken if it never does."""
     for entry in dep.entries:
         for kind in KINDS:
             try:
-                async with asyncio.timeout(LIMIT_S):
+                async with asyncio.timeout(TIMEOUT_S):
                     while not await load.call(session, entry, kind):
                         await asyncio.sleep(0.1)
             except TimeoutError:
-                ledger.broken.append(f"{entry.name} serves no {kind} {when}")
+                checker.violations.append(f"{entry.name} serves no {kind} {when}")
 
 
-async def _until_read(load, session, ledger) -> None:
+async def _wait_until_read(load, session, checker) -> None:
     try:
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while await load.read(session) is None:
                 await asyncio.sleep(0.1)
     except TimeoutError:
-        ledger.broken.append("no replica tells the configuration after the faults")
+        checker.violations.append("no replica tells the configuration after the faults")
--- a/wigeonscale/testing/soak/tests/support.py
+++ b/wigeonscale/testing/soak/tests/support.py
@@ -9,13 +9,13 @@
 from wigeonscale.testing import AsyncTestCase
 from wigeonscale.testing.soak.backends import Backend
 from wigeonscale.testing.soak.deployment import Deployment
-from wigeonscale.testing.soak.ledger import Ledger
+from wigeonscale.testing.soak.invariants import InvariantChecker
 from wigeonscale.testing.soak.load import Load, new_session
 
 ENGINES = 4
-PLAIN = 2
+PLAIN_SERVERS = 2
 # Far above what a busy machine needs.
-LIMIT_S = 60.0
+TIMEOUT_S = 60.0
 
 
 class DeploymentCase(AsyncTestCase):
@@ -24,20 +24,20 @@
     async def prepare(self):
         folder = pathlib.Path(self.useFixture(fixtures.TempDir()).path)
         rng = random.Random(1)
-        self.ledger = Ledger()
+        self.checker = InvariantChecker()
         self.dep = Deployment(folder=folder)
         self.addCleanup(self.dep.close)
-        self.load = Load(dep=self.dep, ledger=self.ledger, rng=rng)
+        self.load = Load(dep=self.dep, checker=self.checker, rng=rng)
         engines = {}
         self.backends = [
             Backend(
                 service=service,
                 controls=self.dep.control_addresses,
-                ledger=self.ledger,
+                checker=self.checker,
                 engines=engines,
                 rng=rng,
             )
-            for service in ["model"] * ENGINES + ["plain"] * PLAIN
+            for service in ["model"] * ENGINES + ["plain"] * PLAIN_SERVERS
         ]
         self.session = new_session()
         self.addCleanup(self.session.close)
@@ -48,8 +48,8 @@
             await backend.start()
         await self.load.change(self.session, 1)
 
-    async def until_served(self, kind, body=b"q"):
+    async def wait_until_served(self, kind, body=b"q"):
         for entry in self.dep.entries:
-            async with asyncio.timeout(LIMIT_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while not await self.load.call(self.session, entry, kind, body):
                     await asyncio.sleep(0.05)
--- a/wigeonscale/testing/soak/tests/test_crashing_request.py
+++ b/wigeonscale/testing/soak/tests/test_crashing_request.py
@@ -9,37 +9,37 @@
 
 import asyncio
 
-from wigeonscale.testing.soak.backends import CRASHING
+from wigeonscale.testing.soak.backends import CRASHING_BODY
 from wigeonscale.testing.soak.tests.support import DeploymentCase
 
-ATTEMPTS = 14
+REQUESTS = 14
 # Three crashes say what the request does; three further ones are borne while that
 # becomes known.
-MOST_CRASHES = 6
+MAX_CRASHES = 6
 
 
 class CrashingRequestTest(DeploymentCase):
-    async def ask_again_and_again(self, kind):
-        await self.until_served(kind)
-        for number in range(ATTEMPTS):
+    async def repeat_crashing_request(self, kind):
+        await self.wait_until_served(kind)
+        for number in range(REQUESTS):
             entry = self.dep.entries[number % 2]
             # Another request is on its way with it each time.
             await asyncio.gather(
-                self.load.call(self.session, entry, kind, CRASHING),
+                self.load.call(self.session, entry, kind, CRASHING_BODY),
                 self.load.call(self.session, entry, kind, b"beside"),
             )
-            await self.until_served(kind)
+            await self.wait_until_served(kind)
 
     async def test_a_stream_is_refused_after_three_crashes(self):
-        await self.ask_again_and_again("stream")
-        crashes = len(self.ledger.crashed_at[CRASHING])
-        self.assertTrue(crashes <= MOST_CRASHES, f"{crashes} engines crashed")
-        await self.until_served("stream", b"beside")
-        self.assertEqual([], self.ledger.broken)
+        await self.repeat_crashing_request("stream")
+        crashes = len(self.checker.crashed_at[CRASHING_BODY])
+        self.assertTrue(crashes <= MAX_CRASHES, f"{crashes} engines crashed")
+        await self.wait_until_served("stream", b"beside")
+        self.assertEqual([], self.checker.violations)
 
     async def test_a_plain_request_is_refused_after_three_crashes(self):
-        await self.ask_again_and_again("safe")
-        crashes = len(self.ledger.crashed_at[CRASHING])
-        self.assertTrue(crashes <= MOST_CRASHES, f"{crashes} servers crashed")
-        await self.until_served("safe", b"beside")
-        self.assertEqual([], self.ledger.broken)
+        await self.repeat_crashing_request("safe")
+        crashes = len(self.checker.crashed_at[CRASHING_BODY])
+        self.assertTrue(crashes <= MAX_CRASHES, f"{crashes} servers crashed")
+        await self.wait_until_served("safe", b"beside")
+        self.assertEqual([], self.checker.violations)
--- a/wigeonscale/testing/soak/tests/test_notices.py
+++ b/wigeonscale/testing/soak/tests/test_notices.py
@@ -8,73 +8,73 @@
 
 REQUESTS = 25
 # Rests and limits that outlast the test.
-LONG_S = 600.0
-LOW_PER_S = 0.01
+LONG_RETRY_AFTER_S = 600.0
+LOW_LIMIT_PER_S = 0.01
 # By the users' rule, for a limit that allows next to none in the window.
-BORNE = 5
+MAX_REQUESTS_IN_WINDOW = 5
 WINDOW_S = 4.0
 
 
 class NoticesTest(DeploymentCase):
-    async def ask(self, entry, kind):
+    async def send_requests(self, entry, kind):
         for _ in range(REQUESTS):
             await self.load.call(self.session, entry, kind)
 
-    async def first_of(self, kind, entry):
+    async def preferred_server(self, kind, entry):
         """Return the server that an entry begins its requests at."""
-        await self.until_served(kind)
+        await self.wait_until_served(kind)
         for backend in self.backends:
-            backend.arrived.clear()
-        await self.ask(entry, kind)
-        return max(self.backends, key=lambda backend: len(backend.arrived))
+            backend.arrivals.clear()
+        await self.send_requests(entry, kind)
+        return max(self.backends, key=lambda backend: len(backend.arrivals))
 
-    def sent_by(self, entry, backend):
+    def requests_from(self, entry, backend):
         return [
             request_id
-            for request_id, _ in backend.arrived
+            for request_id, _ in backend.arrivals
             if self.load.sent_to[request_id] == entry.name
         ]
 
-    async def play(self, kind, says):
+    async def requests_after(self, kind, notice):
         """Let a server say something, and ask on.
 
         Returns:
             The server, and how many requests of each entry reach it from then on.
         """
-        backend = await self.first_of(kind, self.dep.entries[0])
-        says(backend)
-        backend.arrived.clear()
+        backend = await self.preferred_server(kind, self.dep.entries[0])
+        notice(backend)
+        backend.arrivals.clear()
         for entry in self.dep.entries:
-            await self.ask(entry, kind)
-        self.assertEqual([], self.ledger.broken)
-        self.assertTrue(self.ledger.answers[200] >= REQUESTS * 2)
-        sends = [len(self.sent_by(entry, backend)) for entry in self.dep.entries]
-        return backend, sends
+            await self.send_requests(entry, kind)
+        self.assertEqual([], self.checker.violations)
+        self.assertTrue(self.checker.answers[200] >= REQUESTS * 2)
+        counts = [len(self.requests_from(entry, backend)) for entry in self.dep.entries]
+        return backend, counts
 
     async def test_one_that_asks_for_rest_is_asked_once_by_each_entry(self):
         for kind in ("stream", "safe"):
-            _, sends = await self.play(kind, self.rest)
-            self.assertTrue(max(sends) <= 1, f"{kind}: {sends} sends")
+            _, counts = await self.requests_after(kind, self.set_retry_after)
+            self.assertTrue(max(counts) <= 1, f"{kind}: {counts} sends")
 
     async def test_one_that_leaves_is_asked_once_by_each_entry(self):
         for kind in ("stream", "safe"):
-            _, sends = await self.play(kind, self.leave)
-            self.assertTrue(max(sends) <= 1, f"{kind}: {sends} sends")
+            _, counts = await self.requests_after(kind, self.set_leaving)
+            self.assertTrue(max(counts) <= 1, f"{kind}: {counts} sends")
 
     async def test_one_that_names_a_limit_gets_no_more_of_all_entries(self):
         for kind in ("stream", "safe"):
-            backend, _ = await self.play(kind, self.name_limit)
-            instants = [at for _, at in backend.arrived]
-            most = max(
-                sum(end - WINDOW_S < at <= end for at in instants) for end in instants
+            backend, _ = await self.requests_after(kind, self.set_limit)
+            times = [at for _, at in backend.arrivals]
+            most = max(sum(end - WINDOW_S < at <= end for at in times) for end in times)
+            self.assertTrue(
+                most <= MAX_REQUESTS_IN_WINDOW, f"{kind}: {most} sends in a window"
             )
-            self.assertTrue(most <= BORNE, f"{kind}: {most} sends in a window")
 
-    def rest(self, backend):
-        backend.rest_s = LONG_S
+    def set_retry_after(self, backend):
+        backend.retry_after_s = LONG_RETRY_AFTER_S
 
-    def leave(self, backend):
-        backend.says = {"Server-Leaving": "1"}
+    def set_leaving(self, backend):
+        backend.notice_headers = {"Server-Leaving": "1"}
 
-    def name_limit(self, backend):
-        backend.says = {"Server-Limit": str(LOW_PER_S)}
+    def set_limit(self, backend):
+        backend.notice_headers = {"Server-Limit": str(LOW_LIMIT_PER_S)}
--- a/wigeonscale/testing/soak/tests/test_soak.py
+++ b/wigeonscale/testing/soak/tests/test_soak.py
@@ -14,122 +14,122 @@
     draw_faults,
     inject,
 )
-from wigeonscale.testing.soak.ledger import Ledger
-from wigeonscale.testing.soak.notices import NoticeBook, draw_notices
+from wigeonscale.testing.soak.invariants import InvariantChecker
+from wigeonscale.testing.soak.notices import NoticeChecker, draw_notices
 from wigeonscale.testing.soak.run import run_soak
 
 # Seeds that failed once, each with its cause.
-REGRESSIONS = (
+REGRESSION_SEEDS = (
     305,  # SIGHUP while an entry started ended it
     308,  # the same at a control replica
 )
-SHORT_S = 3.0
+LOAD_S = 3.0
 
 
-class LedgerTest(AsyncTestCase):
+class InvariantCheckerTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
-        self.ledger = Ledger()
-        self.ledger.once.add("r1")
+        self.checker = InvariantChecker()
+        self.checker.at_most_once_ids.add("r1")
 
     def test_second_run_of_what_must_not_repeat(self):
-        self.ledger.ran("r1")
-        self.assertEqual([], self.ledger.broken)
-        self.ledger.ran("r1")
-        self.assertEqual(["r1 ran twice"], self.ledger.broken)
+        self.checker.record_run("r1")
+        self.assertEqual([], self.checker.violations)
+        self.checker.record_run("r1")
+        self.assertEqual(["r1 ran twice"], self.checker.violations)
 
     def test_others_may_run_again(self):
         for _ in range(2):
-            self.ledger.ran("r2")
-        self.assertEqual([], self.ledger.broken)
+            self.checker.record_run("r2")
+        self.assertEqual([], self.checker.violations)
 
     def test_not_run_is_true_before_and_after(self):
-        self.ledger.ran("r1")
-        self.ledger.answered("r1", 503)
-        self.ledger.once.add("r2")
-        self.ledger.answered("r2", 429)
-        self.ledger.ran("r2")
-        self.assertEqual(2, len(self.ledger.broken))
+        self.checker.record_run("r1")
+        self.checker.record_answer("r1", 503)
+        self.checker.at_most_once_ids.add("r2")
+        self.checker.record_answer("r2", 429)
+        self.checker.record_run("r2")
+        self.assertEqual(2, len(self.checker.violations))
 
     def test_a_failure_that_promises_nothing(self):
-        self.ledger.ran("r1")
-        self.ledger.answered("r1", 502)
-        self.assertEqual([], self.ledger.broken)
+        self.checker.record_run("r1")
+        self.checker.record_answer("r1", 502)
+        self.assertEqual([], self.checker.violations)
 
     def test_configuration_never_goes_back(self):
-        self.ledger.acknowledge(5)
-        self.ledger.acknowledge(3)
-        self.ledger.read(5, self.ledger.acknowledged)
-        self.assertEqual([], self.ledger.broken)
-        self.ledger.read(4, self.ledger.acknowledged)
-        self.assertEqual(1, len(self.ledger.broken))
+        self.checker.record_acknowledged(5)
+        self.checker.record_acknowledged(3)
+        self.checker.record_read(5, self.checker.acknowledged)
+        self.assertEqual([], self.checker.violations)
+        self.checker.record_read(4, self.checker.acknowledged)
+        self.assertEqual(1, len(self.checker.violations))
 
     def test_every_layer_once_in_order(self):
-        self.ledger.pathway("r1", [(0, 3), (3, 8)], 8)
-        self.assertEqual([], self.ledger.broken)
+        self.checker.record_path("r1", [(0, 3), (3, 8)], 8)
+        self.assertEqual([], self.checker.violations)
         for wrong in ([(0, 3), (4, 8)], [(0, 4), (3, 8)], [(3, 8), (0, 3)], [(0, 7)]):
-            self.ledger.pathway("r1", wrong, 8)
-        self.assertEqual(4, len(self.ledger.broken))
+            self.checker.record_path("r1", wrong, 8)
+        self.assertEqual(4, len(self.checker.violations))
 
     def test_crashes_once_a_request_is_known_for_them(self):
         for at in (1.0, 2.0, 3.0, 5.9, 6.1, 6.2, 6.3):
-            self.ledger.crashed(b"crash", at)
-        self.ledger.check_crashes()
-        self.assertEqual([], self.ledger.broken)
-        self.ledger.crashed(b"crash", 9.0)
-        self.ledger.check_crashes()
-        self.assertEqual(1, len(self.ledger.broken))
+            self.checker.record_crash(b"crash", at)
+        self.checker.check_crashes()
+        self.assertEqual([], self.checker.violations)
+        self.checker.record_crash(b"crash", 9.0)
+        self.checker.check_crashes()
+        self.assertEqual(1, len(self.checker.violations))
 
     def test_whole_answers(self):
-        self.ledger.whole("r1", b"ab", b"ab")
-        self.assertEqual([], self.ledger.broken)
-        self.ledger.whole("r1", b"a", b"ab")
-        self.assertEqual(1, len(self.ledger.broken))
+        self.checker.record_success("r1", b"ab", b"ab")
+        self.assertEqual([], self.checker.violations)
+        self.checker.record_success("r1", b"a", b"ab")
+        self.assertEqual(1, len(self.checker.violations))
 
 
-class NoticeBookTest(AsyncTestCase):
+class NoticeCheckerTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
-        self.book = NoticeBook()
+        self.checker = NoticeChecker()
 
-    def hear(self, entry, server, header, at):
-        self.book.sent("r0", entry, at - 0.2)
-        self.book.said("r0", server, {header: "1"}, at - 0.1)
-        self.book.answered("r0", at)
+    def receive_notice(self, entry, server, header, at):
+        self.checker.record_sent("r0", entry, at - 0.2)
+        self.checker.record_notice("r0", server, {header: "1"}, at - 0.1)
+        self.checker.record_answer("r0", at)
 
-    def reach(self, entry, server, sent_at, at):
+    def send_request(self, entry, server, sent_at, at):
         request_id = f"r{sent_at}"
-        self.book.sent(request_id, entry, sent_at)
-        self.book.arrived(request_id, server, at)
+        self.checker.record_sent(request_id, entry, sent_at)
+        self.checker.record_arrival(request_id, server, at)
 
     def test_one_that_leaves(self):
-        self.hear("e1", "i", "Server-Leaving", 10.0)
-        self.reach("e1", "i", 9.9, 10.5)
-        self.reach("e2", "i", 11.0, 11.1)
-        self.reach("e1", "j", 11.0, 11.1)
-        self.assertEqual([], self.book.broken)
-        self.reach("e1", "i", 10.1, 10.2)
-        self.assertEqual(1, len(self.book.broken))
+        self.receive_notice("e1", "i", "Server-Leaving", 10.0)
+        self.send_request("e1", "i", 9.9, 10.5)
+        self.send_request("e2", "i", 11.0, 11.1)
+        self.send_request("e1", "j", 11.0, 11.1)
+        self.assertEqual([], self.checker.violations)
+        self.send_request("e1", "i", 10.1, 10.2)
+        self.assertEqual(1, len(self.checker.violations))
 
     def test_one_that_rests(self):
-        self.hear("e1", "i", "Retry-After", 10.0)
-        self.reach("e1", "i", 9.9, 10.5)
-        self.reach("e1", "i", 10.1, 11.5)
-        self.assertEqual([], self.book.broken)
-        self.reach("e1", "i", 10.2, 11.3)
-        self.assertEqual(1, len(self.book.broken))
+        self.receive_notice("e1", "i", "Retry-After", 10.0)
+        self.send_request("e1", "i", 9.9, 10.5)
+        self.send_request("e1", "i", 10.1, 11.5)
+        self.assertEqual([], self.checker.violations)
+        self.send_request("e1", "i", 10.2, 11.3)
+        self.assertEqual(1, len(self.checker.violations))
 
     def test_one_that_names_a_limit(self):
-        self.hear("e1", "i", "Server-Limit", 10.0)
-        self.book.limited["i"].append((10.0, 30.0))
+        self.receive_notice("e1", "i", "Server-Limit", 10.0)
+        self.checker.limit_periods["i"].append((10.0, 30.0))
         for number in range(11):
-            self.reach("e1", "i", 14.0 + number / 10, 14.0 + number / 10)
-            self.reach("e2", "i", 14.0 + number / 10, 14.0 + number / 10)
-        self.book.check_limits()
-        self.assertEqual([], self.book.broken)
-        self.reach("e1", "i", 15.5, 15.5)
-        self.book.check_limits()
-        self.assertEqual(1, len(self.book.broken))
+            self.send_request("e1", "i", 14.0 + number / 10, 14.0 + number / 10)
+            self.send_request("e2", "i", 14.0 + number / 10, 14.0 + number / 10)
+        self.checker.check_limits()
+        self.assertEqual([], self.checker.violations)
+        self.send_request("e1", "i", 15.5, 15.5)
+        self.checker.check_limits()
+        self.assertEqual(1, len(self.checker.violations))
 
     def test_every_kind_comes_in_each_run(self):
         drawn = draw_notices(1, seconds=10.0, backends=6)
@@ -175,15 +175,18 @@
         faults = [Fault(0.0, "kill", 0, 0.0) for _ in range(3)]
         lock = asyncio.Lock()
         await asyncio.gather(
-            *(inject(fault, dep=dep, backends=[], disks=lock) for fault in faults)
+            *(
+                inject(fault, dep=dep, backends=[], control_lock=lock)
+                for fault in faults
+            )
         )
         self.assertEqual(1, dep.most)
 
 
 class ShortRunTest(AsyncTestCase):
     async def test_promises_are_kept(self):
-        for seed in (1, *REGRESSIONS):
+        for seed in (1, *REGRESSION_SEEDS):
             folder = pathlib.Path(self.useFixture(fixtures.TempDir()).path)
-            result = await run_soak(seed, seconds=SHORT_S, folder=folder)
-            self.assertEqual((), result.broken, seed)
+            result = await run_soak(seed, seconds=LOAD_S, folder=folder)
+            self.assertEqual((), result.violations, seed)
             self.assertTrue(result.answers[200] > 0, result.answers)
--- a/wigeonscale/testing/tests/test_case.py
+++ b/wigeonscale/testing/tests/test_case.py
@@ -7,7 +7,7 @@
 def outcome_of(name):
     """Run one planted case; built here so that the loader collects none."""
 
-    class Planted(AsyncTestCase):
+    class FailingCase(AsyncTestCase):
         async def fail_in_coroutine(self):
             await asyncio.sleep(0)
             self.assertEqual(1, 2)
@@ -25,7 +25,7 @@
             self.addCleanup(broken)
 
     result = unittest.TestResult()
-    Planted(name).run(result)
+    FailingCase(name).run(result)
     return result
 
 
--- a/wigeonscale/testing/tests/test_traces.py
+++ b/wigeonscale/testing/tests/test_traces.py
@@ -13,7 +13,7 @@
 LAYERS = 4
 
 
-def good_run(sequence="d#1", tokens=3):
+def valid_records(sequence="d#1", tokens=3):
     """Two stages, a prefill of two positions, then one position a step."""
     spans = [(0, 2)] + [(2 + n, 1) for n in range(tokens - 1)]
     records = []
@@ -32,8 +32,8 @@
     return records
 
 
-def planted(change):
-    records = copy.deepcopy(good_run())
+def violations_after(change):
+    records = copy.deepcopy(valid_records())
     change(records)
     return [str(v) for v in layer_order_violations(records, layers=LAYERS)]
 
@@ -41,7 +41,7 @@
 class LayerOrderTest(AsyncTestCase):
     def test_good_runs_pass(self):
         # A first run cut short after its first stage, then a whole one.
-        records = good_run()[:3] + good_run("d#2")
+        records = valid_records()[:3] + valid_records("d#2")
         found = layer_order_violations(records, layers=LAYERS, finished={"d": 4})
         self.assertEqual([], found)
 
@@ -59,11 +59,11 @@
             "layer 4 of 4": lambda r: r[-1].update(layers=[2, 4]),
         }
         for text, fault in faults.items():
-            self.assertTrue([p for p in planted(fault) if text in p], text)
+            self.assertTrue([p for p in violations_after(fault) if text in p], text)
 
     def test_missing_layer_of_whole_answer_is_caught(self):
         found = layer_order_violations(
-            good_run()[:-1], layers=LAYERS, finished={"d": 4, "e": 1}
+            valid_records()[:-1], layers=LAYERS, finished={"d": 4, "e": 1}
         )
         self.assertEqual(
             ["d#1: layer 2 ran 3 of 4 positions", "d#1: layer 3 ran 3 of 4 positions"],
@@ -79,7 +79,7 @@
 
     def test_refused_but_ran_is_caught(self):
         found = refused_but_ran(
-            ["d", "k", "x"], steps=good_run(), effects=[{"key": "k"}]
+            ["d", "k", "x"], steps=valid_records(), effects=[{"key": "k"}]
         )
         self.assertEqual(["d", "k"], [v.sequence for v in found])
 
--- a/wigeonscale/testing/traces.py
+++ b/wigeonscale/testing/traces.py
@@ -32,10 +32,10 @@
     """
 
     sequence: str
-    what: str
+    description: str
 
     def __str__(self) -> str:
-        return f"{self.sequence}: {self.what}"
+        return f"{self.sequence}: {self.description}"
 
 
 def read_trace(path: str | pathlib.Path) -> list[Record]:
@@ -72,51 +72,54 @@
     for record in records:
         by_sequence[record["sequence"]].append(record)
     violations: list[Violation] = []
-    for sequence, own in by_sequence.items():
-        violations += [Violation(sequence, what) for what in _check_run(own, layers)]
+    for sequence, run_records in by_sequence.items():
+        violations += [
+            Violation(sequence, description)
+            for description in _check_run(run_records, layers)
+        ]
     for dispatch_id, positions in (finished or {}).items():
-        violations += _check_whole(dispatch_id, positions, by_sequence, layers)
+        violations += _check_complete(dispatch_id, positions, by_sequence, layers)
     return violations
 
 
 def _check_run(records: list[Record], layers: int) -> list[str]:
     problems: list[str] = []
-    done_at: dict[tuple[int, int], int] = {}
+    completed_at: dict[tuple[int, int], int] = {}
     epochs = {record["epoch"] for record in records}
     if len(epochs) > 1:
         problems.append(f"epochs {sorted(epochs)} in one run")
     for record in sorted(records, key=lambda record: record["at_ns"]):
         first, last = record["layers"]
         for layer in range(first, last + 1):
-            problems += _enter_positions(record, layer, done_at)
-    counts = Counter(layer for layer, _ in done_at)
+            problems += _record_positions(record, layer, completed_at)
+    counts = Counter(layer for layer, _ in completed_at)
     beyond = [layer for layer in counts if layer >= layers]
     problems += [f"layer {layer} of {layers}" for layer in beyond]
     return problems
 
 
-def _enter_positions(
-    record: Record, layer: int, done_at: dict[tuple[int, int], int]
+def _record_positions(
+    record: Record, layer: int, completed_at: dict[tuple[int, int], int]
 ) -> list[str]:
     problems: list[str] = []
     first_layer = record["layers"][0]
     for position in range(record["position"], record["position"] + record["count"]):
-        place = f"layer {layer} position {position}"
-        if (layer, position) in done_at:
-            problems.append(f"{place} ran twice")
-        if position and (layer, position - 1) not in done_at:
-            problems.append(f"{place} ran before position {position - 1}")
+        where = f"layer {layer} position {position}"
+        if (layer, position) in completed_at:
+            problems.append(f"{where} ran twice")
+        if position and (layer, position - 1) not in completed_at:
+            problems.append(f"{where} ran before position {position - 1}")
         if layer > first_layer:
-            before = record["at_ns"]
+            previous_at = record["at_ns"]
         else:
-            before = done_at.get((layer - 1, position))
-        if layer and (before is None or before > record["at_ns"]):
-            problems.append(f"{place} ran before layer {layer - 1}")
-        done_at[(layer, position)] = record["at_ns"]
+            previous_at = completed_at.get((layer - 1, position))
+        if layer and (previous_at is None or previous_at > record["at_ns"]):
+            problems.append(f"{where} ran before layer {layer - 1}")
+        completed_at[(layer, position)] = record["at_ns"]
     return problems
 
 
-def _check_whole(
+def _check_complete(
     dispatch_id: str,
     positions: int,
     by_sequence: Mapping[str, list[Record]],
