--- a/wigeonscale/testing/__init__.py
+++ b/wigeonscale/testing/__init__.py
@@ -1,4 +1,4 @@
-"""Support for tests: the base class, a manual clock and small fakes."""
+"""Test support: the base test case, a manual clock and fake backend servers."""
 
 __all__ = ["AsyncTestCase", "ManualClock", "rpcs_ended"]
 
--- a/wigeonscale/testing/case.py
+++ b/wigeonscale/testing/case.py
@@ -1,4 +1,4 @@
-"""The base class of every test: runs coroutines to their end."""
+"""The base class of every test, with support for coroutine tests."""
 
 __all__ = ["AsyncRunTest", "AsyncTestCase"]
 
@@ -11,7 +11,7 @@
 
 
 class AsyncRunTest(testtools.RunTest):
-    """Runs one test on its own event loop and fails it on tasks left over."""
+    """Runs one test on its own event loop and fails it if asyncio tasks are left."""
 
     def _run_core(self):
         with asyncio.Runner() as runner:
@@ -43,22 +43,22 @@
 
 
 async def _with_timeout(coro, seconds):
-    # Not wait_for: it would add a task of its own to those left over.
+    # asyncio.wait_for() would create a task that the leftover check then reports.
     async with asyncio.timeout(seconds):
         return await coro
 
 
 class AsyncTestCase(testtools.TestCase):
-    """A test case whose tests and clean-ups may be coroutine functions.
+    """A test case whose test methods and cleanups may be coroutine functions.
 
-    ``prepare`` is awaited before each test. ``addCleanup`` takes coroutine
-    functions too. Plain synchronous tests work unchanged.
+    ``prepare`` is awaited before each coroutine test. ``addCleanup`` accepts
+    coroutine functions. Synchronous tests work unchanged.
     """
 
     run_tests_with = AsyncRunTest
 
     async def prepare(self) -> None:
-        """Set up what needs the event loop; override as needed."""
+        """Set up fixtures that need the event loop; does nothing by default."""
 
     def _run_test_method(self, result):
         method = self._get_test_method()
--- a/wigeonscale/testing/clock.py
+++ b/wigeonscale/testing/clock.py
@@ -1,4 +1,4 @@
-"""A clock that tests move by hand."""
+"""A clock that tests advance explicitly."""
 
 __all__ = ["ManualClock"]
 
@@ -8,7 +8,7 @@
 
 
 class ManualClock:
-    """Implements the clock port; time passes only in :meth:`advance`.
+    """Implements the clock port; time passes only in ``advance`` and ``jump``.
 
     Args:
         start: First reading of :meth:`now`, in seconds.
@@ -28,7 +28,7 @@
         return 1.7e9 + self._now
 
     async def sleep(self, seconds: float) -> None:
-        """Wait until the clock was advanced by ``seconds``."""
+        """Wait until the clock has advanced by ``seconds``."""
         if seconds <= 0:
             await asyncio.sleep(0)
             return
@@ -37,7 +37,13 @@
         await fut
 
     async def advance(self, seconds: float) -> None:
-        """Move time on, waking sleepers in order and letting them run."""
+        """Advance the clock, waking sleepers in the order of their deadlines.
+
+        Tasks get to run after each wake-up.
+
+        Args:
+            seconds: How far to advance the clock.
+        """
         end = self._now + seconds
         await self._run_ready_tasks()
         while self._sleepers and self._sleepers[0][0] <= end:
@@ -50,9 +56,12 @@
         await self._run_ready_tasks()
 
     async def jump(self, seconds: float) -> None:
-        """Move time on at once, as while this process was paused.
+        """Advance the clock in one step, as if the process had been paused.
+
+        Sleepers whose deadline has passed wake late, each of them once.
 
-        Sleepers that are due wake late, and none of them twice.
+        Args:
+            seconds: How far to advance the clock.
         """
         self._now += seconds
         await self.advance(0.0)
--- a/wigeonscale/testing/fake_engine.py
+++ b/wigeonscale/testing/fake_engine.py
@@ -1,8 +1,8 @@
-"""A small model engine whose tokens show every missed, doubled or reordered step.
+"""A fake model engine whose tokens reveal missed, repeated or reordered steps.
 
-Each layer keeps a running digest of all it has seen of a sequence, as a KV cache
-does. A token therefore depends on the prompt, on every layer in order and on every
-position in order.
+For each sequence every layer keeps a running digest of its inputs, in place of a KV
+cache. A token therefore depends on the prompt and on the order in which layers and
+positions ran.
 
 Usage: ``python -m wigeonscale.testing.fake_engine --listen 127.0.0.1:0 --model M``.
 """
@@ -50,16 +50,16 @@
 def expected_tokens(
     prompt: str | bytes, layers: int, max_tokens: int, end_share: int = 0
 ) -> list[str]:
-    """Return the texts of the tokens that a correct run gives.
+    """Return the token texts that a correct run produces.
 
     Args:
-        prompt: The prompt as the entry passed it on.
-        layers: Layers of the model, counted from 0.
-        max_tokens: Most tokens of the answer.
-        end_share: As given to the engines; see :class:`FakeEngine`.
+        prompt: The prompt as forwarded by the entry.
+        layers: Number of layers of the model.
+        max_tokens: Maximum number of tokens.
+        end_share: As passed to the engines; see :class:`FakeEngine`.
 
     Returns:
-        The whole answer, token by token.
+        The texts of all tokens, in order.
     """
     data = prompt.encode() if isinstance(prompt, str) else prompt
     cache: dict[int, str] = {}
@@ -80,17 +80,25 @@
 
     Args:
         name: Name written into the trace.
-        info: What the engine says of itself; ``version`` and loaded range change
-            with orders.
-        step_s: Seconds that one iteration takes, however many sequences it has.
-        sequence_s: Seconds that each sequence of an iteration adds.
-        load_s: Seconds that a load order takes.
+        info: Initial engine info; load orders change the version, adapters and
+            loaded layer range.
+        step_s: Fixed duration of one iteration, in seconds.
+        sequence_s: Additional seconds per sequence of an iteration.
+        load_s: Duration of a load order, in seconds.
         trace: Called with one record per sequence step, or None.
-        end_share: Of 65,536 tokens, how many end their sequence.
-        position_s: Seconds that each position of an iteration adds, but for those
-            of a cached prefix.
-        prefix_slots: Prompt prefixes that fit in its cache; 0 for none.
-        lose_every: Every how many cache events one is lost; 0 for never.
+        end_share: Number of token ids, out of 65,536, that end their sequence.
+        position_s: Additional seconds per position of an iteration, except for
+            positions of a cached prefix.
+        prefix_slots: Capacity of the prefix cache in prefixes; 0 disables it.
+        lose_every: One cache event in this many is dropped; 0 drops none.
+
+    Attributes:
+        state: Current engine info.
+        orders: Term, sequence number and action of each order carried out.
+        caches: Digest of each layer, by sequence id.
+        iterations: Iterations run so far.
+        busy_s: Time spent in iterations, in seconds.
+        failing: Whether info and run requests fail.
     """
 
     def __init__(
@@ -125,12 +133,12 @@
         self._iteration_lock = asyncio.Lock()
 
     async def info(self) -> EngineInfo:
-        """Return what the engine says of itself."""
+        """Return the current engine info."""
         self._check_available()
         return self.state
 
     async def run(self, steps: Sequence[EngineStep]) -> list[EngineResult]:
-        """Run one iteration; iterations run one after the other."""
+        """Run one iteration; concurrent calls are serialized."""
         self._check_available()
         async with self._iteration_lock:
             started_at = time.monotonic()
@@ -144,7 +152,7 @@
             return results
 
     async def cancel(self, sequence_ids: Sequence[str]) -> None:
-        """Forget sequences and free their cache."""
+        """Cancel sequences and free their KV caches."""
         for sequence_id in sequence_ids:
             self.caches.pop(sequence_id, None)
 
@@ -153,7 +161,7 @@
         return json.dumps(self.caches.get(sequence_id, {})).encode()
 
     async def import_cache(self, sequence_id: str, epoch: int, cache: bytes) -> None:
-        """Install a KV cache exported by another engine with the same layers."""
+        """Import a KV cache exported by another engine with the same layers."""
         loaded = {int(layer): digest for layer, digest in json.loads(cache).items()}
         self.caches[sequence_id] = loaded
 
@@ -162,13 +170,18 @@
         return EngineLoad(running=len(self.caches), queued=0)
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Return the events of the prefix cache that were not lost."""
+        """Return the prefix cache events that were not dropped."""
         return self.prefixes.events_after(after)
 
     async def order(
         self, *, term: int, sequence: int, action: str, args: dict[str, object]
     ) -> None:
-        """Carry out an order, refusing an old fencing number if it checks them."""
+        """Carry out an order.
+
+        Raises:
+            WigeonscaleError: The engine checks fencing tokens and has carried out
+                a newer order.
+        """
         if self.state.checks_fencing and (term, sequence) < self._last_order:
             raise WigeonscaleError(
                 ErrorKind.STALE_TERM,
@@ -200,7 +213,7 @@
             )
 
     def _count_positions(self, step: EngineStep) -> int:
-        """Return the positions to be computed; cached ones are not."""
+        """Return the number of positions to compute, without a cached prefix."""
         if not step.first:
             return step.count
         pieces = _decode_inputs(step.hidden) or []
@@ -221,7 +234,8 @@
             return _failed(step, f"{step.hidden!r} is no {step.count} inputs")
         outputs = [_run_layers(cache, first, last, piece) for piece in inputs]
         self._trace_step(step, first, last)
-        # The engine does not know whether its stage is the last, so it gives both.
+        # The engine does not know whether its stage is the last one, so it returns
+        # both the hidden state and the token.
         token_id = int(outputs[-1][-4:], 16)
         return EngineResult(
             step.sequence_id,
@@ -267,7 +281,7 @@
     """Serve an engine over HTTP.
 
     Returns:
-        The runner, to be cleaned up by the caller, and the engine's URL.
+        The runner, which the caller must clean up, and the URL of the engine.
     """
     app = web.Application(client_max_size=1 << 28)
     app.add_routes(engine_routes(engine))
@@ -280,7 +294,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Serve one fake engine until the process is ended."""
+    """Serve one fake engine until the process is stopped."""
     parser = argparse.ArgumentParser(prog="fake_engine", description=__doc__)
     parser.add_argument("--listen", required=True, help="ip:port")
     parser.add_argument("--model", required=True)
@@ -332,7 +346,7 @@
 
 
 def json_lines_writer(path: str) -> Callable[[dict], None]:
-    """Return a function that appends records to a file as JSON lines."""
+    """Return a function that appends records to a file in JSON Lines format."""
     file = open(path, "a", buffering=1, encoding="utf-8")
 
     def write(record: dict) -> None:
--- a/wigeonscale/testing/fake_service.py
+++ b/wigeonscale/testing/fake_service.py
@@ -1,4 +1,4 @@
-"""A small plain service that logs every effect it has.
+"""A fake plain service that records every call as an effect.
 
 Usage: ``python -m wigeonscale.testing.fake_service --listen 127.0.0.1:0 --name N``.
 """
@@ -27,18 +27,18 @@
     delay_s: float = 0.0,
     before_answer: Callable[[], Awaitable[None]] | None = None,
 ) -> tuple[web.AppRunner, str]:
-    """Serve a plain service that answers every path.
+    """Serve a plain service that responds to every path.
 
     Args:
         name: Name of the service.
-        trace: Called with one record per call, before the answer.
+        trace: Called with one record per call, before the response.
         host: IP address to listen on.
         port: Port to listen on; 0 for any.
-        delay_s: Seconds between the effect and the answer.
-        before_answer: Awaited between the effect and the answer, or None.
+        delay_s: Seconds between the effect and the response.
+        before_answer: Awaited between the effect and the response, or None.
 
     Returns:
-        The runner, to be cleaned up by the caller, and the service's URL.
+        The runner, which the caller must clean up, and the URL of the service.
     """
     app = web.Application(client_max_size=MAX_BODY_BYTES)
     handler = _call_handler(name, trace, delay_s, before_answer)
@@ -78,7 +78,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Serve one fake service until the process is ended."""
+    """Serve one fake service until the process is stopped."""
     parser = argparse.ArgumentParser(prog="fake_service", description=__doc__)
     parser.add_argument("--listen", required=True, help="ip:port")
     parser.add_argument("--name", required=True)
--- a/wigeonscale/testing/matrix/__main__.py
+++ b/wigeonscale/testing/matrix/__main__.py
@@ -1,7 +1,7 @@
-"""Runs the fault matrix and prints its table; ``make matrix`` calls it.
+"""Runs the fault matrix and prints its table; used by ``make matrix``.
 
 Usage: ``python -m wigeonscale.testing.matrix [--fault NAME] [--step NAME]``.
-The exit code is 1 when an invariant was broken anywhere.
+The exit code is 1 if any invariant was violated.
 """
 
 __all__ = ["main"]
@@ -28,7 +28,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the matrix, or the chosen rows and columns, and return the exit code."""
+    """Run the matrix, or selected rows and columns, and return the exit code."""
     parser = argparse.ArgumentParser(prog="matrix", description=__doc__)
     faults = [*FAULTS, *dict.fromkeys(cell.fault for cell in PROCESS_CELLS)]
     parser.add_argument("--fault", action="append", choices=faults)
@@ -61,7 +61,7 @@
 
 
 async def _run_in_workers(faults: set[str], steps: set[str]) -> list[CellResult]:
-    """Run the cells row by row in worker processes of their own."""
+    """Run each row of cells in its own worker process."""
     semaphore = asyncio.Semaphore(WORKERS)
     rows: dict[str, list[str]] = {}
     for cell in _chosen([*PROCESS_CELLS, *cells()], faults, steps):
--- a/wigeonscale/testing/matrix/backends.py
+++ b/wigeonscale/testing/matrix/backends.py
@@ -1,4 +1,4 @@
-"""Fake backend servers that record what ran and call hooks at chosen steps."""
+"""Fake backend servers that record their work and call a hook before each step."""
 
 __all__ = ["Recorder", "RecordingEngine"]
 
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """A point in the work of a backend server at which a fault may be made.
+    """A point in the execution of a backend server at which a fault can be injected.
 
     Attributes:
         step: ``prefill``, ``decode``, ``order`` or ``call``.
-        node: Name of the agent beside the backend server.
-        position: Last position of the sequence; 0 for others.
-        last_layer: Last layer of the engine; 0 for plain services.
+        node: Name of the agent of the backend server.
+        position: Last position of the step; 0 for orders and calls.
+        last_layer: Last loaded layer of the engine; 0 for orders and calls.
     """
 
     step: str
@@ -31,14 +31,13 @@
 
 @dataclass(slots=True)
 class Recorder:
-    """What all backend servers did.
+    """Records the work of all backend servers.
 
     Attributes:
-        steps: Records of engines.
-        effects: Records of plain services.
-        prompts: First pieces of the prompts whose prefill began.
-        orders: Orders carried out, by engine.
-        hook: Called at each moment, or None.
+        steps: Trace records of engines.
+        effects: Trace records of plain services.
+        prompts: First pieces of the prompts whose prefill started at layer 0.
+        hook: Awaited at each moment, or None.
     """
 
     steps: list[dict] = field(default_factory=list)
@@ -47,16 +46,16 @@
     hook: Hook | None = None
 
     async def notify(self, moment: Moment) -> None:
-        """Call the hook."""
+        """Await the hook, if there is one."""
         if self.hook is not None:
             await self.hook(moment)
 
 
 class RecordingEngine(FakeEngine):
-    """A fake engine that tells the recorder of each step before it runs.
+    """A fake engine that notifies the recorder before each step and order.
 
     Args:
-        recorder: The recorder.
+        recorder: Receives trace records and moments.
         **kwargs: As for :class:`FakeEngine`.
     """
 
@@ -65,7 +64,7 @@
         self._recorder = recorder
 
     async def run(self, steps: Sequence[EngineStep]) -> list[EngineResult]:
-        """Run one iteration."""
+        """Notify the recorder of each step, then run one iteration."""
         for step in steps:
             if step.first and self.state.first_layer == 0:
                 self._recorder.prompts.add(json.loads(step.hidden)[0])
@@ -73,7 +72,7 @@
         return await super().run(steps)
 
     async def order(self, **kwargs) -> None:
-        """Carry out an order."""
+        """Notify the recorder, then carry out an order."""
         await self._recorder.notify(Moment(step="order", node=self.name))
         await super().order(**kwargs)
 
--- a/wigeonscale/testing/matrix/checks.py
+++ b/wigeonscale/testing/matrix/checks.py
@@ -1,4 +1,4 @@
-"""What must hold after every fault, as functions over what was recorded."""
+"""Invariant checks that run on the recorded observations after every fault."""
 
 __all__ = [
     "answer_violations",
@@ -19,19 +19,19 @@
 from wigeonscale.testing.traces import Violation, repeated_effects
 
 UNAVAILABLE = 503
-# A server that leaves gets no new work after this long, in seconds.
+# A draining server may receive new work for at most this long.
 DRAIN_EFFECTIVE_AFTER_S = 3.0
 
 
 def answer_violations(
     answers: Iterable[Answer], *, layers: int, allowed_run_states: Collection[str]
 ) -> list[Violation]:
-    """Return answers that are wrong, cut without a word or refused without need.
+    """Return answers that are wrong, truncated or refused without a valid reason.
 
     Args:
-        answers: Answers of pipelines and of plain services.
-        layers: Layers of the model.
-        allows: Run states that a refusal may name.
+        answers: Answers of pipelines and plain services.
+        layers: Number of layers of the model.
+        allowed_run_states: Run states that a refusal may report.
     """
     violations = []
     for answer in answers:
@@ -82,11 +82,11 @@
 def not_run_violations(
     answers: Iterable[Answer], *, ran: Collection[str]
 ) -> list[Violation]:
-    """Return what ran although every caller was told that it did not.
+    """Return requests that ran although every caller was told that they did not.
 
     Args:
-        answers: All answers; several may bear one idempotency key.
-        ran: Tags and keys that backend servers saw.
+        answers: All answers; several may have the same idempotency key.
+        ran: Tags and idempotency keys that backend servers executed.
     """
     run_states_by_tag: dict[str, set[str]] = defaultdict(set)
     for answer in answers:
@@ -103,11 +103,11 @@
 def at_most_once_violations(
     answers: Iterable[Answer], effects: Sequence[dict]
 ) -> list[Violation]:
-    """Return repeated effects, answers without effect, and changed answers.
+    """Return repeated effects, answers without an effect, and differing answers.
 
     Args:
-        answers: Answers to calls, per key in the order in which they came.
-        effects: Records of plain services.
+        answers: Answers to calls, in the order of arrival per idempotency key.
+        effects: Trace records of plain services.
     """
     violations = repeated_effects(effects)
     executed = {record["key"] for record in effects}
@@ -131,10 +131,10 @@
 def order_violations(
     orders: Mapping[str, Sequence[tuple[int, int, str]]],
 ) -> list[Violation]:
-    """Return orders that an engine carried out after a newer one.
+    """Return orders that an engine carried out after a newer order.
 
     Args:
-        orders: Term, sequence and action of each order, by engine.
+        orders: Term, sequence number and action of each order, by engine.
     """
     violations = []
     for name, executed in orders.items():
@@ -149,12 +149,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RevisionObservation:
-    """The configuration that one process had in force at one moment.
+    """The configuration revision that one process applied at one moment.
 
     Attributes:
-        process: Name and start of the process.
-        revision: In force there.
-        due: Smallest revision allowed: what had been accepted long enough before.
+        process: Name of the process and id of its start.
+        revision: Revision applied by the process.
+        min_revision: Lowest revision allowed, which was accepted longer ago than the
+            propagation time.
     """
 
     process: str
@@ -163,10 +164,10 @@
 
 
 def revision_violations(observations: Iterable[RevisionObservation]) -> list[Violation]:
-    """Return where a configuration went back or came too late.
+    """Return processes whose revision decreased or was applied too late.
 
     Args:
-        seen: In the order of time; only moments at which the process served.
+        observations: Observations in chronological order, of serving processes only.
     """
     violations: dict[tuple[str, str], Violation] = {}
     newest: dict[str, int] = {}
@@ -191,12 +192,12 @@
     drained_at_ns: Mapping[str, int],
     undrained_at_ns: Mapping[str, int],
 ) -> list[Violation]:
-    """Return sequences that began at an engine too long after it left.
+    """Return sequences that started at an engine too long after it began to drain.
 
     Args:
-        steps: Records of engines.
-        drained_at_ns: When each leaving server's order was accepted.
-        undrained_at_ns: When it was asked to take work again.
+        steps: Trace records of engines.
+        drained_at_ns: Monotonic time at which draining was accepted, by engine.
+        undrained_at_ns: Monotonic time at which draining was cancelled, by engine.
     """
     limit_ns = int(DRAIN_EFFECTIVE_AFTER_S * 1e9)
     violations = []
--- a/wigeonscale/testing/matrix/cluster.py
+++ b/wigeonscale/testing/matrix/cluster.py
@@ -1,4 +1,4 @@
-"""A small deployment in this process: control, entries, agents and fakes."""
+"""A small in-process deployment of control, entries, agents and fake backends."""
 
 __all__ = ["KEY", "LAYERS", "MODEL", "Cluster", "rules_text", "wait_until"]
 
@@ -36,7 +36,7 @@
 
 
 def rules_text(note: str) -> str:
-    """Return a rules document that differs from others by its note."""
+    """Return a rules document that is made unique by a note."""
     return f"""\
 [organisation matrix]
 keys = {KEY}
@@ -73,25 +73,25 @@
 
 
 async def wait_until(condition: Callable[[], object], description: str = "") -> None:
-    """Wait until a condition holds.
+    """Poll until a condition holds.
 
     Args:
-        condition: Looked at again and again.
-        what: What is waited for, for the error.
+        condition: Called at every poll.
+        description: What is awaited, for the error message.
 
     Raises:
-        TimeoutError: It did not hold within ``WAIT_TIMEOUT_S``.
+        TimeoutError: The condition did not hold within ``WAIT_TIMEOUT_S``.
     """
     try:
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            while not condition():  # noqa: ASYNC110 (spans several objects)
+            while not condition():  # noqa: ASYNC110 (no single event)
                 await asyncio.sleep(POLL_INTERVAL_S)
     except TimeoutError:
         raise TimeoutError(f"waited {WAIT_TIMEOUT_S:g} s for {description}") from None
 
 
 def free_address() -> str:
-    """Return an address on a loopback host that only this process uses."""
+    """Return a free ``ip:port`` on a loopback IP that is unique to this process."""
     number = next(_counter)
     high, low = divmod(os.getpid(), 200)
     host = f"127.{20 + low}.{high % 250}.{1 + number % 250}"
@@ -104,13 +104,15 @@
     """Three control replicas, two entries, five engines and two plain services.
 
     Attributes:
-        net: Relays between the nodes.
-        recorder: What the backend servers did.
-        controls, entries, agents: Nodes by name.
-        accepted: When each revision was accepted, and its number.
+        net: Relays between the nodes, for network faults.
+        recorder: Records the work of the backend servers.
+        controls: Control replicas by name.
+        entries: Entries by name.
+        agents: Agents by name.
+        accepted: Monotonic time and number of each accepted revision.
 
     Args:
-        folder: Folder for the data folders.
+        folder: Parent of the data folders.
     """
 
     def __init__(self, *, folder: str):
@@ -127,11 +129,11 @@
 
     @property
     def nodes(self) -> dict[str, ControlNode | EntryNode | AgentNode]:
-        """All nodes by name."""
+        """All nodes, by name."""
         return self.controls | self.entries | self.agents
 
     async def start(self) -> None:
-        """Start every node and wait until a pipeline serves."""
+        """Start every node."""
         timeout = aiohttp.ClientTimeout(total=WAIT_TIMEOUT_S)
         connector = aiohttp.TCPConnector(force_close=True, limit=0)
         self.http = aiohttp.ClientSession(timeout=timeout, connector=connector)
@@ -150,7 +152,7 @@
             await node.start()
 
     async def close(self) -> None:
-        """End every node."""
+        """Kill every node and release all resources."""
         self.recorder.hook = None
         for node in self.nodes.values():
             self.net.kill(node.name)
@@ -162,7 +164,7 @@
         await self.http.close()
 
     def leader(self) -> ControlNode | None:
-        """Return the replica that leads and is fresh, if there is one."""
+        """Return the leader if it is up to date, else None."""
         for node in self.controls.values():
             daemon = node.daemon
             if daemon and daemon.replica.role == "leader" and daemon.is_ready():
@@ -170,33 +172,33 @@
         return None
 
     def ready_stages(self):
-        """Return the stages of the pipeline's ready chain, or an empty list."""
+        """Return the stages of the pipeline's first ready chain, or an empty list."""
         leader = self.leader()
         chains = leader.daemon.state.chains if leader else []
         ready = [chain for chain in chains if chain.ready]
         return list(ready[0].stages) if ready else []
 
     def entry_url(self, name: str) -> str:
-        """Return the base URL by which callers reach an entry."""
+        """Return the base URL of an entry for callers."""
         return f"http://{self.net.between(CALLERS, name).address}"
 
     def record_accepted(self, revision: int) -> None:
-        """Note that an operator was told that a revision is accepted."""
+        """Record that an operator was told that a revision was accepted."""
         self.accepted.append((time.monotonic(), revision))
 
     def revision(self) -> int:
-        """Return the newest revision that a fresh replica knows."""
+        """Return the newest revision known to an up-to-date replica."""
         fresh = [n.daemon for n in self.controls.values() if n.daemon]
         revisions = [d.state.configuration.revision for d in fresh if d.is_ready()]
         return max(revisions, default=0)
 
     async def kill(self, name: str) -> None:
-        """End a node at once, together with its connections."""
+        """Kill a node and reset its connections."""
         self.net.kill(name)
         await self.nodes[name].kill()
 
     async def restart(self, name: str) -> None:
-        """Start an ended node again, reachable as before."""
+        """Restart a stopped node and restore its network links."""
         self.net.heal(name)
         await self.nodes[name].start()
 
--- a/wigeonscale/testing/matrix/contention.py
+++ b/wigeonscale/testing/matrix/contention.py
@@ -1,4 +1,4 @@
-"""Operators and callers that get in each other's way."""
+"""Concurrent operators, and callers and operators that resend requests."""
 
 __all__ = ["race", "resend"]
 
@@ -22,11 +22,11 @@
 
 
 async def race(trial: "Trial") -> None:
-    """Let two operators change the rules from the same revision.
+    """Let two operators change the rules concurrently from the same revision.
 
     Args:
-        trial: Gets a violation unless at most one is accepted, and the others are
-            told of the conflict.
+        trial: Gets a violation unless at most one change is accepted and the others
+            are refused with a conflict.
     """
     cluster = trial.cluster
     base = cluster.revision()
@@ -34,7 +34,7 @@
         *(apply_rules(cluster, base, note=new_tag("rival")) for _ in range(2))
     )
     statuses = sorted(reply.status for reply in replies)
-    # Both lose against a third, who is at work in some steps.
+    # Both are refused if the operator of the step, if any, was faster.
     if statuses not in ([ACCEPTED, CONFLICT], [CONFLICT, CONFLICT]):
         trial.violations.append(Violation("race", f"rivals were told {replies}"))
     if statuses[0] != ACCEPTED and not trial.has_concurrent_operator:
@@ -42,10 +42,10 @@
 
 
 async def resend(trial: "Trial") -> None:
-    """Send a note, a change of rules and an order to drain again and again.
+    """Send a note, billed work, a rules change and drain requests repeatedly.
 
     Args:
-        trial: Gets a violation unless every resend gets the first answer.
+        trial: Gets a violation unless every repetition gets the first response.
     """
     await asyncio.gather(
         _resend_note(trial),
--- a/wigeonscale/testing/matrix/duplication.py
+++ b/wigeonscale/testing/matrix/duplication.py
@@ -1,4 +1,4 @@
-"""An agent's server in front of the true one, which passes every message twice."""
+"""A gRPC proxy in front of an agent that duplicates every message."""
 
 __all__ = ["Duplicator"]
 
@@ -11,7 +11,7 @@
 
 
 class Duplicator(wire_pb2_grpc.AgentServicer):
-    """Passes each request on twice, and each answer back twice.
+    """Forwards each request and each reply of a stream twice.
 
     Args:
         target: ``ip:port`` of the agent.
@@ -23,21 +23,21 @@
         wire_pb2_grpc.add_AgentServicer_to_server(self, self._server)
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self._server.start()
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Stop the server and close every connection."""
         await self._server.stop(grace=0)
 
     async def Dispatch(self, request_iterator, context):  # noqa: N802
-        """Pass on an entry's stream."""
+        """Forward the stream of an entry."""
         async with open_channel(self._target) as channel:
             async for event in self._forward(channel, "Dispatch", request_iterator):
                 yield event
 
     async def Steps(self, request_iterator, context):  # noqa: N802
-        """Pass on a stage's stream."""
+        """Forward the stream of a stage."""
         async with open_channel(self._target) as channel:
             async for reply in self._forward(channel, "Steps", request_iterator):
                 yield reply
--- a/wigeonscale/testing/matrix/faults.py
+++ b/wigeonscale/testing/matrix/faults.py
@@ -1,4 +1,4 @@
-"""The faults: what each does to one node, and how it is taken away again."""
+"""The faults of the matrix: how each is injected into a node and healed."""
 
 __all__ = ["FAULTS", "Fault"]
 
@@ -16,7 +16,7 @@
 
 SLOW_LINK_DELAY_S = 0.05
 ANY_RUN_STATE = frozenset(RunState)
-# A planned stop cuts nothing, but may leave no server for new requests.
+# A planned stop truncates no stream, but may leave no server for new requests.
 NOT_RUN_ONLY = frozenset({RunState.NOT_RUN})
 
 FaultAction = Callable[["Trial"], Awaitable[None]]
@@ -28,12 +28,13 @@
 
     Attributes:
         name: Row of the table.
-        strike: Makes the fault at the node of a trial.
-        heal: Takes it away; what it broke is left to the system.
-        min_duration_s: How long it lasts at least, in seconds.
-        allows: Run states that an honest refusal may name while it lasts.
-        silences: Whether the node loses its link to the others.
-        targets_node: Whether it meets one node; else one run for each step is enough.
+        inject: Injects the fault at the node of a trial.
+        heal: Ends the fault; recovery from its effects is left to the system.
+        min_duration_s: Minimum duration, in seconds.
+        allowed_run_states: Run states that a refusal may report during the fault.
+        disconnects: Whether the node loses its links to the other nodes.
+        targets_node: Whether the fault affects one node; otherwise a step needs only
+            one run.
     """
 
     name: str
@@ -83,7 +84,8 @@
 
 
 async def _stop(trial: "Trial") -> None:
-    # In the background: it waits for the very work that is in progress.
+    # Run in the background, because a graceful stop waits for the work in progress
+    # that the calling step still has to finish.
     node = trial.cluster.nodes[trial.node]
     trial.background.append(asyncio.create_task(node.stop()))
 
@@ -94,7 +96,7 @@
 
 
 async def _duplicate(trial: "Trial") -> None:
-    """Pass everything through a doubler; what stands has to connect anew."""
+    """Route the node through a duplicator; existing connections are reset."""
     [relay] = trial.cluster.net.inbound_relays(trial.node)
     trial.duplicator = Duplicator(target=relay.target)
     await trial.duplicator.start()
--- a/wigeonscale/testing/matrix/load.py
+++ b/wigeonscale/testing/matrix/load.py
@@ -1,4 +1,4 @@
-"""Callers and operators of the matrix, who keep what they were told."""
+"""Callers and operators of the matrix, which record the responses they get."""
 
 __all__ = [
     "Answer",
@@ -28,12 +28,14 @@
 OPERATOR_TIMEOUT_S = 45.0
 OPERATOR_RETRY_INTERVAL_S = 0.05
 ADMIN_TIMEOUT_S = 5.0
-# Between the tokens of the fake engines pass milliseconds.
 _counter = itertools.count(1)
 
 
 class Outcome(StrEnum):
-    """What a caller was told in the end."""
+    """How a request ended for its caller.
+
+    ``CUT`` means that the connection broke without a final response.
+    """
 
     WHOLE = "whole"
     REFUSED = "refused"
@@ -42,21 +44,24 @@
 
 @dataclass(slots=True)
 class Answer:
-    """One request and what its caller was told.
+    """One request and the response that its caller received.
 
     Attributes:
         tag: Unique first piece of the prompt, or idempotency key.
-        told: In the end.
+        outcome: How the request ended.
         max_tokens: Tokens asked for; 0 for calls to plain services.
-        status: HTTP status; 0 when none came.
-        run: ``Wigeonscale-Run`` of a refusal, from header or error event.
+        status: HTTP status; 0 without a response.
+        run: Run state of a refusal, from the ``Wigeonscale-Run`` header or an error
+            event.
         kind: Error kind.
-        retry_after: Whether the refusal said when to come back.
-        retryable: Whether the status is one at which it must.
-        request_id: Id by which the answer can be taken up.
-        texts: Tokens.
-        arrived: Monotonic time at which each token came, in seconds.
-        body: Raw answer of a plain service.
+        message: Error message.
+        retry_after: Whether the refusal included a retry delay.
+        request_id: Id by which the stream can be resumed.
+        texts: Token texts received so far.
+        token_times: Monotonic arrival time of each token, in seconds. Fake engines
+            emit tokens milliseconds apart.
+        declared: Number of tokens in the usage report, or None without a report.
+        body: Raw response body of a plain service.
     """
 
     tag: str
@@ -75,12 +80,12 @@
 
     @property
     def prompt(self) -> str:
-        """The prompt that was sent."""
+        """The prompt of the request."""
         return f"{self.tag} of the manuscript"
 
 
 def new_tag(kind: str) -> str:
-    """Return a tag that no other request has."""
+    """Return a tag that is unique in this process."""
     return f"{kind}-{next(_counter)}"
 
 
@@ -93,15 +98,15 @@
     tag: str = "",
     answer: Answer | None = None,
 ) -> Answer:
-    """Ask for a streamed completion and read it to its end.
+    """Request a streamed completion and read it to the end.
 
     Args:
         cluster: The deployment.
-        entry: Name of the entry asked.
-        max_tokens: Tokens wanted.
-        once: Whether the rule for billed work is to match.
-        tag: First piece of the prompt, and the idempotency key; empty: a new one.
-        answer: Filled in while the answer comes; None makes one.
+        entry: Name of the entry.
+        max_tokens: Maximum number of tokens.
+        once: Whether to match the rule for billed work, which must not be repeated.
+        tag: First piece of the prompt and idempotency key; empty for a new one.
+        answer: Updated while the stream is read; None creates one.
     """
     if answer is None:
         answer = Answer(tag=tag or new_tag("page"), max_tokens=max_tokens)
@@ -120,7 +125,7 @@
 
 
 async def resume_completion(cluster: Cluster, entry: str, answer: Answer) -> Answer:
-    """Take up an answer that was cut, at another entry, from the next token."""
+    """Resume an interrupted stream at another entry, from the next token."""
     url = f"{cluster.entry_url(entry)}/v1/requests/{answer.request_id}"
     params = {"from": str(len(answer.texts))}
     headers = {"Authorization": f"Bearer {KEY}"}
@@ -131,11 +136,11 @@
 async def send_note(
     cluster: Cluster, entry: str, *, tag: str = "", body: str = "note"
 ) -> Answer:
-    """Send a transfer note, which must not run twice.
+    """Send a note to the plain service, which must not run twice.
 
     Args:
         cluster: The deployment.
-        entry: Name of the entry asked.
+        entry: Name of the entry.
         tag: Idempotency key; empty for a new one.
         body: Content of the note.
     """
@@ -206,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What an operator was told.
+    """The response to a request of an operator.
 
     Attributes:
         status: HTTP status.
@@ -218,7 +223,7 @@
 
 
 async def post_to(cluster: Cluster, name: str, page: str, body: dict) -> Reply | None:
-    """Post to one control replica; None when it does not answer."""
+    """Post to one control replica; None without a valid response."""
     url = f"http://{cluster.controls[name].cfg.http}/admin/{page}"
     timeout = aiohttp.ClientTimeout(total=ADMIN_TIMEOUT_S)
     try:
@@ -229,7 +234,10 @@
 
 
 async def post_to_leader(cluster: Cluster, page: str, body: dict) -> Reply:
-    """Post to one replica after the other until one accepts or refuses for good."""
+    """Post to the replicas in turn until one responds with a final status.
+
+    Statuses 421, 500 and 503 are retried, for up to ``OPERATOR_TIMEOUT_S``.
+    """
     async with asyncio.timeout(OPERATOR_TIMEOUT_S):
         while True:
             for name in cluster.controls:
@@ -242,13 +250,13 @@
 async def apply_rules(
     cluster: Cluster, base: int, *, operation: str = "", note: str = ""
 ) -> Reply:
-    """Apply a rules document made from a revision.
+    """Apply a new rules document on top of a revision.
 
     Args:
         cluster: The deployment.
-        base: The revision.
+        base: The base revision.
         operation: Operation id; empty for a new one.
-        note: Tells this document from others.
+        note: Makes the document unique; empty for the operation id.
     """
     operation = operation or new_tag("op")
     body = rules_body(base, operation, note or operation)
@@ -259,7 +267,7 @@
 
 
 def rules_body(base: int, operation: str, note: str) -> dict:
-    """Return the JSON body that applies a rules document."""
+    """Return the JSON body of a request to apply a rules document."""
     return {
         "base_revision": base,
         "operation_id": operation,
@@ -269,6 +277,6 @@
 
 
 async def drain(cluster: Cluster, agent: str, *, draining: bool) -> Reply:
-    """Order a backend server to drain, or to take work again."""
+    """Start or cancel draining of a backend server."""
     body = {"agent_id": agent, "draining": draining, "operation_id": new_tag("drain")}
     return await post_to_leader(cluster, "drain", body)
--- a/wigeonscale/testing/matrix/nodes.py
+++ b/wigeonscale/testing/matrix/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of a small deployment, all in this process, behind relays."""
+"""In-process nodes of a small deployment, connected through relays."""
 
 __all__ = ["AgentNode", "ControlNode", "EntryNode", "Node"]
 
@@ -23,15 +23,15 @@
 
 
 class Node(Protocol):
-    """One node that can be started, ended at once, and stopped gracefully."""
+    """A node that can be started, killed and stopped gracefully."""
 
     name: str
 
     async def start(self) -> None:
-        """Start, with memory empty."""
+        """Start with empty memory."""
 
     async def kill(self) -> None:
-        """End without a word; the network was cut before."""
+        """Stop abruptly; the caller has reset the connections before."""
 
     async def stop(self) -> None:
         """Stop as the daemon does on SIGTERM."""
@@ -47,8 +47,9 @@
     """A control replica.
 
     Args:
-        cfg: Its settings; the peers' addresses are those that all know.
-        view: Address by which this replica reaches the one that all know by another.
+        cfg: Its settings, with the announced addresses of its peers.
+        dial_addresses: Maps each announced address to the relay through which this
+            replica connects.
     """
 
     def __init__(self, *, cfg: ControlSettings, dial_addresses: Mapping[str, str]):
@@ -59,7 +60,7 @@
         self._task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Start from its data folder."""
+        """Start from the data folder."""
         dial_addresses = self._dial_addresses
         self.daemon = ControlDaemon(
             cfg=self.cfg,
@@ -73,7 +74,7 @@
         self._task = asyncio.create_task(self.daemon.run())
 
     async def kill(self) -> None:
-        """End at once; what was synced stays."""
+        """Stop abruptly; synced data remains."""
         daemon, self.daemon = self.daemon, None
         if daemon is None:
             return
@@ -87,7 +88,7 @@
         await _cancel([self._task])
 
     def lose_disk(self) -> None:
-        """Remove the data folder of an ended replica."""
+        """Remove the data folder of a stopped replica."""
         shutil.rmtree(pathlib.Path(self.cfg.data))
 
 
@@ -106,7 +107,7 @@
         self._tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
-        """Start; callers are served once the first lease is there."""
+        """Start; callers are served once the first lease is granted."""
         cfg, clock = self.cfg, SystemClock()
         control = ControlClient(
             node_id=cfg.name,
@@ -134,7 +135,7 @@
         await server.start()
 
     async def kill(self) -> None:
-        """End at once."""
+        """Stop abruptly."""
         if self.control is None:
             return
         self.control = None
@@ -149,12 +150,12 @@
 
 
 class AgentNode:
-    """An agent beside an engine or a plain service.
+    """An agent of an engine or of a plain service.
 
     Args:
         cfg: Its settings.
-        announced: Address that it announces: its relay's.
-        engine: Its engine, or None beside a plain service.
+        advertised_address: Address that it announces, which is that of its relay.
+        engine: Its engine, or None for a plain service.
     """
 
     def __init__(
@@ -218,7 +219,7 @@
         self._tasks = [asyncio.create_task(loop) for loop in loops]
 
     async def kill(self) -> None:
-        """End at once; the backend server lives on."""
+        """Stop abruptly; the backend server keeps running."""
         if self.control is None:
             return
         self.control = None
--- a/wigeonscale/testing/matrix/process_runner.py
+++ b/wigeonscale/testing/matrix/process_runner.py
@@ -1,4 +1,4 @@
-"""Runs the cells that need whole processes, on one deployment after the other."""
+"""Runs the matrix cells that need real processes, one after the other."""
 
 __all__ = ["run_process_cells", "uncovered_process_cells"]
 
@@ -21,7 +21,7 @@
 
 
 def uncovered_process_cells() -> list[CellResult]:
-    """Return the cells of the whole-process rows that nothing is run for."""
+    """Return the cells of the real-process rows that have no runs."""
     covered = {(cell.fault, cell.step) for cell in PROCESS_CELLS}
     faults = dict.fromkeys(cell.fault for cell in PROCESS_CELLS)
     return [
@@ -35,11 +35,11 @@
 async def run_process_cells(
     cells: Iterable[ProcessCell], *, on_result: Callable[[CellResult], None]
 ) -> None:
-    """Run cells one after the other.
+    """Run cells one after the other; a violation leads to a new deployment.
 
     Args:
         cells: The cells.
-        on_result: Called with what came out of each.
+        on_result: Called with the result of each cell.
     """
     system: Processes | None = None
     try:
@@ -69,6 +69,6 @@
                 await system.start()
             return system, [str(violation) for violation in await run(system)]
     except Exception as exc:
-        # Whatever ends a run early is a finding of that run, not of the matrix.
+        # An exception is reported as a violation of this run; the matrix continues.
         logger.exception("a run with whole processes")
         return system, [f"run: {type(exc).__name__}: {exc}"]
--- a/wigeonscale/testing/matrix/process_runs.py
+++ b/wigeonscale/testing/matrix/process_runs.py
@@ -1,4 +1,4 @@
-"""Runs with whole processes: real kills, freezes and stops, and broken files."""
+"""Runs with real processes: SIGKILL, SIGSTOP, SIGTERM and damaged files."""
 
 __all__ = ["PROCESS_CELLS", "ProcessCell"]
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class ClientResults:
-    """What callers of one run were told."""
+    """The answers that the callers of one run received."""
 
     streams: list[Answer]
     calls: list[Answer]
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessCell:
-    """One cell that is run with whole processes.
+    """One matrix cell that runs with real processes.
 
     Attributes:
         fault: Row.
         step: Column.
-        runs: What is run, by name.
+        runs: Runs of the cell, by name.
     """
 
     fault: str
@@ -160,7 +160,7 @@
 
 
 async def _commit_with_frozen_leader(system: Processes) -> list[Violation]:
-    """Freeze the leader, change the rules, and thaw it as the old leader."""
+    """Change the rules while the leader is frozen, then thaw the deposed leader."""
     results = ClientResults([], [])
     leader, base = await system.leader(), await system.revision()
     system.signal(leader, signal.SIGSTOP)
@@ -191,7 +191,7 @@
 
 
 async def _rolling_restart(system: Processes) -> list[Violation]:
-    """Stop and start each daemon in turn while traffic flows."""
+    """Restart each daemon in turn under traffic."""
     results, done = ClientResults([], []), asyncio.Event()
 
     async def send_traffic() -> None:
@@ -208,14 +208,15 @@
         await system.wait_until_ready()
     done.set()
     await traffic
-    # A caller whose connection is refused by a stopped entry asks the other one.
+    # Ignore requests without a response: a caller whose connection is refused by a
+    # stopped entry would use the other entry.
     results.streams = [each for each in results.streams if each.status]
     results.calls = [each for each in results.calls if each.status]
     return found + await _check(system, results, NOT_RUN_ONLY)
 
 
 async def _restart_in_every_order(system: Processes) -> list[Violation]:
-    """After 500 changes kill all and start them, in every order of the roles."""
+    """Make ``CONFIG_CHANGES`` changes, then restart all roles in every order."""
     for _ in range(CONFIG_CHANGES):
         await apply_rules(system, system.accepted)
     found = []
@@ -226,7 +227,7 @@
 
 
 async def _check_revisions(system: Processes, event: str) -> list[Violation]:
-    """Look at every page until all is settled: nothing older may show."""
+    """Check that no replica serves an older revision until all are ready."""
     found = []
     settled = asyncio.create_task(system.wait_until_ready())
     while not settled.done():
--- a/wigeonscale/testing/matrix/processes.py
+++ b/wigeonscale/testing/matrix/processes.py
@@ -1,4 +1,4 @@
-"""A deployment of whole processes, which get real signals."""
+"""A deployment of real processes, which receive real signals."""
 
 __all__ = ["Processes"]
 
@@ -29,11 +29,11 @@
 
 
 class Processes:
-    """The demonstration's processes; offers callers what a cluster offers.
+    """The processes of the demo, with the interface of ``Cluster`` for callers.
 
     Attributes:
-        controls: Control replicas by name; ``cfg.http`` is the operators' page.
-        accepted: Newest revision that an operator was told is accepted.
+        controls: Control replicas by name; ``cfg.http`` is the admin address.
+        accepted: Newest revision that an operator was told was accepted.
     """
 
     def __init__(self):
@@ -67,15 +67,15 @@
         return self.dep.entries[int(name[1:]) - 1]
 
     def record_accepted(self, revision: int) -> None:
-        """Note that an operator was told that a revision is accepted."""
+        """Record that an operator was told that a revision was accepted."""
         self.accepted = max(self.accepted, revision)
 
     def names(self, role: str) -> list[str]:
-        """Return the processes of a role."""
+        """Return the names of the processes of a role."""
         return [child.name for child in self.dep.children[role]]
 
     def child(self, name: str) -> Child:
-        """Return the running process of a name."""
+        """Return the process with a name."""
         children = itertools.chain(*self.dep.children.values())
         return next(child for child in children if child.name == name)
 
@@ -84,7 +84,7 @@
         self.child(name).proc.send_signal(signum)
 
     async def kill(self, name: str) -> None:
-        """Kill a process and wait for its end."""
+        """Kill a process and wait until it has exited."""
         self.signal(name, signal.SIGKILL)
         await self.child(name).proc.wait()
 
@@ -94,7 +94,7 @@
         return await self.child(name).proc.wait()
 
     async def restart(self, name: str) -> None:
-        """Start an ended daemon again with the same settings."""
+        """Restart a stopped daemon with the same settings."""
         for role, children in self.dep.children.items():
             for index, child in enumerate(children):
                 if child.name == name:
@@ -113,12 +113,12 @@
         return self._folder / f"{name}-data"
 
     def log_text(self, name: str) -> str:
-        """Return everything that a daemon wrote since the first start."""
+        """Return the log output of all starts of a daemon."""
         logs = sorted(self._folder.glob(f"{name}*.log"))
         return "".join(log.read_text() for log in logs)
 
     async def page(self, name: str, page: str) -> dict:
-        """Return a page of a control replica; empty when it does not serve."""
+        """Return an admin page of a control replica; empty if it is not served."""
         url = f"http://{self.controls[name].cfg.http}/admin/{page}"
         try:
             async with self.http.get(url) as resp:
@@ -127,7 +127,7 @@
             return {}
 
     async def leader(self) -> str:
-        """Return the name of the replica that leads, or an empty string."""
+        """Return the name of the up-to-date leader, or an empty string."""
         for name in self.controls:
             status = await self.page(name, "status")
             if status.get("role") == "leader" and status["fresh"]:
@@ -135,7 +135,7 @@
         return ""
 
     async def stages(self) -> list[str]:
-        """Return the agents of the ready chain, in layer order."""
+        """Return the agents of the first ready chain, in layer order."""
         leader = await self.leader()
         shown = await self.page(leader, "pipelines") if leader else {}
         for pipeline in shown.get("pipelines", []):
@@ -145,12 +145,12 @@
         return []
 
     async def revision(self) -> int:
-        """Return the revision that the leader knows."""
+        """Return the revision known to the leader; 0 without a leader."""
         leader = await self.leader()
         return (await self.page(leader, "status")).get("revision", 0) if leader else 0
 
     async def wait_until_ready(self) -> None:
-        """Wait until every process takes part and knows what was accepted."""
+        """Wait until every process is ready and has applied the newest revision."""
         for url in self.dep.health:
             await wait_ready(f"{url}/readyz")
         for address in self.dep.controls:
@@ -173,7 +173,7 @@
         return len(revisions) >= expected and min(revisions) >= self.accepted
 
     async def revisions(self) -> list[int]:
-        """Return the revision in force at every replica and every watcher."""
+        """Return the revision applied by every replica and every watcher."""
         applied = []
         for name in self.controls:
             status = await self.page(name, "status")
@@ -193,10 +193,11 @@
             ) from None
 
     async def steps(self) -> list[Record]:
-        """Return the records of all engines, once none runs any more.
+        """Return the trace records of all engines, once their traces stop growing.
 
-        Work that a caller was moved away from may go on for a while; files read one
-        after the other would then show it as out of order.
+        Work may continue for a while on engines from which a request was moved away.
+        Trace files that are read one after the other would then show that work out of
+        order.
         """
         records: list[Record] | None = None
         async with asyncio.timeout(WAIT_TIMEOUT_S):
@@ -210,14 +211,14 @@
                 await asyncio.sleep(TRACE_POLL_INTERVAL_S)
 
     def effects(self) -> list[Record]:
-        """Return the records of the plain service."""
+        """Return the trace records of the plain service."""
         return read_trace(self.dep.service_trace)
 
     async def restart_all(self, order: Sequence[str]) -> None:
-        """Kill every daemon, then start them role by role.
+        """Kill every daemon, then restart them role by role.
 
         Args:
-            order: Roles in the order of their start.
+            order: Roles in the order in which they are started.
         """
         names = {role: self.names(role) for role in ROLES}
         for name in itertools.chain(*names.values()):
--- a/wigeonscale/testing/matrix/relay.py
+++ b/wigeonscale/testing/matrix/relay.py
@@ -1,4 +1,4 @@
-"""TCP relays between nodes, through which link faults are made."""
+"""TCP relays between nodes, which inject network faults."""
 
 __all__ = ["ANY_SOURCE", "CALLERS", "Direction", "Network", "Relay"]
 
@@ -13,7 +13,7 @@
 
 
 class Direction(Flag):
-    """Ways of a connection, seen from the one who opened it."""
+    """Directions of a connection, as seen from the side that opened it."""
 
     UP = auto()
     DOWN = auto()
@@ -24,7 +24,7 @@
     """One relayed connection.
 
     Attributes:
-        gates: Per direction, set while data may pass.
+        gates: Per direction, an event that is set while data may pass.
     """
 
     def __init__(self, *, blocked: Direction):
@@ -47,16 +47,18 @@
 
 
 class Relay:
-    """Passes connections on to one address, and can cut, stall or delay them.
+    """Forwards connections to one address, and can reset, stall or delay them.
 
-    Data held back is delivered after :meth:`heal`, as a network does that comes
-    back before the connections are given up.
+    Data of a blocked direction is delivered after :meth:`heal`, as on a network that
+    recovers before its connections time out.
 
     Args:
-        target: ``ip:port`` that the connections are for.
+        target: ``ip:port`` to which connections are forwarded.
 
     Attributes:
-        accepted: Connections taken so far.
+        delay_s: Delay of data in each direction, in seconds.
+        refusing: Whether new connections are closed at once.
+        accepted: Connections accepted so far.
     """
 
     def __init__(self, *, target: str):
@@ -76,26 +78,26 @@
         return f"{host}:{port}"
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
 
     def block(self, directions: Direction, *, new: bool) -> None:
-        """Hold data back.
+        """Block directions of existing connections and pass all others.
 
         Args:
-            ways: Directions held back on the connections that stand.
-            new: Whether this holds for new connections too.
+            directions: Directions to block.
+            new: Whether new connections are blocked too; otherwise they pass.
         """
         for conn in self._conns:
             conn.block(directions)
         self._blocked_new = directions if new else Direction(0)
 
     def stall_existing(self) -> None:
-        """Hold back both directions of what stands; new connections work."""
+        """Block existing connections in both directions; new connections pass."""
         self.block(Direction.BOTH, new=False)
 
     def heal(self) -> None:
-        """Pass everything on again, what was held back first."""
+        """Remove all faults and deliver blocked data."""
         self.delay_s = 0.0
         self.refusing = False
         self.block(Direction(0), new=True)
@@ -117,7 +119,8 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.accepted += 1
-        # A task of its own: the server's would be reported as left over.
+        # Use a task that close() can cancel; the one that asyncio.start_server()
+        # creates for a coroutine callback would be reported as left over by the test.
         task = asyncio.create_task(self._relay_connection(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -163,7 +166,8 @@
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 await gate.wait()
-                # Grows strictly, so that nothing overtakes what was delayed before.
+                # Delivery times strictly increase, so that later data does not
+                # overtake delayed data.
                 deliver_at = max(
                     deliver_at + MIN_DELIVERY_GAP_S, loop.time() + self.delay_s
                 )
@@ -176,10 +180,11 @@
 
 
 class Network:
-    """All relays, by the nodes at their two ends.
+    """All relays, by their source and target nodes.
 
-    ``*`` as source stands for whoever uses the address that a node announces, and
-    ``callers`` for the callers of an entry, whom only its end cuts off.
+    The source ``*`` stands for any node that uses an announced address, and
+    ``callers`` for the callers of an entry. Faults other than a kill of the entry do
+    not affect callers.
     """
 
     def __init__(self):
@@ -187,10 +192,10 @@
         self._faulty_nodes: set[str] = set()
 
     async def add(self, source: str, target: str, address: str) -> str:
-        """Make a relay and return its address.
+        """Start a relay and return its address.
 
         Args:
-            source: Node that will connect, or ``*``.
+            source: Node that will connect, ``*`` or ``callers``.
             target: Node that listens.
             address: ``ip:port`` on which the target listens.
         """
@@ -199,16 +204,16 @@
         self._relays[source, target] = relay
         return relay.address
 
-    def between(self, one: str, other: str) -> Relay:
-        """Return the relay by which one node reaches the other."""
-        return self._relays[one, other]
+    def between(self, source: str, target: str) -> Relay:
+        """Return the relay from a source to a target."""
+        return self._relays[source, target]
 
     def inbound_relays(self, node: str, *, callers: bool = False) -> list[Relay]:
-        """Return the relays whose connections end at a node.
+        """Return the relays whose target is a node.
 
         Args:
             node: The node.
-            callers: Whether those of callers are among them.
+            callers: Whether to include relays of callers.
         """
         return [
             relay
@@ -217,17 +222,17 @@
         ]
 
     def outbound_relays(self, node: str) -> list[Relay]:
-        """Return the relays whose connections begin at a node."""
+        """Return the relays whose source is a node."""
         return [r for (source, _), r in self._relays.items() if source == node]
 
     def isolate(self, node: str) -> None:
-        """Hold back everything from and to a node."""
+        """Block all data from and to a node."""
         self._faulty_nodes.add(node)
         for relay in self.inbound_relays(node) + self.outbound_relays(node):
             relay.block(Direction.BOTH, new=True)
 
     def block_outgoing(self, node: str) -> None:
-        """Hold back what a node says, while it still hears the others."""
+        """Block all data that a node sends; it still receives data."""
         self._faulty_nodes.add(node)
         for relay in self.inbound_relays(node):
             relay.block(Direction.DOWN, new=True)
@@ -235,11 +240,13 @@
             relay.block(Direction.UP, new=True)
 
     def stall(self, node: str, *, inbound: bool) -> None:
-        """Make the standing connections of a node silent; new ones work.
+        """Block one direction of the existing connections of a node.
+
+        New connections pass.
 
         Args:
             node: The node.
-            inbound: Whether what is sent to the node is lost, or what it sends.
+            inbound: Whether to block data sent to the node; otherwise data it sends.
         """
         self._faulty_nodes.add(node)
         up, down = Direction.UP, Direction.DOWN
@@ -249,13 +256,13 @@
             relay.block(down if inbound else up, new=False)
 
     def slow(self, node: str, delay_s: float) -> None:
-        """Delay everything from and to a node."""
+        """Delay all data from and to a node."""
         self._faulty_nodes.add(node)
         for relay in self.inbound_relays(node) + self.outbound_relays(node):
             relay.delay_s = delay_s
 
     def kill(self, node: str) -> None:
-        """Reset every connection of a node and let no new one pass."""
+        """Reset every connection of a node and refuse new ones."""
         self._faulty_nodes.add(node)
         for relay in self.inbound_relays(node, callers=True) + self.outbound_relays(
             node
@@ -264,7 +271,7 @@
             relay.abort()
 
     def heal(self, node: str) -> None:
-        """Pass on everything from and to a node, but for nodes still faulty."""
+        """Remove the faults of a node, except on relays to other faulty nodes."""
         self._faulty_nodes.discard(node)
         for ends, relay in self._relays.items():
             if node in ends and not self._faulty_nodes.intersection(ends):
--- a/wigeonscale/testing/matrix/report.py
+++ b/wigeonscale/testing/matrix/report.py
@@ -1,4 +1,4 @@
-"""Prints the table of the matrix."""
+"""Prints the result table of the matrix."""
 
 __all__ = ["print_table", "summary"]
 
@@ -12,9 +12,9 @@
 
 
 def summary(results: Sequence[CellResult]) -> str:
-    """Return the last line: counts of cells, proofs, violations and gaps.
+    """Return the last line: counts of cells, proved cells, violations and gaps.
 
-    A cell counts as proved when it was run and nothing was found.
+    A cell counts as proved if it ran without a violation.
     """
     ran = [result for result in results if result.runs]
     proved = sum(not result.violations for result in ran)
@@ -26,13 +26,13 @@
 
 
 def print_table(results: Sequence[CellResult]) -> int:
-    """Print a row a fault and a column a step, then details and the summary.
+    """Print a table of faults by steps, then the details and the summary.
 
     Args:
         results: Every cell, row by row.
 
     Returns:
-        1 when a violation was found, else 0.
+        1 if there is a violation, else 0.
     """
     known_steps = {result.step for result in results}
     columns = [step for step in STEPS if step in known_steps]
--- a/wigeonscale/testing/matrix/runner.py
+++ b/wigeonscale/testing/matrix/runner.py
@@ -1,4 +1,4 @@
-"""Runs cells on one deployment after the other and keeps what came out."""
+"""Runs matrix cells on in-process deployments and collects the results."""
 
 __all__ = ["CellResult", "run_cells"]
 
@@ -24,15 +24,15 @@
 
 @dataclass(slots=True)
 class CellResult:
-    """What came out of one cell.
+    """The result of one cell.
 
     Attributes:
         fault: Row.
         step: Column.
-        runs: Runs made.
-        violations: What they found, with the variant and role.
-        seconds: Time that they took.
-        reason: Why there was no run, or empty.
+        runs: Number of runs.
+        violations: Violations found, prefixed with the name of the run.
+        seconds: Duration of all runs, in seconds.
+        reason: Why the cell was not run, or empty.
     """
 
     fault: str
@@ -44,7 +44,7 @@
 
 
 class _Deployment:
-    """Keeps one cluster, and makes a new one after a run that went wrong."""
+    """Reuses one cluster until a run fails, then creates a new one."""
 
     def __init__(self):
         self.cluster: Cluster | None = None
@@ -69,11 +69,11 @@
 async def run_cells(
     cells: Iterable[Cell], *, on_result: Callable[[CellResult], None]
 ) -> None:
-    """Run cells one after the other.
+    """Run cells one after the other; a violation leads to a new deployment.
 
     Args:
         cells: The cells.
-        on_result: Called with what came out of each.
+        on_result: Called with the result of each cell.
     """
     deployment = _Deployment()
     try:
@@ -104,7 +104,7 @@
             await trial.end_fault()
             return await trial.finish()
     except Exception as exc:
-        # Whatever ends a run early is a finding of that run, not of the matrix.
+        # An exception is reported as a violation of this run; the matrix continues.
         logger.exception("%s at %s (%s)", fault, variant.name, role)
         return [Violation("run", f"{type(exc).__name__}: {exc}")]
     finally:
--- a/wigeonscale/testing/matrix/steps.py
+++ b/wigeonscale/testing/matrix/steps.py
@@ -1,4 +1,4 @@
-"""The steps: what is under way when the fault comes."""
+"""The steps of the matrix: the operation in progress when a fault is injected."""
 
 __all__ = ["ISOLATED_ORDERS", "STEPS", "Step"]
 
@@ -15,12 +15,12 @@
 from wigeonscale.testing.matrix.trial import Trial
 from wigeonscale.testing.traces import Violation
 
-# Prompts have four pieces; the first token comes out of the prefill.
+# Prompts have four pieces, and the prefill yields the first token.
 PROMPT_PIECES = 4
 DECODE_POSITION = 10
 MAX_TOKENS = 24
 ACCEPTED, CONFLICT = 200, 409
-# While the only replica of the pipeline lacks a stage, new work may be refused.
+# New work may be refused while the only replica of the pipeline lacks a stage.
 NOT_RUN_ONLY = frozenset({RunState.NOT_RUN})
 LAST_POSITION = PROMPT_PIECES + MAX_TOKENS - 2
 
@@ -30,9 +30,9 @@
     """One step.
 
     Attributes:
-        name: Column of the table.
-        run: Brings the system to the step, at which the fault comes.
-        roles: Nodes that the fault meets, one run each.
+        name: Column of the table, or a variant of one.
+        run: Brings the system to the step and arranges the fault.
+        roles: Target nodes of the fault, with one run for each.
     """
 
     name: str
@@ -97,7 +97,8 @@
     reply = await apply_rules(trial.cluster, base, operation=operation)
     again = await apply_rules(trial.cluster, base, operation=operation)
     got = (reply.status, reply.body.get("revision"))
-    # Rivals may have been first; then the other is told so, again and again.
+    # Concurrent operators may have won; every repetition must then report the
+    # conflict.
     lost_race = not trial.fault.targets_node and reply.status == CONFLICT
     if not (lost_race or got == (ACCEPTED, base + 1)) or again != reply:
         description = f"operator was told {reply}, then {again}; base {base}"
@@ -125,7 +126,7 @@
 
 
 async def _election(trial: Trial) -> None:
-    # The step itself loses the leader without a word.
+    # The step itself kills the leader, so that the outcome of requests can be unknown.
     trial.allowed_run_states = frozenset(RunState)
     cluster, old = trial.cluster, trial.cluster.leader().name
     others = [n.daemon.replica for n in cluster.controls.values() if n.name != old]
@@ -147,7 +148,7 @@
 async def _repair(trial: Trial) -> None:
     trial.allowed_run_states = NOT_RUN_ONLY
     lost_stage = trial.stages[1]
-    # The spare that takes the lost stage's place is the node where this happens.
+    # The step node is the spare that replaces the lost stage.
     trial.inject_at_command("place", after=True)
     traffic = asyncio.create_task(trial.traffic())
     await trial.cluster.kill(lost_stage)
@@ -172,7 +173,7 @@
 
 
 async def _isolated_orders(trial: Trial) -> None:
-    """Restart an agent that reaches nobody but the isolated replica."""
+    """Restart an agent that can only reach the isolated control replica."""
     cluster, agent, isolated = trial.cluster, trial.stages[1], trial.target()
     node, net = cluster.agents[agent], cluster.net
     trial.allowed_run_states = frozenset(RunState)
--- a/wigeonscale/testing/matrix/table.py
+++ b/wigeonscale/testing/matrix/table.py
@@ -1,4 +1,4 @@
-"""The table of cells: what is run for each fault at each step, and what is not."""
+"""The table of cells: which runs cover each fault at each step."""
 
 __all__ = ["Cell", "cells"]
 
@@ -22,8 +22,8 @@
     Attributes:
         fault: Row.
         step: Column.
-        runs: What is run: the variant of the step and the role that is met.
-        reason: Why nothing is run, or empty.
+        runs: Pairs of a variant of the step and the target role of the fault.
+        reason: Why there is no run, or empty.
     """
 
     fault: str
@@ -35,7 +35,7 @@
 def _runs(fault: str, step: str) -> tuple[tuple[Step, str], ...]:
     pairs = [(variant, role) for variant in STEPS[step] for role in variant.roles]
     if fault == "lost disk":
-        # Only control has disks; it is met while the pipeline works.
+        # Only control replicas have disks; they lose them while the pipeline works.
         selected = [pair for pair in pairs if pair[1] in CONTROL_ROLES]
         return tuple(selected or [(STEPS[step][0], "leader")])
     if fault == "doubled messages":
--- a/wigeonscale/testing/matrix/trial.py
+++ b/wigeonscale/testing/matrix/trial.py
@@ -1,4 +1,4 @@
-"""One run of one cell: a fault at a step, and what is checked after it."""
+"""One run of one cell: a fault at a step, followed by the checks."""
 
 __all__ = ["Trial", "wait_until_ready"]
 
@@ -41,7 +41,7 @@
 
 
 async def wait_until_ready(cluster: Cluster) -> None:
-    """Wait until every node takes part again and a pipeline serves."""
+    """Wait until every node is a ready member and a pipeline serves."""
     await wait_until(cluster.leader, "a leader")
     for node in cluster.controls.values():
         await _wait_control_ready(node)
@@ -59,7 +59,7 @@
 async def _wait_control_ready(node) -> None:
     replica = node.daemon.replica
     await wait_until(node.daemon.is_ready, f"{node.name} to be fresh")
-    # A replica that lost its disk is a repair in progress until it may vote.
+    # A replica that lost its disk is being rebuilt until it may vote.
     await wait_until(lambda: replica.may_vote, f"{node.name} to be admitted")
 
 
@@ -88,13 +88,13 @@
     """One run of one cell.
 
     Args:
-        cluster: The deployment, settled.
+        cluster: The deployment, which must be ready.
         fault: The fault.
-        role: Which node it meets: a stage of the chain (``head``, ``middle``,
+        role: Target node of the fault: a stage of the chain (``head``, ``middle``,
             ``last``), ``leader``, ``follower``, ``entry``, or ``here`` for the node
-            at which the step happens.
-        recovery_timeout_s: Seconds after the repair within which a new request must be
-            served, asked again and again.
+            that executes the step.
+        recovery_timeout_s: Time after recovery within which a new request must be
+            served when it is retried, in seconds.
     """
 
     def __init__(
@@ -129,15 +129,15 @@
         self._watch = RevisionWatch(cluster=cluster)
 
     def stage(self) -> str:
-        """Return the stage at which a step of the pipeline is watched."""
+        """Return the stage whose steps can trigger the fault."""
         role = self.role if self.role in STAGES else "middle"
         return self.stages[STAGES.index(role)]
 
     def target(self, step_node: str = "") -> str:
-        """Return the node that the fault meets.
+        """Return the target node of the fault.
 
         Args:
-            here: Node at which the step happens.
+            step_node: Node that executes the step, for the role ``here``.
         """
         cluster = self.cluster
         if self.role in STAGES:
@@ -149,10 +149,14 @@
         return "e1" if self.role == "entry" else step_node
 
     async def inject(self, step_node: str = "") -> None:
-        """Make the fault, once, and wait until it is made."""
+        """Inject the fault, unless it was injected before, and wait for it.
+
+        Args:
+            step_node: Node that executes the step, for the role ``here``.
+        """
         if self._injection is None:
             self.node = self.target(step_node)
-            # A task of its own: the fault may end the very task that stands here.
+            # Use a separate task, because the fault may cancel the task that called.
             self._injection = asyncio.create_task(self._inject_fault())
         await self.injected.wait()
 
@@ -166,7 +170,7 @@
         await fault_task
 
     def inject_at(self, matches: Callable[[Moment], bool]) -> None:
-        """Make the fault when a backend server comes to a moment."""
+        """Inject the fault when a backend server reaches a matching moment."""
 
         async def hook(moment: Moment) -> None:
             if self._injection is None and matches(moment):
@@ -175,11 +179,11 @@
         self.cluster.recorder.hook = hook
 
     def inject_at_command(self, body: str, *, after: bool = False) -> None:
-        """Make the fault when a replica proposes a command, or has committed it.
+        """Inject the fault before a replica proposes a command or after it commits.
 
         Args:
-            body: Kind of command.
-            after: Whether the command is committed but not yet answered.
+            body: Kind of command, as the field name in the message.
+            after: Whether to inject after the commit, before the response.
         """
         for node in self.cluster.controls.values():
             self._wrap_propose(node.daemon.commands, body, after)
@@ -211,7 +215,7 @@
         return new[0] if new else ""
 
     def inject_at_snapshot(self) -> None:
-        """Make the fault when the target makes a snapshot."""
+        """Inject the fault when the target node takes a snapshot."""
         state = self.cluster.controls[self.target()].daemon.state
         snapshot = state.snapshot
         injections: list[asyncio.Task] = []
@@ -225,19 +229,19 @@
         self._undo_patches.append(lambda: state.__dict__.pop("snapshot", None))
 
     async def stream(self, entry: str, max_tokens: int = 24) -> Answer:
-        """Ask for a completion; taken up elsewhere if the entry is lost."""
+        """Request a completion; resume it at the other entry if the entry fails."""
         answer = await request_completion(self.cluster, entry, max_tokens=max_tokens)
         self.streams.append(answer)
         if answer.outcome is Outcome.CUT and self.node == entry:
             if answer.request_id:
                 await resume_completion(self.cluster, "e2", answer)
             else:
-                # Nothing was promised yet: the caller asks again.
+                # Without a request id, the caller would send the request again.
                 self.streams.remove(answer)
         return answer
 
     async def call(self, entry: str, tag: str = "") -> Answer:
-        """Send a note that must not run twice."""
+        """Send a note, and resend it to the other entry if the entry fails."""
         answer = await send_note(self.cluster, entry, tag=tag)
         if answer.outcome is Outcome.CUT and self.node == entry:
             answer = await send_note(self.cluster, "e2", tag=answer.tag)
@@ -245,7 +249,7 @@
         return answer
 
     async def traffic(self) -> None:
-        """Send streams and notes to both entries at once."""
+        """Send streams and notes to both entries concurrently."""
         await asyncio.gather(
             *(self.stream(entry) for entry in ("e1", "e2", "e1", "e2")),
             self.call("e1"),
@@ -253,7 +257,7 @@
         )
 
     async def close(self) -> None:
-        """End what a run that went wrong has left."""
+        """Release the resources that a failed run has left."""
         await self._watch.stop()
         for task in self.background:
             task.cancel()
@@ -262,7 +266,11 @@
             await self.duplicator.close()
 
     async def end_fault(self) -> None:
-        """Let the fault last as long as it must, then take it away."""
+        """Wait for the minimum duration of the fault, then heal it.
+
+        Raises:
+            TimeoutError: The fault was not injected.
+        """
         self.cluster.recorder.hook = None
         for undo in self._undo_patches:
             undo()
@@ -301,10 +309,10 @@
                 self.violations.append(Violation(answer.tag, description))
 
     async def finish(self) -> list[Violation]:
-        """Wait until all works again, use it, and check everything.
+        """Wait for recovery, send new requests and run all checks.
 
         Returns:
-            Every violation of the run.
+            All violations of the run.
         """
         cluster = self.cluster
         await wait_until_ready(cluster)
@@ -333,7 +341,7 @@
     async def _retry_until_served(
         self, send: Callable[[], Awaitable[Answer]]
     ) -> Answer:
-        """Send new requests, as a caller does who was told to come back."""
+        """Retry a request as a caller does that was refused with a retry delay."""
         end = time.monotonic() + self._recovery_timeout_s
         while True:
             answer = await send()
@@ -343,7 +351,10 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _retry_unknown_calls(self) -> None:
-        """Ask for lost work again: what is unknown to the log stays unknown."""
+        """Resend calls with an unknown outcome.
+
+        An outcome that the replicated log records as unknown must stay unknown.
+        """
         claims = self.cluster.leader().daemon.state.claims
         for answer in [each for each in self.calls if each.run == "unknown"]:
             record = claims.find(ORGANISATION, answer.tag)
--- a/wigeonscale/testing/matrix/watch.py
+++ b/wigeonscale/testing/matrix/watch.py
@@ -1,4 +1,4 @@
-"""Watches which configuration is in force at entries and agents."""
+"""Observes which configuration revision entries and agents apply."""
 
 __all__ = ["RevisionWatch"]
 
@@ -10,30 +10,30 @@
 from wigeonscale.testing.matrix.cluster import Cluster
 
 POLL_INTERVAL_S = 0.05
-# What was accepted longer ago than this is in force wherever something serves.
+# Every serving process must have applied what was accepted longer ago than this.
 CONFIG_PROPAGATION_S = 4.0
 
 
 class RevisionWatch:
-    """Notes every change of the revision by which a process serves.
+    """Records every change of the revision that a serving process applies.
 
     Args:
         cluster: The deployment.
 
     Attributes:
-        seen: What was seen, in the order of time.
+        observations: Observations in chronological order.
     """
 
     def __init__(self, *, cluster: Cluster):
         self.observations: list[RevisionObservation] = []
         self._cluster = cluster
-        # Holds the clients, so that no two have the same id.
+        # Keeps references to the clients, so that their ids are not reused.
         self._clients: dict[int, ControlClient] = {}
         self._last: dict[str, RevisionObservation] = {}
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """End the watch."""
+        """Stop observing."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
 
--- a/wigeonscale/testing/prefix_cache.py
+++ b/wigeonscale/testing/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of the fake engine, small, with events that may be lost."""
+"""A small prefix cache for the fake engine, with optional loss of its events."""
 
 __all__ = ["PrefixCache"]
 
@@ -11,15 +11,19 @@
 MAX_EVENTS = 1024
 
 PREFIX_POSITIONS = 32
-"""Positions of a prompt that the cache keeps for other prompts."""
+"""Length of a cached prefix, in positions of the prompt."""
 
 
 class PrefixCache:
-    """The newest prompt prefixes of an engine, and the events about them.
+    """An LRU cache of prompt prefixes and its log of insert and evict events.
 
     Args:
-        slots: Prefixes that fit; 0 for none.
-        lose_every: Every how many events one is lost; 0 for never.
+        slots: Capacity in prefixes; 0 disables the cache.
+        lose_every: One event in this many is dropped; 0 drops none.
+
+    Attributes:
+        hits: Lookups that found their prefix.
+        misses: Lookups that inserted their prefix.
     """
 
     def __init__(self, *, slots: int, lose_every: int):
@@ -32,7 +36,15 @@
         self._last_number = 0
 
     def lookup(self, sequence_id: str, pieces: Sequence[str]) -> int:
-        """Look up a prompt's prefix; returns how many positions it saves."""
+        """Look up a prompt's prefix and insert it on a miss.
+
+        Args:
+            sequence_id: Sequence that the prompt belongs to.
+            pieces: Pieces of the prompt, one per position.
+
+        Returns:
+            Positions that need no computation; 0 on a miss.
+        """
         if not self._slots:
             return 0
         prefix_text = "|".join(pieces[:PREFIX_POSITIONS])
@@ -49,12 +61,12 @@
         return 0
 
     def clear(self) -> None:
-        """Evict everything."""
+        """Evict every prefix."""
         while self._prefixes:
             self._emit_event(self._prefixes.popitem(last=False)[0], held=False)
 
     def events_after(self, number: int) -> list[CacheEvent]:
-        """Return the events above a number that were not lost."""
+        """Return the events that were not dropped, from after an event number."""
         return [event for event in self._events if event.number > number]
 
     def _emit_event(self, prefix: str, *, held: bool, sequence_id: str = "") -> None:
--- a/wigeonscale/testing/rpcs.py
+++ b/wigeonscale/testing/rpcs.py
@@ -1,4 +1,4 @@
-"""Waits for the tasks that gRPC itself makes."""
+"""Waits for asyncio tasks that gRPC creates internally."""
 
 __all__ = ["rpcs_ended"]
 
@@ -8,12 +8,14 @@
 
 
 async def rpcs_ended() -> None:
-    """Wait until no task of gRPC's own is left, as a last clean-up.
+    """Wait until gRPC has no internal task left; register this as a cleanup.
 
-    A stopped server's calls end shortly after ``stop`` has returned, and would
-    count as tasks left over by the test. Register it before all servers and
-    channels, so that it runs after their clean-up. A call that never ends fails
-    the test by ``TimeoutError``.
+    The RPCs of a stopped server end shortly after ``stop`` returns and would
+    otherwise be reported as leftover tasks of the test. Cleanups run in reverse
+    order, so register this one before any server or channel.
+
+    Raises:
+        TimeoutError: An RPC is still running after ``TIMEOUT_S``.
     """
     async with asyncio.timeout(TIMEOUT_S):
         while tasks := [task for task in asyncio.all_tasks() if _is_rpc(task)]:
--- a/wigeonscale/testing/run.py
+++ b/wigeonscale/testing/run.py
@@ -1,4 +1,4 @@
-"""Runs every test and judges the result; ``make test`` calls it.
+"""Runs the tests and derives the exit code; used by ``make test``.
 
 Usage: ``python -m wigeonscale.testing.run [dotted test names]``.
 """
@@ -16,13 +16,14 @@
 
 
 def main(names: list[str]) -> int:
-    """Run the named tests, or all, and return the exit code.
+    """Run the named tests, or all tests, and return the exit code.
 
     Args:
         names: Dotted names of tests; empty for every test.
 
     Returns:
-        0 when every test passed but for those listed in KNOWN-RED.txt, else 1.
+        0 when every failed test is listed in KNOWN-RED.txt, at least one test ran
+        and the list has at most ``MAX_KNOWN_RED`` entries, else 1.
     """
     loader = unittest.TestLoader()
     suite = loader.loadTestsFromNames(names) if names else _discover(loader)
--- a/wigeonscale/testing/soak/__init__.py
+++ b/wigeonscale/testing/soak/__init__.py
@@ -1,5 +1,7 @@
-"""A randomized fault soak of the daemons that serve without agents.
+"""A randomized soak test with faults for the daemons that serve without agents.
 
-Real processes on loopback, faults from outside, promises checked from what callers,
-operators and backend servers see: ``python -m wigeonscale.testing.soak --seeds 1-50``.
+It runs real processes on loopback, injects faults from outside, and checks invariants
+on what callers, operators and backend servers observe.
+
+Usage: ``python -m wigeonscale.testing.soak --seeds 1-50``.
 """
--- a/wigeonscale/testing/soak/__main__.py
+++ b/wigeonscale/testing/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs seeds of the soak; the exit code is 1 when a promise was broken.
+"""Runs seeds of the soak test; the exit code is 1 if an invariant was violated.
 
 Usage: ``python -m wigeonscale.testing.soak [--seeds 1-50] [--seconds 10]``.
 """
@@ -15,7 +15,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the seeds one after another and return the exit code."""
+    """Run the seeds one after the other and return the exit code."""
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
     parser.add_argument("--seeds", default="1-3", help="one seed, or FIRST-LAST")
     parser.add_argument("--seconds", type=float, default=10.0, help="load of each")
--- a/wigeonscale/testing/soak/backends.py
+++ b/wigeonscale/testing/soak/backends.py
@@ -1,4 +1,4 @@
-"""Stand-ins for model engines and a plain service, each behind a relay."""
+"""Fake model engines and plain servers, each behind a relay."""
 
 __all__ = ["CRASHING_BODY", "LAYERS", "Backend", "event_data", "plain_body"]
 
@@ -19,7 +19,7 @@
 PLAIN_DELAY_S = 0.03
 HEARTBEAT_INTERVAL_S = 0.3
 CALL_TIMEOUT_S = 1.0
-# Bodies of requests that crash the backend server that begins to run them.
+# A request whose body starts with this crashes the backend server that runs it.
 CRASHING_BODY = b"crash"
 RESTART_DELAY_S = 0.3
 
@@ -27,29 +27,32 @@
 
 
 def event_data(request_id: str, number: int) -> bytes:
-    """Return one event of a request's stream."""
+    """Return one event of the stream of a request."""
     return f"id: {number}\ndata: {request_id}/{number}\n\n".encode()
 
 
 def plain_body(request_id: str) -> bytes:
-    """Return the answer of the plain service."""
+    """Return the response body of the plain service."""
     return f"whole {request_id}".encode()
 
 
 class Backend:
-    """One backend server, that can die and come back as another incarnation.
+    """A backend server that can crash and restart as a new incarnation.
 
     Args:
         service: ``model`` or ``plain``.
         controls: HTTP addresses of control replicas.
-        ledger: Told of each run.
-        engines: All engines by address: a path fails where one is gone.
+        checker: Notified of each run.
+        engines: All engines by address; a path fails at an engine that is down.
         rng: Source of randomness.
 
     Attributes:
-        says: Headers of each of its answers, in which it tells how it is.
-        retry_after_s: Rest that it asks of all that it turns away; None to turn none away.
-        arrived: Ids of the requests that reached it, and when by the loop.
+        layer_range: First layer held and the layer after the last one.
+        notice_headers: Headers added to each response, with notices to entries.
+        retry_after_s: Retry delay with which it refuses every request; None to
+            accept requests.
+        arrivals: Ids of received requests, each with its arrival time by the event
+            loop.
     """
 
     def __init__(
@@ -79,11 +82,11 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it runs."""
+        """Whether the server is running."""
         return self._runner is not None
 
     async def start(self) -> None:
-        """Start a new incarnation, empty, at the same address."""
+        """Start a new incarnation without layers, at the same relay address."""
         self.name = f"i-{next(_names):06x}"
         self.layer_range, self._order_count, self._fencing_token = (0, 0), 0, -1
         self._runner = web.ServerRunner(
@@ -100,7 +103,7 @@
         self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
     async def stop(self) -> None:
-        """Die without a word."""
+        """Stop abruptly."""
         if self._runner is None:
             return
         runner, self._runner = self._runner, None
@@ -116,7 +119,7 @@
             await self.start()
 
     async def close(self) -> None:
-        """Stop for good."""
+        """Stop permanently and close the relay."""
         for task in list(self._crashes):
             task.cancel()
         await asyncio.gather(*self._crashes, return_exceptions=True)
@@ -153,7 +156,7 @@
                     if res.status == 200:
                         return
             except (aiohttp.ClientError, TimeoutError):
-                continue  # the next replica is asked, as the platform's servers do
+                continue  # try the next replica, as the servers of the platform do
 
     async def _handle(self, req: web.BaseRequest) -> web.StreamResponse:
         if req.path == "/report":
--- a/wigeonscale/testing/soak/deployment.py
+++ b/wigeonscale/testing/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The daemons under test: three control replicas and two entries, as processes."""
+"""The daemons under test: three control replica and two entry processes."""
 
 __all__ = ["Deployment", "Node"]
 
@@ -18,15 +18,16 @@
 
 @dataclass(slots=True)
 class Node:
-    """One daemon and where it listens.
+    """One daemon and its address.
 
     Attributes:
         name: Its name.
         role: ``direct-control`` or ``direct-entry``.
-        ip: Its address on loopback.
+        ip: Its loopback IP address.
         child: Its process.
-        starts: How often it was started.
-        restarting: Held while a fault has it down, so that it is started once.
+        starts: Number of starts.
+        restart_lock: Held while a fault has stopped the daemon, so that overlapping
+            faults do not start it twice.
     """
 
     name: str
@@ -37,7 +38,7 @@
     restart_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     def send_signal(self, signum: signal.Signals) -> None:
-        """Send a signal, if it runs. Only processes started here are ever meant."""
+        """Send a signal to the process that this node started, if it is running."""
         if self.child is not None and self.child.proc.returncode is None:
             self.child.proc.send_signal(signum)
 
@@ -46,7 +47,7 @@
     """Starts, signals and restarts the daemons.
 
     Args:
-        folder: For settings, data and logs.
+        folder: Folder for settings, data and logs.
     """
 
     def __init__(self, *, folder: pathlib.Path):
@@ -71,11 +72,11 @@
         return [f"{node.ip}:{self.http}" for node in self.controls]
 
     def caller_address(self, node: Node) -> str:
-        """Return where an entry serves callers."""
+        """Return the address at which an entry serves callers."""
         return f"{node.ip}:{self.callers}"
 
     async def start(self, node: Node) -> None:
-        """Start a daemon, with the settings of its first or a later start."""
+        """Start a daemon; ``first_start`` is set once for a control replica."""
         config = self._folder / f"{node.name}.ini"
         config.write_text(self._settings(node), encoding="utf-8")
         node.starts += 1
@@ -85,7 +86,10 @@
         )
 
     async def kill(self, node: Node, signum: signal.Signals) -> int:
-        """End a daemon by a signal and return its exit code."""
+        """Stop a daemon by a signal and return its exit code.
+
+        A process that is still running after ``STOP_TIMEOUT_S`` is killed.
+        """
         node.send_signal(signal.SIGCONT)
         node.send_signal(signum)
         try:
@@ -96,11 +100,11 @@
             return await node.child.proc.wait()
 
     def wipe(self, node: Node) -> None:
-        """Empty the disk of a daemon that is down."""
+        """Remove the data of a stopped daemon."""
         shutil.rmtree(self._data(node), ignore_errors=True)
 
     async def close(self) -> None:
-        """End every daemon that was started here."""
+        """Kill every running daemon."""
         for node in self.nodes:
             if node.child is not None and node.child.proc.returncode is None:
                 await self.kill(node, signal.SIGKILL)
--- a/wigeonscale/testing/soak/faults.py
+++ b/wigeonscale/testing/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of one run, drawn from its seed."""
+"""Random faults of one run, determined by its seed."""
 
 __all__ = ["Fault", "draw_faults", "inject"]
 
@@ -11,7 +11,8 @@
 from wigeonscale.testing.soak.backends import Backend
 from wigeonscale.testing.soak.deployment import Deployment
 
-# By signals to a daemon, or at the relay before a backend server.
+# Node faults are injected by signals to a daemon, link faults at the relay of a
+# backend server.
 NODE_KINDS = ("kill", "pause", "stop", "hangup", "wipe")
 LINK_KINDS = ("reset", "silence", "one-way", "delay", "die")
 DELAY_S = 0.2
@@ -22,10 +23,10 @@
     """One fault.
 
     Attributes:
-        at_s: When, in seconds from the start of the load.
+        start_s: Start, in seconds from the start of the load.
         kind: One of ``NODE_KINDS`` or ``LINK_KINDS``.
         target: Index of the daemon or backend server.
-        for_s: How long it lasts, in seconds.
+        duration_s: Duration, in seconds.
     """
 
     start_s: float
@@ -37,13 +38,15 @@
 def draw_faults(
     rng: random.Random, *, seconds: float, nodes: int, backends: int
 ) -> list[Fault]:
-    """Return the faults of a run in the order of their time; they may overlap.
+    """Return the random faults of a run in the order of their start.
+
+    Faults may overlap.
 
     Args:
-        rng: Seeded source.
-        seconds: Length of the load.
-        nodes: How many daemons there are.
-        backends: How many backend servers.
+        rng: Seeded source of randomness.
+        seconds: Duration of the load.
+        nodes: Number of daemons.
+        backends: Number of backend servers.
     """
     faults = []
     for _ in range(max(2, int(seconds))):
@@ -66,13 +69,14 @@
     backends: list[Backend],
     control_lock: asyncio.Lock,
 ) -> None:
-    """Make one fault and take it back.
+    """Inject one fault and heal it.
 
     Args:
         fault: The fault.
         dep: The daemons.
         backends: The backend servers.
-        disks: Held while a control replica is down: one at a time is borne.
+        control_lock: Held while a control replica is down, because the deployment
+            tolerates the loss of one at a time.
     """
     if fault.kind in LINK_KINDS:
         await _inject_link_fault(fault, backends[fault.target])
@@ -81,7 +85,7 @@
     if node.role == "direct-control" and fault.kind != "hangup":
         async with control_lock:
             await _inject_node_fault(fault, dep, node)
-            # Until it has caught up it counts as lost.
+            # The replica counts as lost until it has caught up.
             await asyncio.sleep(2.0)
     else:
         await _inject_node_fault(fault, dep, node)
@@ -89,7 +93,7 @@
 
 async def _inject_node_fault(fault, dep, node) -> None:
     if node.child.proc.returncode is not None:
-        return  # another fault has it down just now
+        return  # another fault has stopped it
     if fault.kind == "hangup":
         node.send_signal(signal.SIGHUP)
     elif fault.kind == "pause":
--- a/wigeonscale/testing/soak/invariants.py
+++ b/wigeonscale/testing/soak/invariants.py
@@ -1,4 +1,4 @@
-"""What callers, operators and backend servers saw, and the promises it must keep."""
+"""Checks invariants on what callers, operators and backend servers observe."""
 
 __all__ = ["InvariantChecker"]
 
@@ -7,8 +7,8 @@
 
 from wigeonscale.testing.soak.notices import NoticeChecker
 
-# Once a request has crashed three servers every entry refuses it within three seconds.
-# By the users' rule three more crashes are borne.
+# Every entry must refuse a request within three seconds after it has crashed three
+# servers. The users' rule allows three further crashes after that.
 CRASHES_TO_REFUSE = 3
 REFUSED_WITHIN_S = 3.0
 MAX_LATE_CRASHES = 3
@@ -17,17 +17,17 @@
 
 @dataclass(slots=True)
 class InvariantChecker:
-    """Everything seen so far.
+    """Records observations and the violations found in them.
 
     Attributes:
-        runs: Runs of each request id at backend servers.
-        once: Ids of requests that must not run twice.
-        not_run: Ids that were answered as not run.
-        acknowledged: Highest acknowledged number of a configuration.
-        answers: Answers by status, or by what came instead.
-        crashed_at: Instants at which backend servers crashed, by body of the request.
-        broken: Promises broken so far, in words.
-        notices: What backend servers said, and whether it was heeded.
+        runs: Number of runs at backend servers, by request id.
+        at_most_once_ids: Ids of requests that must not run twice.
+        not_run_ids: Ids of requests that were answered as not run.
+        acknowledged: Highest acknowledged configuration number.
+        answers: Number of answers by status; ``nothing`` counts missing answers.
+        crashed_at: Times of backend server crashes, by body of the request.
+        violations: Descriptions of the violations found so far.
+        notices: Checks that entries obey the notices of backend servers.
     """
 
     runs: Counter = field(default_factory=Counter)
@@ -42,7 +42,7 @@
     notices: NoticeChecker = field(default_factory=NoticeChecker)
 
     def record_run(self, request_id: str) -> None:
-        """Note that a backend server begins to work on a request."""
+        """Record that a backend server starts to run a request."""
         self.runs[request_id] += 1
         if request_id not in self.at_most_once_ids:
             return
@@ -52,11 +52,11 @@
             self.violations.append(f"{request_id} ran after it was said not to")
 
     def record_crash(self, body: bytes, at: float) -> None:
-        """Note that a backend server crashes as it begins to run a request."""
+        """Record that a backend server crashes on a request."""
         self.crashed_at[body].append(at)
 
     def check_crashes(self) -> None:
-        """Judge the crashes under each request, once no more can come."""
+        """Check the crashes caused by each request, after the load has ended."""
         for body, times in self.crashed_at.items():
             if len(times) < CRASHES_TO_REFUSE:
                 continue
@@ -69,7 +69,7 @@
                 )
 
     def record_answer(self, request_id: str, status: int) -> None:
-        """Note a caller's final answer."""
+        """Record the final status that a caller received."""
         self.answers[status] += 1
         if status not in NOT_RUN_STATUSES:
             return
@@ -78,28 +78,28 @@
             self.violations.append(f"{request_id} ran, and was answered {status}")
 
     def record_success(self, request_id: str, got: bytes, expected: bytes) -> None:
-        """Note a success that looked complete to its caller."""
+        """Record a response that its caller received as complete."""
         if got != expected:
             self.violations.append(
                 f"{request_id} got {got[:60]!r}, not {expected[:60]!r}"
             )
 
     def record_path(self, request_id: str, ranges: list[tuple[int, int]], layers: int):
-        """Note the layers that a path runs, in its order."""
+        """Record the layer ranges of a path, in its order."""
         run = [layer for first, end in ranges for layer in range(first, end)]
         if run != list(range(layers)):
             self.violations.append(f"{request_id} runs layers {ranges} of {layers}")
 
     def record_acknowledged(self, number: int) -> None:
-        """Note an acknowledged configuration."""
+        """Record an acknowledged configuration."""
         self.acknowledged = max(self.acknowledged, number)
 
     def record_read(self, number: int, acknowledged_before: int) -> None:
-        """Note a configuration that was read.
+        """Record a configuration that was read.
 
         Args:
             number: Its number.
-            floor: Highest acknowledged number as the read began.
+            acknowledged_before: Highest number acknowledged before the read began.
         """
         if number < acknowledged_before:
             self.violations.append(
--- a/wigeonscale/testing/soak/load.py
+++ b/wigeonscale/testing/soak/load.py
@@ -1,4 +1,4 @@
-"""Callers and an operator that keep going through all faults."""
+"""Callers and an operator that continue during all faults."""
 
 __all__ = ["KINDS", "Load", "document", "new_session"]
 
@@ -27,7 +27,7 @@
 
 
 def document(number: int) -> dict:
-    """Return a configuration of the platform's form."""
+    """Return a configuration document in the format of the platform."""
     routes = [
         {
             "name": kind,
@@ -58,15 +58,15 @@
 
 
 class Load:
-    """Callers that keep their connections, and one operator.
+    """Callers with persistent connections, and one operator.
 
     Args:
         dep: The daemons.
-        ledger: Told of every answer.
+        checker: Notified of every answer.
         rng: Source of randomness.
 
     Attributes:
-        sent_to: Name of the entry that each request was sent to, by its id.
+        sent_to: Name of the entry to which a request was sent, by request id.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self.sent_to: dict[str, str] = {}
 
     async def run_callers(self) -> None:
-        """Call one entry after another on kept connections until cancelled."""
+        """Call random entries on persistent connections until cancelled."""
         async with new_session() as session:
             while True:
                 entry = self._rng.choice(self._dep.entries)
@@ -88,7 +88,7 @@
                 await asyncio.sleep(self._rng.uniform(0.0, 0.05))
 
     async def run_crashing_caller(self) -> None:
-        """Send one request that crashes its server at any entry, until cancelled."""
+        """Send a request that crashes its server to random entries until cancelled."""
         kind = self._rng.choice(KINDS)
         async with new_session() as session:
             while True:
@@ -97,7 +97,7 @@
                 await asyncio.sleep(self._rng.uniform(0.1, 0.6))
 
     async def call(self, session, entry, kind: str, body: bytes = b"q") -> bool:
-        """Make one request; return whether it was served."""
+        """Send one request and return whether it was served."""
         request_id = f"r{next(self._ids):05d}"
         if kind == "unsafe":
             self._checker.at_most_once_ids.add(request_id)
@@ -131,7 +131,7 @@
         return True
 
     async def run_operator(self) -> None:
-        """Change the configuration, and read it back, until cancelled."""
+        """Change the configuration and read it back until cancelled."""
         async with new_session() as session:
             while True:
                 await self.change(session, next(self._numbers))
@@ -139,7 +139,7 @@
                 await asyncio.sleep(self._rng.uniform(0.05, 0.4))
 
     async def change(self, session, number: int) -> None:
-        """Send one configuration until it is acknowledged, to any replica."""
+        """Send one configuration to random replicas until it is acknowledged."""
         body = json.dumps(document(number)).encode()
         while True:
             control = self._rng.choice(self._dep.control_addresses)
@@ -150,7 +150,11 @@
             await asyncio.sleep(0.1)
 
     async def read(self, session) -> int | None:
-        """Read the configuration at any replica; return its number if it is told."""
+        """Read the configuration from a random replica.
+
+        Returns:
+            Its number, or None without a successful response.
+        """
         acknowledged_before = self._checker.acknowledged
         control = self._rng.choice(self._dep.control_addresses)
         status, body = await _request_config(session, "GET", control)
@@ -162,7 +166,7 @@
 
 
 def new_session() -> aiohttp.ClientSession:
-    """Return a client that keeps its connections."""
+    """Return an HTTP client with persistent connections."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0), auto_decompress=False
     )
--- a/wigeonscale/testing/soak/notices.py
+++ b/wigeonscale/testing/soak/notices.py
@@ -1,7 +1,8 @@
-"""Backend servers that say how they are, and whether entries heed it.
+"""Notices of backend servers (rate limit, retry delay, leaving) and their checks.
 
-An entry knows what an answer says once a caller has that answer. So a request that a
-caller sends to the same process after that must heed it, however slow the machine is.
+A notice is a header of a response. An entry knows it at the latest when the caller has
+the response. Every request that a caller sends to the same entry process after that
+must obey the notice, so the check does not depend on the speed of the machine.
 """
 
 __all__ = ["Notice", "NoticeChecker", "draw_notices", "apply_notice"]
@@ -13,8 +14,8 @@
 
 LIMIT_PER_S = 1.0
 RETRY_AFTER_S = 1.5
-# The users' rule on limits: judged from so long after the first answer that names it,
-# in a sliding window, with a factor and some requests more.
+# The users' rule on limits applies from this long after the first response with the
+# limit. In each sliding window it allows the limit times a factor, plus some requests.
 LIMIT_GRACE_S = 3.0
 WINDOW_S = 4.0
 LIMIT_FACTOR = 1.5
@@ -24,13 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """What one backend server says for some time.
+    """A notice that one backend server gives for some time.
 
     Attributes:
-        at_s: When, in seconds from the start of the load.
+        start_s: Start, in seconds from the start of the load.
         kind: One of ``KINDS``.
         target: Index of the backend server.
-        for_s: How long, in seconds.
+        duration_s: Duration, in seconds.
     """
 
     start_s: float
@@ -40,12 +41,12 @@
 
 
 def draw_notices(seed: int, *, seconds: float, backends: int) -> list[Notice]:
-    """Return the notices of a run, by a source of their own.
+    """Return the random notices of a run, from a separate random generator.
 
     Args:
-        seed: Of the run.
-        seconds: Length of the load.
-        backends: How many backend servers there are.
+        seed: Seed of the run.
+        seconds: Duration of the load.
+        backends: Number of backend servers.
     """
     rng = random.Random(f"notices {seed}")
     return [
@@ -60,12 +61,12 @@
 
 
 async def apply_notice(notice: Notice, backend, checker: "NoticeChecker") -> None:
-    """Let a backend server say one thing, and take it back.
+    """Let a backend server give one notice and withdraw it.
 
     Args:
-        notice: What it says.
-        backend: The backend server, as it is now.
-        book: Told of a limit.
+        notice: The notice.
+        backend: The backend server.
+        checker: Gets the period of a limit.
     """
     now = asyncio.get_running_loop().time
     name = backend.name
@@ -87,11 +88,11 @@
 
 @dataclass(slots=True)
 class NoticeChecker:
-    """What backend servers said through which entries, and what they got since then.
+    """Checks that entries obey the notices that backend servers gave through them.
 
     Attributes:
-        limited: Times during which a server named its limit, by its name.
-        broken: Promises broken so far, in words.
+        limit_periods: Start and end of the periods with a limit, by server.
+        violations: Descriptions of the violations found so far.
     """
 
     limit_periods: dict[str, list[tuple[float, float]]] = field(
@@ -99,32 +100,35 @@
     )
     violations: list[str] = field(default_factory=list)
     _sent: dict[str, tuple[str, float]] = field(default_factory=dict)
-    # What the answers to a request said: server, header and time, until it is answered.
+    # Server, header and time of the notices in responses to a request, until its caller
+    # has the answer.
     _pending_notices: dict[str, list[tuple[str, str, float]]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    # Since when an entry knows something of a server.
+    # Time since which an entry knows a notice, by entry and server. For retry delays
+    # also the time at which the delay ends.
     _leaving_known_at: dict[tuple[str, str], float] = field(default_factory=dict)
     _limit_known_at: dict[tuple[str, str], float] = field(default_factory=dict)
     _retry_after: dict[tuple[str, str], tuple[float, float]] = field(
         default_factory=dict
     )
+    # Arrival time, entry and sending time of each request, by server.
     _arrivals: dict[str, list[tuple[float, str, float]]] = field(
         default_factory=lambda: defaultdict(list)
     )
 
     def record_sent(self, request_id: str, entry: str, at: float) -> None:
-        """Note that a caller sends a request to one start of an entry."""
+        """Record that a caller sends a request to an entry process."""
         self._sent[request_id] = entry, at
 
     def record_notice(self, request_id: str, server: str, headers, at: float) -> None:
-        """Note what a server's answer to a request says."""
+        """Record the notices in the response of a server to a request."""
         for header in ("Server-Limit", "Server-Leaving", "Retry-After"):
             if header in headers:
                 self._pending_notices[request_id].append((server, header, at))
 
     def record_answer(self, request_id: str, at: float) -> None:
-        """Note that a caller has its answer, and its entry knows what was said."""
+        """Record that a caller has its answer, so that its entry knows the notices."""
         entry, _ = self._sent[request_id]
         for server, header, noticed_at in self._pending_notices.pop(request_id, ()):
             key = entry, server
@@ -136,7 +140,7 @@
                 self._retry_after[key] = at, noticed_at + RETRY_AFTER_S
 
     def record_arrival(self, request_id: str, server: str, at: float) -> None:
-        """Note that a request reaches a server."""
+        """Record that a request reaches a server."""
         entry, sent_at = self._sent[request_id]
         key = entry, server
         self._arrivals[server].append((at, entry, sent_at))
@@ -147,7 +151,7 @@
             self.violations.append(f"{request_id} reached {server}, which rests")
 
     def check_limits(self) -> None:
-        """Judge the limits, once no more can come."""
+        """Check the rate limits, after the load has ended."""
         for server, periods in self.limit_periods.items():
             for announced_at, ended_at in periods:
                 self._check_limit(server, announced_at + LIMIT_GRACE_S, ended_at)
--- a/wigeonscale/testing/soak/run.py
+++ b/wigeonscale/testing/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: start, load under faults, recover, judge."""
+"""One run of the soak test: start, load under faults, recovery and checks."""
 
 __all__ = ["SoakResult", "run_soak"]
 
@@ -17,18 +17,18 @@
 ENGINES = 4
 PLAIN_SERVERS = 2
 CALLERS = 6
-# Far above what a busy machine needs; a run that gets here is broken.
+# Far more than a busy machine needs; reaching it is a violation.
 TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What became of one run.
+    """The result of one run.
 
     Attributes:
         seed: Its seed.
-        answers: Answers by status, or by what came instead.
-        broken: Broken promises, in words.
+        answers: Number of answers by status; ``nothing`` counts missing answers.
+        violations: Descriptions of the violations found.
     """
 
     seed: int
@@ -37,11 +37,11 @@
 
 
 async def run_soak(seed: int, *, seconds: float, folder: pathlib.Path) -> SoakResult:
-    """Play one seed.
+    """Run one seed.
 
     Args:
-        seed: Decides faults, targets and load, not their exact timing.
-        seconds: Length of the load under faults.
+        seed: Determines faults, targets and load, but not their exact timing.
+        seconds: Duration of the load under faults.
         folder: Empty folder for settings, data and logs, which are kept.
     """
     rng = random.Random(seed)
@@ -117,7 +117,7 @@
 
 
 async def _wait_until_served(load, session, dep, checker, when) -> None:
-    """Wait until each entry serves each kind; a promise is broken if it never does."""
+    """Wait until each entry serves each kind of request; a timeout is a violation."""
     for entry in dep.entries:
         for kind in KINDS:
             try:
--- a/wigeonscale/testing/traces.py
+++ b/wigeonscale/testing/traces.py
@@ -1,8 +1,8 @@
-"""Invariant checkers over recorded traces of engines and plain services.
+"""Invariant checks on recorded traces of engines and plain services.
 
-A sequence id is ``<dispatch id>#<run>``: every prefill is a run of its own. Earlier
-runs of a dispatch may have been cut short anywhere; whatever a run did must still be
-in order, each layer once per position.
+A sequence id is ``<dispatch id>#<run>``; each prefill starts a new run. Earlier runs
+of a dispatch may end at any step, but every step that a run executed must be in order,
+with each layer once per position.
 """
 
 __all__ = [
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken invariant.
+    """One violation of an invariant.
 
     Attributes:
-        sequence: Sequence, or key of an effect.
-        what: What was found where what was due.
+        sequence: Sequence id, idempotency key or other subject of the violation.
+        description: What was observed, and what was expected.
     """
 
     sequence: str
@@ -39,10 +39,11 @@
 
 
 def read_trace(path: str | pathlib.Path) -> list[Record]:
-    """Return the records of a JSON-lines trace; none if there is no file.
+    """Return the records of a JSON Lines trace; an empty list without a file.
 
     Args:
-        path: File written by a fake; a torn last line is left out.
+        path: File written by a fake engine or service; a partially written last
+            line is skipped.
     """
     file = pathlib.Path(path)
     if not file.exists():
@@ -57,16 +58,16 @@
     layers: int,
     finished: Mapping[str, int] | None = None,
 ) -> list[Violation]:
-    """Return every breach of "each layer once a token, in order".
+    """Check that each layer ran once per position, in order.
 
     Args:
         records: Records of all engines.
-        layers: Layers of the model, counted from 0.
-        finished: Positions that a whole answer needs, by dispatch id; its last
-            run must have them at every layer.
+        layers: Number of layers of the model.
+        finished: Number of positions of each completed dispatch, by dispatch id;
+            its last run must cover them at every layer.
 
     Returns:
-        Violations; empty when all is in order.
+        The violations found.
     """
     by_sequence: dict[str, list[Record]] = defaultdict(list)
     for record in records:
@@ -141,10 +142,10 @@
 
 
 def repeated_effects(records: Iterable[Record]) -> list[Violation]:
-    """Return the idempotency keys whose effect happened more than once.
+    """Return the idempotency keys with more than one effect.
 
     Args:
-        records: Records of plain services; those without a key are left out.
+        records: Records of plain services; those without a key are ignored.
     """
     counts = Counter(record["key"] for record in records if record["key"])
     return [
@@ -158,7 +159,7 @@
     steps: Iterable[Record] = (),
     effects: Iterable[Record] = (),
 ) -> list[Violation]:
-    """Return what ran although its caller was told that it did not.
+    """Return the requests that ran although they were refused as not run.
 
     Args:
         refused: Dispatch ids and idempotency keys refused as not run.
