--- a/wigeonscale/testing/case.py
+++ b/wigeonscale/testing/case.py
@@ -39,7 +39,7 @@
         tasks = asyncio.all_tasks() - {asyncio.current_task()}
         names = sorted(str(task.get_coro()) for task in tasks)
         if names:
-            raise AssertionError(f"tasks left over at the end of the test: {names}")
+            raise AssertionError(f"asyncio tasks still running after the test: {names}")
 
 
 async def _with_timeout(coro, seconds):
--- a/wigeonscale/testing/matrix/cluster.py
+++ b/wigeonscale/testing/matrix/cluster.py
@@ -87,7 +87,9 @@
             while not condition():  # noqa: ASYNC110 (no single event)
                 await asyncio.sleep(POLL_INTERVAL_S)
     except TimeoutError:
-        raise TimeoutError(f"waited {WAIT_TIMEOUT_S:g} s for {description}") from None
+        raise TimeoutError(
+            f"timed out after {WAIT_TIMEOUT_S:g} s waiting for {description}"
+        ) from None
 
 
 def free_address() -> str:
--- a/wigeonscale/testing/matrix/process_runner.py
+++ b/wigeonscale/testing/matrix/process_runner.py
@@ -70,5 +70,5 @@
             return system, [str(violation) for violation in await run(system)]
     except Exception as exc:
         # An exception is reported as a violation of this run; the matrix continues.
-        logger.exception("a run with whole processes")
+        logger.exception("run with real processes failed")
         return system, [f"run: {type(exc).__name__}: {exc}"]
--- a/wigeonscale/testing/matrix/processes.py
+++ b/wigeonscale/testing/matrix/processes.py
@@ -189,7 +189,7 @@
                     await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
             raise TimeoutError(
-                f"waited {WAIT_TIMEOUT_S:g} s for {description}"
+                f"timed out after {WAIT_TIMEOUT_S:g} s waiting for {description}"
             ) from None
 
     async def steps(self) -> list[Record]:
--- a/wigeonscale/testing/matrix/runner.py
+++ b/wigeonscale/testing/matrix/runner.py
@@ -105,7 +105,9 @@
             return await trial.finish()
     except Exception as exc:
         # An exception is reported as a violation of this run; the matrix continues.
-        logger.exception("%s at %s (%s)", fault, variant.name, role)
+        logger.exception(
+            "run of fault %s at step %s (role %s) failed", fault, variant.name, role
+        )
         return [Violation("run", f"{type(exc).__name__}: {exc}")]
     finally:
         if trial is not None:
--- a/wigeonscale/testing/matrix/trial.py
+++ b/wigeonscale/testing/matrix/trial.py
@@ -53,12 +53,12 @@
     await wait_until(cluster.ready_stages, "a ready chain")
     for entry in cluster.entries.values():
         is_current = functools.partial(_has_current_members, cluster, entry)
-        await wait_until(is_current, f"{entry.name} to know the chain")
+        await wait_until(is_current, f"{entry.name} to learn the chain")
 
 
 async def _wait_control_ready(node) -> None:
     replica = node.daemon.replica
-    await wait_until(node.daemon.is_ready, f"{node.name} to be fresh")
+    await wait_until(node.daemon.is_ready, f"{node.name} to be up to date")
     # A replica that lost its disk is being rebuilt until it may vote.
     await wait_until(lambda: replica.may_vote, f"{node.name} to be admitted")
 
@@ -275,7 +275,9 @@
         for undo in self._undo_patches:
             undo()
         if self._injection is None:
-            raise TimeoutError(f"the step never came at {self.role}")
+            raise TimeoutError(
+                f"step was not reached at role {self.role}; no fault was injected"
+            )
         await self.injected.wait()
         if self.fault.disconnects:
             await self._probe_isolated_node()
