--- a/wigeonscale/testing/matrix/tests/test_checks.py
+++ b/wigeonscale/testing/matrix/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each checker catches a planted violation, and passes what is in order."""
+"""Each check detects a constructed violation and accepts correct records."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 
 
 def whole(**changes) -> Answer:
-    """Return a whole answer, but for the changes."""
+    """Return a complete answer with the given fields replaced."""
     answer = Answer(tag="page-1", max_tokens=4, outcome=Outcome.WHOLE, status=200)
     answer.texts = expected_tokens(answer.prompt, LAYERS, 4)
     answer.declared = 4
@@ -21,14 +21,14 @@
 
 
 def refused(**changes) -> Answer:
-    """Return an honest refusal, but for the changes."""
+    """Return a valid refusal with the given fields replaced."""
     fields = {"status": 503, "run": "not-run", "kind": "overloaded"}
     fields |= {"retry_after": True, "texts": [], "declared": None}
     return whole(outcome=Outcome.REFUSED, **fields | changes)
 
 
 def note(**changes) -> Answer:
-    """Return the answer to a note that ran, but for the changes."""
+    """Return the answer to an executed note with the given fields replaced."""
     fields = {"tag": "note-1", "outcome": Outcome.WHOLE, "status": 200, "body": b"b"}
     return Answer(**fields | changes)
 
@@ -42,7 +42,7 @@
             answers, layers=LAYERS, allowed_run_states=allowed_run_states
         )
 
-    def test_answers_that_are_wrong_are_found(self):
+    def test_wrong_answers_are_detected(self):
         texts = whole().texts
         planted = {
             "a token missing": whole(texts=texts[:2] + texts[3:]),
@@ -60,21 +60,22 @@
         self.assertEqual([], self.answers(whole(), refused(), note()))
         self.assertEqual([], self.answers(refused(run="ran", texts=texts[:2])))
 
-    def test_refusals_that_the_fault_does_not_excuse_are_found(self):
+    def test_refusals_not_allowed_during_the_fault_are_detected(self):
         answers = refused(), refused(run="unknown")
         self.assertEqual(1, len(self.answers(*answers, allowed_run_states={"not-run"})))
         self.assertEqual(2, len(self.answers(*answers, allowed_run_states=())))
 
-    def test_work_that_ran_though_refused_as_not_run_is_found(self):
+    def test_refused_work_that_ran_is_detected(self):
         def find(*answers):
             return checks.not_run_violations(answers, ran={"page-1"})
 
         self.assertEqual(1, len(find(refused())))
         self.assertEqual([], find(refused(tag="page-2"), refused(run="ran")))
-        # One of two callers of a key got the answer: the other's word is its own.
+        # Two callers share a key: one was refused as not run, the other one got the
+        # answer, so the effect is no violation.
         self.assertEqual([], find(refused(), whole()))
 
-    def test_repeated_missing_and_changed_effects_are_found(self):
+    def test_repeated_missing_and_changed_effects_are_detected(self):
         def find(answers, effects=(EFFECT,)):
             return len(checks.at_most_once_violations(answers, list(effects)))
 
@@ -84,30 +85,32 @@
         self.assertEqual(0, find([note(), note()]))
         self.assertEqual(1, find([note()], [EFFECT, EFFECT]))
         self.assertEqual(1, find([note()], []))
-        # The truth may come out later; that it never ran may not.
+        # A call of unknown outcome may later turn out to have run, but a later claim
+        # that it did not run is a violation.
         self.assertEqual(0, find([unknown, note()]))
         self.assertEqual(1, find([unknown, refused(tag="note-1")]))
         self.assertEqual(1, find([note(), note(body=b"c")]))
 
-    def test_old_orders_carried_out_are_found(self):
+    def test_stale_orders_are_detected(self):
         newer, older = (3, 9, "load"), (2, 11, "load")
         self.assertEqual(1, len(checks.order_violations({"a": [newer, older]})))
         self.assertEqual([], checks.order_violations({"a": [older, newer, newer]}))
 
-    def test_revisions_that_go_back_or_come_late_are_found(self):
-        def find(*seen):
+    def test_decreasing_or_late_revisions_are_detected(self):
+        def find(*observed):
             moments = [
                 checks.RevisionObservation(name, rev, min_revision)
-                for name, rev, min_revision in seen
+                for name, rev, min_revision in observed
             ]
             return len(checks.revision_violations(moments))
 
         self.assertEqual(1, find(("e1", 4, 0), ("e1", 3, 0)))
         self.assertEqual(1, find(("e1", 4, 5)))
-        # A restarted process is another one; it must still know what is due.
+        # A restarted process has another name; it must still reach the minimum
+        # revision.
         self.assertEqual(0, find(("e1", 4, 4), ("e2", 3, 3), ("e1", 5, 5)))
 
-    def test_new_work_at_a_server_that_left_is_found(self):
+    def test_new_work_at_a_drained_server_is_detected(self):
         def find(seconds, back=None, **changes):
             record = {"engine": "a", "sequence": "d#1", "position": 0}
             record |= {"at_ns": int(seconds * 1e9)} | changes
--- a/wigeonscale/testing/matrix/tests/test_duplication.py
+++ b/wigeonscale/testing/matrix/tests/test_duplication.py
@@ -1,4 +1,4 @@
-"""A doubler passes requests and answers on twice."""
+"""A duplicator forwards each request and each reply twice."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class DuplicatorTest(AsyncTestCase):
-    async def test_each_way_twice(self):
+    async def test_requests_and_replies_are_duplicated(self):
         self.addCleanup(rpcs_ended)
         server, address = new_server("127.0.0.1:0")
         wire_pb2_grpc.add_AgentServicer_to_server(Echo(), server)
--- a/wigeonscale/testing/matrix/tests/test_matrix.py
+++ b/wigeonscale/testing/matrix/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""The part of the matrix that is quick and that no speed of the machine decides."""
+"""The quick cells of the matrix whose results do not depend on machine speed."""
 
 import fixtures
 import testscenarios
@@ -33,7 +33,7 @@
         await self.cluster.start()
         await apply_rules(self.cluster, 0)
 
-    async def test_nothing_is_violated(self):
+    async def test_cells_have_no_violations(self):
         chosen = [c for c in cells() if c.fault == self.fault and c.step in self.steps]
         self.assertEqual(len(self.steps), len(chosen))
         for variant, role in [run for cell in chosen for run in cell.runs]:
@@ -44,7 +44,7 @@
                 role=role,
                 recovery_timeout_s=SLOW_MACHINE_TIMEOUT_S,
             )
-            # On a slow machine an agent may be suspected that only was slow.
+            # On a slow machine a healthy agent may be suspected of failure.
             trial.allowed_run_states = frozenset(RunState)
             self.addCleanup(trial.close)
             await variant.run(trial)
--- a/wigeonscale/testing/matrix/tests/test_relay.py
+++ b/wigeonscale/testing/matrix/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What relays hold back, reset and delay."""
+"""Relays block, reset and delay connections."""
 
 import asyncio
 
@@ -43,7 +43,7 @@
             except ConnectionError:
                 return True
 
-    async def test_stalled_connection_is_silent_while_new_ones_work(self):
+    async def test_stall_blocks_existing_connections_only(self):
         old, new = await self.connect(), None
         self.assertEqual(b"x", await self.exchange(*old))
         self.net.stall("b", inbound=True)
@@ -55,7 +55,7 @@
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             self.assertEqual(b"late", await old[0].read(100))
 
-    async def test_muted_node_hears_but_is_not_heard(self):
+    async def test_blocked_outgoing_data_of_a_node_that_still_receives(self):
         old = await self.connect()
         self.assertEqual(b"x", await self.exchange(*old))
         self.net.block_outgoing("b")
@@ -70,7 +70,7 @@
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             self.assertEqual(b"y", await answer)
 
-    async def test_killed_node_resets_and_refuses_also_its_callers(self):
+    async def test_kill_resets_and_refuses_connections_of_callers_too(self):
         olds = [await self.connect(source) for source in ("a", CALLERS)]
         for old in olds:
             self.assertEqual(b"x", await self.exchange(*old))
@@ -81,7 +81,7 @@
         self.net.heal("b")
         self.assertEqual(b"x", await self.exchange(*await self.connect()))
 
-    async def test_nothing_overtakes_what_was_delayed(self):
+    async def test_later_data_does_not_overtake_delayed_data(self):
         reader, writer = await self.connect()
         self.assertEqual(b"x", await self.exchange(reader, writer))
         self.net.slow("b", 0.05)
--- a/wigeonscale/testing/matrix/tests/test_report.py
+++ b/wigeonscale/testing/matrix/tests/test_report.py
@@ -1,4 +1,4 @@
-"""What the table says of cells that were run, violated or not run."""
+"""The table shows cells that ran, were violated or were not run."""
 
 import contextlib
 import io
--- a/wigeonscale/testing/soak/tests/support.py
+++ b/wigeonscale/testing/soak/tests/support.py
@@ -1,4 +1,4 @@
-"""The daemons under test with stand-ins, for tests that need no faults drawn."""
+"""The daemons under test with fake backends, for tests without random faults."""
 
 import asyncio
 import pathlib
@@ -14,7 +14,7 @@
 
 ENGINES = 4
 PLAIN_SERVERS = 2
-# Far above what a busy machine needs.
+# Far more than a busy machine needs.
 TIMEOUT_S = 60.0
 
 
--- a/wigeonscale/testing/soak/tests/test_notices.py
+++ b/wigeonscale/testing/soak/tests/test_notices.py
@@ -1,16 +1,16 @@
-"""Backend servers say how they are, to the daemons as processes.
+"""Daemon processes obey the notices of backend servers.
 
-In each test an entry is asked one request after another, so that what it was told by an
-answer that its caller has is known to it at the next one, however busy the machine is.
+Each test sends requests to an entry one after the other. A notice in one response is
+therefore known to the entry at the next request, however busy the machine is.
 """
 
 from wigeonscale.testing.soak.tests.support import DeploymentCase
 
 REQUESTS = 25
-# Rests and limits that outlast the test.
+# Retry delay and limit that last longer than the test.
 LONG_RETRY_AFTER_S = 600.0
 LOW_LIMIT_PER_S = 0.01
-# By the users' rule, for a limit that allows next to none in the window.
+# Allowed by the users' rule for a limit of almost no request per window.
 MAX_REQUESTS_IN_WINDOW = 5
 WINDOW_S = 4.0
 
@@ -21,7 +21,7 @@
             await self.load.call(self.session, entry, kind)
 
     async def preferred_server(self, kind, entry):
-        """Return the server that an entry begins its requests at."""
+        """Return the server to which an entry sends most of its requests."""
         await self.wait_until_served(kind)
         for backend in self.backends:
             backend.arrivals.clear()
@@ -36,10 +36,10 @@
         ]
 
     async def requests_after(self, kind, notice):
-        """Let a server say something, and ask on.
+        """Let a server give a notice, then send further requests.
 
         Returns:
-            The server, and how many requests of each entry reach it from then on.
+            The server, and the number of later requests from each entry to it.
         """
         backend = await self.preferred_server(kind, self.dep.entries[0])
         notice(backend)
@@ -51,17 +51,17 @@
         counts = [len(self.requests_from(entry, backend)) for entry in self.dep.entries]
         return backend, counts
 
-    async def test_one_that_asks_for_rest_is_asked_once_by_each_entry(self):
+    async def test_retry_delay_admits_one_request_of_each_entry(self):
         for kind in ("stream", "safe"):
             _, counts = await self.requests_after(kind, self.set_retry_after)
             self.assertTrue(max(counts) <= 1, f"{kind}: {counts} sends")
 
-    async def test_one_that_leaves_is_asked_once_by_each_entry(self):
+    async def test_leaving_admits_one_request_of_each_entry(self):
         for kind in ("stream", "safe"):
             _, counts = await self.requests_after(kind, self.set_leaving)
             self.assertTrue(max(counts) <= 1, f"{kind}: {counts} sends")
 
-    async def test_one_that_names_a_limit_gets_no_more_of_all_entries(self):
+    async def test_limit_holds_over_all_entries(self):
         for kind in ("stream", "safe"):
             backend, _ = await self.requests_after(kind, self.set_limit)
             times = [at for _, at in backend.arrivals]
--- a/wigeonscale/testing/soak/tests/test_soak.py
+++ b/wigeonscale/testing/soak/tests/test_soak.py
@@ -18,10 +18,10 @@
 from wigeonscale.testing.soak.notices import NoticeChecker, draw_notices
 from wigeonscale.testing.soak.run import run_soak
 
-# Seeds that failed once, each with its cause.
+# Seeds that failed before, each with its cause.
 REGRESSION_SEEDS = (
-    305,  # SIGHUP while an entry started ended it
-    308,  # the same at a control replica
+    305,  # SIGHUP during start-up terminated an entry
+    308,  # SIGHUP during start-up terminated a control replica
 )
 LOAD_S = 3.0
 
@@ -32,18 +32,18 @@
         self.checker = InvariantChecker()
         self.checker.at_most_once_ids.add("r1")
 
-    def test_second_run_of_what_must_not_repeat(self):
+    def test_second_run_of_at_most_once_request(self):
         self.checker.record_run("r1")
         self.assertEqual([], self.checker.violations)
         self.checker.record_run("r1")
         self.assertEqual(["r1 ran twice"], self.checker.violations)
 
-    def test_others_may_run_again(self):
+    def test_other_requests_may_run_again(self):
         for _ in range(2):
             self.checker.record_run("r2")
         self.assertEqual([], self.checker.violations)
 
-    def test_not_run_is_true_before_and_after(self):
+    def test_not_run_answer_before_or_after_a_run(self):
         self.checker.record_run("r1")
         self.checker.record_answer("r1", 503)
         self.checker.at_most_once_ids.add("r2")
@@ -51,12 +51,12 @@
         self.checker.record_run("r2")
         self.assertEqual(2, len(self.checker.violations))
 
-    def test_a_failure_that_promises_nothing(self):
+    def test_failure_that_may_have_run(self):
         self.checker.record_run("r1")
         self.checker.record_answer("r1", 502)
         self.assertEqual([], self.checker.violations)
 
-    def test_configuration_never_goes_back(self):
+    def test_configuration_never_decreases(self):
         self.checker.record_acknowledged(5)
         self.checker.record_acknowledged(3)
         self.checker.record_read(5, self.checker.acknowledged)
@@ -71,7 +71,7 @@
             self.checker.record_path("r1", wrong, 8)
         self.assertEqual(4, len(self.checker.violations))
 
-    def test_crashes_once_a_request_is_known_for_them(self):
+    def test_crashes_after_the_request_must_be_refused(self):
         for at in (1.0, 2.0, 3.0, 5.9, 6.1, 6.2, 6.3):
             self.checker.record_crash(b"crash", at)
         self.checker.check_crashes()
@@ -80,7 +80,7 @@
         self.checker.check_crashes()
         self.assertEqual(1, len(self.checker.violations))
 
-    def test_whole_answers(self):
+    def test_complete_answers(self):
         self.checker.record_success("r1", b"ab", b"ab")
         self.assertEqual([], self.checker.violations)
         self.checker.record_success("r1", b"a", b"ab")
@@ -102,7 +102,7 @@
         self.checker.record_sent(request_id, entry, sent_at)
         self.checker.record_arrival(request_id, server, at)
 
-    def test_one_that_leaves(self):
+    def test_leaving_server(self):
         self.receive_notice("e1", "i", "Server-Leaving", 10.0)
         self.send_request("e1", "i", 9.9, 10.5)
         self.send_request("e2", "i", 11.0, 11.1)
@@ -111,7 +111,7 @@
         self.send_request("e1", "i", 10.1, 10.2)
         self.assertEqual(1, len(self.checker.violations))
 
-    def test_one_that_rests(self):
+    def test_server_with_retry_delay(self):
         self.receive_notice("e1", "i", "Retry-After", 10.0)
         self.send_request("e1", "i", 9.9, 10.5)
         self.send_request("e1", "i", 10.1, 11.5)
@@ -119,7 +119,7 @@
         self.send_request("e1", "i", 10.2, 11.3)
         self.assertEqual(1, len(self.checker.violations))
 
-    def test_one_that_names_a_limit(self):
+    def test_server_with_limit(self):
         self.receive_notice("e1", "i", "Server-Limit", 10.0)
         self.checker.limit_periods["i"].append((10.0, 30.0))
         for number in range(11):
@@ -131,7 +131,7 @@
         self.checker.check_limits()
         self.assertEqual(1, len(self.checker.violations))
 
-    def test_every_kind_comes_in_each_run(self):
+    def test_each_run_has_every_kind(self):
         drawn = draw_notices(1, seconds=10.0, backends=6)
         self.assertEqual({"limit", "rest", "leave"}, {each.kind for each in drawn})
         self.assertEqual(drawn, draw_notices(1, seconds=10.0, backends=6))
@@ -141,17 +141,17 @@
     def drawn(self, seed):
         return draw_faults(random.Random(seed), seconds=30.0, nodes=5, backends=6)
 
-    def test_a_seed_draws_the_same_faults(self):
+    def test_seed_determines_faults(self):
         self.assertEqual(self.drawn(1), self.drawn(1))
         self.assertNotEqual(self.drawn(1), self.drawn(2))
 
-    def test_every_kind_comes(self):
+    def test_every_kind_occurs(self):
         kinds = {fault.kind for seed in range(20) for fault in self.drawn(seed)}
         self.assertEqual({*NODE_KINDS, *LINK_KINDS}, kinds)
 
 
 class OverlapTest(AsyncTestCase):
-    async def test_a_node_under_two_faults_is_started_once_at_a_time(self):
+    async def test_overlapping_faults_do_not_start_a_node_twice(self):
         running = set()
 
         class Dep:
@@ -184,7 +184,7 @@
 
 
 class ShortRunTest(AsyncTestCase):
-    async def test_promises_are_kept(self):
+    async def test_seeds_have_no_violations(self):
         for seed in (1, *REGRESSION_SEEDS):
             folder = pathlib.Path(self.useFixture(fixtures.TempDir()).path)
             result = await run_soak(seed, seconds=LOAD_S, folder=folder)
--- a/wigeonscale/testing/tests/__init__.py
+++ b/wigeonscale/testing/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the test support."""
+"""Tests of the test support package."""
--- a/wigeonscale/testing/tests/test_case.py
+++ b/wigeonscale/testing/tests/test_case.py
@@ -5,7 +5,7 @@
 
 
 def outcome_of(name):
-    """Run one planted case; built here so that the loader collects none."""
+    """Run one case of a class defined here, so that no test loader collects it."""
 
     class FailingCase(AsyncTestCase):
         async def fail_in_coroutine(self):
--- a/wigeonscale/testing/tests/test_pages.py
+++ b/wigeonscale/testing/tests/test_pages.py
@@ -12,12 +12,12 @@
 
 
 class PathsTest(AsyncTestCase):
-    def test_links_of_every_page_lead_somewhere(self):
+    def test_link_targets_of_every_page_exist(self):
         for page in PAGES:
             for target in LINK.findall(page.read_text(encoding="utf-8")):
                 self.assertTrue((page.parent / target).exists(), (page.name, target))
 
-    def test_modules_that_the_glossary_names_exist(self):
+    def test_modules_named_in_glossary_exist(self):
         text = (ROOT / "docs" / "GLOSSARY.md").read_text(encoding="utf-8")
         paths = CODE_PATH.findall(text)
         self.assertNotEqual([], paths)
@@ -62,6 +62,6 @@
 
 
 def _first_block(text):
-    """Return the first indented block without its indent."""
+    """Return the first indented block, dedented."""
     block = re.search(r"(?:^    .*\n|^\n)+", text[text.index("\n    ") :], re.MULTILINE)
     return re.sub(r"^    ", "", block[0], flags=re.MULTILINE).lstrip()
--- a/wigeonscale/testing/tests/test_traces.py
+++ b/wigeonscale/testing/tests/test_traces.py
@@ -14,7 +14,7 @@
 
 
 def valid_records(sequence="d#1", tokens=3):
-    """Two stages, a prefill of two positions, then one position a step."""
+    """Return a run of two stages: a prefill of two positions, then single steps."""
     spans = [(0, 2)] + [(2 + n, 1) for n in range(tokens - 1)]
     records = []
     for position, count in spans:
@@ -39,13 +39,13 @@
 
 
 class LayerOrderTest(AsyncTestCase):
-    def test_good_runs_pass(self):
-        # A first run cut short after its first stage, then a whole one.
+    def test_valid_runs_have_no_violations(self):
+        # The first run ends after three records; the second one is complete.
         records = valid_records()[:3] + valid_records("d#2")
         found = layer_order_violations(records, layers=LAYERS, finished={"d": 4})
         self.assertEqual([], found)
 
-    def test_planted_faults_are_caught(self):
+    def test_each_fault_is_detected(self):
         def swap_times(records):
             for one, other in zip(records[2::2], records[3::2], strict=True):
                 one["at_ns"], other["at_ns"] = other["at_ns"], one["at_ns"]
@@ -61,7 +61,7 @@
         for text, fault in faults.items():
             self.assertTrue([p for p in violations_after(fault) if text in p], text)
 
-    def test_missing_layer_of_whole_answer_is_caught(self):
+    def test_missing_layer_of_complete_run_is_detected(self):
         found = layer_order_violations(
             valid_records()[:-1], layers=LAYERS, finished={"d": 4, "e": 1}
         )
@@ -73,17 +73,17 @@
 
 
 class EffectsTest(AsyncTestCase):
-    def test_repeated_effect_is_caught(self):
+    def test_repeated_effect_is_detected(self):
         records = [{"key": "a"}, {"key": "b"}, {"key": "a"}, {"key": ""}, {"key": ""}]
         self.assertEqual(["a: 2 effects"], [str(v) for v in repeated_effects(records)])
 
-    def test_refused_but_ran_is_caught(self):
+    def test_refused_request_that_ran_is_detected(self):
         found = refused_but_ran(
             ["d", "k", "x"], steps=valid_records(), effects=[{"key": "k"}]
         )
         self.assertEqual(["d", "k"], [v.sequence for v in found])
 
-    def test_torn_last_line_is_left_out(self):
+    def test_partial_last_line_is_skipped(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "trace")
             self.assertEqual([], read_trace(path))
