--- a/wigeonscale/agent/tests/test_cancel.py
+++ b/wigeonscale/agent/tests/test_cancel.py
@@ -12,7 +12,7 @@
         self.clock = ManualClock()
         _, self.nodes, self.chain = await start_chain(self, clock=self.clock)
         self.table = self.nodes[0].agent.table
-        self.held = self.nodes[1].engine._busy
+        self.held = self.nodes[1].engine._iteration_lock
         await self.held.acquire()
 
     async def open_and_attach(self, *entries):
