--- a/wigeonscale/testing/matrix/checks.py
+++ b/wigeonscale/testing/matrix/checks.py
@@ -1,13 +1,13 @@
-"""What must hold after every fault, as functions over what was recorded."""
+"""Invariant checks that run on the recorded observations after every fault."""
 
 __all__ = [
     "answer_violations",
     "at_most_once_violations",
     "not_run_violations",
-    "RevisionSeen",
+    "RevisionObservation",
     "order_violations",
     "revision_violations",
-    "work_after_leaving",
+    "work_after_drain",
 ]
 
 from collections import defaultdict
@@ -15,49 +15,56 @@
 from dataclasses import dataclass
 
 from wigeonscale.testing.fake_engine import expected_tokens
-from wigeonscale.testing.matrix.load import Answer, Told
+from wigeonscale.testing.matrix.load import Answer, Outcome
 from wigeonscale.testing.traces import Violation, repeated_effects
 
 UNAVAILABLE = 503
-# A server that leaves gets no new work after this long, in seconds.
-LEAVING_LIMIT_S = 3.0
+# A draining server may receive new work for at most this long.
+DRAIN_EFFECTIVE_AFTER_S = 3.0
 
 
 def answer_violations(
-    answers: Iterable[Answer], *, layers: int, allows: Collection[str]
+    answers: Iterable[Answer], *, layers: int, allowed_run_states: Collection[str]
 ) -> list[Violation]:
-    """Return answers that are wrong, cut without a word or refused without need.
+    """Return answers that are wrong, truncated or refused without a valid reason.
 
     Args:
-        answers: Answers of pipelines and of plain services.
-        layers: Layers of the model.
-        allows: Run states that a refusal may name.
+        answers: Answers of pipelines and plain services.
+        layers: Number of layers of the model.
+        allowed_run_states: Run states that a refusal may report.
     """
-    found = []
+    violations = []
     for answer in answers:
-        want = expected_tokens(answer.prompt, layers, answer.max_tokens)
-        problem = _answer_problem(answer, want)
-        if not problem and answer.told is Told.REFUSED and answer.run not in allows:
+        expected = expected_tokens(answer.prompt, layers, answer.max_tokens)
+        problem = _answer_problem(answer, expected)
+        if (
+            not problem
+            and answer.outcome is Outcome.REFUSED
+            and answer.run not in allowed_run_states
+        ):
             problem = (
                 f"refused, run {answer.run}: {answer.status} {answer.kind}:"
                 f" {answer.message}"
             )
         if problem:
-            found.append(Violation(answer.tag, problem))
-    return found
+            violations.append(Violation(answer.tag, problem))
+    return violations
 
 
-def _answer_problem(answer: Answer, want: Sequence[str]) -> str:
+def _answer_problem(answer: Answer, expected: Sequence[str]) -> str:
     if not answer.max_tokens:
-        return _refusal_problem(answer) if answer.told is Told.REFUSED else ""
+        return _refusal_problem(answer) if answer.outcome is Outcome.REFUSED else ""
     count = len(answer.texts)
-    if answer.texts != list(want[:count]):
+    if answer.texts != list(expected[:count]):
         return f"{count} tokens differ from those due"
-    if answer.told is Told.CUT:
+    if answer.outcome is Outcome.CUT:
         return f"cut without a word after {count} tokens: {answer.message}"
-    if answer.told is Told.WHOLE and (count, answer.declared) != (len(want),) * 2:
-        return f"{count} tokens, {answer.declared} declared, {len(want)} due"
-    if answer.told is Told.REFUSED:
+    if (
+        answer.outcome is Outcome.WHOLE
+        and (count, answer.declared) != (len(expected),) * 2
+    ):
+        return f"{count} tokens, {answer.declared} declared, {len(expected)} due"
+    if answer.outcome is Outcome.REFUSED:
         return _refusal_problem(answer)
     return ""
 
@@ -75,18 +82,20 @@
 def not_run_violations(
     answers: Iterable[Answer], *, ran: Collection[str]
 ) -> list[Violation]:
-    """Return what ran although every caller was told that it did not.
+    """Return requests that ran although every caller was told that they did not.
 
     Args:
-        answers: All answers; several may bear one idempotency key.
-        ran: Tags and keys that backend servers saw.
+        answers: All answers; several may have the same idempotency key.
+        ran: Tags and idempotency keys that backend servers executed.
     """
-    runs: dict[str, set[str]] = defaultdict(set)
+    run_states_by_tag: dict[str, set[str]] = defaultdict(set)
     for answer in answers:
-        runs[answer.tag].add("whole" if answer.told is Told.WHOLE else answer.run)
+        run_states_by_tag[answer.tag].add(
+            "whole" if answer.outcome is Outcome.WHOLE else answer.run
+        )
     return [
         Violation(tag, "ran but was refused as not run")
-        for tag, states in runs.items()
+        for tag, states in run_states_by_tag.items()
         if states == {"not-run"} and tag in ran
     ]
 
@@ -94,14 +103,14 @@
 def at_most_once_violations(
     answers: Iterable[Answer], effects: Sequence[dict]
 ) -> list[Violation]:
-    """Return repeated effects, answers without effect, and changed answers.
+    """Return repeated effects, answers without an effect, and differing answers.
 
     Args:
-        answers: Answers to calls, per key in the order in which they came.
-        effects: Records of plain services.
+        answers: Answers to calls, in the order of arrival per idempotency key.
+        effects: Trace records of plain services.
     """
-    found = repeated_effects(effects)
-    done = {record["key"] for record in effects}
+    violations = repeated_effects(effects)
+    executed = {record["key"] for record in effects}
     unknown: set[str] = set()
     bodies: dict[str, bytes] = {}
     for answer in answers:
@@ -109,92 +118,98 @@
         if answer.run == "unknown":
             unknown.add(tag)
         if answer.run == "not-run" and tag in unknown:
-            found.append(Violation(tag, "not-run after it was said to be unknown"))
-        if answer.told is not Told.WHOLE:
+            violations.append(Violation(tag, "not-run after it was said to be unknown"))
+        if answer.outcome is not Outcome.WHOLE:
             continue
-        if tag not in done:
-            found.append(Violation(tag, "answered but had no effect"))
+        if tag not in executed:
+            violations.append(Violation(tag, "answered but had no effect"))
         if bodies.setdefault(tag, answer.body) != answer.body:
-            found.append(Violation(tag, "two callers got different answers"))
-    return found
+            violations.append(Violation(tag, "two callers got different answers"))
+    return violations
 
 
 def order_violations(
     orders: Mapping[str, Sequence[tuple[int, int, str]]],
 ) -> list[Violation]:
-    """Return orders that an engine carried out after a newer one.
+    """Return orders that an engine carried out after a newer order.
 
     Args:
-        orders: Term, sequence and action of each order, by engine.
+        orders: Term, sequence number and action of each order, by engine.
     """
-    found = []
-    for name, carried_out in orders.items():
+    violations = []
+    for name, executed in orders.items():
         newest = (0, 0)
-        for term, sequence, action in carried_out:
+        for term, sequence, action in executed:
             if (term, sequence) < newest:
-                what = f"{action} ({term}, {sequence}) after {newest}"
-                found.append(Violation(name, what))
+                description = f"{action} ({term}, {sequence}) after {newest}"
+                violations.append(Violation(name, description))
             newest = max(newest, (term, sequence))
-    return found
+    return violations
 
 
 @dataclass(frozen=True, slots=True)
-class RevisionSeen:
-    """The configuration that one process had in force at one moment.
+class RevisionObservation:
+    """The configuration revision that one process applied at one moment.
 
     Attributes:
-        process: Name and start of the process.
-        revision: In force there.
-        due: Smallest revision allowed: what had been accepted long enough before.
+        process: Name of the process and id of its start.
+        revision: Revision applied by the process.
+        min_revision: Lowest revision allowed, which was accepted longer ago than the
+            propagation time.
     """
 
     process: str
     revision: int
-    due: int
+    min_revision: int
 
 
-def revision_violations(seen: Iterable[RevisionSeen]) -> list[Violation]:
-    """Return where a configuration went back or came too late.
+def revision_violations(observations: Iterable[RevisionObservation]) -> list[Violation]:
+    """Return processes whose revision decreased or was applied too late.
 
     Args:
-        seen: In the order of time; only moments at which the process served.
+        observations: Observations in chronological order, of serving processes only.
     """
-    found: dict[tuple[str, str], Violation] = {}
+    violations: dict[tuple[str, str], Violation] = {}
     newest: dict[str, int] = {}
-    for moment in seen:
-        name, revision = moment.process, moment.revision
+    for observation in observations:
+        name, revision = observation.process, observation.revision
         if revision < newest.get(name, 0):
-            what = f"revision {revision} after {newest[name]}"
-            found.setdefault((name, "back"), Violation(name, what))
-        if revision < moment.due:
-            what = f"serves by revision {revision} where {moment.due} was due"
-            found.setdefault((name, "late"), Violation(name, what))
+            description = f"revision {revision} after {newest[name]}"
+            violations.setdefault((name, "back"), Violation(name, description))
+        if revision < observation.min_revision:
+            description = (
+                f"serves by revision {revision}"
+                f" where {observation.min_revision} was due"
+            )
+            violations.setdefault((name, "late"), Violation(name, description))
         newest[name] = max(revision, newest.get(name, 0))
-    return list(found.values())
+    return list(violations.values())
 
 
-def work_after_leaving(
+def work_after_drain(
     steps: Iterable[dict],
     *,
-    left_at_ns: Mapping[str, int],
-    back_at_ns: Mapping[str, int],
+    drained_at_ns: Mapping[str, int],
+    undrained_at_ns: Mapping[str, int],
 ) -> list[Violation]:
-    """Return sequences that began at an engine too long after it left.
+    """Return sequences that started at an engine too long after it began to drain.
 
     Args:
-        steps: Records of engines.
-        left_at_ns: When each leaving server's order was accepted.
-        back_at_ns: When it was asked to take work again.
+        steps: Trace records of engines.
+        drained_at_ns: Monotonic time at which draining was accepted, by engine.
+        undrained_at_ns: Monotonic time at which draining was cancelled, by engine.
     """
-    limit_ns = int(LEAVING_LIMIT_S * 1e9)
-    found = []
+    limit_ns = int(DRAIN_EFFECTIVE_AFTER_S * 1e9)
+    violations = []
     for record in steps:
-        left_ns = left_at_ns.get(record["engine"])
-        if left_ns is None or record["position"] > 0:
+        drained_ns = drained_at_ns.get(record["engine"])
+        if drained_ns is None or record["position"] > 0:
             continue
-        back_ns = back_at_ns.get(record["engine"], record["at_ns"] + 1)
-        if left_ns + limit_ns < record["at_ns"] < back_ns:
-            late_s = (record["at_ns"] - left_ns) / 1e9
-            what = f"new work at {record['engine']} {late_s:.1f} s after it left"
-            found.append(Violation(record["sequence"], what))
-    return found
+        undrained_ns = undrained_at_ns.get(record["engine"], record["at_ns"] + 1)
+        if drained_ns + limit_ns < record["at_ns"] < undrained_ns:
+            delay_s = (record["at_ns"] - drained_ns) / 1e9
+            description = (
+                f"new work at {record['engine']} {delay_s:.1f} s after it left"
+            )
+            violations.append(Violation(record["sequence"], description))
+    return violations
--- a/wigeonscale/testing/matrix/cluster.py
+++ b/wigeonscale/testing/matrix/cluster.py
@@ -1,6 +1,6 @@
-"""A small deployment in this process: control, entries, agents and fakes."""
+"""A small in-process deployment of control, entries, agents and fake backends."""
 
-__all__ = ["KEY", "LAYERS", "MODEL", "Cluster", "rules_text", "until"]
+__all__ = ["KEY", "LAYERS", "MODEL", "Cluster", "rules_text", "wait_until"]
 
 import asyncio
 import itertools
@@ -17,10 +17,10 @@
 from wigeonscale.testing.fake_service import serve_service
 from wigeonscale.testing.matrix.backends import Moment, Recorder, RecordingEngine
 from wigeonscale.testing.matrix.nodes import AgentNode, ControlNode, EntryNode
-from wigeonscale.testing.matrix.relay import ANYONE, CALLERS, Network
+from wigeonscale.testing.matrix.relay import ANY_SOURCE, CALLERS, Network
 
-LIMIT_S = 60.0
-LOOK_S = 0.02
+WAIT_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.02
 KEY = "matrix-key"
 MODEL = "proof-12"
 LAYERS = 12
@@ -32,11 +32,11 @@
 DOMAINS = ("hall-a", "hall-b", "hall-c")
 SNAPSHOT_ENTRIES = 40
 
-_numbers = itertools.count(1)
+_counter = itertools.count(1)
 
 
 def rules_text(note: str) -> str:
-    """Return a rules document that differs from others by its note."""
+    """Return a rules document that is made unique by a note."""
     return f"""\
 [organisation matrix]
 keys = {KEY}
@@ -72,27 +72,29 @@
 """
 
 
-async def until(condition: Callable[[], object], what: str = "") -> None:
-    """Wait until a condition holds.
+async def wait_until(condition: Callable[[], object], description: str = "") -> None:
+    """Poll until a condition holds.
 
     Args:
-        condition: Looked at again and again.
-        what: What is waited for, for the error.
+        condition: Called at every poll.
+        description: What is awaited, for the error message.
 
     Raises:
-        TimeoutError: It did not hold within ``LIMIT_S``.
+        TimeoutError: The condition did not hold within ``WAIT_TIMEOUT_S``.
     """
     try:
-        async with asyncio.timeout(LIMIT_S):
-            while not condition():  # noqa: ASYNC110 (spans several objects)
-                await asyncio.sleep(LOOK_S)
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while not condition():  # noqa: ASYNC110 (no single event)
+                await asyncio.sleep(POLL_INTERVAL_S)
     except TimeoutError:
-        raise TimeoutError(f"waited {LIMIT_S:g} s for {what}") from None
+        raise TimeoutError(
+            f"timed out after {WAIT_TIMEOUT_S:g} s waiting for {description}"
+        ) from None
 
 
 def free_address() -> str:
-    """Return an address on a loopback host that only this process uses."""
-    number = next(_numbers)
+    """Return a free ``ip:port`` on a loopback IP that is unique to this process."""
+    number = next(_counter)
     high, low = divmod(os.getpid(), 200)
     host = f"127.{20 + low}.{high % 250}.{1 + number % 250}"
     with socket.socket() as sock:
@@ -104,13 +106,15 @@
     """Three control replicas, two entries, five engines and two plain services.
 
     Attributes:
-        net: Relays between the nodes.
-        recorder: What the backend servers did.
-        controls, entries, agents: Nodes by name.
-        accepted: When each revision was accepted, and its number.
+        net: Relays between the nodes, for network faults.
+        recorder: Records the work of the backend servers.
+        controls: Control replicas by name.
+        entries: Entries by name.
+        agents: Agents by name.
+        accepted: Monotonic time and number of each accepted revision.
 
     Args:
-        folder: Folder for the data folders.
+        folder: Parent of the data folders.
     """
 
     def __init__(self, *, folder: str):
@@ -127,17 +131,17 @@
 
     @property
     def nodes(self) -> dict[str, ControlNode | EntryNode | AgentNode]:
-        """All nodes by name."""
+        """All nodes, by name."""
         return self.controls | self.entries | self.agents
 
     async def start(self) -> None:
-        """Start every node and wait until a pipeline serves."""
-        timeout = aiohttp.ClientTimeout(total=LIMIT_S)
+        """Start every node."""
+        timeout = aiohttp.ClientTimeout(total=WAIT_TIMEOUT_S)
         connector = aiohttp.TCPConnector(force_close=True, limit=0)
         self.http = aiohttp.ClientSession(timeout=timeout, connector=connector)
         self._grpc = {name: free_address() for name in CONTROLS}
         for name in CONTROLS:
-            await self.net.add(ANYONE, name, self._grpc[name])
+            await self.net.add(ANY_SOURCE, name, self._grpc[name])
         for number, name in enumerate(CONTROLS):
             self.controls[name] = await self._control(name, number)
         for number in range(ENGINES):
@@ -150,7 +154,7 @@
             await node.start()
 
     async def close(self) -> None:
-        """End every node."""
+        """Kill every node and release all resources."""
         self.recorder.hook = None
         for node in self.nodes.values():
             self.net.kill(node.name)
@@ -162,50 +166,50 @@
         await self.http.close()
 
     def leader(self) -> ControlNode | None:
-        """Return the replica that leads and is fresh, if there is one."""
+        """Return the leader if it is up to date, else None."""
         for node in self.controls.values():
             daemon = node.daemon
             if daemon and daemon.replica.role == "leader" and daemon.is_ready():
                 return node
         return None
 
-    def chain(self):
-        """Return the stages of the pipeline's ready chain, or an empty list."""
+    def ready_stages(self):
+        """Return the stages of the pipeline's first ready chain, or an empty list."""
         leader = self.leader()
         chains = leader.daemon.state.chains if leader else []
         ready = [chain for chain in chains if chain.ready]
         return list(ready[0].stages) if ready else []
 
     def entry_url(self, name: str) -> str:
-        """Return the base URL by which callers reach an entry."""
+        """Return the base URL of an entry for callers."""
         return f"http://{self.net.between(CALLERS, name).address}"
 
-    def note_accepted(self, revision: int) -> None:
-        """Note that an operator was told that a revision is accepted."""
+    def record_accepted(self, revision: int) -> None:
+        """Record that an operator was told that a revision was accepted."""
         self.accepted.append((time.monotonic(), revision))
 
     def revision(self) -> int:
-        """Return the newest revision that a fresh replica knows."""
+        """Return the newest revision known to an up-to-date replica."""
         fresh = [n.daemon for n in self.controls.values() if n.daemon]
-        known = [d.state.configuration.revision for d in fresh if d.is_ready()]
-        return max(known, default=0)
+        revisions = [d.state.configuration.revision for d in fresh if d.is_ready()]
+        return max(revisions, default=0)
 
     async def kill(self, name: str) -> None:
-        """End a node at once, together with its connections."""
+        """Kill a node and reset its connections."""
         self.net.kill(name)
         await self.nodes[name].kill()
 
     async def restart(self, name: str) -> None:
-        """Start an ended node again, reachable as before."""
+        """Restart a stopped node and restore its network links."""
         self.net.heal(name)
         await self.nodes[name].start()
 
     async def _control(self, name: str, number: int) -> ControlNode:
-        peers = [Peer(p, self.net.between(ANYONE, p).address) for p in CONTROLS]
-        view = {peer.address: peer.address for peer in peers}
+        peers = [Peer(p, self.net.between(ANY_SOURCE, p).address) for p in CONTROLS]
+        dial_addresses = {peer.address: peer.address for peer in peers}
         for peer in peers:
             if peer.name != name:
-                view[peer.address] = await self.net.add(
+                dial_addresses[peer.address] = await self.net.add(
                     name, peer.name, self._grpc[peer.name]
                 )
         cfg = ControlSettings(
@@ -217,9 +221,9 @@
             peers=tuple(peers),
             snapshot_entries=SNAPSHOT_ENTRIES,
         )
-        return ControlNode(cfg=cfg, view=view)
+        return ControlNode(cfg=cfg, dial_addresses=dial_addresses)
 
-    async def _to_controls(self, name: str) -> tuple[str, ...]:
+    async def _add_control_relays(self, name: str) -> tuple[str, ...]:
         return tuple(
             [await self.net.add(name, peer, self._grpc[peer]) for peer in CONTROLS]
         )
@@ -230,7 +234,7 @@
             domain=DOMAINS[number % len(DOMAINS)],
             http="127.0.0.1:0",
             listen=free_address(),
-            control=await self._to_controls(name),
+            control=await self._add_control_relays(name),
         )
         await self.net.add(CALLERS, name, cfg.listen)
         return EntryNode(cfg=cfg)
@@ -241,7 +245,7 @@
             domain=DOMAINS[number % len(DOMAINS)],
             http="127.0.0.1:0",
             grpc=free_address(),
-            control=await self._to_controls(name),
+            control=await self._add_control_relays(name),
             **kwargs,
         )
 
@@ -259,18 +263,20 @@
             link_rate=10000.0,
         )
         engine = RecordingEngine(recorder=self.recorder, name=name, info=info)
-        announced = await self.net.add(ANYONE, name, cfg.grpc)
-        self.agents[name] = AgentNode(cfg=cfg, announced=announced, engine=engine)
+        advertised_address = await self.net.add(ANY_SOURCE, name, cfg.grpc)
+        self.agents[name] = AgentNode(
+            cfg=cfg, advertised_address=advertised_address, engine=engine
+        )
 
     async def _add_service(self, name: str, number: int) -> None:
         runner, url = await serve_service(
             name="directory",
             trace=self.recorder.effects.append,
-            before_answer=lambda: self.recorder.at(Moment(step="call", node=name)),
+            before_answer=lambda: self.recorder.notify(Moment(step="call", node=name)),
         )
         self._service_runners.append(runner)
         cfg = await self._agent_settings(
             name, number, kind="service", service="directory", backend=url
         )
-        announced = await self.net.add(ANYONE, name, cfg.grpc)
-        self.agents[name] = AgentNode(cfg=cfg, announced=announced)
+        advertised_address = await self.net.add(ANY_SOURCE, name, cfg.grpc)
+        self.agents[name] = AgentNode(cfg=cfg, advertised_address=advertised_address)
--- a/wigeonscale/testing/matrix/rivals.py
+++ b/wigeonscale/testing/matrix/contention.py
@@ -1,4 +1,4 @@
-"""Operators and callers that get in each other's way."""
+"""Concurrent operators, and callers and operators that resend requests."""
 
 __all__ = ["race", "resend"]
 
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from wigeonscale.testing.matrix.load import (
-    Told,
+    Outcome,
     apply_rules,
-    ask,
-    call_once,
     new_tag,
     post_to_leader,
+    request_completion,
+    send_note,
 )
 from wigeonscale.testing.traces import Violation
 
@@ -22,11 +22,11 @@
 
 
 async def race(trial: "Trial") -> None:
-    """Let two operators change the rules from the same revision.
+    """Let two operators change the rules concurrently from the same revision.
 
     Args:
-        trial: Gets a violation unless at most one is accepted, and the others are
-            told of the conflict.
+        trial: Gets a violation unless at most one change is accepted and the others
+            are refused with a conflict.
     """
     cluster = trial.cluster
     base = cluster.revision()
@@ -34,18 +34,18 @@
         *(apply_rules(cluster, base, note=new_tag("rival")) for _ in range(2))
     )
     statuses = sorted(reply.status for reply in replies)
-    # Both lose against a third, who is at work in some steps.
+    # Both are refused if the operator of the step, if any, was faster.
     if statuses not in ([ACCEPTED, CONFLICT], [CONFLICT, CONFLICT]):
         trial.violations.append(Violation("race", f"rivals were told {replies}"))
-    if statuses[0] != ACCEPTED and not trial.has_operator:
+    if statuses[0] != ACCEPTED and not trial.has_concurrent_operator:
         trial.violations.append(Violation("race", f"nobody won: {replies}"))
 
 
 async def resend(trial: "Trial") -> None:
-    """Send a note, a change of rules and an order to drain again and again.
+    """Send a note, billed work, a rules change and drain requests repeatedly.
 
     Args:
-        trial: Gets a violation unless every resend gets the first answer.
+        trial: Gets a violation unless every repetition gets the first response.
     """
     await asyncio.gather(
         _resend_note(trial),
@@ -59,25 +59,28 @@
     tag = new_tag("resent-note")
     entries = ("e1", "e2", "e1", "e2")
     trial.calls += await asyncio.gather(
-        *(call_once(trial.cluster, entry, tag=tag) for entry in entries)
+        *(send_note(trial.cluster, entry, tag=tag) for entry in entries)
     )
-    trial.calls.append(await call_once(trial.cluster, "e1", tag=tag))
-    other = await call_once(trial.cluster, "e2", tag=tag, body="another note")
+    trial.calls.append(await send_note(trial.cluster, "e1", tag=tag))
+    other = await send_note(trial.cluster, "e2", tag=tag, body="another note")
     if other.kind != "idempotency-key-reused":
-        what = f"another body under the same key got {other.status} {other.kind}"
-        trial.violations.append(Violation(tag, what))
+        description = f"another body under the same key got {other.status} {other.kind}"
+        trial.violations.append(Violation(tag, description))
 
 
 async def _resend_billed_work(trial: "Trial") -> None:
     tag = new_tag("billed")
     answers = await asyncio.gather(
-        *(ask(trial.cluster, entry, once=True, tag=tag) for entry in ("e1", "e2"))
+        *(
+            request_completion(trial.cluster, entry, once=True, tag=tag)
+            for entry in ("e1", "e2")
+        )
     )
     trial.streams += answers
-    ids = {answer.request_id for answer in answers if answer.told is Told.WHOLE}
+    ids = {answer.request_id for answer in answers if answer.outcome is Outcome.WHOLE}
     if len(ids) > 1:
-        what = f"ran as {sorted(ids)}"
-        trial.violations.append(Violation(tag, what))
+        description = f"ran as {sorted(ids)}"
+        trial.violations.append(Violation(tag, description))
 
 
 async def _resend_rules(trial: "Trial") -> None:
@@ -87,8 +90,8 @@
     )
     others.append(await apply_rules(trial.cluster, base, operation=operation))
     if any(other != first for other in others):
-        what = f"operator was told {first}, then {others}"
-        trial.violations.append(Violation(operation, what))
+        description = f"operator was told {first}, then {others}"
+        trial.violations.append(Violation(operation, description))
 
 
 async def _resend_drain(trial: "Trial") -> None:
@@ -99,5 +102,5 @@
             await post_to_leader(trial.cluster, "drain", order) for _ in range(2)
         ]
         if replies[0] != replies[1]:
-            what = f"operator was told {replies}"
-            trial.violations.append(Violation(body["operation_id"], what))
+            description = f"operator was told {replies}"
+            trial.violations.append(Violation(body["operation_id"], description))
--- a/wigeonscale/testing/matrix/doubling.py
+++ b/wigeonscale/testing/matrix/duplication.py
@@ -1,6 +1,6 @@
-"""An agent's server in front of the true one, which passes every message twice."""
+"""A gRPC proxy in front of an agent that duplicates every message."""
 
-__all__ = ["Doubler"]
+__all__ = ["Duplicator"]
 
 from collections.abc import AsyncIterator
 
@@ -10,8 +10,8 @@
 from wigeonscale.wire import wire_pb2_grpc
 
 
-class Doubler(wire_pb2_grpc.AgentServicer):
-    """Passes each request on twice, and each answer back twice.
+class Duplicator(wire_pb2_grpc.AgentServicer):
+    """Forwards each request and each reply of a stream twice.
 
     Args:
         target: ``ip:port`` of the agent.
@@ -23,29 +23,29 @@
         wire_pb2_grpc.add_AgentServicer_to_server(self, self._server)
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self._server.start()
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Stop the server and close every connection."""
         await self._server.stop(grace=0)
 
     async def Dispatch(self, request_iterator, context):  # noqa: N802
-        """Pass on an entry's stream."""
+        """Forward the stream of an entry."""
         async with open_channel(self._target) as channel:
-            async for event in self._pass_on(channel, "Dispatch", request_iterator):
+            async for event in self._forward(channel, "Dispatch", request_iterator):
                 yield event
 
     async def Steps(self, request_iterator, context):  # noqa: N802
-        """Pass on a stage's stream."""
+        """Forward the stream of a stage."""
         async with open_channel(self._target) as channel:
-            async for reply in self._pass_on(channel, "Steps", request_iterator):
+            async for reply in self._forward(channel, "Steps", request_iterator):
                 yield reply
 
-    async def _pass_on(self, channel, method: str, requests) -> AsyncIterator:
-        call = getattr(wire_pb2_grpc.AgentStub(channel), method)(_twice(requests))
+    async def _forward(self, channel, method: str, requests) -> AsyncIterator:
+        call = getattr(wire_pb2_grpc.AgentStub(channel), method)(_duplicated(requests))
         try:
-            async for answer in _twice(call):
+            async for answer in _duplicated(call):
                 yield answer
         except grpc.aio.AioRpcError:
             return
@@ -53,7 +53,7 @@
             call.cancel()
 
 
-async def _twice(messages) -> AsyncIterator:
+async def _duplicated(messages) -> AsyncIterator:
     async for message in messages:
         yield message
         yield message
--- a/wigeonscale/testing/matrix/nodes.py
+++ b/wigeonscale/testing/matrix/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of a small deployment, all in this process, behind relays."""
+"""In-process nodes of a small deployment, connected through relays."""
 
 __all__ = ["AgentNode", "ControlNode", "EntryNode", "Node"]
 
@@ -23,21 +23,21 @@
 
 
 class Node(Protocol):
-    """One node that can be started, ended at once, and stopped gracefully."""
+    """A node that can be started, killed and stopped gracefully."""
 
     name: str
 
     async def start(self) -> None:
-        """Start, with memory empty."""
+        """Start with empty memory."""
 
     async def kill(self) -> None:
-        """End without a word; the network was cut before."""
+        """Stop abruptly; the caller has reset the connections before."""
 
     async def stop(self) -> None:
         """Stop as the daemon does on SIGTERM."""
 
 
-async def _end(tasks: list[asyncio.Task]) -> None:
+async def _cancel(tasks: list[asyncio.Task]) -> None:
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -47,47 +47,48 @@
     """A control replica.
 
     Args:
-        cfg: Its settings; the peers' addresses are those that all know.
-        view: Address by which this replica reaches the one that all know by another.
+        cfg: Its settings, with the announced addresses of its peers.
+        dial_addresses: Maps each announced address to the relay through which this
+            replica connects.
     """
 
-    def __init__(self, *, cfg: ControlSettings, view: Mapping[str, str]):
+    def __init__(self, *, cfg: ControlSettings, dial_addresses: Mapping[str, str]):
         self.name = cfg.name
         self.cfg = cfg
-        self._view = view
+        self._dial_addresses = dial_addresses
         self.daemon: ControlDaemon | None = None
         self._task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Start from its data folder."""
-        view = self._view
+        """Start from the data folder."""
+        dial_addresses = self._dial_addresses
         self.daemon = ControlDaemon(
             cfg=self.cfg,
             clock=SystemClock(),
             transport=GrpcTransport(
-                channel=lambda address: open_channel(view[address])
+                channel=lambda address: open_channel(dial_addresses[address])
             ),
-            addresses=list(view.values()),
+            addresses=list(dial_addresses.values()),
         )
         await self.daemon.start()
         self._task = asyncio.create_task(self.daemon.run())
 
     async def kill(self) -> None:
-        """End at once; what was synced stays."""
+        """Stop abruptly; synced data remains."""
         daemon, self.daemon = self.daemon, None
         if daemon is None:
             return
-        await _end([self._task])
+        await _cancel([self._task])
         await daemon.stop()
 
     async def stop(self) -> None:
         """Stop gracefully."""
         daemon, self.daemon = self.daemon, None
         await daemon.stop()
-        await _end([self._task])
+        await _cancel([self._task])
 
     def lose_disk(self) -> None:
-        """Remove the data folder of an ended replica."""
+        """Remove the data folder of a stopped replica."""
         shutil.rmtree(pathlib.Path(self.cfg.data))
 
 
@@ -106,7 +107,7 @@
         self._tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
-        """Start; callers are served once the first lease is there."""
+        """Start; callers are served once the first lease is granted."""
         cfg, clock = self.cfg, SystemClock()
         control = ControlClient(
             node_id=cfg.name,
@@ -134,11 +135,11 @@
         await server.start()
 
     async def kill(self) -> None:
-        """End at once."""
+        """Stop abruptly."""
         if self.control is None:
             return
         self.control = None
-        await _end(self._tasks)
+        await _cancel(self._tasks)
         await self._server.close()
 
     async def stop(self) -> None:
@@ -149,23 +150,27 @@
 
 
 class AgentNode:
-    """An agent beside an engine or a plain service.
+    """An agent of an engine or of a plain service.
 
     Args:
         cfg: Its settings.
-        announced: Address that it announces: its relay's.
-        engine: Its engine, or None beside a plain service.
+        advertised_address: Address that it announces, which is that of its relay.
+        engine: Its engine, or None for a plain service.
     """
 
     def __init__(
-        self, *, cfg: AgentSettings, announced: str, engine: Engine | None = None
+        self,
+        *,
+        cfg: AgentSettings,
+        advertised_address: str,
+        engine: Engine | None = None,
     ):
         self.name = cfg.name
         self.cfg = cfg
         self.engine = engine
         self.control: ControlClient | None = None
         self.state: BackendState | None = None
-        self._announced = announced
+        self._advertised_address = advertised_address
         self._tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
@@ -214,11 +219,11 @@
         self._tasks = [asyncio.create_task(loop) for loop in loops]
 
     async def kill(self) -> None:
-        """End at once; the backend server lives on."""
+        """Stop abruptly; the backend server keeps running."""
         if self.control is None:
             return
         self.control = None
-        await _end(self._tasks)
+        await _cancel(self._tasks)
         await self._server.stop(grace=0)
         await self._agent.close()
         await self._session.close()
@@ -233,7 +238,7 @@
         cfg = self.cfg
         return wire.Backend(
             agent_id=cfg.name,
-            address=self._announced,
+            address=self._advertised_address,
             domain=cfg.domain,
             region=cfg.region,
             kind=wire.ENGINE if cfg.kind == "engine" else wire.SERVICE,
--- a/wigeonscale/testing/matrix/report.py
+++ b/wigeonscale/testing/matrix/report.py
@@ -1,4 +1,4 @@
-"""Prints the table of the matrix."""
+"""Prints the result table of the matrix."""
 
 __all__ = ["print_table", "summary"]
 
@@ -12,9 +12,9 @@
 
 
 def summary(results: Sequence[CellResult]) -> str:
-    """Return the last line: counts of cells, proofs, violations and gaps.
+    """Return the last line: counts of cells, proved cells, violations and gaps.
 
-    A cell counts as proved when it was run and nothing was found.
+    A cell counts as proved if it ran without a violation.
     """
     ran = [result for result in results if result.runs]
     proved = sum(not result.violations for result in ran)
@@ -26,20 +26,20 @@
 
 
 def print_table(results: Sequence[CellResult]) -> int:
-    """Print a row a fault and a column a step, then details and the summary.
+    """Print a table of faults by steps, then the details and the summary.
 
     Args:
         results: Every cell, row by row.
 
     Returns:
-        1 when a violation was found, else 0.
+        1 if there is a violation, else 0.
     """
-    told = {result.step for result in results}
-    steps = [step for step in STEPS if step in told]
+    known_steps = {result.step for result in results}
+    columns = [step for step in STEPS if step in known_steps]
     by_cell = {(result.fault, result.step): result for result in results}
-    print(" " * 18 + "".join(f"{step:>{WIDTH}}" for step in steps))
+    print(" " * 18 + "".join(f"{step:>{WIDTH}}" for step in columns))
     for fault in dict.fromkeys(result.fault for result in results):
-        row = [_cell_text(by_cell.get((fault, step))) for step in steps]
+        row = [_cell_text(by_cell.get((fault, step))) for step in columns]
         print(f"{fault:<18}" + "".join(f"{text:>{WIDTH}}" for text in row))
     for reason in dict.fromkeys(result.reason for result in results if result.reason):
         where = [f"{r.fault} / {r.step}" for r in results if r.reason == reason]
--- a/wigeonscale/testing/matrix/runner.py
+++ b/wigeonscale/testing/matrix/runner.py
@@ -1,4 +1,4 @@
-"""Runs cells on one deployment after the other and keeps what came out."""
+"""Runs matrix cells on in-process deployments and collects the results."""
 
 __all__ = ["CellResult", "run_cells"]
 
@@ -14,25 +14,25 @@
 from wigeonscale.testing.matrix.load import apply_rules
 from wigeonscale.testing.matrix.steps import Step
 from wigeonscale.testing.matrix.table import Cell
-from wigeonscale.testing.matrix.trial import Trial, settle
+from wigeonscale.testing.matrix.trial import Trial, wait_until_ready
 from wigeonscale.testing.traces import Violation
 
-RUN_LIMIT_S = 120.0
+RUN_TIMEOUT_S = 120.0
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class CellResult:
-    """What came out of one cell.
+    """The result of one cell.
 
     Attributes:
         fault: Row.
         step: Column.
-        runs: Runs made.
-        violations: What they found, with the variant and role.
-        seconds: Time that they took.
-        reason: Why there was no run, or empty.
+        runs: Number of runs.
+        violations: Violations found, prefixed with the name of the run.
+        seconds: Duration of all runs, in seconds.
+        reason: Why the cell was not run, or empty.
     """
 
     fault: str
@@ -44,7 +44,7 @@
 
 
 class _Deployment:
-    """Keeps one cluster, and makes a new one after a run that went wrong."""
+    """Reuses one cluster until a run fails, then creates a new one."""
 
     def __init__(self):
         self.cluster: Cluster | None = None
@@ -56,7 +56,7 @@
             self.cluster = Cluster(folder=self._folder.name)
             await self.cluster.start()
             await apply_rules(self.cluster, 0)
-        await settle(self.cluster)
+        await wait_until_ready(self.cluster)
         return self.cluster
 
     async def discard(self) -> None:
@@ -69,24 +69,24 @@
 async def run_cells(
     cells: Iterable[Cell], *, on_result: Callable[[CellResult], None]
 ) -> None:
-    """Run cells one after the other.
+    """Run cells one after the other; a violation leads to a new deployment.
 
     Args:
         cells: The cells.
-        on_result: Called with what came out of each.
+        on_result: Called with the result of each cell.
     """
     deployment = _Deployment()
     try:
         for cell in cells:
             result = CellResult(fault=cell.fault, step=cell.step, reason=cell.reason)
-            began = time.monotonic()
+            started_at = time.monotonic()
             for variant, role in cell.runs:
                 found = await _run(deployment, cell.fault, variant, role)
                 result.runs += 1
                 result.violations += [f"{variant.name}/{role}: {v}" for v in found]
                 if found:
                     await deployment.discard()
-            result.seconds = time.monotonic() - began
+            result.seconds = time.monotonic() - started_at
             on_result(result)
     finally:
         await deployment.discard()
@@ -97,15 +97,17 @@
 ) -> list[Violation]:
     trial: Trial | None = None
     try:
-        async with asyncio.timeout(RUN_LIMIT_S):
+        async with asyncio.timeout(RUN_TIMEOUT_S):
             cluster = await deployment.ready()
             trial = Trial(cluster=cluster, fault=FAULTS[fault], role=role)
             await variant.run(trial)
-            await trial.end()
+            await trial.end_fault()
             return await trial.finish()
     except Exception as exc:
-        # Whatever ends a run early is a finding of that run, not of the matrix.
-        logger.exception("%s at %s (%s)", fault, variant.name, role)
+        # An exception is reported as a violation of this run; the matrix continues.
+        logger.exception(
+            "run of fault %s at step %s (role %s) failed", fault, variant.name, role
+        )
         return [Violation("run", f"{type(exc).__name__}: {exc}")]
     finally:
         if trial is not None:
--- a/wigeonscale/testing/matrix/tests/test_matrix.py
+++ b/wigeonscale/testing/matrix/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""The part of the matrix that is quick and that no speed of the machine decides."""
+"""The quick cells of the matrix whose results do not depend on machine speed."""
 
 import fixtures
 import testscenarios
@@ -9,9 +9,9 @@
 from wigeonscale.testing.matrix.faults import FAULTS
 from wigeonscale.testing.matrix.load import apply_rules
 from wigeonscale.testing.matrix.table import cells
-from wigeonscale.testing.matrix.trial import Trial, settle
+from wigeonscale.testing.matrix.trial import Trial, wait_until_ready
 
-GENEROUS_S = 30.0
+SLOW_MACHINE_TIMEOUT_S = 30.0
 QUICK = {
     "kill": ("prefill", "decode", "outcome"),
     "lost disk": ("commit",),
@@ -33,21 +33,21 @@
         await self.cluster.start()
         await apply_rules(self.cluster, 0)
 
-    async def test_nothing_is_violated(self):
+    async def test_cells_have_no_violations(self):
         chosen = [c for c in cells() if c.fault == self.fault and c.step in self.steps]
         self.assertEqual(len(self.steps), len(chosen))
         for variant, role in [run for cell in chosen for run in cell.runs]:
-            await settle(self.cluster)
+            await wait_until_ready(self.cluster)
             trial = Trial(
                 cluster=self.cluster,
                 fault=FAULTS[self.fault],
                 role=role,
-                served_again_s=GENEROUS_S,
+                recovery_timeout_s=SLOW_MACHINE_TIMEOUT_S,
             )
-            # On a slow machine an agent may be suspected that only was slow.
-            trial.allows = frozenset(RunState)
+            # On a slow machine a healthy agent may be suspected of failure.
+            trial.allowed_run_states = frozenset(RunState)
             self.addCleanup(trial.close)
             await variant.run(trial)
-            await trial.end()
+            await trial.end_fault()
             found = [str(violation) for violation in await trial.finish()]
             self.assertEqual([], found, f"{variant.name} at {role}")
--- a/wigeonscale/testing/run.py
+++ b/wigeonscale/testing/run.py
@@ -1,4 +1,4 @@
-"""Runs every test and judges the result; ``make test`` calls it.
+"""Runs the tests and derives the exit code; used by ``make test``.
 
 Usage: ``python -m wigeonscale.testing.run [dotted test names]``.
 """
@@ -16,27 +16,32 @@
 
 
 def main(names: list[str]) -> int:
-    """Run the named tests, or all, and return the exit code.
+    """Run the named tests, or all tests, and return the exit code.
 
     Args:
         names: Dotted names of tests; empty for every test.
 
     Returns:
-        0 when every test passed but for those listed in KNOWN-RED.txt, else 1.
+        0 when every failed test is listed in KNOWN-RED.txt, at least one test ran
+        and the list has at most ``MAX_KNOWN_RED`` entries, else 1.
     """
     loader = unittest.TestLoader()
     suite = loader.loadTestsFromNames(names) if names else _discover(loader)
     result = unittest.TextTestRunner(verbosity=1, buffer=True).run(suite)
     known_red = _known_red()
-    red = {case.id() for case, _ in result.failures + result.errors}
-    red |= {case.id() for case in result.unexpectedSuccesses}
-    for test_id in sorted(red & known_red):
+    failed_ids = {case.id() for case, _ in result.failures + result.errors}
+    failed_ids |= {case.id() for case in result.unexpectedSuccesses}
+    for test_id in sorted(failed_ids & known_red):
         print(f"known red: {test_id}")
-    for test_id in sorted(red - known_red):
+    for test_id in sorted(failed_ids - known_red):
         print(f"failed: {test_id}")
-    passed = result.testsRun - len(red) - len(result.skipped)
-    print(f"{passed} passed, {len(red)} failed, {len(result.skipped)} skipped")
-    ok = result.testsRun > 0 and red <= known_red and len(known_red) <= MAX_KNOWN_RED
+    passed = result.testsRun - len(failed_ids) - len(result.skipped)
+    print(f"{passed} passed, {len(failed_ids)} failed, {len(result.skipped)} skipped")
+    ok = (
+        result.testsRun > 0
+        and failed_ids <= known_red
+        and len(known_red) <= MAX_KNOWN_RED
+    )
     return 0 if ok else 1
 
 
--- a/wigeonscale/testing/soak/notices.py
+++ b/wigeonscale/testing/soak/notices.py
@@ -1,10 +1,11 @@
-"""Backend servers that say how they are, and whether entries heed it.
+"""Notices of backend servers (rate limit, retry delay, leaving) and their checks.
 
-An entry knows what an answer says once a caller has that answer. So a request that a
-caller sends to the same process after that must heed it, however slow the machine is.
+A notice is a header of a response. An entry knows it at the latest when the caller has
+the response. Every request that a caller sends to the same entry process after that
+must obey the notice, so the check does not depend on the speed of the machine.
 """
 
-__all__ = ["Notice", "NoticeBook", "draw_notices", "say"]
+__all__ = ["Notice", "NoticeChecker", "draw_notices", "apply_notice"]
 
 import asyncio
 import random
@@ -12,152 +13,159 @@
 from dataclasses import dataclass, field
 
 LIMIT_PER_S = 1.0
-REST_S = 1.5
-# The users' rule on limits: judged from so long after the first answer that names it,
-# in a sliding window, with a factor and some requests more.
-JUDGED_AFTER_S = 3.0
+RETRY_AFTER_S = 1.5
+# The users' rule on limits applies from this long after the first response with the
+# limit. In each sliding window it allows the limit times a factor, plus some requests.
+LIMIT_GRACE_S = 3.0
 WINDOW_S = 4.0
-FACTOR = 1.5
-SLACK = 5
+LIMIT_FACTOR = 1.5
+LIMIT_SLACK_REQUESTS = 5
 KINDS = ("limit", "rest", "leave")
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """What one backend server says for some time.
+    """A notice that one backend server gives for some time.
 
     Attributes:
-        at_s: When, in seconds from the start of the load.
+        start_s: Start, in seconds from the start of the load.
         kind: One of ``KINDS``.
         target: Index of the backend server.
-        for_s: How long, in seconds.
+        duration_s: Duration, in seconds.
     """
 
-    at_s: float
+    start_s: float
     kind: str
     target: int
-    for_s: float
+    duration_s: float
 
 
 def draw_notices(seed: int, *, seconds: float, backends: int) -> list[Notice]:
-    """Return the notices of a run, by a source of their own.
+    """Return the random notices of a run, from a separate random generator.
 
     Args:
-        seed: Of the run.
-        seconds: Length of the load.
-        backends: How many backend servers there are.
+        seed: Seed of the run.
+        seconds: Duration of the load.
+        backends: Number of backend servers.
     """
     rng = random.Random(f"notices {seed}")
     return [
         Notice(
-            at_s=rng.uniform(0.0, 0.5 * seconds),
+            start_s=rng.uniform(0.0, 0.5 * seconds),
             kind=kind,
             target=rng.randrange(backends),
-            for_s=rng.uniform(0.3, 0.5) * seconds,
+            duration_s=rng.uniform(0.3, 0.5) * seconds,
         )
         for kind in KINDS
     ]
 
 
-async def say(notice: Notice, backend, book: "NoticeBook") -> None:
-    """Let a backend server say one thing, and take it back.
+async def apply_notice(notice: Notice, backend, checker: "NoticeChecker") -> None:
+    """Let a backend server give one notice and withdraw it.
 
     Args:
-        notice: What it says.
-        backend: The backend server, as it is now.
-        book: Told of a limit.
+        notice: The notice.
+        backend: The backend server.
+        checker: Gets the period of a limit.
     """
     now = asyncio.get_running_loop().time
     name = backend.name
     if notice.kind == "limit":
-        backend.says = {"Server-Limit": str(LIMIT_PER_S)}
-        named_at = now()
-        await asyncio.sleep(notice.for_s)
-        book.limited[name].append((named_at, now()))
+        backend.notice_headers = {"Server-Limit": str(LIMIT_PER_S)}
+        announced_at = now()
+        await asyncio.sleep(notice.duration_s)
+        checker.limit_periods[name].append((announced_at, now()))
     elif notice.kind == "rest":
-        backend.rest_s = REST_S
-        await asyncio.sleep(notice.for_s)
+        backend.retry_after_s = RETRY_AFTER_S
+        await asyncio.sleep(notice.duration_s)
     else:
-        backend.says = {"Server-Leaving": "1"}
-        await asyncio.sleep(notice.for_s)
+        backend.notice_headers = {"Server-Leaving": "1"}
+        await asyncio.sleep(notice.duration_s)
         await backend.stop()
         await backend.start()
-    backend.says, backend.rest_s = {}, None
+    backend.notice_headers, backend.retry_after_s = {}, None
 
 
 @dataclass(slots=True)
-class NoticeBook:
-    """What backend servers said through which entries, and what they got since then.
+class NoticeChecker:
+    """Checks that entries obey the notices that backend servers gave through them.
 
     Attributes:
-        limited: Times during which a server named its limit, by its name.
-        broken: Promises broken so far, in words.
+        limit_periods: Start and end of the periods with a limit, by server.
+        violations: Descriptions of the violations found so far.
     """
 
-    limited: dict[str, list[tuple[float, float]]] = field(
+    limit_periods: dict[str, list[tuple[float, float]]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     _sent: dict[str, tuple[str, float]] = field(default_factory=dict)
-    # What the answers to a request said: server, header and time, until it is answered.
-    _said: dict[str, list[tuple[str, str, float]]] = field(
+    # Server, header and time of the notices in responses to a request, until its caller
+    # has the answer.
+    _pending_notices: dict[str, list[tuple[str, str, float]]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    # Since when an entry knows something of a server.
-    _left_at: dict[tuple[str, str], float] = field(default_factory=dict)
-    _limit_at: dict[tuple[str, str], float] = field(default_factory=dict)
-    _rests: dict[tuple[str, str], tuple[float, float]] = field(default_factory=dict)
-    _arrived: dict[str, list[tuple[float, str, float]]] = field(
+    # Time since which an entry knows a notice, by entry and server. For retry delays
+    # also the time at which the delay ends.
+    _leaving_known_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    _limit_known_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    _retry_after: dict[tuple[str, str], tuple[float, float]] = field(
+        default_factory=dict
+    )
+    # Arrival time, entry and sending time of each request, by server.
+    _arrivals: dict[str, list[tuple[float, str, float]]] = field(
         default_factory=lambda: defaultdict(list)
     )
 
-    def sent(self, request_id: str, entry: str, at: float) -> None:
-        """Note that a caller sends a request to one start of an entry."""
+    def record_sent(self, request_id: str, entry: str, at: float) -> None:
+        """Record that a caller sends a request to an entry process."""
         self._sent[request_id] = entry, at
 
-    def said(self, request_id: str, server: str, headers, at: float) -> None:
-        """Note what a server's answer to a request says."""
+    def record_notice(self, request_id: str, server: str, headers, at: float) -> None:
+        """Record the notices in the response of a server to a request."""
         for header in ("Server-Limit", "Server-Leaving", "Retry-After"):
             if header in headers:
-                self._said[request_id].append((server, header, at))
+                self._pending_notices[request_id].append((server, header, at))
 
-    def answered(self, request_id: str, at: float) -> None:
-        """Note that a caller has its answer, and its entry knows what was said."""
+    def record_answer(self, request_id: str, at: float) -> None:
+        """Record that a caller has its answer, so that its entry knows the notices."""
         entry, _ = self._sent[request_id]
-        for server, header, said_at in self._said.pop(request_id, ()):
+        for server, header, noticed_at in self._pending_notices.pop(request_id, ()):
             key = entry, server
             if header == "Server-Leaving":
-                self._left_at.setdefault(key, at)
+                self._leaving_known_at.setdefault(key, at)
             elif header == "Server-Limit":
-                self._limit_at.setdefault(key, at)
+                self._limit_known_at.setdefault(key, at)
             else:
-                self._rests[key] = at, said_at + REST_S
+                self._retry_after[key] = at, noticed_at + RETRY_AFTER_S
 
-    def arrived(self, request_id: str, server: str, at: float) -> None:
-        """Note that a request reaches a server."""
+    def record_arrival(self, request_id: str, server: str, at: float) -> None:
+        """Record that a request reaches a server."""
         entry, sent_at = self._sent[request_id]
         key = entry, server
-        self._arrived[server].append((at, entry, sent_at))
-        if sent_at > self._left_at.get(key, float("inf")):
-            self.broken.append(f"{request_id} reached {server}, which leaves")
-        known_at, ends_at = self._rests.get(key, (float("inf"), 0.0))
+        self._arrivals[server].append((at, entry, sent_at))
+        if sent_at > self._leaving_known_at.get(key, float("inf")):
+            self.violations.append(f"{request_id} reached {server}, which leaves")
+        known_at, ends_at = self._retry_after.get(key, (float("inf"), 0.0))
         if sent_at > known_at and at < ends_at:
-            self.broken.append(f"{request_id} reached {server}, which rests")
+            self.violations.append(f"{request_id} reached {server}, which rests")
 
     def check_limits(self) -> None:
-        """Judge the limits, once no more can come."""
-        for server, spans in self.limited.items():
-            for named_at, ended_at in spans:
-                self._check_limit(server, named_at + JUDGED_AFTER_S, ended_at)
+        """Check the rate limits, after the load has ended."""
+        for server, periods in self.limit_periods.items():
+            for announced_at, ended_at in periods:
+                self._check_limit(server, announced_at + LIMIT_GRACE_S, ended_at)
 
-    def _check_limit(self, server: str, judged_from: float, ended_at: float) -> None:
-        told = [
+    def _check_limit(self, server: str, checked_from: float, ended_at: float) -> None:
+        arrivals = [
             at
-            for at, entry, sent_at in self._arrived[server]
-            if sent_at > self._limit_at.get((entry, server), float("inf"))
+            for at, entry, sent_at in self._arrivals[server]
+            if sent_at > self._limit_known_at.get((entry, server), float("inf"))
         ]
-        allowed = FACTOR * WINDOW_S * LIMIT_PER_S + SLACK
-        for end in told:
-            got = sum(end - WINDOW_S < at <= end for at in told)
-            if judged_from <= end <= ended_at and got > allowed:
-                self.broken.append(f"{server} got {got} requests, {allowed} allowed")
+        allowed = LIMIT_FACTOR * WINDOW_S * LIMIT_PER_S + LIMIT_SLACK_REQUESTS
+        for end in arrivals:
+            got = sum(end - WINDOW_S < at <= end for at in arrivals)
+            if checked_from <= end <= ended_at and got > allowed:
+                self.violations.append(
+                    f"{server} got {got} requests, {allowed} allowed"
+                )
--- a/wigeonscale/testing/traces.py
+++ b/wigeonscale/testing/traces.py
@@ -1,8 +1,8 @@
-"""Invariant checkers over recorded traces of engines and plain services.
+"""Invariant checks on recorded traces of engines and plain services.
 
-A sequence id is ``<dispatch id>#<run>``: every prefill is a run of its own. Earlier
-runs of a dispatch may have been cut short anywhere; whatever a run did must still be
-in order, each layer once per position.
+A sequence id is ``<dispatch id>#<run>``; each prefill starts a new run. Earlier runs
+of a dispatch may end at any step, but every step that a run executed must be in order,
+with each layer once per position.
 """
 
 __all__ = [
@@ -24,25 +24,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken invariant.
+    """One violation of an invariant.
 
     Attributes:
-        sequence: Sequence, or key of an effect.
-        what: What was found where what was due.
+        sequence: Sequence id, idempotency key or other subject of the violation.
+        description: What was observed, and what was expected.
     """
 
     sequence: str
-    what: str
+    description: str
 
     def __str__(self) -> str:
-        return f"{self.sequence}: {self.what}"
+        return f"{self.sequence}: {self.description}"
 
 
 def read_trace(path: str | pathlib.Path) -> list[Record]:
-    """Return the records of a JSON-lines trace; none if there is no file.
+    """Return the records of a JSON Lines trace; an empty list without a file.
 
     Args:
-        path: File written by a fake; a torn last line is left out.
+        path: File written by a fake engine or service; a partially written last
+            line is skipped.
     """
     file = pathlib.Path(path)
     if not file.exists():
@@ -57,66 +58,69 @@
     layers: int,
     finished: Mapping[str, int] | None = None,
 ) -> list[Violation]:
-    """Return every breach of "each layer once a token, in order".
+    """Check that each layer ran once per position, in order.
 
     Args:
         records: Records of all engines.
-        layers: Layers of the model, counted from 0.
-        finished: Positions that a whole answer needs, by dispatch id; its last
-            run must have them at every layer.
+        layers: Number of layers of the model.
+        finished: Number of positions of each completed dispatch, by dispatch id;
+            its last run must cover them at every layer.
 
     Returns:
-        Violations; empty when all is in order.
+        The violations found.
     """
     by_sequence: dict[str, list[Record]] = defaultdict(list)
     for record in records:
         by_sequence[record["sequence"]].append(record)
     violations: list[Violation] = []
-    for sequence, own in by_sequence.items():
-        violations += [Violation(sequence, what) for what in _check_run(own, layers)]
+    for sequence, run_records in by_sequence.items():
+        violations += [
+            Violation(sequence, description)
+            for description in _check_run(run_records, layers)
+        ]
     for dispatch_id, positions in (finished or {}).items():
-        violations += _check_whole(dispatch_id, positions, by_sequence, layers)
+        violations += _check_complete(dispatch_id, positions, by_sequence, layers)
     return violations
 
 
 def _check_run(records: list[Record], layers: int) -> list[str]:
     problems: list[str] = []
-    done_at: dict[tuple[int, int], int] = {}
+    completed_at: dict[tuple[int, int], int] = {}
     epochs = {record["epoch"] for record in records}
     if len(epochs) > 1:
         problems.append(f"epochs {sorted(epochs)} in one run")
     for record in sorted(records, key=lambda record: record["at_ns"]):
         first, last = record["layers"]
         for layer in range(first, last + 1):
-            problems += _enter_positions(record, layer, done_at)
-    counts = Counter(layer for layer, _ in done_at)
+            problems += _record_positions(record, layer, completed_at)
+    counts = Counter(layer for layer, _ in completed_at)
     beyond = [layer for layer in counts if layer >= layers]
     problems += [f"layer {layer} of {layers}" for layer in beyond]
     return problems
 
 
-def _enter_positions(
-    record: Record, layer: int, done_at: dict[tuple[int, int], int]
+def _record_positions(
+    record: Record, layer: int, completed_at: dict[tuple[int, int], int]
 ) -> list[str]:
     problems: list[str] = []
     first_layer = record["layers"][0]
     for position in range(record["position"], record["position"] + record["count"]):
-        place = f"layer {layer} position {position}"
-        if (layer, position) in done_at:
-            problems.append(f"{place} ran twice")
-        if position and (layer, position - 1) not in done_at:
-            problems.append(f"{place} ran before position {position - 1}")
+        where = f"layer {layer} position {position}"
+        if (layer, position) in completed_at:
+            problems.append(f"{where} ran twice")
+        if position and (layer, position - 1) not in completed_at:
+            problems.append(f"{where} ran before position {position - 1}")
         if layer > first_layer:
-            before = record["at_ns"]
+            previous_at = record["at_ns"]
         else:
-            before = done_at.get((layer - 1, position))
-        if layer and (before is None or before > record["at_ns"]):
-            problems.append(f"{place} ran before layer {layer - 1}")
-        done_at[(layer, position)] = record["at_ns"]
+            previous_at = completed_at.get((layer - 1, position))
+        if layer and (previous_at is None or previous_at > record["at_ns"]):
+            problems.append(f"{where} ran before layer {layer - 1}")
+        completed_at[(layer, position)] = record["at_ns"]
     return problems
 
 
-def _check_whole(
+def _check_complete(
     dispatch_id: str,
     positions: int,
     by_sequence: Mapping[str, list[Record]],
@@ -138,10 +142,10 @@
 
 
 def repeated_effects(records: Iterable[Record]) -> list[Violation]:
-    """Return the idempotency keys whose effect happened more than once.
+    """Return the idempotency keys with more than one effect.
 
     Args:
-        records: Records of plain services; those without a key are left out.
+        records: Records of plain services; those without a key are ignored.
     """
     counts = Counter(record["key"] for record in records if record["key"])
     return [
@@ -155,7 +159,7 @@
     steps: Iterable[Record] = (),
     effects: Iterable[Record] = (),
 ) -> list[Violation]:
-    """Return what ran although its caller was told that it did not.
+    """Return the requests that ran although they were refused as not run.
 
     Args:
         refused: Dispatch ids and idempotency keys refused as not run.
