--- a/bench/routing.py
+++ b/bench/routing.py
@@ -6,7 +6,9 @@
 import time
 from collections.abc import Callable, Iterator
 
-from bench.choices import (
+from bench.queues import VirtualClock
+from bench.report import Figure
+from bench.routing_run import (
     DOMAINS,
     ENTRIES,
     PREFILL_SHARE,
@@ -14,8 +16,6 @@
     Outcome,
     run,
 )
-from bench.queues import VirtualClock
-from bench.report import Figure
 from wigeonscale.routing import Candidate, Chooser, LoadTable
 
 MANY_ENTRIES = 5 * ENTRIES
--- a/bench/tests/test_ways.py
+++ b/bench/tests/test_ways.py
@@ -1,7 +1,14 @@
 import argparse
 import math
 
-from bench.plays import Play, Way, differences, parse_way, read_report, set_constant
+from bench.paired_runs import (
+    Play,
+    Way,
+    differences,
+    parse_way,
+    read_report,
+    set_constant,
+)
 from wigeonscale.testing import AsyncTestCase
 
 
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -24,7 +24,7 @@
 from collections.abc import Iterable
 from dataclasses import asdict
 
-from bench.plays import (
+from bench.paired_runs import (
     Play,
     Way,
     parse_way,
