--- a/bench/loads.py
+++ b/bench/loads.py
@@ -16,8 +16,8 @@
 
 SEED = 20261202
 RUNS = 40
-LOADS = 4  # concurrent loads, the default of the control daemon
-STORE_RATE = 4.0  # layers per second, all loads together
+MAX_CONCURRENT_LOADS = 4  # concurrent loads, the default of the control daemon
+STORE_LAYERS_PER_S = 4.0  # layers per second, all loads together
 PIPELINES = ("corrections", "assistant", "notes")
 
 
@@ -48,54 +48,62 @@
         "first-come-stage": _first_come_stage,
         "first-come-chain": _first_come_chain,
         "fewest-stages": _fewest_stages,
-        "order-loads": _by_use,
+        "order-loads": _production_order,
     }
-    scenes = [_scene(random.Random(SEED + run)) for run in range(RUNS)]
+    scenarios = [_scenario(random.Random(SEED + run)) for run in range(RUNS)]
     runs = {
-        name: [_simulate(scene, order) for scene in scenes]
+        name: [_simulate(scenario, order) for scenario in scenarios]
         for name, order in orders.items()
     }
     figures = []
     for name, outcomes in runs.items():
-        figures += _figures(name, outcomes, runs["first-come-stage"], scenes)
+        figures += _figures(name, outcomes, runs["first-come-stage"], scenarios)
     return figures
 
 
-def _figures(name, outcomes, base, scenes):
-    judged = name == "order-loads"
-    unserved_high, wait_high = (0.75, 0.9) if judged else (None, None)
-    unserved = [a.unserved / b.unserved for a, b in zip(outcomes, base, strict=True)]
+def _figures(name, outcomes, baseline, scenarios):
+    bounded = name == "order-loads"
+    unserved_high, wait_high = (0.75, 0.9) if bounded else (None, None)
+    unserved = [
+        a.unserved / b.unserved for a, b in zip(outcomes, baseline, strict=True)
+    ]
     first = [min(outcome.ready_s.values()) for outcome in outcomes]
-    base_first = [min(outcome.ready_s.values()) for outcome in base]
-    every = [_every_pipeline_s(o, s) for o, s in zip(outcomes, scenes, strict=True)]
-    base_every = [_every_pipeline_s(o, s) for o, s in zip(base, scenes, strict=True)]
+    baseline_first = [min(outcome.ready_s.values()) for outcome in baseline]
+    every = [_every_pipeline_s(o, s) for o, s in zip(outcomes, scenarios, strict=True)]
+    baseline_every = [
+        _every_pipeline_s(o, s) for o, s in zip(baseline, scenarios, strict=True)
+    ]
     return [
         Figure(
             f"loads/{name}/unserved", fmean(unserved), "of first", high=unserved_high
         ),
         Figure(f"loads/{name}/unserved-worst", max(unserved), "of first"),
         Figure(f"loads/{name}/first-chain", fmean(first), "s"),
-        _mean_ratio(f"loads/{name}/first-chain-ratio", first, base_first, wait_high),
+        _mean_ratio(
+            f"loads/{name}/first-chain-ratio", first, baseline_first, wait_high
+        ),
         Figure(f"loads/{name}/every-pipeline", fmean(every), "s"),
-        _mean_ratio(f"loads/{name}/every-pipeline-ratio", every, base_every, wait_high),
+        _mean_ratio(
+            f"loads/{name}/every-pipeline-ratio", every, baseline_every, wait_high
+        ),
     ]
 
 
-def _mean_ratio(name, values, base, high):
-    return Figure(name, fmean(values) / fmean(base), "of first", high=high)
+def _mean_ratio(name, values, baseline, high):
+    return Figure(name, fmean(values) / fmean(baseline), "of first", high=high)
 
 
-def _every_pipeline_s(outcome, scene):
+def _every_pipeline_s(outcome, scenario):
     """Return when the last of the pipelines had its first chain serving."""
     first = {}
-    for arrival in scene:
+    for arrival in scenario:
         ready_s = outcome.ready_s[arrival.chain.chain_id]
         name = arrival.chain.pipeline
         first[name] = min(ready_s, first.get(name, ready_s))
     return max(first.values())
 
 
-def _scene(rng: random.Random) -> list[Arrival]:
+def _scenario(rng: random.Random) -> list[Arrival]:
     """Return eight repairs and eight joins, within seconds, over three pipelines."""
     arrivals = []
     for number in range(16):
@@ -126,45 +134,48 @@
     return tuple(stages)
 
 
-def _simulate(scene: list[Arrival], order: Order) -> Outcome:
+def _simulate(scenario: list[Arrival], order: Order) -> Outcome:
     outcome = Outcome()
-    to_come = list(scene)
+    pending = list(scenario)
     present: list[Arrival] = []
-    left: dict[str, float] = {}  # layers still to load, by agent that is loading
+    remaining_layers: dict[str, float] = {}  # by agent that is loading
     loaded: set[str] = set()
     now = 0.0
-    demand = sum(arrival.chain.rate for arrival in scene)
-    while to_come or len(outcome.ready_s) < len(scene):
-        for _, stage in order(present, loaded, set(left)):
-            if len(left) >= LOADS:
+    demand = sum(arrival.chain.rate for arrival in scenario)
+    while pending or len(outcome.ready_s) < len(scenario):
+        for _, stage in order(present, loaded, set(remaining_layers)):
+            if len(remaining_layers) >= MAX_CONCURRENT_LOADS:
                 break
-            if stage.agent_id not in left:
-                left[stage.agent_id] = float(stage.layers)
-        step_s = _next_step_s(left, to_come, now)
+            if stage.agent_id not in remaining_layers:
+                remaining_layers[stage.agent_id] = float(stage.layers)
+        step_s = _next_step_s(remaining_layers, pending, now)
         unserved = demand - _served(present, outcome)
         outcome.unserved += unserved * step_s
         now += step_s
-        _advance(left, loaded, step_s)
-        while to_come and to_come[0].at_s <= now + 1e-9:
-            present.append(to_come.pop(0))
+        _advance(remaining_layers, loaded, step_s)
+        while pending and pending[0].at_s <= now + 1e-9:
+            present.append(pending.pop(0))
         for arrival in present:
             if arrival.missing <= loaded:
                 outcome.ready_s.setdefault(arrival.chain.chain_id, now)
     return outcome
 
 
-def _next_step_s(left, to_come, now):
-    steps = [to_come[0].at_s - now] if to_come else []
-    steps += [layers * len(left) / STORE_RATE for layers in left.values()]
+def _next_step_s(remaining_layers, pending, now):
+    steps = [pending[0].at_s - now] if pending else []
+    steps += [
+        layers * len(remaining_layers) / STORE_LAYERS_PER_S
+        for layers in remaining_layers.values()
+    ]
     return max(0.0, min(steps))
 
 
-def _advance(left, loaded, step_s):
-    share = step_s * STORE_RATE / max(1, len(left))
-    for agent_id in list(left):
-        left[agent_id] -= share
-        if left[agent_id] <= 1e-9:
-            del left[agent_id]
+def _advance(remaining_layers, loaded, step_s):
+    share = step_s * STORE_LAYERS_PER_S / max(1, len(remaining_layers))
+    for agent_id in list(remaining_layers):
+        remaining_layers[agent_id] -= share
+        if remaining_layers[agent_id] <= 1e-9:
+            del remaining_layers[agent_id]
             loaded.add(agent_id)
 
 
@@ -211,7 +222,7 @@
     return [pair for _, pairs in ranked for pair in pairs]
 
 
-def _by_use(present, loaded, loading):
+def _production_order(present, loaded, loading):
     missing = {a.chain.chain_id: a.missing - loaded for a in present}
     return order_loads(
         [arrival.chain for arrival in present],
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -9,7 +9,7 @@
 import bisect
 from collections.abc import Iterator, Sequence
 
-from bench.overload_run import CAPACITY, Load, Outcome, Run
+from bench.overload_run import CAPACITY_RPS, Load, Outcome, Run
 from bench.overload_server import SLOTS
 from bench.queues import percentile
 from bench.report import Figure
@@ -18,23 +18,23 @@
 SMALL = ORGANISATIONS[1:]
 MULTIPLES = (1.0, 1.5, 2.0, 4.0)
 WARM_UP_S = 30.0
-LENGTH_S = 270.0
+DURATION_S = 270.0
 
 SMALL_LOAD = 0.45
 LARGE_LOADS = (0.45, 2.0)
 
-KNEE = 10
+KNEE_CONCURRENCY = 10
 GUARD_WARM_UP_S = 60.0
-GUARD_LENGTH_S = 240.0
+GUARD_DURATION_S = 240.0
 
-RETURNS = 3
-LOST = (60.0, 90.0)
-STORM_LENGTH_S = 300.0
+CALLER_RETRIES = 3
+OUTAGE_S = (60.0, 90.0)
+STORM_DURATION_S = 300.0
 STORM_WINDOW_S = 5.0
-CALM_ATTEMPTS = 1.1
-SICK_LOADS = (0.3, 0.6, 0.8)
+STABLE_ATTEMPTS_PER_REQUEST = 1.1
+FAILING_SERVER_LOADS = (0.3, 0.6, 0.8)
 # Load and the longest time after the domain's return until it is calm again.
-STORMS = ((0.6, 0.0), (0.75, 15.0), (0.9, 90.0))
+MAX_RECOVERY_S_BY_LOAD = ((0.6, 0.0), (0.75, 15.0), (0.9, 90.0))
 
 
 def measure() -> list[Figure]:
@@ -44,7 +44,7 @@
         *_guard_figures(),
         *_fairness_figures(),
         *_storm_figures(),
-        *_sick_figures(),
+        *_failing_server_figures(),
     ]
 
 
@@ -54,9 +54,9 @@
         goodputs = {}
         for multiple in MULTIPLES:
             outcome = Run(
-                own=own, loads=_even_loads(multiple), length_s=LENGTH_S
+                own=own, loads=_even_loads(multiple), duration_s=DURATION_S
             ).outcome()
-            goodput = outcome.goodput(WARM_UP_S, LENGTH_S) / CAPACITY
+            goodput = outcome.goodput(WARM_UP_S, DURATION_S) / CAPACITY_RPS
             goodputs[multiple] = goodput
             yield Figure(f"{name}/{multiple:g}", goodput, "of bound")
             yield from _refusal_figures(f"{name}/{multiple:g}", outcome)
@@ -68,27 +68,27 @@
 
 
 def _refusal_figures(name: str, outcome: Outcome) -> Iterator[Figure]:
-    asked = len(outcome.asked_at)
-    yield Figure(f"{name}/refused", outcome.refused / asked, "share")
-    yield Figure(f"{name}/late", outcome.late / asked, "share")
-    attempts = len(outcome.dispatched_at) / asked
+    submitted = len(outcome.submitted_at)
+    yield Figure(f"{name}/refused", outcome.refused / submitted, "share")
+    yield Figure(f"{name}/late", outcome.late / submitted, "share")
+    attempts = len(outcome.dispatched_at) / submitted
     yield Figure(f"{name}/attempts", attempts, "per request", high=1.12)
 
 
 def _guard_figures() -> Iterator[Figure]:
-    bound = CAPACITY * KNEE / SLOTS
-    for knee in (KNEE, SLOTS):
+    bound = CAPACITY_RPS * KNEE_CONCURRENCY / SLOTS
+    for knee in (KNEE_CONCURRENCY, SLOTS):
         kind = "healthy" if knee == SLOTS else "collapsing"
         goodputs = []
         for guarded in (False, True):
             outcome = Run(
                 own=True,
                 loads=_even_loads(2.0 * knee / SLOTS),
-                length_s=GUARD_LENGTH_S,
+                duration_s=GUARD_DURATION_S,
                 knee=knee,
                 guarded=guarded,
             ).outcome()
-            goodput = outcome.goodput(GUARD_WARM_UP_S, GUARD_LENGTH_S) / bound
+            goodput = outcome.goodput(GUARD_WARM_UP_S, GUARD_DURATION_S) / bound
             goodputs.append(goodput)
             name = "guarded" if guarded else "unguarded"
             yield Figure(f"guard/{kind}/{name}", goodput, "of knee")
@@ -100,85 +100,90 @@
 def _fairness_figures() -> Iterator[Figure]:
     for own in (True, False):
         name = "fairness/own" if own else "fairness/plain"
-        calm, flooded = (_with_large(own, large) for large in LARGE_LOADS)
-        small_calm = calm.times(SMALL, WARM_UP_S)
-        small_flooded = flooded.times(SMALL, WARM_UP_S)
-        p95_calm = percentile(small_calm, 0.95)
+        normal, flooded = (_with_large(own, large) for large in LARGE_LOADS)
+        small_normal = normal.response_times(SMALL, WARM_UP_S)
+        small_flooded = flooded.response_times(SMALL, WARM_UP_S)
+        p95_normal = percentile(small_normal, 0.95)
         p95_flooded = percentile(small_flooded, 0.95)
-        yield Figure(f"{name}/small-p95-calm", p95_calm, "s (virtual)")
+        yield Figure(f"{name}/small-p95-calm", p95_normal, "s (virtual)")
         yield Figure(f"{name}/small-p95-flooded", p95_flooded, "s (virtual)")
-        answered = len(small_flooded) / len(small_calm)
+        answered = len(small_flooded) / len(small_normal)
         low = 0.98 if own else None
         yield Figure(f"{name}/small-answered", answered, "ratio", low=low)
         if own:
-            ratio = p95_flooded / p95_calm
+            ratio = p95_flooded / p95_normal
             yield Figure(f"{name}/small-p95-ratio", ratio, "ratio", high=1.2)
 
 
 def _with_large(own: bool, large: float) -> Outcome:
-    loads = [Load(ORGANISATIONS[0], large * CAPACITY)]
-    loads += [Load(name, SMALL_LOAD * CAPACITY / len(SMALL)) for name in SMALL]
-    return Run(own=own, loads=loads, length_s=LENGTH_S).outcome()
+    loads = [Load(ORGANISATIONS[0], large * CAPACITY_RPS)]
+    loads += [Load(name, SMALL_LOAD * CAPACITY_RPS / len(SMALL)) for name in SMALL]
+    return Run(own=own, loads=loads, duration_s=DURATION_S).outcome()
 
 
 def _storm_figures() -> Iterator[Figure]:
-    for load, calm_after_s in STORMS:
+    for load, max_recovery_s in MAX_RECOVERY_S_BY_LOAD:
         for own in (True, False):
             outcome = Run(
                 own=own,
-                loads=_even_loads(load, RETURNS),
-                length_s=STORM_LENGTH_S,
-                lost=LOST,
+                loads=_even_loads(load, CALLER_RETRIES),
+                duration_s=STORM_DURATION_S,
+                outage=OUTAGE_S,
             ).outcome()
             name = f"storm/{load:g}/{'own' if own else 'plain'}"
-            calm_s = max(0.0, _calm_at(outcome) - LOST[1])
-            high = calm_after_s if own else None
-            yield Figure(f"{name}/calm-after-return", calm_s, "s (virtual)", high=high)
-            goodput = outcome.goodput(STORM_LENGTH_S - 60.0, STORM_LENGTH_S)
-            share = goodput / (load * CAPACITY)
+            recovery_s = max(0.0, _stable_at_s(outcome) - OUTAGE_S[1])
+            high = max_recovery_s if own else None
+            yield Figure(
+                f"{name}/calm-after-return", recovery_s, "s (virtual)", high=high
+            )
+            goodput = outcome.goodput(STORM_DURATION_S - 60.0, STORM_DURATION_S)
+            share = goodput / (load * CAPACITY_RPS)
             low = 0.97 if own else None
             yield Figure(f"{name}/goodput-at-end", share, "of load", low=low)
 
 
-def _sick_figures() -> Iterator[Figure]:
+def _failing_server_figures() -> Iterator[Figure]:
     # The first server fails every request at once, so that it never has any load.
-    for load in SICK_LOADS:
+    for load in FAILING_SERVER_LOADS:
         for own in (True, False):
             outcome = Run(
                 own=own,
                 loads=_even_loads(load),
-                length_s=LENGTH_S,
-                sick=WARM_UP_S,
+                duration_s=DURATION_S,
+                failing_from_s=WARM_UP_S,
             ).outcome()
             name = f"sick/{load:g}/{'own' if own else 'plain'}"
             start = WARM_UP_S + STORM_WINDOW_S
-            attempts = _count(outcome.dispatched_at, start, LENGTH_S) / _count(
-                outcome.asked_at, start, LENGTH_S
+            attempts = _count(outcome.dispatched_at, start, DURATION_S) / _count(
+                outcome.submitted_at, start, DURATION_S
             )
             high = 1.05 if own else None
             yield Figure(f"{name}/attempts", attempts, "per request", high=high)
-            goodput = outcome.goodput(start, LENGTH_S) / (load * CAPACITY)
+            goodput = outcome.goodput(start, DURATION_S) / (load * CAPACITY_RPS)
             low = 0.97 if own else None
             yield Figure(f"{name}/goodput", goodput, "of load", low=low)
 
 
-def _calm_at(outcome: Outcome) -> float:
+def _stable_at_s(outcome: Outcome) -> float:
     """Return the end of the last window with too many attempts per request."""
-    calm_at = 0.0
-    start = LOST[0]
-    while start < STORM_LENGTH_S:
+    stable_at_s = 0.0
+    start = OUTAGE_S[0]
+    while start < STORM_DURATION_S:
         end = start + STORM_WINDOW_S
-        asked = _count(outcome.asked_at, start, end)
-        if _count(outcome.dispatched_at, start, end) >= CALM_ATTEMPTS * asked:
-            calm_at = end
+        submitted = _count(outcome.submitted_at, start, end)
+        if (
+            _count(outcome.dispatched_at, start, end)
+            >= STABLE_ATTEMPTS_PER_REQUEST * submitted
+        ):
+            stable_at_s = end
         start = end
-    return calm_at
+    return stable_at_s
 
 
 def _count(times: Sequence[float], start: float, end: float) -> int:
     return bisect.bisect_left(times, end) - bisect.bisect_left(times, start)
 
 
-def _even_loads(multiple: float, returns: int = 0) -> list[Load]:
-    rate = multiple * CAPACITY / len(ORGANISATIONS)
-    return [Load(name, rate, returns) for name in ORGANISATIONS]
+def _even_loads(multiple: float, caller_retries: int = 0) -> list[Load]:
+    rate = multiple * CAPACITY_RPS / len(ORGANISATIONS)
+    return [Load(name, rate, caller_retries) for name in ORGANISATIONS]
--- a/bench/overload_run.py
+++ b/bench/overload_run.py
@@ -5,7 +5,7 @@
 robin over the servers not known to be lost, every failure retried at once.
 """
 
-__all__ = ["CAPACITY", "Load", "Outcome", "Run"]
+__all__ = ["CAPACITY_RPS", "Load", "Outcome", "Run"]
 
 import itertools
 import math
@@ -23,13 +23,13 @@
 SERVERS = 6
 DOMAINS = ("a", "b", "c")
 SERVICE_S = 1.5
-DEADLINE_S = 10.0
-LONGEST_S = 6.0
-MEAN_SERVICE_S = SERVICE_S * (1.0 - math.exp(-LONGEST_S / SERVICE_S))
-CAPACITY = SERVERS * SLOTS / MEAN_SERVICE_S
-ATTEMPTS = 3
+REQUEST_TIMEOUT_S = 10.0
+MAX_SERVICE_S = 6.0
+MEAN_SERVICE_S = SERVICE_S * (1.0 - math.exp(-MAX_SERVICE_S / SERVICE_S))
+CAPACITY_RPS = SERVERS * SLOTS / MEAN_SERVICE_S
+MAX_ATTEMPTS = 3
 DETECTION_S = 1.5
-BALANCER_DELAY_S = 0.05
+BALANCER_RETRY_DELAY_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
     organisation: str
     rate: float
-    returns: int = 0
+    caller_retries: int = 0
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     """What one run gave."""
 
     answered: list[tuple[float, str, float]] = field(default_factory=list)
-    asked_at: list[float] = field(default_factory=list)
+    submitted_at: list[float] = field(default_factory=list)
     dispatched_at: list[float] = field(default_factory=list)
     refused: int = 0
     retry_afters: list[float] = field(default_factory=list)
@@ -63,7 +63,7 @@
         count = sum(start <= at < end for at, _, _ in self.answered)
         return count / (end - start)
 
-    def times(self, organisations: Sequence[str], start: float) -> list[float]:
+    def response_times(self, organisations: Sequence[str], start: float) -> list[float]:
         """Return the seconds to the whole answer of those answered after a time."""
         return [
             seconds
@@ -78,7 +78,7 @@
     Args:
         own: Whether the project's decisions are made, or plain ones.
         loads: What the organisations send.
-        length_s: Seconds in which new requests come.
+        duration_s: Seconds in which new requests come.
         lost: Start and end of the loss of the last domain, or None.
         sick: Time from which the first server fails every request at once,
             or infinity for never.
@@ -91,18 +91,18 @@
         *,
         own: bool,
         loads: Sequence[Load],
-        length_s: float,
-        lost: tuple[float, float] | None = None,
-        sick: float = math.inf,
+        duration_s: float,
+        outage: tuple[float, float] | None = None,
+        failing_from_s: float = math.inf,
         knee: int = SLOTS,
         guarded: bool = False,
     ):
         self._own = own
-        self._sick = sick
+        self._failing_from_s = failing_from_s
         self._knee = knee
         self._guarded = guarded
-        self._length_s = length_s
-        self._lost = lost or (-1.0, -1.0)
+        self._duration_s = duration_s
+        self._outage = outage or (-1.0, -1.0)
         self._clock = VirtualClock()
         self._rng = random.Random(SEED)
         self._outcome = Outcome()
@@ -117,24 +117,24 @@
         self._epochs = [0] * SERVERS
         self._servers = [self._new_server(i) for i in range(SERVERS)]
         # Dicts, since the order of a set would differ between runs.
-        self._held: list[dict[Request, None]] = [{} for _ in range(SERVERS)]
+        self._in_flight: list[dict[Request, None]] = [{} for _ in range(SERVERS)]
         for load in loads:
             rng = random.Random(f"{SEED} {load.organisation}")
-            self._clock.at(0.0, lambda load=load, rng=rng: self._arrive(load, rng))
-        self._clock.at(self._lost[0], self._lose)
+            self._clock.call_at(0.0, lambda load=load, rng=rng: self._arrive(load, rng))
+        self._clock.call_at(self._outage[0], self._start_outage)
 
     def outcome(self) -> Outcome:
         """Run to the end."""
-        self._clock.run(self._length_s)
+        self._clock.run(self._duration_s)
         return self._outcome
 
     def _new_server(self, index: int) -> AdmittingServer | CapacityServer:
         epoch = self._epochs[index]
 
-        def done(req: Request, whole: bool = True, expired: bool = False) -> None:
+        def done(req: Request, complete: bool = True, expired: bool = False) -> None:
             # What a lost server had begun is lost with it.
             if self._epochs[index] == epoch:
-                self._done(req, whole=whole, expired=expired)
+                self._done(req, complete=complete, expired=expired)
 
         if self._own:
             guard = ConcurrencyGuard(clock=self._clock, high=SLOTS)
@@ -153,19 +153,21 @@
         )
 
     def _arrive(self, load: Load, rng: random.Random) -> None:
-        self._clock.after(rng.expovariate(load.rate), lambda: self._arrive(load, rng))
-        work_s = min(rng.expovariate(1.0 / SERVICE_S), LONGEST_S)
-        self._outcome.asked_at.append(self._clock.now())
-        self._ask(Request(load.organisation, work_s, load.returns))
+        self._clock.call_later(
+            rng.expovariate(load.rate), lambda: self._arrive(load, rng)
+        )
+        work_s = min(rng.expovariate(1.0 / SERVICE_S), MAX_SERVICE_S)
+        self._outcome.submitted_at.append(self._clock.now())
+        self._submit(Request(load.organisation, work_s, load.caller_retries))
 
-    def _ask(self, req: Request) -> None:
+    def _submit(self, req: Request) -> None:
         now = self._clock.now()
         req.arrived = now
-        req.deadline = now + DEADLINE_S
+        req.deadline = now + REQUEST_TIMEOUT_S
         req.ended = False
         req.attempts = 0
         req.avoid = frozenset()
-        self._clock.at(req.deadline, lambda: self._time_out(req, now))
+        self._clock.call_at(req.deadline, lambda: self._time_out(req, now))
         if self._own:
             self._budget.record()
         self._dispatch(req)
@@ -178,11 +180,11 @@
             self._refuse(req, 1.0)
             return
         req.server = index
-        self._held[index][req] = None
+        self._in_flight[index][req] = None
         self._table.started(f"agent{index}", req.organisation)
-        if self._is_lost(index):
+        if self._is_down(index):
             return
-        if index == 0 and self._clock.now() >= self._sick:
+        if index == 0 and self._clock.now() >= self._failing_from_s:
             self._release(req)
             self._table.failed(f"agent{index}")
             self._retry_or_refuse(req, 1.0)
@@ -194,7 +196,7 @@
             self._retry_or_refuse(req, exc.retry_after)
 
     def _choose(self, req: Request) -> int | None:
-        down = frozenset(self._detected())
+        down = frozenset(self._known_down())
         if not self._own:
             up = [i for i in range(SERVERS) if f"agent{i}" not in down]
             return up[next(self._turns) % len(up)]
@@ -205,7 +207,7 @@
 
     def _retry_or_refuse(self, req: Request, retry_after: float) -> None:
         req.avoid |= {f"agent{req.server}"}
-        may_retry = req.attempts < ATTEMPTS
+        may_retry = req.attempts < MAX_ATTEMPTS
         if may_retry and (not self._own or self._budget.try_spend()):
             self._dispatch(req)
         else:
@@ -215,22 +217,22 @@
         self._outcome.refused += 1
         self._outcome.retry_afters.append(retry_after)
         req.ended = True
-        self._come_back(req, retry_after)
+        self._schedule_caller_retry(req, retry_after)
 
-    def _time_out(self, req: Request, asked: float) -> None:
-        if req.ended or req.arrived != asked:
+    def _time_out(self, req: Request, submitted_at: float) -> None:
+        if req.ended or req.arrived != submitted_at:
             return
         req.ended = True
         self._outcome.late += 1
         # Nobody told the caller when to come back.
-        self._come_back(req, BALANCER_DELAY_S)
+        self._schedule_caller_retry(req, BALANCER_RETRY_DELAY_S)
 
-    def _come_back(self, req: Request, seconds: float) -> None:
-        if req.returns > 0:
-            again = Request(req.organisation, req.work_s, req.returns - 1)
-            self._clock.after(seconds, lambda: self._ask(again))
+    def _schedule_caller_retry(self, req: Request, seconds: float) -> None:
+        if req.caller_retries > 0:
+            retry = Request(req.organisation, req.work_s, req.caller_retries - 1)
+            self._clock.call_later(seconds, lambda: self._submit(retry))
 
-    def _done(self, req: Request, *, whole: bool, expired: bool) -> None:
+    def _done(self, req: Request, *, complete: bool, expired: bool) -> None:
         self._release(req)
         agent_id = f"agent{req.server}"
         self._table.update_load(agent_id, self._servers[req.server].load(0.0))
@@ -241,39 +243,39 @@
             self._refuse(req, max(1.0, self._servers[req.server].load(0.0).wait_s))
             return
         now = self._clock.now()
-        if whole and now <= req.deadline:
+        if complete and now <= req.deadline:
             req.ended = True
             self._table.succeeded(agent_id)
             self._outcome.answered.append((now, req.organisation, now - req.arrived))
 
     def _release(self, req: Request) -> None:
-        if req in self._held[req.server]:
-            del self._held[req.server][req]
+        if req in self._in_flight[req.server]:
+            del self._in_flight[req.server][req]
             self._table.finished(f"agent{req.server}", req.organisation)
 
-    def _is_lost(self, index: int) -> bool:
-        start, end = self._lost
+    def _is_down(self, index: int) -> bool:
+        start, end = self._outage
         in_domain = self._candidates[index].domain == DOMAINS[-1]
         return in_domain and start <= self._clock.now() < end
 
-    def _detected(self) -> list[str]:
-        start, end = self._lost
+    def _known_down(self) -> list[str]:
+        start, end = self._outage
         if not start + DETECTION_S <= self._clock.now() < end + DETECTION_S:
             return []
         return [c.agent_id for c in self._candidates if c.domain == DOMAINS[-1]]
 
-    def _lose(self) -> None:
+    def _start_outage(self) -> None:
         for index in range(SERVERS):
-            if self._is_lost(index):
+            if self._is_down(index):
                 self._epochs[index] += 1
                 self._servers[index] = self._new_server(index)
-        self._clock.after(DETECTION_S, self._fail_lost)
+        self._clock.call_later(DETECTION_S, self._fail_pending)
 
-    def _fail_lost(self) -> None:
+    def _fail_pending(self) -> None:
         for index in range(SERVERS):
-            if not self._is_lost(index):
+            if not self._is_down(index):
                 continue
-            for req in list(self._held[index]):
+            for req in list(self._in_flight[index]):
                 self._release(req)
                 if not req.ended:
                     self._retry_or_refuse(req, 1.0)
--- a/bench/overload_server.py
+++ b/bench/overload_server.py
@@ -14,7 +14,7 @@
 
 SLOTS = 16
 QUEUE_LIMIT = 256
-ORDINARY = SimpleNamespace(priority=0)
+DEFAULT_OPEN = SimpleNamespace(priority=0)
 
 
 @dataclass(slots=True, eq=False)
@@ -23,7 +23,7 @@
 
     organisation: str
     work_s: float
-    returns: int
+    caller_retries: int
     arrived: float = 0.0
     deadline: float = 0.0
     started_at: float = 0.0
@@ -31,7 +31,7 @@
     server: int = -1
     ended: bool = False
     avoid: frozenset[str] = frozenset()
-    open: SimpleNamespace = field(default_factory=lambda: ORDINARY)
+    open: SimpleNamespace = field(default_factory=lambda: DEFAULT_OPEN)
 
 
 class AdmittingServer:
@@ -58,7 +58,7 @@
         self._done = done
         self._knee = knee
         self._guard = guard
-        self._generation = itertools.count()
+        self._numbers = itertools.count()
         self._running: dict[Request, tuple[int, int]] = {}
         self.admission = Admission(
             clock=clock,
@@ -66,7 +66,7 @@
             queue_limit=QUEUE_LIMIT,
             share=lambda organisation: 1.0,
             begin=self._begin,
-            expire=lambda req: done(req, whole=False, expired=True),
+            expire=lambda req: done(req, complete=False, expired=True),
             rng=rng,
         )
 
@@ -91,17 +91,19 @@
         )
 
     def _begin(self, req: Request) -> None:
-        number = next(self._generation)
+        number = next(self._numbers)
         running = self.admission.running
         self._running[req] = number, running
-        stretch = max(1.0, running / self._knee) ** 2
-        self._clock.after(
-            req.work_s * stretch, lambda: self._end(req, number, whole=True)
+        slowdown = max(1.0, running / self._knee) ** 2
+        self._clock.call_later(
+            req.work_s * slowdown, lambda: self._end(req, number, complete=True)
         )
         # The entry cancels at the deadline.
-        self._clock.at(req.deadline, lambda: self._end(req, number, whole=False))
+        self._clock.call_at(
+            req.deadline, lambda: self._end(req, number, complete=False)
+        )
 
-    def _end(self, req: Request, number: int, *, whole: bool) -> None:
+    def _end(self, req: Request, number: int, *, complete: bool) -> None:
         if self._running.get(req, (None, 0))[0] != number:
             return
         _, running = self._running.pop(req)
@@ -109,4 +111,4 @@
             self._guard.finished(running, self._clock.now() - req.started_at)
             self.admission.slots = self._guard.limit
         self.admission.finished(req)
-        self._done(req, whole=whole)
+        self._done(req, complete=complete)
--- a/bench/paired_runs.py
+++ b/bench/paired_runs.py
@@ -1,15 +1,15 @@
 """Plays of days, paired by way: what a comparison of ways reads and reckons."""
 
 __all__ = [
+    "DayRun",
     "Difference",
-    "Play",
-    "Way",
+    "Variant",
     "differences",
-    "parse_way",
+    "format_tables",
+    "parse_variant",
     "read_report",
     "read_rows",
     "set_constant",
-    "show",
 ]
 
 import argparse
@@ -23,14 +23,14 @@
 
 # Two-sided 95 % points of Student's t by degrees of freedom; beyond the last, 1.96.
 T_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18)
-T_95_MANY = 1.96
-WAY_PATTERN = re.compile(
+NORMAL_95 = 1.96
+VARIANT_PATTERN = re.compile(
     r"^(?P<name>[\w.-]+)=(?P<revision>[^:]+)(?P<constants>(:.*)?)$"
 )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Way:
+class Variant:
     """One way of a decision.
 
     Attributes:
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Play:
+class DayRun:
     """One play of a day.
 
     Attributes:
@@ -79,26 +79,26 @@
     """Mean of the paired differences of a way from the first one.
 
     Attributes:
-        way: Name of the way.
+        variant: Name of the variant.
         site: Deployment; empty for all together.
         pairs: How many pairs.
         mean: Mean difference in worth.
         spread: Half of the 95 % interval; infinite for one pair.
     """
 
-    way: str
+    variant: str
     site: str
     pairs: int
     mean: float
-    spread: float
+    half_width: float
 
     @property
-    def is_shown(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether the interval lies on one side of 0."""
-        return abs(self.mean) > self.spread
+        return abs(self.mean) > self.half_width
 
 
-def parse_way(text: str) -> Way:
+def parse_variant(text: str) -> Variant:
     """Return the way that an argument names.
 
     Args:
@@ -108,10 +108,10 @@
         argparse.ArgumentTypeError: It reads otherwise.
 
     Example:
-        >>> parse_way("new=HEAD:a.py:LIMIT_S=0.2").constants
+        >>> parse_variant("new=HEAD:a.py:LIMIT_S=0.2").constants
         (('a.py', 'LIMIT_S', '0.2'),)
     """
-    match = WAY_PATTERN.match(text)
+    match = VARIANT_PATTERN.match(text)
     if match is None:
         raise argparse.ArgumentTypeError(f"{text!r} is not NAME=REVISION[:FILE:C=V]")
     words = match["constants"].split(":")[1:]
@@ -123,7 +123,7 @@
         constants.append((file, name, value))
     if len(words) % 2:
         raise argparse.ArgumentTypeError(f"{words[-1]!r}: a file without a constant")
-    return Way(
+    return Variant(
         name=match["name"], revision=match["revision"], constants=tuple(constants)
     )
 
@@ -142,51 +142,57 @@
     return changed
 
 
-def differences(plays: Iterable[Play], ways: Sequence[str]) -> list[Difference]:
+def differences(runs: Iterable[DayRun], variants: Sequence[str]) -> list[Difference]:
     """Return how the other ways differ from the first, by site and over all.
 
     Args:
-        plays: All plays; those without a partner are left out.
-        ways: Names; the first is the one that the others are compared with.
+        runs: All runs; those without a partner are left out.
+        variants: Names; the first is the one that the others are compared with.
     """
-    by_way: dict[str, dict[tuple[str, str, int], Play]] = {name: {} for name in ways}
-    for play in plays:
-        if play.way in by_way:
-            by_way[play.way][play.case] = play
-    first = by_way[ways[0]]
-    found = []
-    for way in ways[1:]:
-        cases = sorted(first.keys() & by_way[way].keys())
+    by_variant: dict[str, dict[tuple[str, str, int], DayRun]] = {
+        name: {} for name in variants
+    }
+    for run in runs:
+        if run.way in by_variant:
+            by_variant[run.way][run.case] = run
+    first = by_variant[variants[0]]
+    result = []
+    for variant in variants[1:]:
+        cases = sorted(first.keys() & by_variant[variant].keys())
         sites = sorted({case[0] for case in cases})
         for site in [*sites, ""]:
             gains = [
-                by_way[way][case].worth - first[case].worth
+                by_variant[variant][case].worth - first[case].worth
                 for case in cases
                 if not site or case[0] == site
             ]
             if gains:
-                found.append(_difference(way, site, gains))
-    return found
+                result.append(_difference(variant, site, gains))
+    return result
 
 
-def _difference(way: str, site: str, gains: Sequence[float]) -> Difference:
+def _difference(variant: str, site: str, gains: Sequence[float]) -> Difference:
     count = len(gains)
     if count < 2:
-        spread = math.inf
+        half_width = math.inf
     else:
-        t = T_95[count - 2] if count - 2 < len(T_95) else T_95_MANY
-        spread = t * statistics.stdev(gains) / math.sqrt(count)
+        t = T_95[count - 2] if count - 2 < len(T_95) else NORMAL_95
+        half_width = t * statistics.stdev(gains) / math.sqrt(count)
     return Difference(
-        way=way, site=site, pairs=count, mean=statistics.fmean(gains), spread=spread
+        variant=variant,
+        site=site,
+        pairs=count,
+        mean=statistics.fmean(gains),
+        half_width=half_width,
     )
 
 
-def read_report(report: dict, *, site: str, day: str, seed: int, way: str) -> Play:
+def read_report(report: dict, *, site: str, day: str, seed: int, way: str) -> DayRun:
     """Return the play that a report of the bench tells of."""
     broken = [f"{rule} {count}" for rule, count in report["breaks"].items() if count]
     if report["fault"]:
         broken.append(str(report["fault"]))
-    return Play(
+    return DayRun(
         site=site,
         day=day,
         seed=seed,
@@ -198,33 +204,35 @@
     )
 
 
-def read_rows(path: pathlib.Path) -> list[Play]:
+def read_rows(path: pathlib.Path) -> list[DayRun]:
     """Return the plays of a file of rows; none if there is no file."""
     if not path.exists():
         return []
-    return [Play(**json.loads(line)) for line in path.read_text().splitlines()]
+    return [DayRun(**json.loads(line)) for line in path.read_text().splitlines()]
 
 
-def show(plays: Sequence[Play], ways: Sequence[str]) -> str:
+def format_tables(runs: Sequence[DayRun], variants: Sequence[str]) -> str:
     """Return the tables of a comparison as text."""
-    lines = [f"{'site':32}{'day':12}{'seed':>5} " + "".join(f"{w:>12}" for w in ways)]
-    by_case: dict[tuple[str, str, int], dict[str, Play]] = {}
-    for each in plays:
+    lines = [
+        f"{'site':32}{'day':12}{'seed':>5} " + "".join(f"{w:>12}" for w in variants)
+    ]
+    by_case: dict[tuple[str, str, int], dict[str, DayRun]] = {}
+    for each in runs:
         by_case.setdefault(each.case, {})[each.way] = each
     for (site, day, seed), row in sorted(by_case.items()):
         cells = [
-            f"{row[way].worth:.3f}{'!' if row[way].broken else ''}"
-            if way in row
+            f"{row[variant].worth:.3f}{'!' if row[variant].broken else ''}"
+            if variant in row
             else "-"
-            for way in ways
+            for variant in variants
         ]
         lines.append(
             f"{site:32}{day:12}{seed:>5} " + "".join(f"{c:>12}" for c in cells)
         )
-    for each in differences(plays, ways):
-        verdict = "" if each.is_shown else "  no difference shown"
+    for each in differences(runs, variants):
+        verdict = "" if each.is_significant else "  no difference shown"
         lines.append(
-            f"{each.way} - {ways[0]}, {each.site or 'all'}: {each.mean:+.3f}"
-            f" +- {each.spread:.3f} ({each.pairs} pairs){verdict}"
+            f"{each.variant} - {variants[0]}, {each.site or 'all'}: {each.mean:+.3f}"
+            f" +- {each.half_width:.3f} ({each.pairs} pairs){verdict}"
         )
     return "\n".join(lines)
--- a/bench/pipeline.py
+++ b/bench/pipeline.py
@@ -7,7 +7,7 @@
 iteration whatever its size, where fewer and larger iterations are better.
 """
 
-__all__ = ["Cleanups", "measure"]
+__all__ = ["CleanupStack", "measure"]
 
 import asyncio
 import statistics
@@ -31,37 +31,46 @@
 ITERATION_S = 0.02
 """Seconds of an iteration, or of one with a third of the sequences."""
 PER_SEQUENCE_S = ITERATION_S * STAGES / SEQUENCES
-BOUND = SEQUENCES / STAGES / ITERATION_S
+MAX_TOKENS_PER_S = SEQUENCES / STAGES / ITERATION_S
 """Tokens per second with engines of either kind never idle."""
-BUSY_SHARE_AIM = 0.9
-REPAIRS = 20
-POSITION = 20
+MIN_BUSY_RATIO = 0.9
+RECOVERY_RUNS = 20
+FAULT_POSITION = 20
 
 
 def measure() -> list[Figure]:
     """Return the figures of throughput and recovery."""
-    piped = asyncio.run(_throughput(sequence_s=PER_SEQUENCE_S))
-    whole = asyncio.run(_throughput(step_s=ITERATION_S))
+    pipelined = asyncio.run(_throughput(sequence_s=PER_SEQUENCE_S))
+    pipelined_flat = asyncio.run(_throughput(step_s=ITERATION_S))
     one_in_flight = mock.patch.multiple(
         head, EXTRA_ITERATIONS=1 - STAGES, MAX_FIXED_COST_SHARE=2.0
     )
     with one_in_flight:
-        plain = asyncio.run(_throughput(sequence_s=PER_SEQUENCE_S))
-        plain_whole = asyncio.run(_throughput(step_s=ITERATION_S))
-    killed = [asyncio.run(_recovery("kill")) for _ in range(REPAIRS)]
-    silent = [asyncio.run(_recovery("silent")) for _ in range(REPAIRS)]
+        single = asyncio.run(_throughput(sequence_s=PER_SEQUENCE_S))
+        single_flat = asyncio.run(_throughput(step_s=ITERATION_S))
+    killed = [asyncio.run(_recovery("kill")) for _ in range(RECOVERY_RUNS)]
+    silent = [asyncio.run(_recovery("silent")) for _ in range(RECOVERY_RUNS)]
     return [
-        Figure("pipeline/busy_share", piped.busy, "ratio", low=BUSY_SHARE_AIM),
-        Figure("pipeline/achieved", piped.rate / BOUND, "ratio"),
-        Figure("pipeline/achieved/one_in_flight", plain.rate / BOUND, "ratio"),
-        Figure("pipeline/gain", piped.rate / plain.rate, "ratio", low=2.0),
-        Figure("pipeline/flat_cost/busy_share", whole.busy, "ratio"),
-        Figure("pipeline/flat_cost/achieved", whole.rate / BOUND, "ratio"),
+        Figure("pipeline/busy_share", pipelined.busy, "ratio", low=MIN_BUSY_RATIO),
+        Figure("pipeline/achieved", pipelined.rate / MAX_TOKENS_PER_S, "ratio"),
         Figure(
-            "pipeline/flat_cost/gain", whole.rate / plain_whole.rate, "ratio", low=0.85
+            "pipeline/achieved/one_in_flight", single.rate / MAX_TOKENS_PER_S, "ratio"
         ),
-        Figure("pipeline/events_per_iteration", piped.events, "count", high=1.5),
-        Figure("pipeline/hops_per_iteration", piped.hops, "count", high=2.05),
+        Figure("pipeline/gain", pipelined.rate / single.rate, "ratio", low=2.0),
+        Figure("pipeline/flat_cost/busy_share", pipelined_flat.busy, "ratio"),
+        Figure(
+            "pipeline/flat_cost/achieved",
+            pipelined_flat.rate / MAX_TOKENS_PER_S,
+            "ratio",
+        ),
+        Figure(
+            "pipeline/flat_cost/gain",
+            pipelined_flat.rate / single_flat.rate,
+            "ratio",
+            low=0.85,
+        ),
+        Figure("pipeline/events_per_iteration", pipelined.events, "count", high=1.5),
+        Figure("pipeline/hops_per_iteration", pipelined.hops, "count", high=2.05),
         *_times("recovery/killed_stage", killed),
         *_times("recovery/silent_stage", silent),
     ]
@@ -74,7 +83,7 @@
     ]
 
 
-class Cleanups:
+class CleanupStack:
     """Stands in for a test case where one is asked for."""
 
     def __init__(self):
@@ -90,7 +99,7 @@
             await function(*args)
 
 
-class _Run:
+class _ThroughputRun:
     """What one throughput run showed."""
 
     def __init__(self, *, nodes, client, seconds: float):
@@ -101,22 +110,22 @@
         self.hops = sum(n.engine.iterations for n in nodes[1:]) / iterations
 
 
-async def _throughput(**cost: float) -> _Run:
-    case = Cleanups()
+async def _throughput(**cost: float) -> _ThroughputRun:
+    case = CleanupStack()
     _, nodes, chain = await start_chain(case, slots=SEQUENCES, **cost)
     client = await connect(case, nodes[0])
     began = time.monotonic()
     ids = [await client.generate(chain, b"a page", TOKENS) for _ in range(SEQUENCES)]
     for dispatch_id in ids:
         await client.end(dispatch_id)
-    run = _Run(nodes=nodes, client=client, seconds=time.monotonic() - began)
+    run = _ThroughputRun(nodes=nodes, client=client, seconds=time.monotonic() - began)
     await case.run()
     return run
 
 
 async def _recovery(fault: str) -> float:
     """Return the seconds from the loss of a stage to the next token."""
-    case = Cleanups()
+    case = CleanupStack()
     proxies: dict[str, str] = {}
     control, nodes, chain = await start_chain(
         case, spares=1, dial=lambda a: open_channel(proxies.get(a, a))
@@ -129,7 +138,7 @@
     control.on_suspect = lambda agent_id: control.set_chain(repaired)
     lost_at = 0.0
 
-    async def lose():
+    async def inject_fault():
         nonlocal lost_at
         lost_at = time.monotonic()
         if fault == "kill":
@@ -137,10 +146,10 @@
         else:
             proxy.mute_all()
 
-    lost.engine.fault_position = POSITION
-    lost.engine.on_fault = lose
-    dispatch_id = await client.generate(chain, b"a", 2 * POSITION)
-    await client.wait(lambda: len(client.texts(dispatch_id)) > POSITION)
+    lost.engine.fault_position = FAULT_POSITION
+    lost.engine.on_fault = inject_fault
+    dispatch_id = await client.generate(chain, b"a", 2 * FAULT_POSITION)
+    await client.wait(lambda: len(client.texts(dispatch_id)) > FAULT_POSITION)
     seconds = time.monotonic() - lost_at
     await until(lambda: client.kinds(dispatch_id)[-1] == "done")
     await case.run()
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -9,7 +9,7 @@
 from statistics import fmean
 
 from bench.placement_pools import (
-    JUTLAND,
+    JUTLAND_DOMAINS,
     SEED,
     Case,
     deployments,
@@ -22,10 +22,10 @@
 from wigeonscale.placement.bound import hardware_bound
 from wigeonscale.placement.repair import stage_on
 
-LOW_RATIO = 0.9
-SIZE_LOW_RATIO = 0.88
-POOLS_DRAWN = 20
-MAX_ROUNDS = 20
+MIN_RATIO = 0.9
+MIN_RATIO_LARGE = 0.88
+RANDOM_POOLS = 20
+MAX_REPLANS = 20
 
 
 def measure() -> list[Figure]:
@@ -37,7 +37,7 @@
     figures += _after_lost_domain()
     for spares in (0, 1, 2):
         figures += _repairs(spares)
-    figures += _at_size()
+    figures += _large_input_figures()
     return figures
 
 
@@ -49,8 +49,8 @@
     by_kind = sorted(case.engines, key=lambda engine: engine.layer_rate)
     return [
         Figure(f"placement/{case.name}/bound", bound, "steps/s"),
-        _ratio(case.name, "achieved", _total(plan) / bound, LOW_RATIO),
-        _ratio(case.name, "across-domains", _total(across) / bound, LOW_RATIO),
+        _ratio(case.name, "achieved", _total(plan) / bound, MIN_RATIO),
+        _ratio(case.name, "across-domains", _total(across) / bound, MIN_RATIO),
         _ratio(case.name, "equal-split", equal / bound, None),
         _ratio(
             case.name,
@@ -101,10 +101,10 @@
 def _equal_rate(group: Sequence[EngineSpec], layers: int) -> float:
     counts = [0] * len(group)
     for _ in range(layers):
-        roomy = [i for i, e in enumerate(group) if counts[i] < e.layer_capacity]
-        if not roomy:
+        with_capacity = [i for i, e in enumerate(group) if counts[i] < e.layer_capacity]
+        if not with_capacity:
             return 0.0
-        counts[min(roomy, key=lambda i: counts[i])] += 1
+        counts[min(with_capacity, key=lambda i: counts[i])] += 1
     stages = []
     first = 0
     for engine, count in zip(group, counts, strict=True):
@@ -117,13 +117,13 @@
 def _worst_of_pools() -> list[Figure]:
     """Place today's deployments on other draws of kinds, domains and links."""
     ratios = {}
-    for seed in range(POOLS_DRAWN):
+    for seed in range(RANDOM_POOLS):
         for case in deployments(seed):
             plan = _plan(case.pipeline, case.engines)
             ratio = _total(plan) / _bound(case.pipeline, case.engines)
             ratios.setdefault(case.name, []).append(ratio)
     return [
-        _ratio(f"{name}-{POOLS_DRAWN}-pools", "worst", min(values), LOW_RATIO)
+        _ratio(f"{name}-{RANDOM_POOLS}-pools", "worst", min(values), MIN_RATIO)
         for name, values in ratios.items()
     ]
 
@@ -132,17 +132,17 @@
     """Lose a whole domain under chains that serve; plan at once, then to the end."""
     case = hard_cases()[0]
     before = _plan(case.pipeline, case.engines)
-    left = without_domain(_loaded(case.engines, before), JUTLAND[0])
+    remaining = without_domain(_loaded(case.engines, before), JUTLAND_DOMAINS[0])
     at_once = _plan(
         case.pipeline,
-        left,
+        remaining,
         chains=before.chains,
         base_index=2,
         rebuild_serving=False,
     )
     untouched = [chain for chain in at_once.chains if chain in before.chains]
-    after, steps = _planned_to_the_end(case.pipeline, left, at_once)
-    bound = _bound(case.pipeline, left)
+    after, steps = _plan_until_stable(case.pipeline, remaining, at_once)
+    bound = _bound(case.pipeline, remaining)
     name = "domain-lost-standing"
     return [
         _ratio(name, "at-once", _total(at_once) / bound, None),
@@ -169,15 +169,15 @@
     ]
 
 
-def _planned_to_the_end(pipeline, engines, plan):
+def _plan_until_stable(pipeline, engines, plan):
     """Load and plan again until nothing changes; return the plan and the rounds."""
-    for step in range(MAX_ROUNDS):
+    for step in range(MAX_REPLANS):
         engines = _loaded(engines, plan)
         again = _plan(pipeline, engines, chains=plan.chains, base_index=step + 3)
         if again.chains == plan.chains:
             return plan, step
         plan = again
-    raise RuntimeError(f"plans go on changing after {MAX_ROUNDS} rounds")
+    raise RuntimeError(f"plans go on changing after {MAX_REPLANS} rounds")
 
 
 def _repairs(spares: int) -> list[Figure]:
@@ -185,13 +185,15 @@
     case = hard_cases()[0]
     before = _plan(case.pipeline, case.engines, spares=spares)
     used = {stage.agent_id for chain in before.chains for stage in chain.stages}
-    kept, elsewhere, loads = [], [], []
+    kept, in_other_domain, loads = [], [], []
     for lost in (engine for engine in case.engines if engine.agent_id in used):
-        left = [engine for engine in case.engines if engine is not lost]
-        after = _plan(case.pipeline, left, before.chains, base_index=2, spares=spares)
+        remaining = [engine for engine in case.engines if engine is not lost]
+        after = _plan(
+            case.pipeline, remaining, before.chains, base_index=2, spares=spares
+        )
         new = _new_stages(before, after)
         kept.append(_total(after) / _total(before))
-        elsewhere.append(all(stage.domain != lost.domain for stage in new))
+        in_other_domain.append(all(stage.domain != lost.domain for stage in new))
         loads.append(len(new))
     bound = _bound(case.pipeline, case.engines)
     low = None if spares == 0 else 0.9
@@ -200,7 +202,7 @@
         _ratio(name, "achieved-before", _total(before) / bound, 0.8),
         Figure(f"placement/{name}/worst-kept", min(kept), "of before", low=low),
         Figure(f"placement/{name}/mean-kept", fmean(kept), "of before", low=low),
-        Figure(f"placement/{name}/other-domain", fmean(elsewhere), "of losses"),
+        Figure(f"placement/{name}/other-domain", fmean(in_other_domain), "of losses"),
         Figure(f"placement/{name}/mean-loads", fmean(loads), "stages"),
     ]
 
@@ -211,7 +213,7 @@
     return [stage for stage in stages if stage not in known]
 
 
-def _at_size() -> list[Figure]:
+def _large_input_figures() -> list[Figure]:
     """Plan 7,700 engines and 35 models in 2 regions and 7 domains."""
     engines, pipelines = large_input()
     rng = random.Random(SEED)
@@ -230,12 +232,12 @@
             pipelines=pipelines, engines=engines, chains=(), base_index=1
         )
     )
-    gone = {chain.stages[0].agent_id for chain in plan.chains[:3]}
-    left = [engine for engine in engines if engine.agent_id not in gone]
+    lost = {chain.stages[0].agent_id for chain in plan.chains[:3]}
+    remaining = [engine for engine in engines if engine.agent_id not in lost]
     after, repair_s = _timed(
         lambda: plan_chains(
             pipelines=pipelines,
-            engines=left,
+            engines=remaining,
             chains=plan.chains,
             base_index=2,
         )
@@ -249,7 +251,7 @@
         for pipeline in pipelines
     )
     return [
-        _ratio(name, "achieved", _total(plan) / bound, SIZE_LOW_RATIO),
+        _ratio(name, "achieved", _total(plan) / bound, MIN_RATIO_LARGE),
         Figure(f"placement/{name}/chains", len(plan.chains), "chains"),
         Figure(f"placement/{name}/full-plan", full_s, "s"),
         Figure(f"placement/{name}/three-engines-lost", repair_s, "s"),
--- a/bench/placement_pools.py
+++ b/bench/placement_pools.py
@@ -2,7 +2,7 @@
 
 __all__ = [
     "Case",
-    "JUTLAND",
+    "JUTLAND_DOMAINS",
     "SEED",
     "deployments",
     "hard_cases",
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class AcceleratorKind:
     """A kind of accelerator: layer-steps per second, layers held."""
 
     name: str
@@ -38,57 +38,64 @@
     layer_capacity: int
 
 
-LARGE = Kind("large", 6000.0, 16)
-MIDDLE = Kind("middle", 2600.0, 10)
-SMALL = Kind("small", 900.0, 5)
+LARGE = AcceleratorKind("large", 6000.0, 16)
+MIDDLE = AcceleratorKind("middle", 2600.0, 10)
+SMALL = AcceleratorKind("small", 900.0, 5)
 KINDS = (LARGE, MIDDLE, SMALL)
-LINKS = (40000.0, 4000.0, 400.0)
-JUTLAND = ("aarhus-a", "aarhus-b", "vejle-c")
-BOHEMIA = ("praha-hall-a", "praha-hall-b", "kladno-hall")
+LINK_RATES = (40000.0, 4000.0, 400.0)
+JUTLAND_DOMAINS = ("aarhus-a", "aarhus-b", "vejle-c")
+BOHEMIA_DOMAINS = ("praha-hall-a", "praha-hall-b", "kladno-hall")
 
 
 def hard_cases() -> list[Case]:
     """Return today's deployments and the hard cases."""
     korrekturhuset, vltava = deployments(SEED)
     jutland = korrekturhuset.engines
-    scarce = _pool(SEED, JUTLAND, {LARGE: 2, MIDDLE: 19, SMALL: 19})
-    fast = tuple(replace(engine, link_rate=LINKS[0]) for engine in jutland)
-    slow_one = (replace(_first_large(fast), link_rate=LINKS[2]),)
-    slow_link = slow_one + tuple(e for e in fast if e.agent_id != slow_one[0].agent_id)
+    scarce = _pool(SEED, JUTLAND_DOMAINS, {LARGE: 2, MIDDLE: 19, SMALL: 19})
+    fast = tuple(replace(engine, link_rate=LINK_RATES[0]) for engine in jutland)
+    slow_engine = (replace(_first_large(fast), link_rate=LINK_RATES[2]),)
+    slow_link = slow_engine + tuple(
+        e for e in fast if e.agent_id != slow_engine[0].agent_id
+    )
     slow_domain = tuple(
-        replace(e, link_rate=LINKS[2] if e.domain == JUTLAND[2] else LINKS[0])
+        replace(
+            e,
+            link_rate=LINK_RATES[2]
+            if e.domain == JUTLAND_DOMAINS[2]
+            else LINK_RATES[0],
+        )
         for e in jutland
     )
     rng = random.Random(SEED)
     uneven = tuple(
         replace(e, layer_rate=e.layer_rate * rng.uniform(0.85, 1.15)) for e in jutland
     )
-    forty = korrekturhuset.pipeline
+    forty_layers = korrekturhuset.pipeline
     return [
         korrekturhuset,
         vltava,
-        Case("one-slow-link", slow_link, forty),
-        Case("slow-domain", slow_domain, forty),
-        Case("scarce-kind", scarce, forty),
-        Case("uneven-rates", uneven, forty),
-        Case("two-chains", jutland, replace(forty, replicas=2)),
+        Case("one-slow-link", slow_link, forty_layers),
+        Case("slow-domain", slow_domain, forty_layers),
+        Case("scarce-kind", scarce, forty_layers),
+        Case("uneven-rates", uneven, forty_layers),
+        Case("two-chains", jutland, replace(forty_layers, replicas=2)),
         Case(
             "domain-gone",
-            without_domain(jutland, JUTLAND[0]),
-            replace(forty, replicas=3),
+            without_domain(jutland, JUTLAND_DOMAINS[0]),
+            replace(forty_layers, replicas=3),
         ),
     ]
 
 
 def deployments(seed: int) -> tuple[Case, Case]:
     """Return pools of the size of today's two deployments."""
-    jutland = _pool(seed, JUTLAND, {LARGE: 12, MIDDLE: 16, SMALL: 12})
-    bohemia = _pool(seed, BOHEMIA, {LARGE: 6, MIDDLE: 22, SMALL: 12})
-    forty = Pipeline(name="corrections", model="m", layers=40, replicas=5)
-    thirty_two = Pipeline(name="assistant", model="m", layers=32, replicas=6)
+    jutland = _pool(seed, JUTLAND_DOMAINS, {LARGE: 12, MIDDLE: 16, SMALL: 12})
+    bohemia = _pool(seed, BOHEMIA_DOMAINS, {LARGE: 6, MIDDLE: 22, SMALL: 12})
+    forty_layers = Pipeline(name="corrections", model="m", layers=40, replicas=5)
+    thirty_two_layers = Pipeline(name="assistant", model="m", layers=32, replicas=6)
     return (
-        Case("korrekturhuset", jutland, forty),
-        Case("vltava", bohemia, thirty_two),
+        Case("korrekturhuset", jutland, forty_layers),
+        Case("vltava", bohemia, thirty_two_layers),
     )
 
 
@@ -114,7 +121,7 @@
         accelerator=kind.name,
         layer_rate=kind.layer_rate,
         layer_capacity=kind.layer_capacity,
-        link_rate=rng.choices(LINKS, weights=(45, 45, 10))[0],
+        link_rate=rng.choices(LINK_RATES, weights=(45, 45, 10))[0],
     )
 
 
--- a/bench/planned_stops.py
+++ b/bench/planned_stops.py
@@ -27,14 +27,14 @@
 STOPS = 20
 REPLICAS = 3
 WIGEOND = "wigeonscale.cli.wigeond"
-LIMIT_S = 60.0
+TIMEOUT_S = 60.0
 POLL_S = 0.02
 WRITE_PAUSE_S = 0.005
 SETTLE_S = 1.0  # of writing, before each stop and after it
-MS = 1000
+MS_PER_S = 1000
 
 
-class Group:
+class ControlGroup:
     """Control processes that replicate one log.
 
     Args:
@@ -72,18 +72,18 @@
 
     async def leader(self) -> tuple[int, int]:
         """Wait until all replicas follow one leader; return it and its term."""
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
-                told = [await self.status(number) for number in self.children]
-                roles = [each.get("role") for each in told]
-                terms = {each.get("term") for each in told}
+                statuses = [await self.status(number) for number in self.children]
+                roles = [each.get("role") for each in statuses]
+                terms = {each.get("term") for each in statuses}
                 if roles.count("leader") == 1 and len(terms) == 1:
-                    if all(each["fresh"] for each in told):
+                    if all(each["fresh"] for each in statuses):
                         return roles.index("leader"), terms.pop()
                 await asyncio.sleep(POLL_S)
 
 
-class Writer:
+class ConfigWriter:
     """Submits one change of the document after another, and notes when.
 
     Args:
@@ -110,7 +110,7 @@
                     operator="bench",
                 )
                 result = await self._submitter.submit(
-                    wire.Command(apply_config=body), LIMIT_S
+                    wire.Command(apply_config=body), TIMEOUT_S
                 )
                 if result.revision != base + 1:
                     raise RuntimeError(f"revision {result.revision} after {base}")
@@ -119,7 +119,7 @@
         finally:
             await self._submitter.close()
 
-    async def until_accepted(self, at: float) -> None:
+    async def wait_accepted(self, at: float) -> None:
         """Wait until a change was accepted at or after an instant."""
         while not self.accepted or self.accepted[-1] < at:  # noqa: ASYNC110
             await asyncio.sleep(POLL_S)
@@ -139,8 +139,8 @@
     pauses, terms, codes = asyncio.run(_run())
     prefix = "planned-stop"
     return [
-        Figure(f"{prefix}/pause/median", statistics.median(pauses) * MS, "ms"),
-        Figure(f"{prefix}/pause/worst", max(pauses) * MS, "ms"),
+        Figure(f"{prefix}/pause/median", statistics.median(pauses) * MS_PER_S, "ms"),
+        Figure(f"{prefix}/pause/worst", max(pauses) * MS_PER_S, "ms"),
         Figure(f"{prefix}/terms", sum(terms) / STOPS, "per stop", high=1.0),
         Figure(f"{prefix}/failed-exits", sum(map(bool, codes)), "of stops", high=0),
     ]
@@ -148,19 +148,19 @@
 
 async def _run():
     with tempfile.TemporaryDirectory() as name:
-        group = Group(folder=pathlib.Path(name))
+        group = ControlGroup(folder=pathlib.Path(name))
         for number in range(REPLICAS):
             await group.start(number)
-        writer = Writer(addresses=group.grpc)
-        writing = asyncio.create_task(writer.run())
+        writer = ConfigWriter(addresses=group.grpc)
+        writer_task = asyncio.create_task(writer.run())
         try:
             results = [await _stop_leader(group, writer) for _ in range(STOPS)]
-            if writing.done():
-                writing.result()
+            if writer_task.done():
+                writer_task.result()
             return zip(*results, strict=True)
         finally:
-            writing.cancel()
-            await asyncio.gather(writing, return_exceptions=True)
+            writer_task.cancel()
+            await asyncio.gather(writer_task, return_exceptions=True)
             await stop_all(list(group.children.values()))
 
 
@@ -171,9 +171,9 @@
     since = time.monotonic()
     child = group.children[number]
     child.proc.send_signal(signal.SIGTERM)
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         code = await child.proc.wait()
-        await writer.until_accepted(since + SETTLE_S)
+        await writer.wait_accepted(since + SETTLE_S)
     pause = writer.longest_pause(since)
     await group.start(number)
     _, new_term = await group.leader()
--- a/bench/prefill.py
+++ b/bench/prefill.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from unittest import mock
 
-from bench.pipeline import Cleanups
+from bench.pipeline import CleanupStack
 from bench.queues import percentile
 from bench.report import Figure
 from wigeonscale.agent.tests.support import (
@@ -38,12 +38,12 @@
 PROMPT_WORDS = 600
 PROMPT_TOKENS = 40
 CHANGE_STREAMS = 8
-CHANGE_WORK_S = CHANGE_STREAMS * PROMPT_WORDS * POSITION_S
+REPREFILL_S = CHANGE_STREAMS * PROMPT_WORDS * POSITION_S
 """Seconds that one stage needs for the prompts of all running streams."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Beside:
+class _StreamGaps:
     """Running streams beside long prompts, in seconds."""
 
     gap_p95: float
@@ -53,7 +53,7 @@
 
 def measure() -> list[Figure]:
     """Return gaps, first tokens and throughput, whole and in parts."""
-    parts = asyncio.run(_beside_long_prompts())
+    parts = asyncio.run(_gaps_beside_long_prompts())
     rate = asyncio.run(_many_prompts())
     change = asyncio.run(_planned_change())
     whole_prompts = mock.patch.object(
@@ -62,7 +62,7 @@
         lambda cost, seconds: MAX_POSITIONS_PER_ITERATION,
     )
     with whole_prompts:
-        whole = asyncio.run(_beside_long_prompts())
+        whole = asyncio.run(_gaps_beside_long_prompts())
         whole_rate = asyncio.run(_many_prompts())
     return [
         *_figures("prefill/parts", parts),
@@ -75,14 +75,14 @@
         Figure("prefill/planned_change/gap_median", change * 1000, "ms"),
         Figure(
             "prefill/planned_change/gap_to_work",
-            change / CHANGE_WORK_S,
+            change / REPREFILL_S,
             "ratio",
             high=4,
         ),
     ]
 
 
-def _figures(name: str, found: _Beside) -> list[Figure]:
+def _figures(name: str, found: _StreamGaps) -> list[Figure]:
     return [
         Figure(f"{name}/gap_p95", found.gap_p95 * 1000, "ms"),
         Figure(f"{name}/gap_worst", found.gap_worst * 1000, "ms"),
@@ -102,8 +102,8 @@
             self.times.setdefault(item.dispatch_id, []).append(time.monotonic())
 
 
-async def _beside_long_prompts() -> _Beside:
-    case = Cleanups()
+async def _gaps_beside_long_prompts() -> _StreamGaps:
+    case = CleanupStack()
     _, nodes, chain = await start_chain(case, slots=64, **_costs())
     client = _TimedClient(nodes[0])
     case.addCleanup(client.close)
@@ -118,7 +118,7 @@
         await client.end(long)
         first_tokens.append(client.times[long][0] - sent_at)
     ended = time.monotonic()
-    await _all_ended(client, ids)
+    await _wait_all(client, ids)
     gaps = [
         later - earlier
         for i in ids
@@ -126,20 +126,20 @@
         if later > began and earlier < ended
     ]
     await case.run()
-    return _Beside(
+    return _StreamGaps(
         percentile(gaps, 0.95), max(gaps), sum(first_tokens) / len(first_tokens)
     )
 
 
 async def _many_prompts() -> float:
     """Return the answers per second of prompts that keep the engines busy."""
-    case = Cleanups()
+    case = CleanupStack()
     _, nodes, chain = await start_chain(case, slots=16, **_costs())
     client = await connect(case, nodes[0])
     began = time.monotonic()
     prompts = [_prompt(number, PROMPT_WORDS) for number in range(PROMPTS)]
     ids = [await client.generate(chain, prompt, PROMPT_TOKENS) for prompt in prompts]
-    await _all_ended(client, ids)
+    await _wait_all(client, ids)
     rate = PROMPTS / (time.monotonic() - began)
     await case.run()
     return rate
@@ -147,7 +147,7 @@
 
 async def _planned_change() -> float:
     """Return the median over streams of the longest gap, in seconds."""
-    case = Cleanups()
+    case = CleanupStack()
     control, nodes, chain = await start_chain(case, slots=64, spares=1, **_costs())
     n0, _, n2, spare = nodes
     client = _TimedClient(n0)
@@ -158,14 +158,14 @@
     ]
     await client.wait(lambda: all(len(client.times.get(i, ())) > 10 for i in ids))
     control.set_chain(make_chain([n0, spare, n2], epoch=2))
-    await _all_ended(client, ids)
+    await _wait_all(client, ids)
     times = [client.times[i][10:] for i in ids]
     longest = [max(b - a for a, b in itertools.pairwise(t)) for t in times]
     await case.run()
     return statistics.median(longest)
 
 
-async def _all_ended(client: EntryClient, ids: list[str]) -> None:
+async def _wait_all(client: EntryClient, ids: list[str]) -> None:
     for dispatch_id in ids:
         await client.end(dispatch_id)
 
--- a/bench/prefixes.py
+++ b/bench/prefixes.py
@@ -13,7 +13,7 @@
 import time
 from dataclasses import dataclass
 
-from bench.pipeline import Cleanups
+from bench.pipeline import CleanupStack
 from bench.report import Figure
 from wigeonscale.adapters import open_channel
 from wigeonscale.agent.tests.support import FakeControl, Node, make_chain
@@ -45,14 +45,23 @@
     """Return the hit shares and throughputs."""
     figures = []
     for load in LOADS:
-        wired = asyncio.run(_run(load, has_view=True))
-        plain = asyncio.run(_run(load, has_view=False))
+        with_events = asyncio.run(_run(load, has_view=True))
+        without_events = asyncio.run(_run(load, has_view=False))
         name = f"prefixes/{load:g}"
         figures += [
-            Figure(f"{name}/hits", wired.hits, "share"),
-            Figure(f"{name}/hits/without_events", plain.hits, "share"),
-            Figure(f"{name}/hits_gain", wired.hits / plain.hits, "ratio", low=0.97),
-            Figure(f"{name}/throughput_gain", wired.rate / plain.rate, "ratio"),
+            Figure(f"{name}/hits", with_events.hits, "share"),
+            Figure(f"{name}/hits/without_events", without_events.hits, "share"),
+            Figure(
+                f"{name}/hits_gain",
+                with_events.hits / without_events.hits,
+                "ratio",
+                low=0.97,
+            ),
+            Figure(
+                f"{name}/throughput_gain",
+                with_events.rate / without_events.rate,
+                "ratio",
+            ),
         ]
     return figures
 
@@ -114,7 +123,7 @@
 
 
 async def _run(load: float, *, has_view: bool) -> _Outcome:
-    case = Cleanups()
+    case = CleanupStack()
     case.addCleanup(rpcs_ended)
     nodes = [await _start_node(case, number) for number in range(AGENTS)]
     chains = {node.name: make_chain([node], epoch=1) for node in nodes}
@@ -126,7 +135,7 @@
     ]
     caches = [node.engine.prefixes for node in nodes]
     rng = random.Random(SEED)
-    gate = asyncio.Semaphore(round(load * AGENTS * SLOTS))
+    slots = asyncio.Semaphore(round(load * AGENTS * SLOTS))
     before, began = (0, 0), 0.0
 
     async def request(number: int) -> None:
@@ -134,23 +143,23 @@
         try:
             await entries[number % ENTRIES].serve(f"d{number}@x", prompt)
         finally:
-            gate.release()
+            slots.release()
 
     async with asyncio.TaskGroup() as group:
         for number in range(REQUESTS):
-            await gate.acquire()
+            await slots.acquire()
             if number == WARM_UP:
-                before, began = _counts(caches), time.monotonic()
+                before, began = _hit_counts(caches), time.monotonic()
             group.create_task(request(number))
     seconds = time.monotonic() - began
-    hits, misses = (a - b for a, b in zip(_counts(caches), before, strict=True))
+    hits, misses = (a - b for a, b in zip(_hit_counts(caches), before, strict=True))
     for entry in entries:
         await entry.links.close()
     await case.run()
     return _Outcome(hits / (hits + misses), (REQUESTS - WARM_UP) / seconds)
 
 
-async def _start_node(case: Cleanups, number: int) -> Node:
+async def _start_node(case: CleanupStack, number: int) -> Node:
     engine = FakeEngine(
         name=f"a{number}",
         info=EngineInfo(model="m", first_layer=0, last_layer=1),
@@ -170,7 +179,7 @@
     return node
 
 
-def _counts(caches) -> tuple[int, int]:
+def _hit_counts(caches) -> tuple[int, int]:
     return sum(c.hits for c in caches), sum(c.misses for c in caches)
 
 
--- a/bench/queues.py
+++ b/bench/queues.py
@@ -30,13 +30,13 @@
         """Return the virtual time as a wall-clock time."""
         return self._now
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
+    def call_at(self, when: float, action: Callable[[], None]) -> None:
         """Do ``action`` at a time."""
         heapq.heappush(self._events, (when, next(self._order), action))
 
-    def after(self, seconds: float, action: Callable[[], None]) -> None:
+    def call_later(self, seconds: float, action: Callable[[], None]) -> None:
         """Do ``action`` after so many seconds."""
-        self.at(self._now + seconds, action)
+        self.call_at(self._now + seconds, action)
 
     def run(self, until: float) -> None:
         """Do what is due up to a time, in order."""
@@ -128,15 +128,15 @@
             self._running += 1
             seconds = self._service_s(item)
             self._mean_s += 0.05 * (seconds - self._mean_s)
-            self._clock.after(seconds, lambda item=item: self._end(item))
-        self._note()
+            self._clock.call_later(seconds, lambda item=item: self._end(item))
+        self._record_load()
 
     def _end(self, item: object) -> None:
         self._running -= 1
         self._start()
         self._done(item)
 
-    def _note(self) -> None:
+    def _record_load(self) -> None:
         queued = len(self._queue)
         wait_s = queued * self._mean_s / self._slots
         now = self._clock.now()
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -22,9 +22,9 @@
 RUNS = 20
 TOKENS = 80
 STEP_S = 0.002
-SEEN = 20  # tokens after which the fault comes
-ASK_AGAIN_S = 0.01
-MS = 1000.0
+TOKENS_BEFORE_FAULT = 20  # tokens after which the fault comes
+RETRY_DELAY_S = 0.01
+MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +40,8 @@
 
     total_s: float
     detected_s: float
-    rounds: int
-    whole: bool = True
+    disruptions: int
+    complete: bool = True
 
 
 Scenario = Callable[[Cluster], Awaitable[Sample]]
@@ -51,21 +51,21 @@
     """Return a stream that has given its first tokens, and its task."""
     answer = Answer(tag=f"page-{time.monotonic_ns()}", max_tokens=TOKENS)
     task = asyncio.create_task(ask(cluster, "e1", answer=answer))
-    await until(lambda: len(answer.texts) >= SEEN, "the first tokens")
+    await until(lambda: len(answer.texts) >= TOKENS_BEFORE_FAULT, "the first tokens")
     return answer, task
 
 
-def _moving_again(answer: Answer, struck_at: float) -> float:
+def _resumed_after_s(answer: Answer, fault_at: float) -> float:
     """Return the seconds until the stream moved after its longest pause."""
-    times = [struck_at] + [at for at in answer.arrived if at > struck_at]
+    times = [fault_at] + [at for at in answer.arrived if at > fault_at]
     gaps = [after - before for before, after in zip(times, times[1:], strict=False)]
     longest = max(range(len(gaps)), key=gaps.__getitem__)
-    return times[longest + 1] - struck_at
+    return times[longest + 1] - fault_at
 
 
-async def _elapsed(condition: Callable[[], object], struck_at: float) -> float:
+async def _seconds_until(condition: Callable[[], object], fault_at: float) -> float:
     await until(condition, "the detection")
-    return time.monotonic() - struck_at
+    return time.monotonic() - fault_at
 
 
 def _epoch(cluster: Cluster) -> int:
@@ -73,35 +73,35 @@
     return max((chain.epoch for chain in leader.daemon.state.chains), default=0)
 
 
-async def _lost_stage(cluster: Cluster, *, cut: bool) -> Sample:
+async def _lost_stage(cluster: Cluster, *, isolated: bool) -> Sample:
     stage = cluster.chain()[1].agent_id
     members = cluster.leader().daemon.state.members
     incarnation, epoch = cluster.agents[stage].state.incarnation, _epoch(cluster)
     answer, task = await _stream(cluster)
-    struck_at = time.monotonic()
-    if cut:
+    fault_at = time.monotonic()
+    if isolated:
         cluster.net.isolate(stage)
     else:
         await cluster.kill(stage)
-    detected_s = await _elapsed(
-        lambda: not members.is_announced(stage, incarnation), struck_at
+    detected_s = await _seconds_until(
+        lambda: not members.is_announced(stage, incarnation), fault_at
     )
     await task
-    rounds = _epoch(cluster) - epoch
-    if cut:
+    disruptions = _epoch(cluster) - epoch
+    if isolated:
         cluster.net.heal(stage)
     else:
         await cluster.restart(stage)
-    total_s = _moving_again(answer, struck_at)
-    return Sample(total_s, detected_s, rounds, answer.told is Told.WHOLE)
+    total_s = _resumed_after_s(answer, fault_at)
+    return Sample(total_s, detected_s, disruptions, answer.told is Told.WHOLE)
 
 
 async def _killed_stage(cluster: Cluster) -> Sample:
-    return await _lost_stage(cluster, cut=False)
+    return await _lost_stage(cluster, isolated=False)
 
 
-async def _cut_stage(cluster: Cluster) -> Sample:
-    return await _lost_stage(cluster, cut=True)
+async def _isolated_stage(cluster: Cluster) -> Sample:
+    return await _lost_stage(cluster, isolated=True)
 
 
 async def _silent_connection(cluster: Cluster) -> Sample:
@@ -109,36 +109,36 @@
     [relay] = cluster.net.into(head)
     answer, task = await _stream(cluster)
     connections = relay.accepted
-    struck_at = time.monotonic()
+    fault_at = time.monotonic()
     relay.stall_standing()
-    detected_s = await _elapsed(lambda: relay.accepted > connections, struck_at)
+    detected_s = await _seconds_until(lambda: relay.accepted > connections, fault_at)
     await task
-    rounds = relay.accepted - connections
+    disruptions = relay.accepted - connections
     relay.heal()
-    total_s = _moving_again(answer, struck_at)
-    return Sample(total_s, detected_s, rounds, answer.told is Told.WHOLE)
+    total_s = _resumed_after_s(answer, fault_at)
+    return Sample(total_s, detected_s, disruptions, answer.told is Told.WHOLE)
 
 
 async def _lost_leader(cluster: Cluster) -> Sample:
     leader, base = cluster.leader().name, cluster.revision()
     others = [n.daemon.replica for n in cluster.controls.values() if n.name != leader]
     term = cluster.leader().daemon.replica.term
-    struck_at = time.monotonic()
+    fault_at = time.monotonic()
     await cluster.kill(leader)
     applied = asyncio.create_task(apply_rules(cluster, base))
-    detected_s = await _elapsed(
-        lambda: any(replica.role == "leader" for replica in others), struck_at
+    detected_s = await _seconds_until(
+        lambda: any(replica.role == "leader" for replica in others), fault_at
     )
     await applied
-    total_s = time.monotonic() - struck_at
-    rounds = max(replica.term for replica in others) - term
+    total_s = time.monotonic() - fault_at
+    disruptions = max(replica.term for replica in others) - term
     await cluster.restart(leader)
-    return Sample(total_s, detected_s, rounds)
+    return Sample(total_s, detected_s, disruptions)
 
 
 async def _lost_service(cluster: Cluster) -> Sample:
     """The entry finds the loss by itself and calls the other server at once."""
-    struck_at = time.monotonic()
+    fault_at = time.monotonic()
     await cluster.kill("s0")
     refused, answered = 0, 0
     while answered < len(cluster.entries):
@@ -147,8 +147,8 @@
             answered += 1
             continue
         refused += 1
-        await asyncio.sleep(ASK_AGAIN_S)
-    total_s = time.monotonic() - struck_at
+        await asyncio.sleep(RETRY_DELAY_S)
+    total_s = time.monotonic() - fault_at
     await cluster.restart("s0")
     return Sample(total_s, total_s, refused)
 
@@ -166,13 +166,13 @@
 
     name: str
     run: Scenario
-    rounds: str
-    most: int
+    disruption: str
+    max_disruptions: int
 
 
 FAULTS = (
     Fault("killed stage", _killed_stage, "epochs", 2),
-    Fault("cut stage", _cut_stage, "epochs", 2),
+    Fault("cut stage", _isolated_stage, "epochs", 2),
     Fault("silent connection", _silent_connection, "connections", 3),
     Fault("lost control leader", _lost_leader, "terms", 4),
     Fault("lost plain service", _lost_service, "refusals", 2),
@@ -197,17 +197,22 @@
 
 def _figures(fault: Fault, samples: list[Sample]) -> list[Figure]:
     name = f"recovery/{fault.name}"
-    totals = [sample.total_s * MS for sample in samples]
-    detected = statistics.median(sample.detected_s * MS for sample in samples)
+    totals = [sample.total_s * MS_PER_S for sample in samples]
+    detected = statistics.median(sample.detected_s * MS_PER_S for sample in samples)
     share = min(1.0, detected / statistics.median(totals))
-    worst_rounds = max(sample.rounds for sample in samples)
-    whole = sum(sample.whole for sample in samples) / len(samples)
+    worst_disruptions = max(sample.disruptions for sample in samples)
+    complete = sum(sample.complete for sample in samples) / len(samples)
     return [
         Figure(f"{name}/median", statistics.median(totals), "ms"),
         Figure(f"{name}/worst of {len(samples)}", max(totals), "ms"),
         Figure(f"{name}/share of detection", share, "ratio"),
-        Figure(f"{name}/worst {fault.rounds}", worst_rounds, "count", high=fault.most),
-        Figure(f"{name}/whole answers", whole, "ratio", low=1.0),
+        Figure(
+            f"{name}/worst {fault.disruption}",
+            worst_disruptions,
+            "count",
+            high=fault.max_disruptions,
+        ),
+        Figure(f"{name}/whole answers", complete, "ratio", low=1.0),
     ]
 
 
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -23,19 +23,21 @@
 ROUNDS = 3
 # What a bound is held against: pairs enough that a busy second does not decide.
 BOUND_ROUNDS = 5
-ONE_A_WRITE = Load(streams=STREAMS, ticks=100, burst=1, interval_s=0.02)
+ONE_TOKEN_PER_WRITE = Load(streams=STREAMS, ticks=100, burst=1, interval_s=0.02)
 # Today's 40 engines make 13 pipelines of three; each sends one message a step.
-TODAY = dataclasses.replace(ONE_A_WRITE, messages=13)
-ONE_A_MESSAGE = dataclasses.replace(ONE_A_WRITE, messages=STREAMS, interval_s=0.05)
+THIRTEEN_PIPELINES = dataclasses.replace(ONE_TOKEN_PER_WRITE, messages=13)
+ONE_TOKEN_PER_MESSAGE = dataclasses.replace(
+    ONE_TOKEN_PER_WRITE, messages=STREAMS, interval_s=0.05
+)
 BURSTS = Load(streams=STREAMS, ticks=100, burst=16, interval_s=0.05)
 REQUESTS = Load(streams=1, ticks=1, burst=1, interval_s=0.0)
 REQUEST_COUNT = 1000
 
-MAX_RATIO_ONE = 1.3
-MAX_RATIO_BURST = 1.0
+MAX_CPU_RATIO_SINGLE = 1.3
+MAX_CPU_RATIO_BURST = 1.0
 MAX_MEMORY_MB = 128.0
-TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-END = b"0\r\n\r\n"
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,7 +51,7 @@
         """Return the processor seconds used so far, by user and system."""
         with open(f"/proc/{self.pid}/stat") as file:
             fields = file.read().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
         """Return the resident memory."""
@@ -79,10 +81,10 @@
     """Measure the entry and the bare relay, and return the figures."""
     figures: list[Figure] = []
     cases = [
-        ("one token a write", ONE_A_WRITE, MAX_RATIO_ONE),
-        ("one token a write, 13 pipelines", TODAY, MAX_RATIO_ONE),
-        ("one token a message", ONE_A_MESSAGE, None),
-        ("bursts of 16", BURSTS, MAX_RATIO_BURST),
+        ("one token a write", ONE_TOKEN_PER_WRITE, MAX_CPU_RATIO_SINGLE),
+        ("one token a write, 13 pipelines", THIRTEEN_PIPELINES, MAX_CPU_RATIO_SINGLE),
+        ("one token a message", ONE_TOKEN_PER_MESSAGE, None),
+        ("bursts of 16", BURSTS, MAX_CPU_RATIO_BURST),
     ]
     for name, load, bound in cases:
         figures += _compare(name, load, bound, _run_streams, "token")
@@ -99,8 +101,8 @@
 ) -> list[Figure]:
     rounds = ROUNDS if bound is None else BOUND_ROUNDS
     pairs = [_pair(run, load, number) for number in range(rounds)]
-    ours = [pair[0] for pair in pairs]
-    entry_us = statistics.median(cost.entry_us for cost in ours)
+    entry_costs = [pair[0] for pair in pairs]
+    entry_us = statistics.median(cost.entry_us for cost in entry_costs)
     bare_us = statistics.median(cost.entry_us for _, cost in pairs)
     ratio = statistics.median(
         cost.entry_us / max(bare.entry_us, 1e-9) for cost, bare in pairs
@@ -111,13 +113,13 @@
         Figure(f"relay/{name}/entry to bare relay", ratio, "ratio", high=bound),
         Figure(
             f"relay/{name}/token source over gRPC per {unit}",
-            statistics.median(cost.source_us for cost in ours),
+            statistics.median(cost.source_us for cost in entry_costs),
             "us",
         ),
     ]
     if unit == "token":
-        idle_mb = max(cost.idle_mb for cost in ours)
-        busy_mb = max(cost.busy_mb for cost in ours)
+        idle_mb = max(cost.idle_mb for cost in entry_costs)
+        busy_mb = max(cost.busy_mb for cost in entry_costs)
         figures += [
             Figure(f"relay/{name}/entry memory idle", idle_mb, "MB"),
             Figure(
@@ -141,40 +143,40 @@
 
 
 def _run_streams(role: str, load: Load) -> _Cost:
-    with _processes(role, load) as (front, source):
-        return asyncio.run(_stream_cost(front, source, load))
+    with _processes(role, load) as (frontend, source):
+        return asyncio.run(_stream_cost(frontend, source, load))
 
 
 def _run_requests(role: str, load: Load) -> _Cost:
-    with _processes(role, load) as (front, source):
-        return asyncio.run(_request_cost(front, source))
+    with _processes(role, load) as (frontend, source):
+        return asyncio.run(_request_cost(frontend, source))
 
 
-async def _stream_cost(front: _Process, source: _Process, load: Load) -> _Cost:
-    idle_mb = front.memory_mb()
-    conns = [await _send(front.address) for _ in range(load.streams)]
+async def _stream_cost(frontend: _Process, source: _Process, load: Load) -> _Cost:
+    idle_mb = frontend.memory_mb()
+    conns = [await _send(frontend.address) for _ in range(load.streams)]
     firsts = await asyncio.gather(*(reader.readuntil(b"data: ") for reader, _ in conns))
-    before, source_before = front.cpu_s(), source.cpu_s()
-    busy_mb = front.memory_mb()
+    before, source_before = frontend.cpu_s(), source.cpu_s()
+    busy_mb = frontend.memory_mb()
     bodies = await asyncio.gather(*(_read_all(reader) for reader, _ in conns))
-    used, source_used = front.cpu_s() - before, source.cpu_s() - source_before
-    busy_mb = max(busy_mb, front.memory_mb())
-    _check(firsts, bodies, load)
+    used, source_used = frontend.cpu_s() - before, source.cpu_s() - source_before
+    busy_mb = max(busy_mb, frontend.memory_mb())
+    _check_complete(firsts, bodies, load)
     for _, writer in conns:
         writer.close()
     tokens = load.streams * (load.ticks - 1) * load.burst
     return _Cost(1e6 * used / tokens, 1e6 * source_used / tokens, idle_mb, busy_mb)
 
 
-async def _request_cost(front: _Process, source: _Process) -> _Cost:
+async def _request_cost(frontend: _Process, source: _Process) -> _Cost:
     for _ in range(REQUEST_COUNT // 10):
-        await _one_request(front.address)
-    before, source_before = front.cpu_s(), source.cpu_s()
+        await _one_request(frontend.address)
+    before, source_before = frontend.cpu_s(), source.cpu_s()
     for _ in range(REQUEST_COUNT):
-        await _one_request(front.address)
-    used, source_used = front.cpu_s() - before, source.cpu_s() - source_before
+        await _one_request(frontend.address)
+    used, source_used = frontend.cpu_s() - before, source.cpu_s() - source_before
     scale = 1e6 / REQUEST_COUNT
-    return _Cost(used * scale, source_used * scale, 0.0, front.memory_mb())
+    return _Cost(used * scale, source_used * scale, 0.0, frontend.memory_mb())
 
 
 async def _one_request(address: str) -> None:
@@ -197,7 +199,7 @@
 
 async def _read_all(reader: asyncio.StreamReader) -> bytes:
     body = bytearray()
-    while not body.endswith(END):
+    while not body.endswith(LAST_CHUNK):
         chunk = await reader.read(2**16)
         if not chunk:
             raise ConnectionError(f"cut after {bytes(body[-200:])!r}")
@@ -205,13 +207,13 @@
     return bytes(body)
 
 
-def _check(firsts: list[bytes], bodies: list[bytes], load: Load) -> None:
+def _check_complete(firsts: list[bytes], bodies: list[bytes], load: Load) -> None:
     """A cheap answer that is not whole would be no figure at all."""
-    wanted = load.ticks * load.burst + 2
+    expected = load.ticks * load.burst + 2
     for first, body in zip(firsts, bodies, strict=True):
         events = first.count(b"data: ") + body.count(b"data: ")
-        if events != wanted:
-            raise ValueError(f"{events} events where {wanted} were due")
+        if events != expected:
+            raise ValueError(f"{events} events where {expected} were due")
 
 
 @contextlib.contextmanager
@@ -219,9 +221,9 @@
     """Start a front and its source of tokens, and end both."""
     source_role = {"entry": "agent", "relay": "upstream"}[role]
     with _process(source_role, load) as source:
-        fed = dataclasses.replace(load, address=source.address)
-        with _process(role, fed) as front:
-            yield front, source
+        frontend_load = dataclasses.replace(load, address=source.address)
+        with _process(role, frontend_load) as frontend:
+            yield frontend, source
 
 
 @contextlib.contextmanager
--- a/bench/relay_roles.py
+++ b/bench/relay_roles.py
@@ -68,7 +68,7 @@
         return json.dumps(asdict(self))
 
 
-class _Gate:
+class _Barrier:
     """Starts all streams together, round after round."""
 
     def __init__(self, *, load: Load):
@@ -164,11 +164,11 @@
 
 async def serve_upstream(load: Load) -> tuple[str, object]:
     """Serve the same events by one HTTP response a caller."""
-    gate = _Gate(load=load)
+    barrier = _Barrier(load=load)
 
     async def stream(req: web.Request) -> web.StreamResponse:
         await req.read()
-        await gate.wait()
+        await barrier.wait()
         encoder = EventEncoder(
             request_id="0" * 23, shape=Shape.COMPLETION, model=MODEL, created=0
         )
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -35,11 +35,11 @@
 
 NAMES = ("a", "b", "c")
 FOLLOWERS = len(NAMES) - 1
-ENTRY = bytes(300)
+ENTRY_DATA = bytes(300)
 ENTRIES = 500
-BUSY = 64  # proposals at once
+BUSY_PROPOSALS = 64  # proposals at once
 ROUNDS = 3  # of each variant, taken in turn; the median counts
-MS = 1000
+MS_PER_S = 1000
 
 VARIANTS = {
     "kept": ReplicaOptions(),
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class RunCost:
     """What one run of one variant cost.
 
     Attributes:
@@ -65,7 +65,7 @@
     entries_s: float
 
 
-class CountingLinks:
+class CountingTransport:
     """Links over gRPC that count the appends with entries.
 
     Attributes:
@@ -73,12 +73,12 @@
     """
 
     def __init__(self):
-        self._links = GrpcTransport()
+        self._transport = GrpcTransport()
         self.appends = 0
 
     def connect(self, address):
         """Return a counting link to ip:port."""
-        link = self._links.connect(address)
+        link = self._transport.connect(address)
         append = link.append
 
         async def counted(req):
@@ -89,7 +89,7 @@
         return link
 
 
-class NullMachine:
+class NullStateMachine:
     """A state machine without a state."""
 
     def apply(self, index, term, data):
@@ -111,11 +111,11 @@
         Figures; bounds stand on counts only, times are reported.
     """
     figures = []
-    for load, at_once in (("idle", 1), ("busy", BUSY)):
+    for load, concurrency in (("idle", 1), ("busy", BUSY_PROPOSALS)):
         runs = {name: [] for name in VARIANTS}
         for _ in range(ROUNDS):
             for name, options in VARIANTS.items():
-                runs[name].append(asyncio.run(_run(options, at_once)))
+                runs[name].append(asyncio.run(_run(options, concurrency)))
         for name in VARIANTS:
             figures += _figures(f"replication/{load}/{name}", runs[name], load, name)
     return figures
@@ -136,11 +136,11 @@
     return statistics.median(getattr(run, field) for run in runs)
 
 
-async def _run(options, at_once):
+async def _run(options, concurrency):
     with tempfile.TemporaryDirectory() as root:
         bound = {name: new_server("127.0.0.1:0") for name in NAMES}
         members = [Member(name, bound[name][1]) for name in NAMES]
-        links = CountingLinks()
+        transport = CountingTransport()
         replicas = []
         tasks = []
         for seed, name in enumerate(NAMES):
@@ -150,8 +150,8 @@
                 address=address,
                 voters=members,
                 folder=DiskFolder(path=f"{root}/{name}"),
-                machine=NullMachine(),
-                transport=links,
+                machine=NullStateMachine(),
+                transport=transport,
                 clock=SystemClock(),
                 options=options,
                 rng=random.Random(seed),
@@ -162,7 +162,7 @@
             replicas.append(replica)
             tasks.append(asyncio.create_task(replica.run()))
         try:
-            return await _load(await _leader(replicas), links, at_once)
+            return await _run_load(await _leader(replicas), transport, concurrency)
         finally:
             for server, _ in bound.values():
                 await server.stop(None)
@@ -176,31 +176,31 @@
         for replica in replicas:
             if replica.role is Role.LEADER:
                 try:
-                    await replica.propose(ENTRY)
+                    await replica.propose(ENTRY_DATA)
                 except NotLeaderError:
                     continue
                 return replica
         await asyncio.sleep(0.05)
 
 
-async def _load(leader, links, at_once):
+async def _run_load(leader, transport, concurrency):
     waits = []
-    left = iter(range(ENTRIES))
+    remaining = iter(range(ENTRIES))
 
     async def propose_in_turn():
-        for _ in left:
+        for _ in remaining:
             begin = time.perf_counter()
-            await leader.propose(ENTRY)
+            await leader.propose(ENTRY_DATA)
             waits.append(time.perf_counter() - begin)
 
     syncs = leader.syncs
-    appends = links.appends
+    appends = transport.appends
     begin = time.perf_counter()
-    await asyncio.gather(*(propose_in_turn() for _ in range(at_once)))
+    await asyncio.gather(*(propose_in_turn() for _ in range(concurrency)))
     elapsed = time.perf_counter() - begin
-    return Run(
+    return RunCost(
         syncs=(leader.syncs - syncs) / ENTRIES,
-        messages=(links.appends - appends) / ENTRIES / FOLLOWERS,
-        commit_ms=statistics.median(waits) * MS,
+        messages=(transport.appends - appends) / ENTRIES / FOLLOWERS,
+        commit_ms=statistics.median(waits) * MS_PER_S,
         entries_s=ENTRIES / elapsed,
     )
--- a/bench/report.py
+++ b/bench/report.py
@@ -25,7 +25,7 @@
     low: float | None = None
     high: float | None = None
 
-    def holds(self) -> bool:
+    def within_bounds(self) -> bool:
         """Return whether the figure is within its bounds."""
         above = self.low is None or self.value >= self.low
         below = self.high is None or self.value <= self.high
@@ -41,7 +41,7 @@
 
 def violations(figures: Iterable[Figure]) -> list[Figure]:
     """Return the figures outside their bounds."""
-    return [figure for figure in figures if not figure.holds()]
+    return [figure for figure in figures if not figure.within_bounds()]
 
 
 def _bounds_text(figure: Figure) -> str:
@@ -49,5 +49,5 @@
         return ""
     low = "" if figure.low is None else f"{figure.low:g} <= "
     high = "" if figure.high is None else f" <= {figure.high:g}"
-    verdict = "ok" if figure.holds() else "OUT OF BOUNDS"
+    verdict = "ok" if figure.within_bounds() else "OUT OF BOUNDS"
     return f"[{low}x{high}] {verdict}"
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -23,7 +23,7 @@
 # From here on least connections itself makes requests wait.
 HIGH_LOAD = 0.8
 LAGS_S = (0.0, 1.0, 5.0)
-FLOOR_S = 0.25
+MIN_COMPARED_WAIT_S = 0.25
 BASELINES = ("round-robin", "least-conn", "weighted-least-conn")
 POOL_SIZES = (100, 1000, 7700)
 REPEATS = 2000
@@ -59,26 +59,25 @@
 def _prefix_figures() -> Iterator[Figure]:
     # The bound is that with every prefix cached; misses alone may exceed it.
     for load in LOADS:
-        of_cold_bound = load / (1.0 - PREFILL_SHARE)
+        cold_load = load / (1.0 - PREFILL_SHARE)
         baselines = {
-            policy: run(policy, of_cold_bound, 0.0, prefixes=True)
-            for policy in BASELINES
+            policy: run(policy, cold_load, 0.0, prefixes=True) for policy in BASELINES
         }
         for policy, outcome in baselines.items():
             yield from _waits(f"prefix/{load:g}/{policy}", outcome)
-            yield Figure(f"prefix/{load:g}/{policy}/hits", outcome.hit_share(), "share")
+            yield Figure(f"prefix/{load:g}/{policy}/hits", outcome.hit_rate(), "share")
         for lag_s in LAGS_S:
             name = f"prefix/{load:g}/own/lag{lag_s:g}"
-            outcome = run("own", of_cold_bound, lag_s, prefixes=True)
+            outcome = run("own", cold_load, lag_s, prefixes=True)
             yield from _waits(name, outcome)
-            yield Figure(f"{name}/hits", outcome.hit_share(), "share", low=0.7)
+            yield Figure(f"{name}/hits", outcome.hit_rate(), "share", low=0.7)
             high = 1.0 if load < HIGH_LOAD else 0.1
             yield _tail_ratio(name, outcome, baselines["least-conn"], high)
         # What cache events are worth.
         name = f"prefix/{load:g}/own-without-events/lag1"
-        outcome = run("own-without-events", of_cold_bound, 1.0, prefixes=True)
+        outcome = run("own-without-events", cold_load, 1.0, prefixes=True)
         yield from _waits(name, outcome)
-        yield Figure(f"{name}/hits", outcome.hit_share(), "share", low=0.6)
+        yield Figure(f"{name}/hits", outcome.hit_rate(), "share", low=0.6)
 
 
 def _many_entries_figures() -> Iterator[Figure]:
@@ -120,14 +119,14 @@
 
 def _waits(name: str, outcome: Outcome) -> Iterator[Figure]:
     for percent in (50, 95, 99):
-        wait_s = outcome.wait(percent / 100)
+        wait_s = outcome.wait_percentile(percent / 100)
         yield Figure(f"{name}/p{percent}", wait_s, "s (virtual)")
 
 
 def _tail_ratio(name, outcome: Outcome, baseline: Outcome, high: float) -> Figure:
     # Waits below the floor count as equal, else two tiny ones make any ratio.
-    wait_s = max(FLOOR_S, outcome.wait(0.99))
-    baseline_s = max(FLOOR_S, baseline.wait(0.99))
+    wait_s = max(MIN_COMPARED_WAIT_S, outcome.wait_percentile(0.99))
+    baseline_s = max(MIN_COMPARED_WAIT_S, baseline.wait_percentile(0.99))
     return Figure(
         f"{name}/p99-to-{baseline.policy}", wait_s / baseline_s, "ratio", high=high
     )
--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -24,16 +24,16 @@
 
 SEED = 20
 ENTRIES = 4
-RATES = (1.0,) * 5 + (2.0,) * 5 + (4.0,) * 3
+SERVER_RATES = (1.0,) * 5 + (2.0,) * 5 + (4.0,) * 3
 DOMAINS = ("a", "b", "c")
 SLOTS = 8
 SERVICE_S = 2.0
 PREFILL_SHARE = 0.4
 PREFIXES = 400
-CACHE_SIZE = 60
+CACHE_PREFIXES = 60
 WARM_UP_S = 30.0
-LENGTH_S = 120.0
-EVENT_LOSS = 0.02
+ARRIVALS_S = 120.0
+EVENT_LOSS_RATIO = 0.02
 EVENT_DELAY_S = 1.0
 
 
@@ -58,22 +58,22 @@
     waits: list[float] = field(default_factory=list)
     hits: int = 0
 
-    def wait(self, share: float) -> float:
+    def wait_percentile(self, share: float) -> float:
         """Return a percentile of the waits, in seconds."""
         return percentile(self.waits, share)
 
-    def hit_share(self) -> float:
+    def hit_rate(self) -> float:
         """Return the share of requests that found their prefix cached."""
         return self.hits / len(self.waits)
 
 
 CANDIDATES = tuple(
     Candidate(f"agent{i}", f"chain{i}", rate, DOMAINS[i % len(DOMAINS)])
-    for i, rate in enumerate(RATES)
+    for i, rate in enumerate(SERVER_RATES)
 )
 
 
-class OwnChoice:
+class ChooserPolicy:
     """The daemons' own choice."""
 
     def __init__(self, *, table, rng, view):
@@ -89,13 +89,13 @@
     if name == "round-robin":
         return RoundRobin(candidates=CANDIDATES, first=3 * number)
     if name == "own-without-events":
-        return OwnChoice(table=table, rng=rng, view=None)
+        return ChooserPolicy(table=table, rng=rng, view=None)
     if name != "own":
         weighted = name == "weighted-least-conn"
         return LeastConnections(
             candidates=CANDIDATES, table=table, rng=rng, weighted=weighted
         )
-    return OwnChoice(table=table, rng=rng, view=view)
+    return ChooserPolicy(table=table, rng=rng, view=view)
 
 
 class Run:
@@ -123,8 +123,8 @@
             new_policy(policy, i, self._tables[i], random.Random(i), self._views[i])
             for i in range(entries)
         ]
-        self._caches = [PrefixCache(size=CACHE_SIZE) for _ in RATES]
-        self._event_numbers = [itertools.count() for _ in RATES]
+        self._caches = [PrefixCache(size=CACHE_PREFIXES) for _ in SERVER_RATES]
+        self._event_numbers = [itertools.count() for _ in SERVER_RATES]
         self._event_rng = random.Random(SEED + 1)
         self._servers = [
             CapacityServer(
@@ -133,19 +133,19 @@
                 service_s=lambda item, i=i: self._serve(i, item),
                 done=self._done,
             )
-            for i in range(len(RATES))
+            for i in range(len(SERVER_RATES))
         ]
-        self._arrival_rate = load * sum(RATES) * SLOTS / SERVICE_S
+        self._arrival_rate = load * sum(SERVER_RATES) * SLOTS / SERVICE_S
 
     def outcome(self) -> Outcome:
         """Run to the end."""
-        self._clock.at(0.0, self._arrive)
+        self._clock.call_at(0.0, self._arrive)
         # Run on until the last queue is empty: long waits must not drop out.
         self._clock.run(math.inf)
         return self._outcome
 
     def _arrive(self) -> None:
-        if self._clock.now() >= LENGTH_S:
+        if self._clock.now() >= ARRIVALS_S:
             return
         rng = self._rng
         work_s = rng.expovariate(1.0 / SERVICE_S)
@@ -154,9 +154,9 @@
         req = Request(
             rng.randrange(len(self._policies)), work_s, prefix, self._clock.now()
         )
-        self._clock.after(rng.expovariate(self._arrival_rate), self._arrive)
-        shown = prefix if self._prefixes else b""
-        candidate = self._policies[req.entry].choose(shown)
+        self._clock.call_later(rng.expovariate(self._arrival_rate), self._arrive)
+        routed_prefix = prefix if self._prefixes else b""
+        candidate = self._policies[req.entry].choose(routed_prefix)
         self._tables[req.entry].started(candidate.agent_id)
         req.server = int(candidate.agent_id.removeprefix("agent"))
         self._servers[req.server].put(req)
@@ -164,22 +164,22 @@
     def _serve(self, server: int, req: Request) -> float:
         req.wait_s = self._clock.now() - req.arrived
         if not self._prefixes:
-            return req.work_s / RATES[server]
+            return req.work_s / SERVER_RATES[server]
         digest = prefix_digest(req.prefix)
         req.hit, evicted = self._caches[server].use(digest)
         if not req.hit:
-            self._tell(server, digest, held=True)
+            self._publish_event(server, digest, held=True)
         if evicted is not None:
-            self._tell(server, evicted, held=False)
+            self._publish_event(server, evicted, held=False)
         share = 1.0 - PREFILL_SHARE if req.hit else 1.0
-        return share * req.work_s / RATES[server]
+        return share * req.work_s / SERVER_RATES[server]
 
-    def _tell(self, server: int, digest: bytes, *, held: bool) -> None:
+    def _publish_event(self, server: int, digest: bytes, *, held: bool) -> None:
         number = next(self._event_numbers[server])
         agent_id = f"agent{server}"
         for view in self._views:
-            if self._event_rng.random() >= EVENT_LOSS:
-                self._clock.after(
+            if self._event_rng.random() >= EVENT_LOSS_RATIO:
+                self._clock.call_later(
                     EVENT_DELAY_S,
                     lambda view=view: view.apply_event(
                         agent_id, number, digest, held=held
@@ -190,8 +190,8 @@
         table = self._tables[req.entry]
         agent_id = f"agent{req.server}"
         table.finished(agent_id)
-        word = self._servers[req.server].load(self._lag_s)
-        table.update_load(agent_id, word, age_s=self._lag_s)
+        load = self._servers[req.server].load(self._lag_s)
+        table.update_load(agent_id, load, age_s=self._lag_s)
         if req.arrived >= WARM_UP_S:
             self._outcome.waits.append(req.wait_s)
             self._outcome.hits += req.hit
--- a/bench/rules.py
+++ b/bench/rules.py
@@ -36,9 +36,9 @@
 US_PER_S = 1e6
 NS_PER_US = 1e3
 # Growth allowed from the smallest to the largest size: a trie gets a level deeper.
-MOST_GROWTH_OF_CALLS = 1.5
-MOST_GROWTH_OF_BYTES = 1.05
-MOST_BYTES_PER_ORGANISATION = 1_000
+MAX_CALL_GROWTH = 1.5
+MAX_BYTE_GROWTH = 1.05
+MAX_BYTES_PER_ORGANISATION = 1_000
 
 WHEN_BY_KEY = {
     "organisation": "organisation is o{n} and path under /v1/",
@@ -88,7 +88,9 @@
 
 def _by_organisations() -> Iterator[Figure]:
     documents = {n: _document(n, FIXED_RULES, "organisation") for n in ORGANISATIONS}
-    yield from _sweep("rules/organisations", documents, FIXED_RULES, "organisation")
+    yield from _size_sweep(
+        "rules/organisations", documents, FIXED_RULES, "organisation"
+    )
     size = ORGANISATIONS[-1]
     largest = documents[size]
     text = largest.text.replace("limit = 8", "limit = 9", 1)
@@ -99,7 +101,7 @@
 
 def _by_rules(key: str) -> Iterator[Figure]:
     documents = {n: _document(FIXED_ORGANISATIONS, n, key) for n in RULES}
-    yield from _sweep(f"rules/keyed_by_{key}", documents, None, key)
+    yield from _size_sweep(f"rules/keyed_by_{key}", documents, None, key)
     largest = documents[RULES[-1]]
     facts = _facts(RULES[-1] - 1)
     name = f"rules/keyed_by_{key}/decide/{RULES[-1]}/linear_scan"
@@ -113,7 +115,7 @@
     return None
 
 
-def _sweep(
+def _size_sweep(
     name: str, documents: dict[int, Document], rules: int | None, key: str
 ) -> Iterator[Figure]:
     """Yield the figures of one run of sizes.
@@ -124,14 +126,14 @@
         rules: Number of rules in each; None where the size is that number.
         key: What the rules are keyed by.
     """
-    works = {
-        size: _works(document, (rules or size) - 1, key)
+    operations = {
+        size: _operations(document, (rules or size) - 1, key)
         for size, document in documents.items()
     }
     kinds = ("decide", "patch_rule", *(["patch_organisation"] if rules else []))
-    for work in kinds:
-        by_size = {size: works[size][work] for size in documents}
-        yield from _cost(f"{name}/{work}", by_size)
+    for operation in kinds:
+        by_size = {size: operations[size][operation] for size in documents}
+        yield from _cost(f"{name}/{operation}", by_size)
     changes = {size: _rule_change((rules or size) - 1, key) for size in documents}
     sizes = [_update_bytes(documents[n], change) for n, change in changes.items()]
     for size, count in zip(documents, sizes, strict=True):
@@ -144,13 +146,13 @@
 
 def _bytes_bound(documents: dict[int, Document], rules: int | None) -> float:
     if rules is not None:
-        return MOST_GROWTH_OF_BYTES
+        return MAX_BYTE_GROWTH
     # The changed rule's own number has more digits in a longer document: in its
     # name and condition, and in the name of the rule before it.
-    return MOST_GROWTH_OF_BYTES + 0.1
+    return MAX_BYTE_GROWTH + 0.1
 
 
-def _works(document: Document, number: int, key: str) -> dict[str, Callable]:
+def _operations(document: Document, number: int, key: str) -> dict[str, Callable]:
     ruleset = Ruleset.from_document(document)
     facts = _facts(number)
     assert ruleset.decide(facts).rule == f"r{number}"
@@ -184,21 +186,21 @@
 
 
 def _cost(name: str, by_size: dict[int, Callable[[], object]]) -> Iterator[Figure]:
-    calls = {size: _calls(work) for size, work in by_size.items()}
-    times = {size: _time_us(work) for size, work in by_size.items()}
+    calls = {size: _count_calls(operation) for size, operation in by_size.items()}
+    times = {size: _time_us(operation) for size, operation in by_size.items()}
     for size in by_size:
         yield Figure(f"{name}/{size}/calls", calls[size], "calls")
         yield Figure(f"{name}/{size}/time", times[size], "us")
     sizes = list(by_size)
     growth = calls[sizes[-1]] / calls[sizes[0]]
-    yield Figure(f"{name}/growth", growth, "ratio", high=MOST_GROWTH_OF_CALLS)
+    yield Figure(f"{name}/growth", growth, "ratio", high=MAX_CALL_GROWTH)
     slope = statistics.linear_regression(sizes, list(times.values())).slope
     yield Figure(f"{name}/slope", slope * NS_PER_US, "ns/each")
 
 
-def _calls(work: Callable[[], object]) -> int:
+def _count_calls(operation: Callable[[], object]) -> int:
     """Return the number of calls, of Python and of C functions, that work makes."""
-    work()
+    operation()
     count = 0
 
     def count_call(frame: object, event: str, arg: object) -> None:
@@ -207,20 +209,20 @@
 
     sys.setprofile(count_call)
     try:
-        work()
+        operation()
     finally:
         sys.setprofile(None)
     return count
 
 
-def _time_us(work: Callable[[], object], repeats: int = REPEATS) -> float:
+def _time_us(operation: Callable[[], object], repeats: int = REPEATS) -> float:
     """Return the median processor time of one run, in microseconds."""
     samples = []
     gc.disable()
     try:
         for _ in range(repeats):
             start = time.process_time()
-            work()
+            operation()
             samples.append(time.process_time() - start)
     finally:
         gc.enable()
@@ -238,7 +240,7 @@
         "reports/bytes_per_organisation",
         recorder_bytes / count,
         "bytes",
-        high=MOST_BYTES_PER_ORGANISATION,
+        high=MAX_BYTES_PER_ORGANISATION,
     )
 
 
--- a/bench/shares.py
+++ b/bench/shares.py
@@ -18,9 +18,9 @@
 ENTRIES = 4
 LIMITS = (8, 40, 200)
 LOADS = (0.5, 0.8)
-SKEWED_SHARE = 0.7
-HOLD_S = 2.0
-LENGTH_S = 400.0
+SKEWED_FIRST_SHARE = 0.7
+MEAN_HOLD_S = 2.0
+DURATION_S = 400.0
 ORGANISATION = "org"
 
 
@@ -32,9 +32,9 @@
 def _figures() -> Iterator[Figure]:
     for limit in LIMITS:
         for load in LOADS:
-            pooled = _admitted(limit, load, entries=1, first_share=1.0)
-            even = _admitted(limit, load, ENTRIES, 1.0 / ENTRIES)
-            skewed = _admitted(limit, load, ENTRIES, SKEWED_SHARE)
+            pooled = _admitted_share(limit, load, entries=1, first_share=1.0)
+            even = _admitted_share(limit, load, ENTRIES, 1.0 / ENTRIES)
+            skewed = _admitted_share(limit, load, ENTRIES, SKEWED_FIRST_SHARE)
             name = f"limit{limit}/load{load:g}"
             yield Figure(f"{name}/pooled", pooled, "share let in")
             low = pooled - 0.2
@@ -42,7 +42,7 @@
             yield Figure(f"{name}/equal-shares-skewed", skewed, "share let in")
 
 
-def _admitted(limit: int, load: float, entries: int, first_share: float) -> float:
+def _admitted_share(limit: int, load: float, entries: int, first_share: float) -> float:
     """Return the share of requests let in.
 
     Args:
@@ -53,26 +53,26 @@
     """
     clock = VirtualClock()
     rng = random.Random(SEED)
-    gates = [
+    limiters = [
         OrganisationLimits(clock=clock, entries=lambda: entries) for _ in range(entries)
     ]
-    asked = admitted = 0
-    rate = load * limit / HOLD_S
+    requested = admitted = 0
+    rate = load * limit / MEAN_HOLD_S
 
     def arrive() -> None:
-        nonlocal asked, admitted
-        clock.after(rng.expovariate(rate), arrive)
+        nonlocal requested, admitted
+        clock.call_later(rng.expovariate(rate), arrive)
         to_first = entries == 1 or rng.random() < first_share
-        gate = gates[0] if to_first else gates[rng.randrange(1, entries)]
-        hold_s = rng.expovariate(1.0 / HOLD_S)
-        asked += 1
+        limiter = limiters[0] if to_first else limiters[rng.randrange(1, entries)]
+        hold_s = rng.expovariate(1.0 / MEAN_HOLD_S)
+        requested += 1
         try:
-            permit = gate.acquire(ORGANISATION, concurrency=limit)
+            permit = limiter.acquire(ORGANISATION, concurrency=limit)
         except WigeonscaleError:
             return
         admitted += 1
-        clock.after(hold_s, permit.release)
+        clock.call_later(hold_s, permit.release)
 
-    clock.at(0.0, arrive)
-    clock.run(LENGTH_S)
-    return admitted / asked
+    clock.call_at(0.0, arrive)
+    clock.run(DURATION_S)
+    return admitted / requested
--- a/bench/slopes/__main__.py
+++ b/bench/slopes/__main__.py
@@ -14,7 +14,7 @@
 import sys
 import time
 
-from bench.slopes.page import rewrite, table
+from bench.slopes.page import replace_between_markers, table
 
 FAMILIES = (
     "idle",
@@ -53,7 +53,7 @@
     )
     print(heading)
     if not names:
-        rewrite(PAGE, table(families, heading))
+        replace_between_markers(PAGE, table(families, heading))
     return 0
 
 
--- a/bench/slopes/changes.py
+++ b/bench/slopes/changes.py
@@ -9,17 +9,17 @@
 
 from bench.slopes.daemons import ControlGroup, agent, control_group, engine, entry
 from bench.slopes.fit import Slope, fit
-from bench.slopes.members import change, document
-from bench.slopes.processes import Child, during, run_folder
-from bench.slopes.watchers import streams, totals
+from bench.slopes.members import document, rule_change
+from bench.slopes.processes import Child, measure_cpu, run_folder
+from bench.slopes.watchers import total_counts, watch_streams
 from wigeonscale.rules import Document, parse_document, patch_document
 
 WATCHERS = (98, 392, 784)
 ORGANISATIONS = (1_000, 10_000, 30_000)
 RULES = (100, 500, 1_000)
 CHANGES = 40
-APPLIES = 2
-SPACING_S = 0.05
+HTTP_CHANGES = 2
+CHANGE_INTERVAL_S = 0.05
 POLL_S = 0.05
 PAGE_WHOLE = "cpu of one whole document by the operators' page"
 PAGE_CHANGED = "cpu of one changed section by the operators' page"
@@ -32,7 +32,7 @@
     "cpu to take in the whole document": "ms",
     "length of the whole document": "B",
 }
-REST_S = 1.5
+IDLE_S = 1.5
 REACH_TIMEOUT_S = 30.0
 WAIT_S_PER_ORGANISATION = 1 / 5_000
 
@@ -47,7 +47,7 @@
 
 
 async def _by_watchers() -> list[Slope]:
-    cpu, leading, sent, delay = [], [], [], []
+    cpu, leader_cpu, sent, delay = [], [], [], []
     with run_folder() as folder:
         async with control_group(folder) as group:
             leader = await group.leader()
@@ -56,42 +56,44 @@
             await group.apply(0, document=document(10))
             revision = 1
             for count in WATCHERS:
-                async with streams(group, follower, count, "entry") as drivers:
-                    rest = await during(roles, asyncio.sleep(REST_S))
-                    before = await totals(drivers)
+                async with watch_streams(group, follower, count, "entry") as drivers:
+                    idle = await measure_cpu(roles, asyncio.sleep(IDLE_S))
+                    before = await total_counts(drivers)
                     committed = {}
-                    paced = _change_at_pace(group, revision, committed)
-                    work = await during(roles, paced)
+                    changes = _commit_changes(group, revision, committed)
+                    work = await measure_cpu(roles, changes)
                     revision += CHANGES
                     after = await _all_reached(drivers, revision, count)
-                us = work.us_each(CHANGES, rest)
+                us = work.us_per_item(CHANGES, idle)
                 cpu.append((count, us["control follower"]))
-                leading.append((count, us["control leader"]))
+                leader_cpu.append((count, us["control leader"]))
                 bytes_sent = after["config_bytes"] - before["config_bytes"]
                 sent.append((count, bytes_sent / CHANGES))
                 delay.append((count, 1e3 * _worst_delay(after, committed)))
     return [
         fit("control follower, change: cpu", "watcher", "us/change", cpu),
-        fit("control leader, change: cpu", "follower's watcher", "us/change", leading),
+        fit(
+            "control leader, change: cpu", "follower's watcher", "us/change", leader_cpu
+        ),
         fit("change: message bytes to all watchers", "watcher", "B/change", sent),
         fit("change: commit to the last watcher, worst", "watcher", "ms", delay),
     ]
 
 
-async def _change_at_pace(
+async def _commit_changes(
     group: ControlGroup, revision: int, committed: dict[int, float]
 ) -> None:
     """Commit changes at an even pace, noting when each was committed."""
     for number in range(revision, revision + CHANGES):
-        await group.apply(number, changes=[change(number)])
+        await group.apply(number, changes=[rule_change(number)])
         committed[number + 1] = time.monotonic()
-        await asyncio.sleep(SPACING_S)
+        await asyncio.sleep(CHANGE_INTERVAL_S)
 
 
 async def _all_reached(drivers: list[Child], revision: int, count: int) -> dict:
     async with asyncio.timeout(REACH_TIMEOUT_S):
         while True:
-            counts = await totals(drivers)
+            counts = await total_counts(drivers)
             if counts["reached"].get(revision, (0, 0.0))[0] >= count:
                 return counts
             await asyncio.sleep(POLL_S)
@@ -124,25 +126,25 @@
         ):
             others = {"entry": entry_child, "agent": agent_child}
             roles = _control_roles(group, await group.leader()) | others
-            rest = await during(roles, asyncio.sleep(REST_S))
-            wait_s = REST_S + organisations * WAIT_S_PER_ORGANISATION
-            taken = await during(roles, _take_in(group, text, wait_s))
+            idle = await measure_cpu(roles, asyncio.sleep(IDLE_S))
+            wait_s = IDLE_S + organisations * WAIT_S_PER_ORGANISATION
+            taken = await measure_cpu(roles, _apply_document(group, text, wait_s))
             # A document that takes long to read may have cost the leader its place.
             leader = await group.leader()
             roles = _control_roles(group, leader) | others
-            rest_after = await during(roles, asyncio.sleep(REST_S))
-            changed = await during(roles, _change_at_pace(group, 1, {}))
-            applied = await during(roles, _apply_by_page(group, leader, text))
-            base = parse_document(_with_page_change(text, APPLIES - 1))
-            patched = await during(roles, _change_by_page(group, leader, base))
+            idle_after = await measure_cpu(roles, asyncio.sleep(IDLE_S))
+            changed = await measure_cpu(roles, _commit_changes(group, 1, {}))
+            applied = await measure_cpu(roles, _apply_by_http(group, leader, text))
+            base = parse_document(_with_changed_rule(text, HTTP_CHANGES - 1))
+            patched = await measure_cpu(roles, _patch_by_http(group, leader, base))
             usages = {role: child.usage() for role, child in roles.items()}
     figures = {("document", "length of the whole document"): float(len(text))}
-    for role, us in taken.us_each(1, rest).items():
+    for role, us in taken.us_per_item(1, idle).items():
         figures[role, "cpu to take in the whole document"] = us / 1e3
-    for role, us in changed.us_each(CHANGES, rest_after).items():
+    for role, us in changed.us_per_item(CHANGES, idle_after).items():
         figures[role, "cpu of one change"] = us
     for what, work in ((PAGE_WHOLE, applied), (PAGE_CHANGED, patched)):
-        leader_us = work.us_each(APPLIES, rest_after)["control leader"]
+        leader_us = work.us_per_item(HTTP_CHANGES, idle_after)["control leader"]
         figures["control leader", what] = leader_us
     for role in roles:
         figures[role, "memory"] = usages[role].rss_mb
@@ -158,28 +160,28 @@
     }
 
 
-async def _apply_by_page(group: ControlGroup, leader: int, text: str) -> None:
+async def _apply_by_http(group: ControlGroup, leader: int, text: str) -> None:
     """Apply a whole document with one rule changed, as curl would."""
-    for number in range(APPLIES):
+    for number in range(HTTP_CHANGES):
         body = {
             "base_revision": (await group.status(leader))["revision"],
             "operation_id": f"apply-{number}",
-            "document": _with_page_change(text, number),
+            "document": _with_changed_rule(text, number),
         }
         await _post(group, leader, body)
 
 
-def _with_page_change(text: str, number: int) -> str:
+def _with_changed_rule(text: str, number: int) -> str:
     return text.replace("change 0", f"page {number}")
 
 
-async def _change_by_page(group: ControlGroup, leader: int, document: Document) -> None:
+async def _patch_by_http(group: ControlGroup, leader: int, document: Document) -> None:
     """Read the document and send back one section, as wigeonctl does."""
-    for number in range(APPLIES):
+    for number in range(HTTP_CHANGES):
         url = f"http://{group.http[leader]}/admin/rules"
         async with aiohttp.ClientSession() as http, http.get(url) as answer:
             known = await answer.json()
-        section = change(number)
+        section = rule_change(number)
         document = patch_document(document, [section])
         fields = {"name": section.name, "text": section.text, "after": section.after}
         body = {
@@ -198,6 +200,6 @@
             raise RuntimeError(await answer.text())
 
 
-async def _take_in(group: ControlGroup, text: str, wait_s: float) -> None:
+async def _apply_document(group: ControlGroup, text: str, wait_s: float) -> None:
     await group.apply(0, document=text)
     await asyncio.sleep(wait_s)
--- a/bench/slopes/claims.py
+++ b/bench/slopes/claims.py
@@ -75,7 +75,7 @@
     began = time.monotonic()
     prefix = f"{in_flight}-{began}"
     results = await group.submit_all(claims(prefix, count), in_flight)
-    took = time.monotonic() - began
+    elapsed_s = time.monotonic() - began
     if not all(result.granted for result in results):
         raise RuntimeError("a claim was not granted")
     scale = 1e6 / count
@@ -85,7 +85,7 @@
     }
     figures["log"] = (group.log_bytes(leader) - log) / count
     figures["syncs"] = (group.syncs(leader) - syncs) / count
-    figures["time"] = scale * took
+    figures["time"] = scale * elapsed_s
     return figures
 
 
--- a/bench/slopes/daemons.py
+++ b/bench/slopes/daemons.py
@@ -24,7 +24,7 @@
 SUBMIT_TIMEOUT_S = 60.0
 IN_FLIGHT = 64
 WIGEOND = "wigeonscale.cli.wigeond"
-COUNTED = "bench.slopes.counted_control"
+COUNTED_CONTROL = "bench.slopes.counted_control"
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,7 +123,7 @@
                 f"data = {folder / f'{name}-data'}\npeers = {peers}\n{extra}"
             )
             path = _write_settings(folder, name, text)
-            args = (COUNTED, str(sync_count_file(folder, number)), str(path))
+            args = (COUNTED_CONTROL, str(sync_count_file(folder, number)), str(path))
             replica = start(folder, name, *args)
             replicas.append(await stack.enter_async_context(replica))
         for address in http:
--- a/bench/slopes/members.py
+++ b/bench/slopes/members.py
@@ -1,6 +1,6 @@
 """Backends and documents of any size."""
 
-__all__ = ["announcements", "backend", "change", "document"]
+__all__ = ["announcements", "backend", "document", "rule_change"]
 
 import zlib
 from collections.abc import Iterable
@@ -74,12 +74,12 @@
         for n in range(rules)
     ]
     parts.append("[rule all]\nwhen = model is m\nthen = route pipeline p\n")
-    parts.append(change(0).text)
+    parts.append(rule_change(0).text)
     parts.append("[rule last]\nwhen = always\nthen = refuse because no rule\n")
     return "\n".join(parts)
 
 
-def change(number: int) -> wire.SectionChange:
+def rule_change(number: int) -> wire.SectionChange:
     """Return a change of one rule, different for each number."""
     text = (
         "[rule changing]\nwhen = model is changing and path under /v1/\n"
--- a/bench/slopes/membership.py
+++ b/bench/slopes/membership.py
@@ -14,21 +14,21 @@
 from bench.slopes.daemons import ControlGroup, agent, control_group, engine, entry
 from bench.slopes.fit import Slope, fit
 from bench.slopes.members import announcements, document
-from bench.slopes.processes import Child, during, run_folder
-from bench.slopes.watchers import streams, totals
+from bench.slopes.processes import Child, measure_cpu, run_folder
+from bench.slopes.watchers import total_counts, watch_streams
 
 SIZES = (700, 2_500, 7_700)
 CHANGES = 20
-SPACING_S = 0.05
+CHANGE_INTERVAL_S = 0.05
 WATCHERS = 8
 CHANGES_PLANNED = 6
-PLAN_SPACING_S = 0.5
+PLAN_CHANGE_INTERVAL_S = 0.5
 ATTACHED = (24, 49, 98)
 MODELS = 35
 # Members without streams must outlive the measurement, and the plan for which
 # placement waits until engines have settled belongs to their change.
 SETTINGS = {"down_after_s": 600, "rebuild_after_s": 1}
-REST_S = 1.5
+IDLE_S = 1.5
 UNITS = {
     "cpu of one change": "us/change",
     "cpu of announcing one": "us/announcement",
@@ -59,17 +59,17 @@
                 "entry": entry_child,
                 "agent": agent_child,
             }
-            held = 0
+            announced = 0
             for size in SIZES:
                 await _apply(group, document(10))
-                figures = await _at_size(group, roles, follower, held, size)
-                figures |= await _plans(group, roles, follower)
-                held = size
+                figures = await _at_size(group, roles, follower, announced, size)
+                figures |= await _plan_figures(group, roles, follower)
+                announced = size
                 for key, value in figures.items():
                     points.setdefault(key, []).append((size, value))
             attach = await _attach(group, follower, "attach")
-            async with streams(group, follower, 1, "entry", "k") as drivers:
-                index = (await totals(drivers))["members_index"]
+            async with watch_streams(group, follower, 1, "entry", "k") as drivers:
+                index = (await total_counts(drivers))["members_index"]
             revision = (await group.status(follower))["revision"]
             known = {"known_revision": revision, "known_index": index}
             attach += await _attach(group, follower, "attach again", **known)
@@ -84,22 +84,22 @@
     group: ControlGroup, roles: dict[str, Child], follower: int, known: int, size: int
 ) -> dict[tuple[str, str], float]:
     names = [f"engine-{n}" for n in range(size)]
-    rest = await during(roles, asyncio.sleep(REST_S))
-    announced = await during(roles, _announce(group, names[known:]))
+    idle = await measure_cpu(roles, asyncio.sleep(IDLE_S))
+    announced = await measure_cpu(roles, _announce(group, names[known:]))
     figures = {
         (role, "cpu of announcing one"): us
-        for role, us in announced.us_each(size - known, rest).items()
+        for role, us in announced.us_per_item(size - known, idle).items()
     }
-    async with streams(group, follower, WATCHERS, "entry") as drivers:
-        before = await totals(drivers)
-        rest = await during(roles, asyncio.sleep(REST_S))
-        changed = await during(roles, _change_one_by_one(group, names[:CHANGES]))
-        after = await totals(drivers)
+    async with watch_streams(group, follower, WATCHERS, "entry") as drivers:
+        before = await total_counts(drivers)
+        idle = await measure_cpu(roles, asyncio.sleep(IDLE_S))
+        changed = await measure_cpu(roles, _change_one_by_one(group, names[:CHANGES]))
+        after = await total_counts(drivers)
     delta = (after["member_bytes"] - before["member_bytes"]) / WATCHERS / CHANGES
     figures["watcher", "bytes of one change"] = delta
     whole = before["large_bytes"] / WATCHERS
     figures["watcher", "bytes of the whole membership"] = whole
-    for role, us in changed.us_each(CHANGES, rest).items():
+    for role, us in changed.us_per_item(CHANGES, idle).items():
         figures[role, "cpu of one change"] = us
         figures[role, "memory"] = 1024 * roles[role].usage().rss_mb
     return figures
@@ -107,33 +107,35 @@
 
 async def _announce(group: ControlGroup, names: list[str]) -> None:
     await group.submit_all(announcements(names, replica="c0"))
-    await asyncio.sleep(REST_S)
+    await asyncio.sleep(IDLE_S)
 
 
 async def _change_one_by_one(group: ControlGroup, names: list[str]) -> None:
     version = f"v{time.monotonic()}"
     for command in announcements(names, replica="c0", version=version):
         await group.submit_all([command])
-        await asyncio.sleep(SPACING_S)
-    await asyncio.sleep(REST_S)
+        await asyncio.sleep(CHANGE_INTERVAL_S)
+    await asyncio.sleep(IDLE_S)
 
 
 async def _attach(
-    group: ControlGroup, replica: int, word: str, **known: int
+    group: ControlGroup, replica: int, label: str, **known: int
 ) -> list[Slope]:
     """Let more and more watchers attach to one replica at once."""
     cpu, memory, delay = [], [], []
     for count in ATTACHED:
         before = group.replicas[replica].usage()
         began = time.monotonic()
-        name = f"{word[-1]}{count}"
-        async with streams(group, replica, count, "entry", name, **known) as drivers:
-            counts = await totals(drivers)
+        name = f"{label[-1]}{count}"
+        async with watch_streams(
+            group, replica, count, "entry", name, **known
+        ) as drivers:
+            counts = await total_counts(drivers)
             after = group.replicas[replica].usage()
         cpu.append((count, 1e3 * (after.cpu_s - before.cpu_s)))
         memory.append((count, after.peak_mb))
         delay.append((count, 1e3 * (counts["all_leased_at"] - began)))
-    name = f"control follower, {word} at {SIZES[-1]} members"
+    name = f"control follower, {label} at {SIZES[-1]} members"
     return [
         fit(f"{name}: cpu", "watcher at once", "ms", cpu),
         fit(f"{name}: memory at most", "watcher at once", "MB", memory),
@@ -141,30 +143,30 @@
     ]
 
 
-async def _plans(
-    group: ControlGroup, everyone: dict[str, Child], follower: int
+async def _plan_figures(
+    group: ControlGroup, all_roles: dict[str, Child], follower: int
 ) -> dict[tuple[str, str], float]:
     """Have chains of 35 models planned over all members; then change one, and claim."""
-    roles = {role: everyone[role] for role in ("control leader", "control follower")}
-    rest = await during(roles, asyncio.sleep(REST_S))
-    placed = await during(roles, _apply(group, document(10, pipelines=MODELS)))
-    rest_after = await during(roles, asyncio.sleep(REST_S))
+    roles = {role: all_roles[role] for role in ("control leader", "control follower")}
+    idle = await measure_cpu(roles, asyncio.sleep(IDLE_S))
+    placed = await measure_cpu(roles, _apply(group, document(10, pipelines=MODELS)))
+    idle_after = await measure_cpu(roles, asyncio.sleep(IDLE_S))
     names = [f"engine-{n}" for n in range(CHANGES_PLANNED)]
-    changed = await during(roles, _change_one_by_one(group, names))
+    changed = await measure_cpu(roles, _change_one_by_one(group, names))
     await _announce(group, [HOLDER])
-    claimed = await during(roles, _claim_one_by_one(group))
-    async with streams(group, follower, 1, "entry", "p") as drivers:
-        whole = (await totals(drivers))["large_bytes"]
+    claimed = await measure_cpu(roles, _claim_one_by_one(group))
+    async with watch_streams(group, follower, 1, "entry", "p") as drivers:
+        whole = (await total_counts(drivers))["large_bytes"]
     figures = {("watcher", "bytes of the whole membership with chains"): float(whole)}
     for role in roles:
         name = f"{role} with {MODELS} pipelines"
         figures |= {
-            (name, "cpu to place all chains"): placed.us_each(1, rest)[role] / 1e3,
-            (name, "cpu of one change"): changed.us_each(CHANGES_PLANNED, rest_after)[
-                role
-            ],
-            (name, "cpu of one claim alone"): claimed.us_each(
-                CHANGES_PLANNED, rest_after
+            (name, "cpu to place all chains"): placed.us_per_item(1, idle)[role] / 1e3,
+            (name, "cpu of one change"): changed.us_per_item(
+                CHANGES_PLANNED, idle_after
+            )[role],
+            (name, "cpu of one claim alone"): claimed.us_per_item(
+                CHANGES_PLANNED, idle_after
             )[role],
         }
     return figures
@@ -173,11 +175,11 @@
 async def _apply(group: ControlGroup, text: str) -> None:
     revision = (await group.status(0))["revision"]
     await group.apply(revision, document=text)
-    await asyncio.sleep(REST_S)
+    await asyncio.sleep(IDLE_S)
 
 
 async def _claim_one_by_one(group: ControlGroup) -> None:
     for command in claims(f"c{time.monotonic()}", CHANGES_PLANNED):
         await group.submit_all([command])
-        await asyncio.sleep(PLAN_SPACING_S)
-    await asyncio.sleep(REST_S)
+        await asyncio.sleep(PLAN_CHANGE_INTERVAL_S)
+    await asyncio.sleep(IDLE_S)
--- a/bench/slopes/page.py
+++ b/bench/slopes/page.py
@@ -1,6 +1,6 @@
 """The table of slopes on docs/CAPACITY.md."""
 
-__all__ = ["BEGIN", "END", "rewrite", "table"]
+__all__ = ["BEGIN", "END", "replace_between_markers", "table"]
 
 import pathlib
 from collections.abc import Iterable, Mapping
@@ -9,8 +9,8 @@
 
 BEGIN = "<!-- slopes:begin (rewritten by make slopes) -->"
 END = "<!-- slopes:end -->"
-HEAD = "| slope | points | per | slope | intercept | residual |"
-RULE = "| --- | --- | --- | ---: | ---: | ---: |"
+TABLE_HEADER = "| slope | points | per | slope | intercept | residual |"
+TABLE_DIVIDER = "| --- | --- | --- | ---: | ---: | ---: |"
 
 
 def table(families: Mapping[str, Iterable[Slope]], heading: str) -> str:
@@ -27,11 +27,11 @@
     for family, slopes in families.items():
         rows = "\n".join(_row(slope) for slope in slopes)
         command = f"`python -m bench.slopes {family}`"
-        parts.append(f"{command}\n\n{HEAD}\n{RULE}\n{rows}")
+        parts.append(f"{command}\n\n{TABLE_HEADER}\n{TABLE_DIVIDER}\n{rows}")
     return "\n\n".join(parts)
 
 
-def rewrite(page: pathlib.Path, text: str) -> None:
+def replace_between_markers(page: pathlib.Path, text: str) -> None:
     """Put a text between the page's markers and leave the rest as it is.
 
     Args:
--- a/bench/slopes/processes.py
+++ b/bench/slopes/processes.py
@@ -2,10 +2,10 @@
 
 __all__ = [
     "Child",
+    "CpuUse",
     "Usage",
-    "Work",
-    "during",
     "free_ports",
+    "measure_cpu",
     "resident_kb",
     "run_folder",
     "start",
@@ -25,7 +25,7 @@
 
 from demo.processes import free_ports
 
-TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 STOP_TIMEOUT_S = 20.0
 LINE_LIMIT = 1 << 20
 LOG_TAIL = 2_000
@@ -58,7 +58,7 @@
         """Return what the process has used so far."""
         stat = pathlib.Path(f"/proc/{self.proc.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
-        cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
+        cpu_s = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
         status = pathlib.Path(f"/proc/{self.proc.pid}/status").read_text()
         sizes = dict(line.split(":", 1) for line in status.splitlines())
         rss_kb, peak_kb = (int(sizes[key].split()[0]) for key in ("VmRSS", "VmHWM"))
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class CpuUse:
     """What processes used while something was done.
 
     Attributes:
@@ -98,18 +98,18 @@
     cpu_s: Mapping[str, float]
     seconds: float
 
-    def us_each(self, count: int, rest: "Work") -> dict[str, float]:
+    def us_per_item(self, count: int, idle: "CpuUse") -> dict[str, float]:
         """Return microseconds a piece by role, less what rest costs as long.
 
         Args:
             count: Pieces done.
-            rest: The same processes with nothing done.
+            idle: The same processes with nothing done.
         """
-        idle_s = {r: self.seconds * s / rest.seconds for r, s in rest.cpu_s.items()}
-        return {r: 1e6 * (s - idle_s[r]) / count for r, s in self.cpu_s.items()}
+        idle_cpu_s = {r: self.seconds * s / idle.seconds for r, s in idle.cpu_s.items()}
+        return {r: 1e6 * (s - idle_cpu_s[r]) / count for r, s in self.cpu_s.items()}
 
 
-async def during(children: Mapping[str, Child], work: Awaitable[object]) -> Work:
+async def measure_cpu(children: Mapping[str, Child], work: Awaitable[object]) -> CpuUse:
     """Do something and return what processes used meanwhile.
 
     Args:
@@ -122,7 +122,7 @@
     used = {
         role: child.usage().cpu_s - before[role] for role, child in children.items()
     }
-    return Work(used, time.monotonic() - began)
+    return CpuUse(used, time.monotonic() - began)
 
 
 def resident_kb(key: str) -> float:
--- a/bench/slopes/snapshots.py
+++ b/bench/slopes/snapshots.py
@@ -61,12 +61,12 @@
     began = time.perf_counter()
     data = state.snapshot()
     snapshot_s = time.perf_counter() - began
-    most = resident_kb("VmHWM")
+    peak_kb = resident_kb("VmHWM")
     began = time.perf_counter()
     ControlState().restore(data)
     restore_s = time.perf_counter() - began
     values = (memory, 1e6 * applied_s / index, len(data), 1e3 * snapshot_s)
-    return dict(zip(UNITS, (*values, most, 1e3 * restore_s), strict=True))
+    return dict(zip(UNITS, (*values, peak_kb, 1e3 * restore_s), strict=True))
 
 
 def _commands(count: int) -> Iterator[bytes]:
--- a/bench/slopes/streams.py
+++ b/bench/slopes/streams.py
@@ -20,7 +20,7 @@
 from bench.slopes.daemons import agent, control_group, engine
 from bench.slopes.fit import Slope, fit
 from bench.slopes.members import document
-from bench.slopes.processes import Child, during, run_folder, start_driver
+from bench.slopes.processes import Child, measure_cpu, run_folder, start_driver
 from wigeonscale.adapters.channels import open_channel
 from wigeonscale.membership import ControlClient
 from wigeonscale.ports import SystemClock
@@ -39,7 +39,7 @@
 POLL_S = 0.05
 LAYERS = 12
 ROLES = "bench.relay_roles"
-END = b"data: [DONE]"
+DONE_EVENT = b"data: [DONE]"
 PROMPT = "side 12"
 # Lengths of prompts, in KB.
 PROMPTS_KB = (1, 8, 16)
@@ -59,9 +59,9 @@
     cpu, memory = [], []
     for ticks in TICKS:
         load = Load(streams=STREAMS, ticks=ticks, burst=burst, interval_s=INTERVAL_S)
-        used_us, _, most_mb = await _entry_run(load)
+        used_us, _, peak_mb = await _entry_run(load)
         cpu.append((STREAMS * ticks * burst, used_us))
-        memory.append((STREAMS * ticks * burst, 1024 * most_mb))
+        memory.append((STREAMS * ticks * burst, 1024 * peak_mb))
     return [
         fit(f"entry, tokens {name}: cpu", "token", "us", cpu),
         fit(f"entry, tokens {name}: memory at most", "token kept", "KB", memory),
@@ -72,10 +72,10 @@
     points = []
     for count in SIZES:
         load = Load(streams=count, ticks=TICKS[0], burst=1, interval_s=INTERVAL_S)
-        _, idle_mb, most_mb = await _entry_run(load)
+        _, idle_mb, peak_mb = await _entry_run(load)
         if not points:
             points.append((0, idle_mb))
-        points.append((count, most_mb))
+        points.append((count, peak_mb))
     name = f"entry, streams of {TICKS[0]} tokens: memory at most"
     return fit(name, "open stream", "MB", points)
 
@@ -85,8 +85,8 @@
     load = Load(streams=STREAMS, ticks=TICKS[0], burst=1, interval_s=INTERVAL_S)
     for length_kb in PROMPTS_KB:
         prompt = "x" * (BYTES_PER_KB * length_kb)
-        _, _, most_mb = await _entry_run(load, prompt)
-        points.append((STREAMS * length_kb, 1024 * most_mb))
+        _, _, peak_mb = await _entry_run(load, prompt)
+        points.append((STREAMS * length_kb, 1024 * peak_mb))
     name = f"entry, prompts of {STREAMS} streams: memory at most"
     return fit(name, "KB of prompt", "KB", points)
 
@@ -95,7 +95,7 @@
     """Return microseconds used, memory before and memory at most, in MB."""
     async with _entry(load) as (child, url):
         before = child.usage()
-        work = await during({"entry": child}, _call_all(url, load, prompt))
+        work = await measure_cpu({"entry": child}, _call_all(url, load, prompt))
         return 1e6 * work.cpu_s["entry"], before.rss_mb, child.usage().peak_mb
 
 
@@ -104,7 +104,7 @@
     load = Load(streams=1, ticks=1, burst=1, interval_s=0.0)
     async with _entry(load) as (child, url):
         for count in REQUESTS:
-            work = await during({"entry": child}, _call_in_turn(url, count))
+            work = await measure_cpu({"entry": child}, _call_in_turn(url, count))
             cpu.append((count, 1e6 * work.cpu_s["entry"]))
     return fit("entry, requests of one token: cpu", "request", "us", cpu)
 
@@ -115,8 +115,10 @@
         args = ("agent", load.as_json())
         async with start_driver(folder, "source", ROLES, *args) as source:
             address = await _address(source)
-            fed = json.dumps(json.loads(load.as_json()) | {"address": address})
-            async with start_driver(folder, "entry", ROLES, "entry", fed) as child:
+            entry_load = json.dumps(json.loads(load.as_json()) | {"address": address})
+            async with start_driver(
+                folder, "entry", ROLES, "entry", entry_load
+            ) as child:
                 yield child, f"http://{await _address(child)}/v1/completions"
 
 
@@ -151,7 +153,7 @@
         data = await answer.read()
     # One event a token, one with the count, and the end.
     events = data.count(b"data: ")
-    if END not in data or events != tokens + 2:
+    if DONE_EVENT not in data or events != tokens + 2:
         raise RuntimeError(
             f"{events} events where {tokens + 2} were due: {data[-200:]}"
         )
@@ -181,11 +183,11 @@
     for count in (1, STREAMS):
         line = by_streams[count] = []
         for tokens in TICKS:
-            work = await during(roles, _dispatch(chain, count, tokens))
+            work = await measure_cpu(roles, _dispatch(chain, count, tokens))
             line.append((count * tokens, 1e6 * work.cpu_s["agent"]))
     requests = []
     for count in REQUESTS:
-        work = await during(roles, _dispatch_in_turn(chain, count // 10))
+        work = await measure_cpu(roles, _dispatch_in_turn(chain, count // 10))
         requests.append((count // 10, 1e6 * work.cpu_s["agent"]))
     many = f"agent, {STREAMS} sequences an iteration: cpu"
     return [
--- a/bench/slopes/tests/test_page.py
+++ b/bench/slopes/tests/test_page.py
@@ -3,7 +3,7 @@
 import fixtures
 
 from bench.slopes.fit import fit
-from bench.slopes.page import BEGIN, END, rewrite, table
+from bench.slopes.page import BEGIN, END, replace_between_markers, table
 from wigeonscale.testing import AsyncTestCase
 
 
@@ -16,7 +16,7 @@
 
     def test_only_what_stands_between_the_markers_changes(self):
         page = self._page(f"before\n{BEGIN}\nold\n{END}\nafter\n")
-        rewrite(page, "new")
+        replace_between_markers(page, "new")
         self.assertEqual(f"before\n{BEGIN}\n\nnew\n\n{END}\nafter\n", page.read_text())
 
     def test_a_page_without_both_markers_once_is_left_alone(self):
@@ -29,7 +29,7 @@
         )
         for text in broken:
             page = self._page(text)
-            self.assertRaises(ValueError, rewrite, page, "new")
+            self.assertRaises(ValueError, replace_between_markers, page, "new")
             self.assertEqual(text, page.read_text())
 
     def test_the_table_names_command_points_and_fit(self):
--- a/bench/slopes/watch_load.py
+++ b/bench/slopes/watch_load.py
@@ -22,7 +22,7 @@
 
 WATCH = "/wigeonscale.v1.Control/Watch"
 # Larger messages are whole documents or memberships.
-READ_BELOW_BYTES = 8192
+MAX_PARSED_BYTES = 8192
 
 
 @dataclass(slots=True)
@@ -62,7 +62,9 @@
         call = channel.stream_stream(
             WATCH, request_serializer=wire.WatchRequest.SerializeToString
         )()
-        beats = asyncio.create_task(_beat(options, number, call, counts))
+        heartbeats = asyncio.create_task(
+            _send_heartbeats(options, number, call, counts)
+        )
         try:
             has_lease = False
             async for data in call:
@@ -72,10 +74,10 @@
                     counts.streams += 1
                     counts.all_leased_at = time.monotonic()
         finally:
-            beats.cancel()
+            heartbeats.cancel()
 
 
-async def _beat(options: dict, number: int, call, counts: Counts) -> None:
+async def _send_heartbeats(options: dict, number: int, call, counts: Counts) -> None:
     name = f"{options['name']}-{number}"
     hello = wire.Hello(node_id=name, role=options["role"], **options["known"])
     await _send(call, counts, hello=hello)
@@ -84,8 +86,8 @@
     # Spread, as streams of separate processes are.
     await asyncio.sleep(options["heartbeat_s"] * number / options["count"])
     while True:
-        beat = wire.Heartbeat(sent_us=int(time.monotonic() * 1e6))
-        await _send(call, counts, heartbeat=beat)
+        heartbeat = wire.Heartbeat(sent_us=int(time.monotonic() * 1e6))
+        await _send(call, counts, heartbeat=heartbeat)
         await asyncio.sleep(options["heartbeat_s"])
 
 
@@ -100,7 +102,7 @@
     """Count one message and return whether it grants a lease."""
     counts.bytes_in += len(data)
     counts.messages_in += 1
-    if len(data) >= READ_BELOW_BYTES:
+    if len(data) >= MAX_PARSED_BYTES:
         counts.large_bytes += len(data)
         if not counts.members_index:
             counts.members_index = wire.WatchEvent.FromString(data).members.index
--- a/bench/slopes/watchers.py
+++ b/bench/slopes/watchers.py
@@ -31,13 +31,13 @@
         async with control_group(folder) as group:
             follower = (await group.leader() + 1) % len(group.replicas)
             for size in (0, *SIZES):
-                async with streams(group, follower, size, role) as drivers:
+                async with watch_streams(group, follower, size, role) as drivers:
                     await asyncio.sleep(SETTLE_S)
                     before = group.replicas[follower].usage()
-                    counts = await totals(drivers)
+                    counts = await total_counts(drivers)
                     await asyncio.sleep(WINDOW_S)
                     after = group.replicas[follower].usage()
-                    later = await totals(drivers)
+                    later = await total_counts(drivers)
                 cpu.append((size, 1000 * (after.cpu_s - before.cpu_s) / WINDOW_S))
                 memory.append((size, after.rss_mb))
                 for key, points in (("bytes_in", received), ("bytes_out", sent)):
@@ -52,7 +52,7 @@
 
 
 @contextlib.asynccontextmanager
-async def streams(
+async def watch_streams(
     group: ControlGroup,
     replica: int,
     count: int,
@@ -85,19 +85,19 @@
                 group.folder, f"driver-{first}", MODULE, json.dumps(options)
             )
             drivers.append(await stack.enter_async_context(driver))
-        await _all_leased(drivers, count)
+        await _wait_all_leased(drivers, count)
         yield drivers
 
 
-async def _all_leased(drivers: list[Child], count: int) -> None:
+async def _wait_all_leased(drivers: list[Child], count: int) -> None:
     async with asyncio.timeout(ATTACH_TIMEOUT_S):
         while True:
-            if (await totals(drivers))["streams"] >= count:
+            if (await total_counts(drivers))["streams"] >= count:
                 return
             await asyncio.sleep(POLL_S)
 
 
-async def totals(drivers: list[Child]) -> dict:
+async def total_counts(drivers: list[Child]) -> dict:
     """Return the counts of several drivers together."""
     answers = [await driver.ask("counts") for driver in drivers]
     keys = ("streams", "bytes_in", "messages_in", "bytes_out", "messages_out")
--- a/bench/tests/test_queues.py
+++ b/bench/tests/test_queues.py
@@ -5,8 +5,8 @@
 class QueuesTest(AsyncTestCase):
     def test_clock_does_what_is_due_in_order(self):
         clock, done = VirtualClock(), []
-        clock.at(2.0, lambda: done.append(("late", clock.now())))
-        clock.after(1.0, lambda: done.append(("early", clock.now())))
+        clock.call_at(2.0, lambda: done.append(("late", clock.now())))
+        clock.call_later(1.0, lambda: done.append(("early", clock.now())))
         clock.run(1.5)
         self.assertEqual([("early", 1.0)], done)
         clock.run(3.0)
--- a/bench/tests/test_ways.py
+++ b/bench/tests/test_ways.py
@@ -2,38 +2,38 @@
 import math
 
 from bench.paired_runs import (
-    Play,
-    Way,
+    DayRun,
+    Variant,
     differences,
-    parse_way,
+    parse_variant,
     read_report,
     set_constant,
 )
 from wigeonscale.testing import AsyncTestCase
 
 
-def play(way, worth, *, site="s", seed=1):
-    return Play(
+def day_run(way, worth, *, site="s", seed=1):
+    return DayRun(
         site=site, day="d", seed=seed, way=way, worth=worth, parts={}, prices=0.0
     )
 
 
 class WaysTest(AsyncTestCase):
     def test_a_way_is_a_commit_with_other_constants(self):
-        way = parse_way("new=abc:a/b.py:X_S=0.2:c.py:Y=(1, 2)")
+        way = parse_variant("new=abc:a/b.py:X_S=0.2:c.py:Y=(1, 2)")
         self.assertEqual(
-            Way(
+            Variant(
                 name="new",
                 revision="abc",
                 constants=(("a/b.py", "X_S", "0.2"), ("c.py", "Y", "(1, 2)")),
             ),
             way,
         )
-        self.assertEqual((), parse_way("old=HEAD").constants)
+        self.assertEqual((), parse_variant("old=HEAD").constants)
 
     def test_what_is_no_way_is_said(self):
         for text in ("HEAD", "a=HEAD:file.py", "a=HEAD:file.py:X"):
-            self.assertRaises(argparse.ArgumentTypeError, parse_way, text)
+            self.assertRaises(argparse.ArgumentTypeError, parse_variant, text)
 
     def test_a_constant_is_set_where_it_stands_once(self):
         source = "A_S = 1.0  # why\nBA_S = 2.0\n"
@@ -41,24 +41,24 @@
         self.assertRaises(ValueError, set_constant, source, "C", "3")
 
     def test_differences_are_of_pairs_alone(self):
-        plays = [
-            play("old", 0.50, seed=1),
-            play("new", 0.60, seed=1),
-            play("old", 0.70, seed=2),
-            play("new", 0.82, seed=2),
-            play("old", 0.10, seed=3),
-            play("new", 0.90, site="t"),
+        runs = [
+            day_run("old", 0.50, seed=1),
+            day_run("new", 0.60, seed=1),
+            day_run("old", 0.70, seed=2),
+            day_run("new", 0.82, seed=2),
+            day_run("old", 0.10, seed=3),
+            day_run("new", 0.90, site="t"),
         ]
-        of_site, of_all = differences(plays, ["old", "new"])
+        of_site, of_all = differences(runs, ["old", "new"])
         self.assertEqual(("s", "", 2), (of_site.site, of_all.site, of_all.pairs))
         self.assertTrue(abs(of_all.mean - 0.11) < 1e-9)
-        self.assertTrue(abs(of_all.spread - 12.71 * 0.01) < 1e-6, of_all.spread)
-        self.assertFalse(of_all.is_shown)
+        self.assertTrue(abs(of_all.half_width - 12.71 * 0.01) < 1e-6, of_all.half_width)
+        self.assertFalse(of_all.is_significant)
 
     def test_one_pair_shows_nothing(self):
-        (of_site, _) = differences([play("a", 0.5), play("b", 0.9)], ["a", "b"])
-        self.assertTrue(math.isinf(of_site.spread))
-        self.assertFalse(of_site.is_shown)
+        (of_site, _) = differences([day_run("a", 0.5), day_run("b", 0.9)], ["a", "b"])
+        self.assertTrue(math.isinf(of_site.half_width))
+        self.assertFalse(of_site.is_significant)
 
     def test_a_report_names_the_rules_that_were_broken(self):
         report = {
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -25,51 +25,55 @@
 from dataclasses import asdict
 
 from bench.paired_runs import (
-    Play,
-    Way,
-    parse_way,
+    DayRun,
+    Variant,
+    format_tables,
+    parse_variant,
     read_report,
     read_rows,
     set_constant,
-    show,
 )
 
 
-async def check_out(way: Way, repository: pathlib.Path, work: pathlib.Path) -> None:
+async def check_out(
+    variant: Variant, repository: pathlib.Path, work: pathlib.Path
+) -> None:
     """Make the checkout of a way, unless it is there."""
-    folder = work / way.name
+    folder = work / variant.name
     if folder.exists():
         return
     await _run("git", "-C", repository, "worktree", "prune")
     await _run(
-        "git", "-C", repository, "worktree", "add", "--detach", folder, way.revision
+        "git", "-C", repository, "worktree", "add", "--detach", folder, variant.revision
     )
-    for file, name, value in way.constants:
+    for file, name, value in variant.constants:
         path = folder / file
         path.write_text(set_constant(path.read_text(), name, value))
 
 
-async def play(
-    args: argparse.Namespace, way: Way, site: pathlib.Path, day: str, seed: int
-) -> Play:
+async def run_day(
+    args: argparse.Namespace, variant: Variant, site: pathlib.Path, day: str, seed: int
+) -> DayRun:
     """Play one day and return it."""
-    folder = args.work / way.name
-    report = args.work / f"{way.name}-{site.stem}-{pathlib.Path(day).stem}-{seed}.json"
-    why = f"comparison of ways: {way.name}"
-    words = [args.bench, "run", site, day, "--seed", seed, "--no-cpu"]
-    await _run(*words, "--report", report, "--why", why, cwd=folder)
+    folder = args.work / variant.name
+    report = (
+        args.work / f"{variant.name}-{site.stem}-{pathlib.Path(day).stem}-{seed}.json"
+    )
+    reason = f"comparison of ways: {variant.name}"
+    command = [args.bench, "run", site, day, "--seed", seed, "--no-cpu"]
+    await _run(*command, "--report", report, "--why", reason, cwd=folder)
     return read_report(
         json.loads(report.read_text()),
         site=site.stem,
         day=pathlib.Path(day).stem,
         seed=seed,
-        way=way.name,
+        way=variant.name,
     )
 
 
-async def _run(*words: object, cwd: pathlib.Path | None = None) -> None:
+async def _run(*command: object, cwd: pathlib.Path | None = None) -> None:
     process = await asyncio.create_subprocess_exec(
-        *map(str, words),
+        *map(str, command),
         cwd=cwd,
         stdout=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.PIPE,
@@ -80,78 +84,80 @@
         print(errors.decode(errors="replace")[-500:], file=sys.stderr)
 
 
-def keep_journal(
-    work: pathlib.Path, ways: Iterable[Way], journal: pathlib.Path
+def copy_journals(
+    work: pathlib.Path, variants: Iterable[Variant], journal: pathlib.Path
 ) -> None:
     """Copy what the bench has noted in the checkouts of the ways."""
-    for way in ways:
-        for path in (work / way.name / "journal").rglob("*"):
-            target = journal / path.relative_to(work / way.name / "journal")
+    for variant in variants:
+        for path in (work / variant.name / "journal").rglob("*"):
+            target = journal / path.relative_to(work / variant.name / "journal")
             if path.is_file() and not target.exists():
                 target.parent.mkdir(parents=True, exist_ok=True)
                 shutil.copy2(path, target)
 
 
-async def compare(args: argparse.Namespace) -> list[Play]:
+async def compare(args: argparse.Namespace) -> list[DayRun]:
     """Play what is missing, and return all plays of the ways."""
     args.work.mkdir(parents=True, exist_ok=True)
-    for way in args.way:
-        await check_out(way, args.repository, args.work)
+    for variant in args.way:
+        await check_out(variant, args.repository, args.work)
     done = {(each.case, each.way) for each in read_rows(args.rows)}
     slots = asyncio.Semaphore(args.jobs)
 
-    async def one(way: Way, site: pathlib.Path, day: str, seed: int) -> None:
+    async def run_if_missing(
+        variant: Variant, site: pathlib.Path, day: str, seed: int
+    ) -> None:
         case = (site.stem, pathlib.Path(day).stem, seed)
-        if (case, way.name) in done:
+        if (case, variant.name) in done:
             return
         async with slots:
             try:
-                row = await play(args, way, site, day, seed)
+                row = await run_day(args, variant, site, day, seed)
             except (OSError, ValueError, KeyError) as exc:
-                print(f"{way.name} {case}: no report: {exc!r}", file=sys.stderr)
+                print(f"{variant.name} {case}: no report: {exc!r}", file=sys.stderr)
                 return
         with args.rows.open("a") as stream:
             stream.write(json.dumps(asdict(row)) + "\n")
 
     await asyncio.gather(
         *[
-            one(way, site, day, seed)
+            run_if_missing(variant, site, day, seed)
             for seed in args.seed
             for site in args.site
             for day in args.day
-            for way in args.way
+            for variant in args.way
         ]
     )
-    keep_journal(args.work, args.way, args.repository / "journal")
-    names = {way.name for way in args.way}
+    copy_journals(args.work, args.way, args.repository / "journal")
+    names = {variant.name for variant in args.way}
     return [each for each in read_rows(args.rows) if each.way in names]
 
 
-def parser() -> argparse.ArgumentParser:
+def build_parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
-    found = argparse.ArgumentParser(prog="python -m bench.ways", description=__doc__)
-    found.formatter_class = argparse.RawDescriptionHelpFormatter
+    parser = argparse.ArgumentParser(prog="python -m bench.ways", description=__doc__)
+    parser.formatter_class = argparse.RawDescriptionHelpFormatter
     path = pathlib.Path
-    found.add_argument("--bench", required=True, type=path, help="the users' bench")
-    found.add_argument("--repository", default=path.cwd(), type=path)
-    found.add_argument("--work", required=True, type=path, help="folder of checkouts")
-    found.add_argument("--rows", required=True, type=path, help="file of JSON lines")
-    found.add_argument("--site", required=True, action="append", type=path)
-    found.add_argument("--day", required=True, action="append", help="name or file")
-    found.add_argument("--seed", required=True, action="append", type=int)
-    found.add_argument("--way", required=True, action="append", type=parse_way)
-    found.add_argument("--jobs", default=4, type=int, help="plays at a time")
-    return found
+    parser.add_argument("--bench", required=True, type=path, help="the users' bench")
+    parser.add_argument("--repository", default=path.cwd(), type=path)
+    parser.add_argument("--work", required=True, type=path, help="folder of checkouts")
+    parser.add_argument("--rows", required=True, type=path, help="file of JSON lines")
+    parser.add_argument("--site", required=True, action="append", type=path)
+    parser.add_argument("--day", required=True, action="append", help="name or file")
+    parser.add_argument("--seed", required=True, action="append", type=int)
+    parser.add_argument("--way", required=True, action="append", type=parse_variant)
+    parser.add_argument("--jobs", default=4, type=int, help="plays at a time")
+    return parser
 
 
 def main() -> int:
     """Compare, and print the tables."""
-    args = parser().parse_args()
+    args = build_parser().parse_args()
     for name in ("bench", "repository", "work", "rows"):
         setattr(args, name, getattr(args, name).resolve())
     args.site = [site.resolve() for site in args.site]
-    plays = asyncio.run(compare(args))
-    print(show(plays, [way.name for way in args.way]))
+    runs = asyncio.run(compare(args))
+    print(format_tables(runs, [variant.name for variant in args.way]))
     return 0
 
 
