--- a/bench/slopes/__init__.py
+++ b/bench/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes: what one more watcher, change, claim or stream costs each role."""
+"""Marginal costs: what one more watcher, change, claim or stream costs each role."""
--- a/bench/slopes/__main__.py
+++ b/bench/slopes/__main__.py
@@ -1,8 +1,8 @@
-"""Measures the slopes that docs/CAPACITY.md is worked out from.
+"""Measures the marginal costs (slopes) from which docs/CAPACITY.md is calculated.
 
-Usage: ``python -m bench.slopes [family ...]``. Without names every family is
-measured and the page's table of figures is rewritten; with names the figures are
-only printed.
+Usage: ``python -m bench.slopes [family ...]``. A family is a module of this package.
+Without arguments every family is measured and the table of figures in the page is
+replaced; with arguments the figures are only printed.
 """
 
 __all__ = ["main"]
@@ -30,7 +30,7 @@
 
 
 def main(names: list[str]) -> int:
-    """Measure and print the slopes, and rewrite the page when all were measured.
+    """Measure and print the slopes; update the page if all families were measured.
 
     Args:
         names: Families to measure; empty for all.
--- a/bench/slopes/changes.py
+++ b/bench/slopes/changes.py
@@ -1,4 +1,4 @@
-"""Cost of a change of configuration, by watchers and by size of the document."""
+"""Cost of a configuration change, by number of watchers and size of the document."""
 
 __all__ = ["measure"]
 
@@ -38,7 +38,7 @@
 
 
 async def measure() -> list[Slope]:
-    """Measure changes with many watchers, then with long documents."""
+    """Measure changes by number of watchers, then by size of the document."""
     return [
         *await _by_watchers(),
         *await _by_size("organisation", {n: (n, 0) for n in ORGANISATIONS}),
@@ -83,7 +83,7 @@
 async def _commit_changes(
     group: ControlGroup, revision: int, committed: dict[int, float]
 ) -> None:
-    """Commit changes at an even pace, noting when each was committed."""
+    """Commit changes at a fixed interval and record when each was committed."""
     for number in range(revision, revision + CHANGES):
         await group.apply(number, changes=[rule_change(number)])
         committed[number + 1] = time.monotonic()
@@ -129,7 +129,7 @@
             idle = await measure_cpu(roles, asyncio.sleep(IDLE_S))
             wait_s = IDLE_S + organisations * WAIT_S_PER_ORGANISATION
             taken = await measure_cpu(roles, _apply_document(group, text, wait_s))
-            # A document that takes long to read may have cost the leader its place.
+            # The leader may have lost its leadership while it parsed a long document.
             leader = await group.leader()
             roles = _control_roles(group, leader) | others
             idle_after = await measure_cpu(roles, asyncio.sleep(IDLE_S))
@@ -161,7 +161,7 @@
 
 
 async def _apply_by_http(group: ControlGroup, leader: int, text: str) -> None:
-    """Apply a whole document with one rule changed, as curl would."""
+    """Apply a complete document with one changed rule by an HTTP request."""
     for number in range(HTTP_CHANGES):
         body = {
             "base_revision": (await group.status(leader))["revision"],
@@ -176,7 +176,7 @@
 
 
 async def _patch_by_http(group: ControlGroup, leader: int, document: Document) -> None:
-    """Read the document and send back one section, as wigeonctl does."""
+    """Read the document and send one changed section, as wigeonctl does."""
     for number in range(HTTP_CHANGES):
         url = f"http://{group.http[leader]}/admin/rules"
         async with aiohttp.ClientSession() as http, http.get(url) as answer:
--- a/bench/slopes/claims.py
+++ b/bench/slopes/claims.py
@@ -1,4 +1,4 @@
-"""Cost of a claim of a request that must not repeat, at leader and follower."""
+"""Cost of an idempotency claim at the control leader and its followers."""
 
 __all__ = ["HOLDER", "claims", "measure"]
 
@@ -16,13 +16,13 @@
 CLAIMS = 2_000
 CLAIMS_ONE_BY_ONE = 300
 GROUP_COMMIT = 64
-# No snapshot falls into a measurement; what one costs is a slope of its own.
+# No snapshots during a measurement; their cost is measured in ``snapshots``.
 SETTINGS = {"snapshot_entries": 1_000_000, "down_after_s": 600}
 HOLDER = "holder"
 
 
 async def measure() -> list[Slope]:
-    """Measure by followers with many in flight, then by claims in flight."""
+    """Measure by number of followers, then by number of claims in flight."""
     return [*await _by_followers(), *await _by_in_flight()]
 
 
@@ -52,7 +52,7 @@
                 count = CLAIMS_ONE_BY_ONE if in_flight == 1 else CLAIMS
                 figures = await _run(group, count, in_flight)
                 for key, value in figures.items():
-                    # What a batch shares is a straight line over 1 / its size.
+                    # Costs shared by a batch are linear in 1 / batch size.
                     points.setdefault(key, []).append((1 / in_flight, value))
     per = "1 / claims in flight"
     return [
@@ -64,7 +64,7 @@
 
 
 async def _run(group: ControlGroup, count: int, in_flight: int) -> dict[str, float]:
-    """Commit claims and return what one cost."""
+    """Commit claims and return the costs per claim."""
     await group.submit_all(announcements([HOLDER], replica="c0"))
     leader = await group.leader()
     watched = {"leader": leader}
@@ -90,14 +90,14 @@
 
 
 def claims(prefix: str, count: int) -> Iterator[wire.Command]:
-    """Yield commands that claim requests at one announced agent.
+    """Yield commands that claim requests for one announced agent.
 
     Args:
-        prefix: How their idempotency keys begin.
-        count: How many.
+        prefix: Prefix of the idempotency keys.
+        count: Number of commands.
 
     Yields:
-        Commands with names and ids as long as real ones.
+        Commands whose names and ids are as long as in production.
     """
     holder = backend(HOLDER)
     for number in range(count):
--- a/bench/slopes/counted_control.py
+++ b/bench/slopes/counted_control.py
@@ -1,4 +1,4 @@
-"""A control daemon that counts its syncs to disk in a file.
+"""Control daemon that counts its calls of ``os.fsync`` in a file.
 
 Usage: ``python -m bench.slopes.counted_control COUNT_FILE SETTINGS_FILE``.
 """
@@ -16,12 +16,12 @@
 
 
 def read_count(path: pathlib.Path) -> int:
-    """Return the syncs that a daemon has counted so far."""
+    """Return the number of syncs that a daemon has counted so far."""
     return COUNT.unpack(path.read_bytes())[0]
 
 
 def main(args: list[str]) -> int:
-    """Run ``wigeond control``, counting each sync."""
+    """Run ``wigeond control`` with ``os.fsync`` replaced by a counting version."""
     count_file, settings = args
     fd = os.open(count_file, os.O_CREAT | os.O_WRONLY, 0o600)
     sync = os.fsync
--- a/bench/slopes/daemons.py
+++ b/bench/slopes/daemons.py
@@ -1,4 +1,4 @@
-"""Real daemons for the measurements, each a process on loopback."""
+"""Runs daemons for the measurements, each as a process on loopback."""
 
 __all__ = ["ControlGroup", "agent", "control_group", "engine", "entry"]
 
@@ -32,11 +32,11 @@
     """Control replicas that replicate one log.
 
     Attributes:
-        folder: Settings, logs and data.
+        folder: Parent of their settings, logs and data.
         replicas: The processes.
         grpc: Their gRPC addresses, in the same order.
-        http: Addresses of their pages, in the same order.
-        submitter: Way to the leader.
+        http: Their HTTP addresses, in the same order.
+        submitter: Submits commands to the leader.
     """
 
     folder: pathlib.Path
@@ -46,7 +46,7 @@
     submitter: Submitter
 
     async def leader(self) -> int:
-        """Return the position of the replica that leads."""
+        """Wait for a leader and return its index."""
         for _ in range(int(START_TIMEOUT_S / POLL_S)):
             for number in range(len(self.replicas)):
                 if (await self.status(number)).get("role") == "leader":
@@ -55,21 +55,21 @@
         raise TimeoutError("no replica leads")
 
     def syncs(self, number: int) -> int:
-        """Return the syncs to disk of a replica so far."""
+        """Return the number of disk syncs of a replica so far."""
         return read_count(sync_count_file(self.folder, number))
 
     def log_bytes(self, number: int) -> int:
-        """Return the length of a replica's log file."""
+        """Return the length of a replica's log file in bytes."""
         return (self.folder / f"c{number}-data" / LOG_NAME).stat().st_size
 
     async def status(self, number: int) -> dict:
-        """Return a replica's own word on its state."""
+        """Return a replica's status."""
         url = f"http://{self.http[number]}/admin/status"
         async with aiohttp.ClientSession() as http, http.get(url) as answer:
             return await answer.json()
 
     async def apply(self, revision: int, **body) -> None:
-        """Commit a change of the rules document made from a revision."""
+        """Commit a change of the rules document that is based on a revision."""
         apply = wire.ApplyConfig(base_revision=revision, operator="bench", **body)
         command = wire.Command(apply_config=apply)
         await self.submitter.submit(command, SUBMIT_TIMEOUT_S)
@@ -77,7 +77,11 @@
     async def submit_all(
         self, commands: Iterable[wire.Command], in_flight: int = IN_FLIGHT
     ) -> list[wire.CommandResult]:
-        """Commit commands, some at a time, and return their results in order."""
+        """Commit commands, up to ``in_flight`` concurrently.
+
+        Returns:
+            The results in the order of the commands.
+        """
         free = asyncio.Semaphore(in_flight)
 
         async def submit(command):
@@ -107,7 +111,7 @@
     Args:
         folder: Parent of their files.
         count: Number of replicas.
-        **settings: Further keys of ``[control]``.
+        **settings: Additional keys of ``[control]``.
     """
     ports = free_ports(2 * count)
     grpc = tuple(f"{LOOPBACK}:{port}" for port in ports[:count])
@@ -137,7 +141,7 @@
 async def entry(
     folder: pathlib.Path, name: str, control: Iterable[str]
 ) -> AsyncIterator[tuple[Child, str]]:
-    """Run an entry until the block ends; yields it with its callers' address."""
+    """Run an entry until the block ends; yields it and its address for callers."""
     listen, http = (f"{LOOPBACK}:{port}" for port in free_ports(2))
     text = (
         f"[entry]\nlisten = {listen}\nhttp = {http}\ncontrol = {', '.join(control)}\n"
@@ -152,7 +156,7 @@
 async def agent(
     folder: pathlib.Path, name: str, control: Iterable[str], backend: str, **settings
 ) -> AsyncIterator[tuple[Child, str]]:
-    """Run an engine's agent until the block ends; yields it with its address."""
+    """Run an engine's agent until the block ends; yields it and its gRPC address."""
     grpc, http = (f"{LOOPBACK}:{port}" for port in free_ports(2))
     extra = "".join(f"{key} = {value}\n" for key, value in settings.items())
     text = (
@@ -169,7 +173,7 @@
 async def engine(
     folder: pathlib.Path, name: str, model: str, *args: str
 ) -> AsyncIterator[tuple[Child, str]]:
-    """Run a fake engine until the block ends; yields it with its address."""
+    """Run a fake engine until the block ends; yields it and its address."""
     address = f"{LOOPBACK}:{free_ports(1)[0]}"
     module = "wigeonscale.testing.fake_engine"
     options = ("--listen", address, "--model", model, *args)
@@ -178,10 +182,10 @@
 
 
 async def wait_ready(http: str) -> None:
-    """Wait until a daemon's page says that it serves.
+    """Wait until a daemon's ``/readyz`` answers 200.
 
     Raises:
-        TimeoutError: It did not within ``START_TIMEOUT_S``.
+        TimeoutError: The daemon is not ready within ``START_TIMEOUT_S``.
     """
     url = f"http://{http}/readyz"
     async with asyncio.timeout(START_TIMEOUT_S), aiohttp.ClientSession() as session:
--- a/bench/slopes/fit.py
+++ b/bench/slopes/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Least-squares lines through measured points."""
 
 __all__ = ["Slope", "fit"]
 
@@ -14,13 +14,13 @@
 
     Attributes:
         name: What was measured, for example ``"control/watcher/cpu"``.
-        per: What one step along x is, for example ``"watcher"``.
+        per: Unit of x, for example ``"watcher"``.
         unit: Unit of y.
-        points: (x, y) as measured.
-        slope: Growth of y for one more x.
-        intercept: y at x = 0, by the line.
-        residual: Root mean square distance of the points from the line, in the
-            unit of y.
+        points: Measured pairs (x, y).
+        slope: Increase of y per unit of x.
+        intercept: y of the line at x = 0.
+        residual: Root mean square of the vertical distances of the points from the
+            line, in the unit of y.
     """
 
     name: str
@@ -37,9 +37,9 @@
 
     Args:
         name: What was measured.
-        per: What one step along x is.
+        per: Unit of x.
         unit: Unit of y.
-        points: (x, y) with at least two different x.
+        points: Pairs (x, y) with at least two different x.
 
     Returns:
         The line with its points.
--- a/bench/slopes/idle.py
+++ b/bench/slopes/idle.py
@@ -1,4 +1,4 @@
-"""Memory and processor time of each role with nothing to do."""
+"""Memory and processor time of each role when idle."""
 
 __all__ = ["measure"]
 
@@ -14,7 +14,7 @@
 
 
 async def measure() -> list[Slope]:
-    """Measure every role beside 1, 3 and 7 control replicas."""
+    """Measure every role with 1, 3 and 7 control replicas."""
     points: dict[tuple[str, str], list[tuple[float, float]]] = {}
     for count in REPLICAS:
         for role, (cpu, memory) in (await _idle(count)).items():
--- a/bench/slopes/members.py
+++ b/bench/slopes/members.py
@@ -1,4 +1,4 @@
-"""Backends and documents of any size."""
+"""Announcements of backend servers and rules documents of any size."""
 
 __all__ = ["announcements", "backend", "document", "rule_change"]
 
@@ -15,11 +15,11 @@
 
 
 def backend(name: str, *, version: str = "") -> wire.Backend:
-    """Return what an engine's agent announces.
+    """Return the announcement of an engine's agent.
 
     Args:
-        name: Name of the backend server.
-        version: Model version; another one makes another announcement.
+        name: Name of the backend server, from which the other fields are derived.
+        version: Model version; a new version makes the announcement a change.
 
     Returns:
         The announcement.
@@ -46,7 +46,7 @@
 def announcements(
     names: Iterable[str], *, replica: str, version: str = ""
 ) -> list[wire.Command]:
-    """Return the commands that announce engines as attached to a replica."""
+    """Return commands that announce engines as attached to a control replica."""
     return [
         wire.Command(
             announce=wire.Announce(
@@ -80,7 +80,7 @@
 
 
 def rule_change(number: int) -> wire.SectionChange:
-    """Return a change of one rule, different for each number."""
+    """Return a change of the rule ``changing``; its text depends on the number."""
     text = (
         "[rule changing]\nwhen = model is changing and path under /v1/\n"
         f"then = refuse because change {number}\n"
--- a/bench/slopes/membership.py
+++ b/bench/slopes/membership.py
@@ -1,7 +1,7 @@
-"""Cost of members and of their changes, up to all engines of the size to come.
+"""Cost of members and of their changes, up to the planned size of 7,700 engines.
 
-Engines are announced through the log as agents are, but hold no streams of their
-own (``watchers`` measures those).
+Engines are announced through the log as agents are, but have no watch streams
+(``watchers`` measures those).
 """
 
 __all__ = ["measure"]
@@ -25,8 +25,9 @@
 PLAN_CHANGE_INTERVAL_S = 0.5
 ATTACHED = (24, 49, 98)
 MODELS = 35
-# Members without streams must outlive the measurement, and the plan for which
-# placement waits until engines have settled belongs to their change.
+# down_after_s: members without streams must not expire during the measurement.
+# rebuild_after_s: the plan that placement delays until engines have settled must be
+# made, and counted, within the measurement of their change.
 SETTINGS = {"down_after_s": 600, "rebuild_after_s": 1}
 IDLE_S = 1.5
 UNITS = {
@@ -39,14 +40,14 @@
 
 
 async def measure() -> list[Slope]:
-    """Measure members without pipelines, then re-attaching watchers."""
+    """Measure members without and with pipelines, then attaching watchers."""
     points: dict[tuple[str, str], list[tuple[float, float]]] = {}
     with run_folder() as folder:
         async with contextlib.AsyncExitStack() as stack:
             group = await stack.enter_async_context(control_group(folder, **SETTINGS))
             leader = await group.leader()
             follower = (leader + 1) % len(group.replicas)
-            # Orders are derived only where agents are attached.
+            # A replica derives orders only if agents are attached to it.
             at = group.grpc[follower : follower + 1]
             _, backend = await stack.enter_async_context(engine(folder, "engine", "m"))
             agent_child, _ = await stack.enter_async_context(
@@ -121,7 +122,7 @@
 async def _attach(
     group: ControlGroup, replica: int, label: str, **known: int
 ) -> list[Slope]:
-    """Let more and more watchers attach to one replica at once."""
+    """Measure increasing numbers of watchers that attach to one replica at once."""
     cpu, memory, delay = [], [], []
     for count in ATTACHED:
         before = group.replicas[replica].usage()
@@ -146,7 +147,7 @@
 async def _plan_figures(
     group: ControlGroup, all_roles: dict[str, Child], follower: int
 ) -> dict[tuple[str, str], float]:
-    """Have chains of 35 models planned over all members; then change one, and claim."""
+    """Measure placement of 35 models' chains, then single changes and claims."""
     roles = {role: all_roles[role] for role in ("control leader", "control follower")}
     idle = await measure_cpu(roles, asyncio.sleep(IDLE_S))
     placed = await measure_cpu(roles, _apply(group, document(10, pipelines=MODELS)))
--- a/bench/slopes/page.py
+++ b/bench/slopes/page.py
@@ -1,4 +1,4 @@
-"""The table of slopes on docs/CAPACITY.md."""
+"""The table of slopes in docs/CAPACITY.md."""
 
 __all__ = ["BEGIN", "END", "replace_between_markers", "table"]
 
@@ -18,10 +18,10 @@
 
     Args:
         families: Slopes by the module that measured them.
-        heading: Line on when and how busy the machine was.
+        heading: Line with the time of the run and the load of the machine.
 
     Returns:
-        Markdown, one table a family, with the command that gives it.
+        Markdown with one table per family and the command that measures it.
     """
     parts = [heading]
     for family, slopes in families.items():
@@ -32,14 +32,14 @@
 
 
 def replace_between_markers(page: pathlib.Path, text: str) -> None:
-    """Put a text between the page's markers and leave the rest as it is.
+    """Replace the text between the page's markers.
 
     Args:
         page: The page.
-        text: What shall stand between the markers.
+        text: New text between the markers.
 
     Raises:
-        ValueError: The page does not hold both markers once, in order.
+        ValueError: The page does not contain each marker exactly once, in order.
     """
     old = page.read_text()
     before, begin, rest = old.partition(BEGIN)
--- a/bench/slopes/processes.py
+++ b/bench/slopes/processes.py
@@ -1,4 +1,4 @@
-"""Child processes, and what the system says of their time and memory."""
+"""Child processes and their processor time and memory, read from ``/proc``."""
 
 __all__ = [
     "Child",
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used so far.
+    """Resources that a process has used so far.
 
     Attributes:
         cpu_s: Processor seconds, user and system.
-        rss_mb: Resident memory.
-        peak_mb: Largest resident memory since the start.
+        rss_mb: Resident memory in MB.
+        peak_mb: Peak resident memory in MB since the start.
     """
 
     cpu_s: float
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Child:
-    """One process that this benchmark started."""
+    """A process that this benchmark started."""
 
     name: str
     proc: asyncio.subprocess.Process
     log: pathlib.Path
 
     def usage(self) -> Usage:
-        """Return what the process has used so far."""
+        """Return the resources that the process has used so far."""
         stat = pathlib.Path(f"/proc/{self.proc.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         cpu_s = (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
@@ -65,7 +65,7 @@
         return Usage(cpu_s, rss_kb / 1024, peak_kb / 1024)
 
     async def ask(self, question: str) -> dict:
-        """Send a line to a driver and return the JSON it answers with."""
+        """Send a line to a driver process and return its JSON answer."""
         self.proc.stdin.write(f"{question}\n".encode())
         await self.proc.stdin.drain()
         line = await self.proc.stdout.readline()
@@ -75,7 +75,7 @@
         return json.loads(line)
 
     async def stop(self) -> None:
-        """End the process by its own handle and wait for it."""
+        """Terminate the process and wait for it; kill it after a timeout."""
         if self.proc.returncode is None:
             self.proc.terminate()
         try:
@@ -88,33 +88,33 @@
 
 @dataclass(frozen=True, slots=True)
 class CpuUse:
-    """What processes used while something was done.
+    """Processor time that processes used during some work.
 
     Attributes:
         cpu_s: Processor seconds by role.
-        seconds: How long it took.
+        seconds: Duration of the work.
     """
 
     cpu_s: Mapping[str, float]
     seconds: float
 
     def us_per_item(self, count: int, idle: "CpuUse") -> dict[str, float]:
-        """Return microseconds a piece by role, less what rest costs as long.
+        """Return processor microseconds per item and role, without the idle cost.
 
         Args:
-            count: Pieces done.
-            idle: The same processes with nothing done.
+            count: Items processed.
+            idle: Use of the same processes while idle, scaled to the duration.
         """
         idle_cpu_s = {r: self.seconds * s / idle.seconds for r, s in idle.cpu_s.items()}
         return {r: 1e6 * (s - idle_cpu_s[r]) / count for r, s in self.cpu_s.items()}
 
 
 async def measure_cpu(children: Mapping[str, Child], work: Awaitable[object]) -> CpuUse:
-    """Do something and return what processes used meanwhile.
+    """Await some work and return the processor time that processes used meanwhile.
 
     Args:
         children: Processes by role.
-        work: What is awaited.
+        work: Awaited to do the work.
     """
     before = {role: child.usage().cpu_s for role, child in children.items()}
     began = time.monotonic()
@@ -126,7 +126,7 @@
 
 
 def resident_kb(key: str) -> float:
-    """Return this process's own memory now (``VmRSS``) or at most (``VmHWM``)."""
+    """Return this process's current (``VmRSS``) or peak (``VmHWM``) memory in KB."""
     status = pathlib.Path("/proc/self/status").read_text()
     line = next(line for line in status.splitlines() if line.startswith(key))
     return float(line.split()[1])
@@ -134,7 +134,7 @@
 
 @contextlib.contextmanager
 def run_folder():
-    """Yield a folder on disk for settings, logs and data, removed at the end."""
+    """Yield a folder on disk for settings, logs and data; removed at the end."""
     pathlib.Path("run").mkdir(exist_ok=True)
     with tempfile.TemporaryDirectory(dir="run", prefix="slopes-") as name:
         yield pathlib.Path(name).resolve()
@@ -144,11 +144,11 @@
 async def start(
     folder: pathlib.Path, name: str, module: str, *args: str
 ) -> AsyncIterator[Child]:
-    """Run ``python -m module`` with its output in a file, and end it at the end.
+    """Run ``python -m module`` until the block ends, with its output in a file.
 
     Args:
         folder: Folder of the log file.
-        name: Name in messages and of the log file.
+        name: Name for messages and of the log file.
         module: Module to run.
         *args: Its arguments.
     """
@@ -174,11 +174,11 @@
 async def start_driver(
     folder: pathlib.Path, name: str, module: str, *args: str
 ) -> AsyncIterator[Child]:
-    """Run a module whose standard input and output are pipes.
+    """Run a module until the block ends, with pipes as standard input and output.
 
     Args:
         folder: Folder of the file for its standard error.
-        name: Name in messages.
+        name: Name for messages and of that file.
         module: Module to run.
         *args: Its arguments.
     """
--- a/bench/slopes/records.py
+++ b/bench/slopes/records.py
@@ -1,7 +1,7 @@
-"""Cost of what an entry records of each organisation that sends requests.
+"""Cost of the metrics and reports that an entry records per active organisation.
 
-The entry's recording stands alone in a process of its own, with one finished
-request of each organisation.
+The entry's recording code runs in a separate process, with one finished request per
+organisation.
 
 Usage as a driver: ``python -m bench.slopes.records JSON``.
 """
@@ -35,7 +35,7 @@
 
 
 async def measure() -> list[Slope]:
-    """Measure the records of more and more organisations."""
+    """Measure the records of an increasing number of organisations."""
     points: dict[str, list[tuple[float, float]]] = {}
     with run_folder() as folder:
         for size in SIZES:
@@ -69,7 +69,7 @@
 
 
 def main(args: list[str]) -> None:
-    """Answer one line on standard input with the figures."""
+    """Print the figures as JSON after one line on standard input."""
     options = json.loads(args[0])
     sys.stdin.readline()
     print(json.dumps(_figures(options["organisations"])), flush=True)
--- a/bench/slopes/snapshots.py
+++ b/bench/slopes/snapshots.py
@@ -1,7 +1,7 @@
-"""Cost of the claims that are kept, and of the snapshot that holds them.
+"""Cost of stored claims and of the snapshot that contains them.
 
-The state machine stands alone in a process of its own: a snapshot's cost is the
-same on every replica and needs no peer.
+The state machine runs alone in a separate process: the cost of a snapshot is the same
+on every replica and does not involve peers.
 
 Usage as a driver: ``python -m bench.slopes.snapshots JSON``.
 """
@@ -32,7 +32,7 @@
 
 
 async def measure() -> list[Slope]:
-    """Measure the state machine with more and more claims."""
+    """Measure the state machine with an increasing number of claims."""
     points: dict[str, list[tuple[float, float]]] = {}
     with run_folder() as folder:
         for size in SIZES:
@@ -78,7 +78,7 @@
 
 
 def main(args: list[str]) -> None:
-    """Answer one line on standard input with the figures."""
+    """Print the figures as JSON after one line on standard input."""
     options = json.loads(args[0])
     sys.stdin.readline()
     print(json.dumps(_figures(options["claims"])), flush=True)
--- a/bench/slopes/streams.py
+++ b/bench/slopes/streams.py
@@ -1,8 +1,8 @@
 """Cost of open streams, tokens and requests at the entry and at the agent.
 
-The entry is the daemon's own code between plain callers and an agent that sends
-tokens without making them (``bench.relay_roles``). The agent is the daemon with a
-fake engine behind it, and this process is its entry.
+The entry runs the daemon's code between HTTP callers and an agent that sends constant
+tokens (``bench.relay_roles``). The agent is the daemon with a fake engine, and this
+process acts as its entry.
 """
 
 __all__ = ["measure"]
@@ -41,13 +41,12 @@
 ROLES = "bench.relay_roles"
 DONE_EVENT = b"data: [DONE]"
 PROMPT = "side 12"
-# Lengths of prompts, in KB.
 PROMPTS_KB = (1, 8, 16)
 BYTES_PER_KB = 1024
 
 
 async def measure() -> list[Slope]:
-    """Measure the entry with tokens singly and in bursts, then the agent."""
+    """Measure the entry with single tokens and with bursts, then the agent."""
     slopes = []
     for name, burst in (("singly", 1), (f"in bursts of {BURST}", BURST)):
         slopes += await _entry_tokens(name, burst)
@@ -92,7 +91,7 @@
 
 
 async def _entry_run(load: Load, prompt: str = PROMPT) -> tuple[float, float, float]:
-    """Return microseconds used, memory before and memory at most, in MB."""
+    """Return processor microseconds, and memory before and at peak in MB."""
     async with _entry(load) as (child, url):
         before = child.usage()
         work = await measure_cpu({"entry": child}, _call_all(url, load, prompt))
@@ -151,7 +150,7 @@
     body = {"model": MODEL, "prompt": prompt, "stream": True}
     async with http.post(url, json=body) as answer:
         data = await answer.read()
-    # One event a token, one with the count, and the end.
+    # One event per token, one with the token count, and the final one.
     events = data.count(b"data: ")
     if DONE_EVENT not in data or events != tokens + 2:
         raise RuntimeError(
@@ -200,7 +199,7 @@
 
 @contextlib.asynccontextmanager
 async def _chain(control: tuple[str, ...]) -> AsyncIterator[wire.Chain]:
-    """Yield a chain that is ready, as an entry learns it."""
+    """Yield a ready chain, received from the control replicas as by an entry."""
     client = ControlClient(
         node_id="bench", role="entry", addresses=control, clock=SystemClock()
     )
@@ -222,7 +221,7 @@
 
 
 async def _dispatch(chain: wire.Chain, count: int, tokens: int) -> None:
-    """Open dispatches together on one stream and read all their tokens."""
+    """Open concurrent dispatches on one stream and read all their tokens."""
     head = chain.stages[0]
     async with open_channel(head.address) as channel:
         call = wire_pb2_grpc.AgentStub(channel).Dispatch()
--- a/bench/slopes/watch_load.py
+++ b/bench/slopes/watch_load.py
@@ -1,11 +1,11 @@
-"""A process that holds many watch streams and counts what comes on them.
+"""Process that holds many watch streams and counts the messages on them.
 
-Each stream has a connection of its own, says hello and then sends heartbeats, as
-entries and agents do. Messages are counted as bytes and only small ones are read,
-so that this side stays cheap.
+Each stream has its own connection, sends a hello and then heartbeats, as entries and
+agents do. Only small messages are parsed, of larger ones the bytes are counted, so that
+the process itself uses little processor time.
 
-Usage: ``python -m bench.slopes.watch_load JSON``. Answers each line on standard
-input with one line of JSON, and ends with its input.
+Usage: ``python -m bench.slopes.watch_load JSON``. Answers each line on standard input
+with its counts as one line of JSON, and exits when standard input is closed.
 """
 
 __all__ = ["main"]
@@ -21,26 +21,27 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 WATCH = "/wigeonscale.v1.Control/Watch"
-# Larger messages are whole documents or memberships.
+# Larger messages are complete documents or memberships.
 MAX_PARSED_BYTES = 8192
 
 
 @dataclass(slots=True)
 class Counts:
-    """What all streams together sent and got.
+    """Totals of all streams.
 
     Attributes:
-        streams: Streams that hold a first lease.
+        streams: Streams that have received their first lease.
         bytes_in: Message bytes received.
         messages_in: Messages received.
         bytes_out: Message bytes sent.
         messages_out: Messages sent.
         config_bytes: Bytes of small messages with a configuration delta.
         member_bytes: Bytes of small messages with a membership delta.
-        large_bytes: Bytes of whole documents and memberships.
-        members_index: Position of the first whole membership received.
-        all_leased_at: When the last stream got its first lease, monotonic seconds.
-        reached: For each revision the streams that hold it, and when the last did.
+        large_bytes: Bytes of complete documents and memberships.
+        members_index: Log index of the first complete membership received.
+        all_leased_at: Time of the latest first lease, in monotonic seconds.
+        reached: For each revision the number of streams that have it, and the time at
+            which the last one received it.
     """
 
     streams: int = 0
@@ -83,7 +84,7 @@
     await _send(call, counts, hello=hello)
     if options["role"] == "agent":
         await _send(call, counts, announce=backend(name))
-    # Spread, as streams of separate processes are.
+    # Spread the heartbeats over time, as those of separate processes are.
     await asyncio.sleep(options["heartbeat_s"] * number / options["count"])
     while True:
         heartbeat = wire.Heartbeat(sent_us=int(time.monotonic() * 1e6))
@@ -133,7 +134,7 @@
 
 
 def main(args: list[str]) -> None:
-    """Hold streams until standard input ends."""
+    """Hold streams until standard input is closed."""
     asyncio.run(_run(json.loads(args[0])))
 
 
--- a/bench/slopes/watchers.py
+++ b/bench/slopes/watchers.py
@@ -1,4 +1,4 @@
-"""Cost of a watch stream at rest, at the replica that serves it."""
+"""Cost of an idle watch stream at the replica that serves it."""
 
 __all__ = ["measure"]
 
@@ -21,7 +21,7 @@
 
 
 async def measure() -> list[Slope]:
-    """Measure entries' streams, then agents', on one replica of three."""
+    """Measure streams of entries, then of agents, on one replica of three."""
     return [*await _by_role("entry"), *await _by_role("agent")]
 
 
@@ -60,15 +60,17 @@
     name: str = "w",
     **known: int,
 ):
-    """Hold watch streams on one replica; yields the drivers once all have leases.
+    """Hold watch streams on one replica until the block ends.
+
+    Yields the driver processes once all streams have leases.
 
     Args:
         group: The control replicas.
-        replica: Position of the one to watch.
+        replica: Index of the replica to watch.
         count: Number of streams.
-        role: What they say they are.
-        name: How their names begin.
-        **known: What their hello says that they know from another replica.
+        role: Role that the streams report in their hello.
+        name: Prefix of their node names.
+        **known: Fields of the hello that tell which state they have already.
     """
     async with contextlib.AsyncExitStack() as stack:
         drivers = []
@@ -98,7 +100,7 @@
 
 
 async def total_counts(drivers: list[Child]) -> dict:
-    """Return the counts of several drivers together."""
+    """Return the merged counts of several drivers."""
     answers = [await driver.ask("counts") for driver in drivers]
     keys = ("streams", "bytes_in", "messages_in", "bytes_out", "messages_out")
     keys += ("config_bytes", "member_bytes", "large_bytes")
