--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: figures beside plain baselines, with bounds on counts and ratios."""
+"""Benchmarks against simple baselines, with bounds on counts and ratios."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,7 +1,7 @@
 """Runs every benchmark module; ``make bench`` calls it.
 
-Usage: ``python -m bench [module ...]``. A benchmark module stands in this folder
-and has ``measure() -> list[Figure]``.
+Usage: ``python -m bench [module ...]``. A benchmark module is a module
+of this package that defines ``measure() -> list[Figure]``.
 """
 
 __all__ = ["main"]
@@ -31,13 +31,13 @@
 
 
 def main(argv: list[str]) -> int:
-    """Measure the named modules, or all, and return the exit code.
+    """Run the named benchmark modules, or all of them, and return the exit code.
 
     Args:
         argv: Module names within ``bench``; empty for all.
 
     Returns:
-        0 when every bound holds, else 1.
+        0 when every figure is within its bounds, else 1.
     """
     parser = argparse.ArgumentParser(prog="bench", description=__doc__)
     known = ", ".join(MODULES)
--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -1,8 +1,8 @@
-"""Engines that announce themselves one by one: loads, time to serve, rate reached.
+"""Start of engines one by one: loads, time until all serve, throughput reached.
 
-The chains are planned as the control daemon does it, at once or after announcements
-have settled. The store gives its layers evenly to the loads in progress; a load that
-has begun is not taken back.
+Chains are planned as in the control daemon, either at once or after no new engine has
+been announced for a settle time. The store divides its throughput evenly among the
+loads in progress; a load that has begun is not cancelled.
 """
 
 __all__ = ["SettlePolicy", "measure"]
@@ -25,16 +25,16 @@
 from wigeonscale.rules.model import Pipeline
 
 ORDERS_PER_SCENARIO = 4
-TICK_S = 0.05
+TICK_S = 0.05  # virtual time per simulation step
 TIMEOUT_S = 600.0
-MAX_CONCURRENT_LOADS = 4  # concurrent loads, the default of the control daemon
-STORE_LAYERS_PER_S = 20.0  # layers per second, all loads together
+MAX_CONCURRENT_LOADS = 4  # the default of the control daemon
+STORE_LAYERS_PER_S = 20.0  # all loads together
 REBUILD_AFTER_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class SettlePolicy:
-    """How new chains wait for announcements."""
+    """How long new chains wait for further announcements."""
 
     name: str
     settle_s: float
@@ -42,30 +42,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Engines of one pipeline that start about together."""
+    """Engines of one pipeline that start at about the same time."""
 
     name: str
     engines: tuple[EngineSpec, ...]
     pipeline: Pipeline
     max_gap_s: float  # longest time between two announcements
-    initial_engines: int = 1  # engines that stand when the rules take force
+    initial_engines: int = 1  # engines already announced when the rules apply
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What one order of announcements led to."""
+    """Result of one order of announcements."""
 
     loads: int = 0
     ready_s: float = TIMEOUT_S  # from the last announcement until all replicas serve
-    stable_s: float = TIMEOUT_S  # until chains are rebuilt no longer
-    rate: float = 0.0  # of the bound, in the end
+    stable_s: float = TIMEOUT_S  # until no chain is rebuilt any more
+    rate: float = 0.0  # final rate as a share of the hardware bound
 
 
 SETTLE_POLICIES = (SettlePolicy("at-once", 0.0), SettlePolicy("settled", 0.5))
 
 
 def measure() -> list[Figure]:
-    """Return loads, time and rate of each way and scene, mean over the orders."""
+    """Return loads, times and rate per policy and scenario, averaged over orders."""
     figures = []
     for scenario in scenarios():
         for policy in SETTLE_POLICIES:
@@ -80,7 +80,7 @@
 
 
 def scenarios() -> list[Scenario]:
-    """Return the demonstration, and one deployment starting fast and slowly."""
+    """Return the demo's engines, and a deployment that starts fast or slowly."""
     demo = tuple(
         EngineSpec(f"e{number}", 1, "", f"d{number % 3}", layer_capacity=4)
         for number in range(6)
@@ -124,7 +124,7 @@
 
 
 class _Clock:
-    """Time of one run."""
+    """Virtual clock of one run."""
 
     def __init__(self):
         self.time_s = 0.0
@@ -134,7 +134,7 @@
 
 
 class _Run:
-    """One order of announcements under one way."""
+    """One order of announcements under one settle policy."""
 
     def __init__(self, *, scenario: Scenario, policy: SettlePolicy):
         self.scenario = scenario
@@ -144,7 +144,9 @@
         )
         self.engines: dict[str, EngineSpec] = {}
         self.chains: Sequence[ChainPlan] = ()
-        self.loading: dict[str, list] = {}  # agent: first and last layer, layers left
+        self.loading: dict[
+            str, list
+        ] = {}  # by agent: first layer, last layer, layers left
         self.loads = 0
         self._planned_from = None
         self._index = 0
@@ -206,19 +208,19 @@
         return whole and len(self.serving()) == len(self.chains)
 
     def is_stable(self) -> bool:
-        """Return whether nothing will change unless an engine comes or goes."""
+        """Return whether the plan stays as it is until an engine joins or leaves."""
         engines = list(self.engines.values())
         planned = self._planned_from == (engines, (True, True))
         return planned and self.is_ready() and not self.loading
 
 
 def run(scenario: Scenario, policy: SettlePolicy, seed: int) -> Outcome:
-    """Let engines announce themselves in an order of their own and wait for all.
+    """Announce the engines in random order and wait until the plan is stable.
 
     Args:
         scenario: Engines and pipeline.
-        policy: How new chains wait.
-        seed: Seed of the order and of the gaps.
+        policy: How long new chains wait for announcements.
+        seed: Seed of the order and of the gaps between announcements.
     """
     rng = random.Random(seed)
     order = rng.sample(scenario.engines, len(scenario.engines))
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Plain ways to choose a backend server, to hold the project's own against."""
+"""Baseline policies for the choice of backend server."""
 
 __all__ = ["LeastConnections", "RoundRobin"]
 
@@ -10,11 +10,12 @@
 
 
 class RoundRobin:
-    """Takes the servers in turn.
+    """Chooses the servers in rotation.
 
     Args:
         candidates: The servers.
-        first: Turn to begin with, so that entries do not go in step.
+        first: Starting position; entries differ in it so that they do not choose
+            the same server at the same time.
     """
 
     def __init__(self, *, candidates: Sequence[Candidate], first: int):
@@ -26,13 +27,13 @@
 
 
 class LeastConnections:
-    """Takes the server with the fewest own requests in progress, any of several.
+    """Chooses the server with the fewest requests of this entry in flight.
 
     Args:
         candidates: The servers.
-        table: Counts the own requests in progress.
-        rng: Chooses among equals.
-        weighted: Whether to divide by the server's rate.
+        table: Counts the entry's requests in flight.
+        rng: Breaks ties.
+        weighted: Whether counts are divided by the server's rate.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         self._weighted = weighted
 
     def choose(self, prefix: bytes) -> Candidate:
-        """Return the server with the fewest own requests."""
+        """Return the server with the fewest requests in flight."""
         return min(self._candidates, key=self._cost)
 
     def _cost(self, candidate: Candidate) -> tuple[float, float]:
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -1,7 +1,8 @@
-"""Weight loads: order of loading from a rate-limited store, joins and repairs at once.
+"""Order of weight loads from a rate-limited store, with simultaneous joins and repairs.
 
-The store gives its layers evenly to the loads in progress. A load that has begun is
-not taken back. Every order is asked anew at each event, as the control daemon does.
+The store divides its throughput evenly among the loads in progress. A load that has
+begun is not cancelled. The order is computed again at each event, as in the control
+daemon.
 """
 
 __all__ = ["measure"]
@@ -16,14 +17,14 @@
 
 SEED = 20261202
 RUNS = 40
-MAX_CONCURRENT_LOADS = 4  # concurrent loads, the default of the control daemon
-STORE_LAYERS_PER_S = 4.0  # layers per second, all loads together
+MAX_CONCURRENT_LOADS = 4  # the default of the control daemon
+STORE_LAYERS_PER_S = 4.0  # all loads together
 PIPELINES = ("corrections", "assistant", "notes")
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A chain that placement adds, or repairs, at an instant."""
+    """A chain that placement adds or repairs at ``at_s``."""
 
     at_s: float
     chain: ChainPlan
@@ -32,9 +33,9 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What one order of loading led to."""
+    """Result of one order of loads."""
 
-    unserved: float = 0.0  # steps that were wanted and not served
+    unserved: float = 0.0  # demanded steps that were not served
     ready_s: dict[str, float] = field(default_factory=dict)  # by chain
 
 
@@ -43,7 +44,7 @@
 
 
 def measure() -> list[Figure]:
-    """Return unserved work and waits of each order, as ratios to first come."""
+    """Return unserved work and waits of each order, as ratios to the first."""
     orders = {
         "first-come-stage": _first_come_stage,
         "first-come-chain": _first_come_chain,
@@ -94,7 +95,7 @@
 
 
 def _every_pipeline_s(outcome, scenario):
-    """Return when the last of the pipelines had its first chain serving."""
+    """Return the time by which every pipeline had a serving chain."""
     first = {}
     for arrival in scenario:
         ready_s = outcome.ready_s[arrival.chain.chain_id]
@@ -104,7 +105,7 @@
 
 
 def _scenario(rng: random.Random) -> list[Arrival]:
-    """Return eight repairs and eight joins, within seconds, over three pipelines."""
+    """Return 8 repairs and 8 joins of three pipelines within 10 seconds."""
     arrivals = []
     for number in range(16):
         stages = _stages(rng, number)
@@ -127,7 +128,7 @@
     first = 0
     while first < 40:
         last = min(39, first + rng.randint(3, 15))
-        # Agents attach in no order of theirs.
+        # Random ids: agents attach in no particular order.
         agent_id = f"engine-{rng.randrange(10**6):06}-{number}"
         stages.append(StagePlan(agent_id, 1, "", "a", first, last))
         first = last + 1
@@ -192,7 +193,7 @@
 
 
 def _first_come_stage(present, loaded, loading):
-    """Order by when a load was asked for, chains of one instant by agent."""
+    """Order by the second in which a load was requested, then by agent id."""
     pairs = [
         (int(arrival.at_s), pair)
         for arrival in present
@@ -207,7 +208,7 @@
 
 
 def _fewest_stages(present, loaded, loading):
-    """Chains with the fewest stages to load first, idle pipelines before others."""
+    """Order by fewest missing stages, pipelines without a serving chain first."""
     served = {a.chain.pipeline for a in present if a.missing <= loaded}
     ranked = []
     for arrival in present:
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,7 +1,7 @@
-"""Goodput, fairness and the end of retry storms under overload.
+"""Goodput, fairness and recovery from retry storms under overload.
 
-Each figure stands beside that of the same run with plain decisions: first come,
-first served, nothing refused, round robin, failures retried at once.
+Each figure is reported beside the same run with baseline policies: first come, first
+served, no admission control, round robin, immediate retries.
 """
 
 __all__ = ["measure"]
@@ -33,12 +33,13 @@
 STORM_WINDOW_S = 5.0
 STABLE_ATTEMPTS_PER_REQUEST = 1.1
 FAILING_SERVER_LOADS = (0.3, 0.6, 0.8)
-# Load and the longest time after the domain's return until it is calm again.
+# Load, and the longest time allowed from the end of the outage until the attempts per
+# request are back to normal.
 MAX_RECOVERY_S_BY_LOAD = ((0.6, 0.0), (0.75, 15.0), (0.9, 90.0))
 
 
 def measure() -> list[Figure]:
-    """Return the figures of the decisions under overload."""
+    """Return the figures of admission, routing and retries under overload."""
     return [
         *_goodput_figures(),
         *_guard_figures(),
@@ -143,7 +144,7 @@
 
 
 def _failing_server_figures() -> Iterator[Figure]:
-    # The first server fails every request at once, so that it never has any load.
+    # The first server fails every request immediately, so that it never has any load.
     for load in FAILING_SERVER_LOADS:
         for own in (True, False):
             outcome = Run(
@@ -165,7 +166,10 @@
 
 
 def _stable_at_s(outcome: Outcome) -> float:
-    """Return the end of the last window with too many attempts per request."""
+    """Return the end of the last window with too many attempts per request.
+
+    Seconds of virtual time; 0.0 if no window has too many.
+    """
     stable_at_s = 0.0
     start = OUTAGE_S[0]
     while start < STORM_DURATION_S:
--- a/bench/overload_run.py
+++ b/bench/overload_run.py
@@ -1,8 +1,8 @@
-"""Runs of admission, fair queueing and retries against a few small queues.
+"""Simulation of admission, fair queueing and retries, on queues with a virtual clock.
 
-The servers' admission, the entries' choice and the retry budget are the daemons'
-own. The plain run has none of them: first come, first served, no refusal, round
-robin over the servers not known to be lost, every failure retried at once.
+The project's run uses the daemons' admission, choice of server and retry budget. The
+baseline run has none of them: first come, first served, no admission control, round
+robin over the servers not known to be down, immediate retry of every failure.
 """
 
 __all__ = ["CAPACITY_RPS", "Load", "Outcome", "Run"]
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Requests of one organisation.
+    """Request rate of one organisation.
 
     Attributes:
         organisation: Its name.
         rate: Requests per second.
-        returns: Times that a caller comes back after a refusal or a timeout.
+        caller_retries: How often a caller retries after a refusal or a timeout.
     """
 
     organisation: str
@@ -49,7 +49,17 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What one run gave."""
+    """Result of one run; times are seconds of virtual time.
+
+    Attributes:
+        answered: Time, organisation and response time of each complete answer that
+            met its deadline.
+        submitted_at: Arrival times, without retries of callers.
+        dispatched_at: Times of the attempts.
+        refused: Requests refused.
+        retry_afters: Delays that refused callers were told, in seconds.
+        late: Requests that missed their deadline.
+    """
 
     answered: list[tuple[float, str, float]] = field(default_factory=list)
     submitted_at: list[float] = field(default_factory=list)
@@ -59,12 +69,12 @@
     late: int = 0
 
     def goodput(self, start: float, end: float) -> float:
-        """Return whole answers in time per second, between two times."""
+        """Return the complete answers in time per second, between two times."""
         count = sum(start <= at < end for at, _, _ in self.answered)
         return count / (end - start)
 
     def response_times(self, organisations: Sequence[str], start: float) -> list[float]:
-        """Return the seconds to the whole answer of those answered after a time."""
+        """Return the response times, in seconds, of answers given after ``start``."""
         return [
             seconds
             for at, organisation, seconds in self.answered
@@ -73,17 +83,17 @@
 
 
 class Run:
-    """One run.
+    """One simulation.
 
     Args:
-        own: Whether the project's decisions are made, or plain ones.
-        loads: What the organisations send.
-        duration_s: Seconds in which new requests come.
-        lost: Start and end of the loss of the last domain, or None.
-        sick: Time from which the first server fails every request at once,
-            or infinity for never.
-        knee: Requests at once beyond which a server's throughput falls.
-        guarded: Whether concurrency is guarded.
+        own: Whether the project's policies are used; otherwise the baselines.
+        loads: Request rates of the organisations.
+        duration_s: Virtual time that is simulated, in seconds.
+        outage: Start and end of an outage of the last failure domain, or None.
+        failing_from_s: Time from which the first server fails every request
+            immediately; infinity for never.
+        knee: Concurrency above which a server's throughput falls.
+        guarded: Whether a :class:`ConcurrencyGuard` limits the concurrency.
     """
 
     def __init__(
@@ -116,7 +126,7 @@
         )
         self._epochs = [0] * SERVERS
         self._servers = [self._new_server(i) for i in range(SERVERS)]
-        # Dicts, since the order of a set would differ between runs.
+        # Dicts instead of sets, whose order would differ between runs.
         self._in_flight: list[dict[Request, None]] = [{} for _ in range(SERVERS)]
         for load in loads:
             rng = random.Random(f"{SEED} {load.organisation}")
@@ -124,7 +134,7 @@
         self._clock.call_at(self._outage[0], self._start_outage)
 
     def outcome(self) -> Outcome:
-        """Run to the end."""
+        """Run the simulation and return its outcome."""
         self._clock.run(self._duration_s)
         return self._outcome
 
@@ -132,7 +142,7 @@
         epoch = self._epochs[index]
 
         def done(req: Request, complete: bool = True, expired: bool = False) -> None:
-            # What a lost server had begun is lost with it.
+            # Requests that a server had begun before its outage never complete.
             if self._epochs[index] == epoch:
                 self._done(req, complete=complete, expired=expired)
 
@@ -224,7 +234,7 @@
             return
         req.ended = True
         self._outcome.late += 1
-        # Nobody told the caller when to come back.
+        # Without an answer there is no Retry-After; the load balancer retries soon.
         self._schedule_caller_retry(req, BALANCER_RETRY_DELAY_S)
 
     def _schedule_caller_retry(self, req: Request, seconds: float) -> None:
@@ -239,7 +249,8 @@
         if req.ended:
             return
         if expired:
-            # Told at once, with the wait as the time to come back after.
+            # An expired request is refused at once, with the queueing time as its
+            # Retry-After.
             self._refuse(req, max(1.0, self._servers[req.server].load(0.0).wait_s))
             return
         now = self._clock.now()
--- a/bench/overload_server.py
+++ b/bench/overload_server.py
@@ -1,4 +1,4 @@
-"""A small queue at the engine port behind the agent's own admission."""
+"""Simulated backend server behind the agent's admission control."""
 
 __all__ = ["SLOTS", "AdmittingServer", "Request"]
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request of a caller, over all its attempts."""
+    """One request of a caller, with the state of all its attempts."""
 
     organisation: str
     work_s: float
@@ -35,14 +35,14 @@
 
 
 class AdmittingServer:
-    """A server behind the agent's own admission.
+    """A server behind the agent's admission control.
 
     Args:
         clock: Virtual clock.
-        rng: Spreads the times at which refused requests come back.
-        done: Called with a request that has ended.
-        knee: Requests at once beyond which the throughput falls.
-        guard: Limits the requests at once, or None.
+        rng: Adds jitter to the Retry-After delays of refused requests.
+        done: Called with each ended request.
+        knee: Concurrency above which the throughput falls.
+        guard: Limits the concurrency, or None.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self.admission.push(req)
 
     def load(self, lag_s: float) -> SimpleNamespace:
-        """Return the load word."""
+        """Return the current load, with the fields of the message ``LoadWord``."""
         return SimpleNamespace(
             running=self.admission.running,
             queued=self.admission.queued,
@@ -98,7 +98,7 @@
         self._clock.call_later(
             req.work_s * slowdown, lambda: self._end(req, number, complete=True)
         )
-        # The entry cancels at the deadline.
+        # The entry cancels the request at its deadline.
         self._clock.call_at(
             req.deadline, lambda: self._end(req, number, complete=False)
         )
--- a/bench/paired_runs.py
+++ b/bench/paired_runs.py
@@ -1,4 +1,4 @@
-"""Plays of days, paired by way: what a comparison of ways reads and reckons."""
+"""Results of benchmark runs and their paired differences between variants."""
 
 __all__ = [
     "DayRun",
@@ -21,7 +21,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-# Two-sided 95 % points of Student's t by degrees of freedom; beyond the last, 1.96.
+# Two-sided 95 % quantiles of Student's t for 1, 2, ... degrees of freedom; beyond the
+# end of the table the quantile of the normal distribution is used.
 T_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18)
 NORMAL_95 = 1.96
 VARIANT_PATTERN = re.compile(
@@ -31,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Variant:
-    """One way of a decision.
+    """One variant of the code.
 
     Attributes:
         name: Its name in rows and tables.
-        revision: Commit that it starts from.
-        constants: File, name and value of each constant that differs there.
+        revision: Commit that is checked out.
+        constants: File, name and new value of each constant that is changed.
     """
 
     name: str
@@ -46,17 +47,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DayRun:
-    """One play of a day.
+    """Result of one run of a day, as stored in a row.
 
     Attributes:
-        site: Name of the deployment's file, without its folder.
-        day: Name of the day.
-        seed: Its seed.
-        way: Name of the way.
-        worth: Figure of the whole day, prices taken off.
-        parts: Parts of that figure by name, before prices.
+        site: Name of the deployment's file, without folder and suffix.
+        day: Name of the scenario day.
+        seed: Seed of the run.
+        way: Name of the variant.
+        worth: Score of the whole day after subtraction of the prices.
+        parts: Parts of the score by name, before prices.
         prices: Sum of the prices.
-        broken: Rules that were broken; empty for none.
+        broken: Rules that were broken, with counts; empty for none.
     """
 
     site: str
@@ -70,20 +71,21 @@
 
     @property
     def case(self) -> tuple[str, str, int]:
-        """What pairs it with the plays of other ways."""
+        """Deployment, day and seed, by which runs of different variants are paired."""
         return self.site, self.day, self.seed
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Difference:
-    """Mean of the paired differences of a way from the first one.
+    """Mean paired difference of a variant from the first variant.
 
     Attributes:
         variant: Name of the variant.
-        site: Deployment; empty for all together.
-        pairs: How many pairs.
+        site: Deployment; empty for all deployments together.
+        pairs: Number of pairs.
         mean: Mean difference in worth.
-        spread: Half of the 95 % interval; infinite for one pair.
+        half_width: Half the width of the 95 % confidence interval; infinite for a
+            single pair.
     """
 
     variant: str
@@ -94,18 +96,18 @@
 
     @property
     def is_significant(self) -> bool:
-        """Whether the interval lies on one side of 0."""
+        """Whether the confidence interval excludes 0."""
         return abs(self.mean) > self.half_width
 
 
 def parse_variant(text: str) -> Variant:
-    """Return the way that an argument names.
+    """Parse a ``--way`` argument.
 
     Args:
         text: ``NAME=REVISION`` and, for each constant, ``:FILE:CONSTANT=VALUE``.
 
     Raises:
-        argparse.ArgumentTypeError: It reads otherwise.
+        argparse.ArgumentTypeError: The text does not have this form.
 
     Example:
         >>> parse_variant("new=HEAD:a.py:LIMIT_S=0.2").constants
@@ -129,10 +131,10 @@
 
 
 def set_constant(source: str, name: str, value: str) -> str:
-    """Return source code with another value of a constant of one line.
+    """Return source code with the value of a one-line constant replaced.
 
     Raises:
-        ValueError: No such constant stands there, or more than one.
+        ValueError: The constant is not set on exactly one line.
     """
     changed, count = re.subn(
         rf"^{re.escape(name)} = .*$", f"{name} = {value}", source, flags=re.MULTILINE
@@ -143,11 +145,14 @@
 
 
 def differences(runs: Iterable[DayRun], variants: Sequence[str]) -> list[Difference]:
-    """Return how the other ways differ from the first, by site and over all.
+    """Return the differences of the other variants from the first.
 
     Args:
-        runs: All runs; those without a partner are left out.
-        variants: Names; the first is the one that the others are compared with.
+        runs: All runs; runs without a counterpart are ignored.
+        variants: Names of variants; the first is the baseline.
+
+    Returns:
+        One difference per variant and deployment, then one over all deployments.
     """
     by_variant: dict[str, dict[tuple[str, str, int], DayRun]] = {
         name: {} for name in variants
@@ -188,7 +193,7 @@
 
 
 def read_report(report: dict, *, site: str, day: str, seed: int, way: str) -> DayRun:
-    """Return the play that a report of the bench tells of."""
+    """Return the run that a report of the users' benchmark describes."""
     broken = [f"{rule} {count}" for rule, count in report["breaks"].items() if count]
     if report["fault"]:
         broken.append(str(report["fault"]))
@@ -205,14 +210,14 @@
 
 
 def read_rows(path: pathlib.Path) -> list[DayRun]:
-    """Return the plays of a file of rows; none if there is no file."""
+    """Read the runs of a file of JSON lines; none if the file does not exist."""
     if not path.exists():
         return []
     return [DayRun(**json.loads(line)) for line in path.read_text().splitlines()]
 
 
 def format_tables(runs: Sequence[DayRun], variants: Sequence[str]) -> str:
-    """Return the tables of a comparison as text."""
+    """Return the table of scores and the list of differences as text."""
     lines = [
         f"{'site':32}{'day':12}{'seed':>5} " + "".join(f"{w:>12}" for w in variants)
     ]
--- a/bench/pipeline.py
+++ b/bench/pipeline.py
@@ -1,10 +1,10 @@
-"""Throughput of a chain against its stage bound, and recovery of its streams.
+"""Throughput of a chain against its upper bound, and recovery of its streams.
 
-Three stages of equal engines, all in one process on loopback. The bound is an
-engine that is never idle and always runs a third of the sequences. The baseline
-keeps a single iteration in flight, as a plain token loop does. Engines are taken in
-two kinds: time per sequence, which is how engines announce their rate, and time per
-iteration whatever its size, where fewer and larger iterations are better.
+Three stages with equal engines run in one process on loopback. The bound assumes that
+no engine is ever idle and each iteration runs a third of the sequences. The baseline
+keeps a single iteration in flight, as a simple token loop does. Two cost models of
+engines are measured: time per sequence, which is how engines announce their rate, and
+a fixed time per iteration, where fewer and larger iterations are better.
 """
 
 __all__ = ["CleanupStack", "measure"]
@@ -29,10 +29,10 @@
 SEQUENCES = 64
 TOKENS = 60
 ITERATION_S = 0.02
-"""Seconds of an iteration, or of one with a third of the sequences."""
+"""Seconds of an iteration; with costs per sequence, of one with a third of them."""
 PER_SEQUENCE_S = ITERATION_S * STAGES / SEQUENCES
 MAX_TOKENS_PER_S = SEQUENCES / STAGES / ITERATION_S
-"""Tokens per second with engines of either kind never idle."""
+"""Tokens per second if engines are never idle, in either cost model."""
 MIN_BUSY_RATIO = 0.9
 RECOVERY_RUNS = 20
 FAULT_POSITION = 20
@@ -84,23 +84,23 @@
 
 
 class CleanupStack:
-    """Stands in for a test case where one is asked for."""
+    """Collects asynchronous cleanups, with the interface of a test case."""
 
     def __init__(self):
         self._functions = []
 
     def addCleanup(self, function, *args):  # noqa: N802
-        """Call a function at the end; the last one added goes first."""
+        """Register a coroutine function; the last one added is called first."""
         self._functions.append((function, args))
 
     async def run(self):
-        """Call them all."""
+        """Call all registered functions."""
         for function, args in reversed(self._functions):
             await function(*args)
 
 
 class _ThroughputRun:
-    """What one throughput run showed."""
+    """Result of one throughput run: busy share, tokens per second, messages."""
 
     def __init__(self, *, nodes, client, seconds: float):
         iterations = nodes[0].engine.iterations
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,4 +1,4 @@
-"""Placement: planned throughput against the hardware bound and an equal split."""
+"""Planned throughput against the hardware bound and an equal split of layers."""
 
 __all__ = ["measure"]
 
@@ -29,7 +29,7 @@
 
 
 def measure() -> list[Figure]:
-    """Return achieved/bound of every case beside an equal split, and plan times."""
+    """Return planned rate/bound and equal split/bound per case, and plan times."""
     figures = []
     for case in hard_cases():
         figures += _ratios(case)
@@ -90,7 +90,7 @@
 
 
 def _equal_split(engines, pipeline) -> float:
-    """Return the sum of rates of equal ranges over engines in order of announcement."""
+    """Return the total rate of equal layer ranges over engines in announced order."""
     size = len(engines) // pipeline.replicas
     groups = [
         engines[index * size : (index + 1) * size] for index in range(pipeline.replicas)
@@ -115,7 +115,7 @@
 
 
 def _worst_of_pools() -> list[Figure]:
-    """Place today's deployments on other draws of kinds, domains and links."""
+    """Plan both deployments on random draws of kinds, domains and link rates."""
     ratios = {}
     for seed in range(RANDOM_POOLS):
         for case in deployments(seed):
@@ -129,7 +129,10 @@
 
 
 def _after_lost_domain() -> list[Figure]:
-    """Lose a whole domain under chains that serve; plan at once, then to the end."""
+    """Remove a whole failure domain from a serving plan and replan until stable.
+
+    The first plan, made immediately, may not rebuild chains that serve.
+    """
     case = hard_cases()[0]
     before = _plan(case.pipeline, case.engines)
     remaining = without_domain(_loaded(case.engines, before), JUTLAND_DOMAINS[0])
@@ -155,7 +158,7 @@
 
 
 def _loaded(engines, plan):
-    """Return the engines with the layers loaded that a plan wants."""
+    """Return the engines with the layers of a plan loaded."""
     wanted = {stage.agent_id: stage for chain in plan.chains for stage in chain.stages}
     return [
         replace(
@@ -170,7 +173,7 @@
 
 
 def _plan_until_stable(pipeline, engines, plan):
-    """Load and plan again until nothing changes; return the plan and the rounds."""
+    """Load and replan until nothing changes; return the plan and the rounds."""
     for step in range(MAX_REPLANS):
         engines = _loaded(engines, plan)
         again = _plan(pipeline, engines, chains=plan.chains, base_index=step + 3)
@@ -181,7 +184,7 @@
 
 
 def _repairs(spares: int) -> list[Figure]:
-    """Lose each engine in turn under a standing plan and plan again."""
+    """Remove each used engine in turn from a plan and replan."""
     case = hard_cases()[0]
     before = _plan(case.pipeline, case.engines, spares=spares)
     used = {stage.agent_id for chain in before.chains for stage in chain.stages}
--- a/bench/placement_pools.py
+++ b/bench/placement_pools.py
@@ -1,4 +1,4 @@
-"""Pools of engines that placement is measured on; fixed seeds."""
+"""Pools of engines for the placement benchmarks, drawn with fixed seeds."""
 
 __all__ = [
     "Case",
@@ -31,7 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceleratorKind:
-    """A kind of accelerator: layer-steps per second, layers held."""
+    """A kind of accelerator.
+
+    Attributes:
+        name: Its name.
+        layer_rate: Layer-steps per second.
+        layer_capacity: Layers that fit into its memory.
+    """
 
     name: str
     layer_rate: float
@@ -48,7 +54,7 @@
 
 
 def hard_cases() -> list[Case]:
-    """Return today's deployments and the hard cases."""
+    """Return the two current deployments and variations that are hard to place."""
     korrekturhuset, vltava = deployments(SEED)
     jutland = korrekturhuset.engines
     scarce = _pool(SEED, JUTLAND_DOMAINS, {LARGE: 2, MIDDLE: 19, SMALL: 19})
@@ -88,7 +94,7 @@
 
 
 def deployments(seed: int) -> tuple[Case, Case]:
-    """Return pools of the size of today's two deployments."""
+    """Return pools of the size of the two current deployments."""
     jutland = _pool(seed, JUTLAND_DOMAINS, {LARGE: 12, MIDDLE: 16, SMALL: 12})
     bohemia = _pool(seed, BOHEMIA_DOMAINS, {LARGE: 6, MIDDLE: 22, SMALL: 12})
     forty_layers = Pipeline(name="corrections", model="m", layers=40, replicas=5)
@@ -100,7 +106,7 @@
 
 
 def _pool(seed, domains, counts) -> tuple[EngineSpec, ...]:
-    """Return engines of the given kinds, spread over domains, with mixed links."""
+    """Return engines of the given kinds, spread over domains, with mixed link rates."""
     rng = random.Random(seed)
     kinds = [kind for kind, count in counts.items() for _ in range(count)]
     rng.shuffle(kinds)
@@ -132,7 +138,7 @@
 def without_domain(
     engines: Sequence[EngineSpec], domain: str
 ) -> tuple[EngineSpec, ...]:
-    """Return the engines outside a domain."""
+    """Return the engines outside a failure domain."""
     return tuple(engine for engine in engines if engine.domain != domain)
 
 
--- a/bench/planned_stops.py
+++ b/bench/planned_stops.py
@@ -1,9 +1,9 @@
-"""Planned stops of the leading control replica: pause, terms and commands.
+"""Planned stops of the control leader: write pause, terms, exit codes.
 
-Three control processes on loopback with their logs on disk; the leader gets a
-SIGTERM and is started again, twenty times, while changes of the rules document are
-submitted one after another. Bounds stand on terms, on what became of the changes
-and on exit codes; times are reported.
+Three control processes run on loopback with their logs on disk. The leader is stopped
+by SIGTERM and restarted, twenty times, while changes of the rules document are
+submitted one after another. Bounds are on terms and exit codes, and a lost or
+duplicated change is an error; times are only reported.
 """
 
 __all__ = ["measure"]
@@ -30,7 +30,7 @@
 TIMEOUT_S = 60.0
 POLL_S = 0.02
 WRITE_PAUSE_S = 0.005
-SETTLE_S = 1.0  # of writing, before each stop and after it
+SETTLE_S = 1.0  # writing continues this long before and after each stop
 MS_PER_S = 1000
 
 
@@ -38,7 +38,7 @@
     """Control processes that replicate one log.
 
     Args:
-        folder: Settings, logs and data.
+        folder: Parent of the settings, logs and data.
     """
 
     def __init__(self, *, folder: pathlib.Path):
@@ -62,7 +62,7 @@
         self.children[number] = child
 
     async def status(self, number: int) -> dict:
-        """Return a replica's word on itself; empty when it does not answer."""
+        """Return a replica's status; empty if it does not answer."""
         url = f"http://{self._http[number]}/admin/status"
         try:
             async with aiohttp.ClientSession() as http, http.get(url) as answer:
@@ -71,7 +71,7 @@
             return {}
 
     async def leader(self) -> tuple[int, int]:
-        """Wait until all replicas follow one leader; return it and its term."""
+        """Wait until all replicas follow one leader; return its number and term."""
         async with asyncio.timeout(TIMEOUT_S):
             while True:
                 statuses = [await self.status(number) for number in self.children]
@@ -84,13 +84,13 @@
 
 
 class ConfigWriter:
-    """Submits one change of the document after another, and notes when.
+    """Submits changes of the rules document one after another.
 
     Args:
         addresses: gRPC addresses of the replicas.
 
     Attributes:
-        accepted: Times at which a change was accepted.
+        accepted: Times at which changes were accepted, in monotonic seconds.
     """
 
     def __init__(self, *, addresses: list[str]):
@@ -100,7 +100,11 @@
         self.accepted: list[float] = []
 
     async def run(self) -> None:
-        """Write until cancelled; a change lost or doubled ends it by an error."""
+        """Submit changes until cancelled.
+
+        Raises:
+            RuntimeError: A change was lost or applied twice.
+        """
         try:
             while True:
                 base = len(self.accepted)
@@ -120,7 +124,7 @@
             await self._submitter.close()
 
     async def wait_accepted(self, at: float) -> None:
-        """Wait until a change was accepted at or after an instant."""
+        """Wait until a change has been accepted at or after a time."""
         while not self.accepted or self.accepted[-1] < at:  # noqa: ASYNC110
             await asyncio.sleep(POLL_S)
 
@@ -131,10 +135,11 @@
 
 
 def measure() -> list[Figure]:
-    """Stop the leader as planned, again and again.
+    """Stop the leader by SIGTERM ``STOPS`` times.
 
     Returns:
-        Figures; the pause is without an accepted change, from the SIGTERM on.
+        Figures; a pause is the longest time without an accepted change, from the
+        SIGTERM on.
     """
     pauses, terms, codes = asyncio.run(_run())
     prefix = "planned-stop"
@@ -165,7 +170,7 @@
 
 
 async def _stop_leader(group, writer):
-    """Return the pause in seconds, the terms begun and the exit code."""
+    """Return the pause in seconds, the number of new terms and the exit code."""
     number, term = await group.leader()
     await asyncio.sleep(SETTLE_S)
     since = time.monotonic()
--- a/bench/prefill.py
+++ b/bench/prefill.py
@@ -1,10 +1,10 @@
-"""Gaps between the tokens of running streams beside long prompts.
+"""Chunked prefill: gaps between tokens of running streams beside long prompts.
 
-Three stages of equal engines on loopback, whose iterations take time for each
-position. The baseline prefills a prompt in one iteration. Loads: one long prompt
-at a time, and a steady stream of middling prompts, which shows what parts cost in
-throughput. Last, what a planned change of a stage costs: every running sequence is
-prefilled again on the changed chain.
+Three stages with equal engines run on loopback; an iteration takes time per position.
+The baseline prefills a prompt in one iteration. One load is a single long prompt at a
+time; the other is a steady stream of medium prompts, which shows the cost of chunks in
+throughput. A third measurement is the gap after a planned change of a stage, when every
+running sequence is prefilled again on the changed chain.
 """
 
 __all__ = ["measure"]
@@ -39,12 +39,12 @@
 PROMPT_TOKENS = 40
 CHANGE_STREAMS = 8
 REPREFILL_S = CHANGE_STREAMS * PROMPT_WORDS * POSITION_S
-"""Seconds that one stage needs for the prompts of all running streams."""
+"""Seconds that one stage needs to prefill the prompts of all running streams."""
 
 
 @dataclass(frozen=True, slots=True)
 class _StreamGaps:
-    """Running streams beside long prompts, in seconds."""
+    """Gaps and time to first token beside long prompts, in seconds."""
 
     gap_p95: float
     gap_worst: float
@@ -52,7 +52,7 @@
 
 
 def measure() -> list[Figure]:
-    """Return gaps, first tokens and throughput, whole and in parts."""
+    """Return gaps, times to first token and throughput, with and without chunks."""
     parts = asyncio.run(_gaps_beside_long_prompts())
     rate = asyncio.run(_many_prompts())
     change = asyncio.run(_planned_change())
@@ -91,7 +91,7 @@
 
 
 class _TimedClient(EntryClient):
-    """Notes when each dispatch's tokens came."""
+    """Records the arrival times of each dispatch's tokens."""
 
     def __init__(self, node):
         super().__init__(node)
@@ -132,7 +132,7 @@
 
 
 async def _many_prompts() -> float:
-    """Return the answers per second of prompts that keep the engines busy."""
+    """Return the answers per second with enough prompts to keep the engines busy."""
     case = CleanupStack()
     _, nodes, chain = await start_chain(case, slots=16, **_costs())
     client = await connect(case, nodes[0])
--- a/bench/prefixes.py
+++ b/bench/prefixes.py
@@ -1,9 +1,9 @@
-"""Prefix hits of the daemons' own path, with cache events and without.
+"""Prefix cache hits of the dispatch path, with and without cache events.
 
-Real agents with fake engines on loopback; entries are the daemons' own links,
-choice and view. An engine keeps few prefixes and computes none of a cached one.
-The baseline is the same path with nothing read of the events: affinity by hash
-alone. Requests come as in Korrekturhuset's pool: few prefixes are popular.
+Real agents with fake engines run on loopback; entries consist of the daemons' links,
+chooser and prefix view. An engine caches few prefixes and skips the computation of a
+cached one. The baseline is the same path without cache events: affinity by hash only.
+As in Korrekturhuset's pool, few prefixes are popular.
 """
 
 __all__ = ["measure"]
@@ -35,14 +35,14 @@
 TOKENS = 6
 REQUESTS = 4000
 WARM_UP = 1000
-# Requests in progress, as a share of all slots.
+# Concurrent requests as a share of all slots.
 LOADS = (0.5, 0.9)
 STEP_S = 0.001
 POSITION_S = 0.0002
 
 
 def measure() -> list[Figure]:
-    """Return the hit shares and throughputs."""
+    """Return the hit rates and throughputs."""
     figures = []
     for load in LOADS:
         with_events = asyncio.run(_run(load, has_view=True))
--- a/bench/queues.py
+++ b/bench/queues.py
@@ -1,8 +1,8 @@
-"""Small queues at the engine port, on a virtual clock, for the benchmarks.
+"""Simulated backend servers on a virtual clock, for the benchmarks.
 
-These stand for backend servers only as far as a decision can see them: so many
-requests at once, a time for each, a cache of prefixes. They are no simulator of a
-cluster: no network, no process, no failure but what a benchmark does itself.
+They model what a routing decision depends on: limited concurrency, a service time per
+request and a prefix cache. They do not simulate a cluster: there are no networks and
+processes, and only the failures that a benchmark injects.
 """
 
 __all__ = ["CapacityServer", "PrefixCache", "VirtualClock", "percentile"]
@@ -15,7 +15,7 @@
 
 
 class VirtualClock:
-    """A clock port whose time moves from event to event."""
+    """Implementation of the clock port that advances from event to event."""
 
     def __init__(self):
         self._now = 0.0
@@ -31,15 +31,15 @@
         return self._now
 
     def call_at(self, when: float, action: Callable[[], None]) -> None:
-        """Do ``action`` at a time."""
+        """Schedule ``action`` at a virtual time."""
         heapq.heappush(self._events, (when, next(self._order), action))
 
     def call_later(self, seconds: float, action: Callable[[], None]) -> None:
-        """Do ``action`` after so many seconds."""
+        """Schedule ``action`` after a delay."""
         self.call_at(self._now + seconds, action)
 
     def run(self, until: float) -> None:
-        """Do what is due up to a time, in order."""
+        """Run the actions due up to a virtual time, in order of time."""
         while self._events and self._events[0][0] <= until:
             self._now, _, action = heapq.heappop(self._events)
             action()
@@ -47,10 +47,10 @@
 
 
 class PrefixCache:
-    """The prefixes that an engine holds: the last used ones.
+    """An engine's cache of prefixes with least-recently-used eviction.
 
     Args:
-        size: Prefixes held.
+        size: Capacity in prefixes.
     """
 
     def __init__(self, *, size: int):
@@ -58,10 +58,10 @@
         self._held: OrderedDict[bytes, None] = OrderedDict()
 
     def use(self, digest: bytes) -> tuple[bool, bytes | None]:
-        """Use a prefix.
+        """Look a prefix up and insert it.
 
         Returns:
-            Whether it was held, and the prefix evicted for it, if any.
+            Whether it was cached, and the prefix evicted for it, if any.
         """
         hit = digest in self._held
         self._held[digest] = None
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """Load of a server at one time, with the fields of the wire's LoadWord."""
+    """Load of a server at one time, with the fields of the message ``LoadWord``."""
 
     at: float
     running: int
@@ -84,13 +84,13 @@
 
 
 class CapacityServer:
-    """Serves so many requests at once, first come, first served.
+    """Serves up to ``slots`` items concurrently, first come, first served.
 
     Args:
         clock: Virtual clock.
-        slots: Requests at once.
-        service_s: Returns the seconds of service of an item that starts now.
-        done: Called with an item when it has ended.
+        slots: Maximum concurrent items.
+        service_s: Returns the service time in seconds of an item that starts now.
+        done: Called with each completed item.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         self._mean_s = 1.0
 
     def put(self, item: object) -> None:
-        """Queue an item, or start it at once."""
+        """Start an item, or queue it if all slots are busy."""
         self._queue.append(item)
         self._start()
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,8 +1,8 @@
-"""Recovery: time from a fault to work as before, and the share that is detection.
+"""Recovery time after a fault, and the share of it that detection takes.
 
-The nodes are those of the fault matrix, all in one process, with the daemons' own
-default times. Times are reported; bounds are only on counts: epochs, terms and
-connections that one fault costs, and answers that stay whole.
+The cluster is that of the fault matrix, in one process, with the daemons' default
+timeouts. Times are only reported; bounds are on counts: epochs, terms, connections and
+refusals per fault, and the share of complete answers.
 """
 
 __all__ = ["measure"]
@@ -22,20 +22,20 @@
 RUNS = 20
 TOKENS = 80
 STEP_S = 0.002
-TOKENS_BEFORE_FAULT = 20  # tokens after which the fault comes
+TOKENS_BEFORE_FAULT = 20
 RETRY_DELAY_S = 0.01
 MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One fault.
+    """Measurements of one fault.
 
     Attributes:
-        total_s: Seconds until work went on as before.
-        detected_s: Seconds until the fault was acted upon.
-        rounds: Epochs, terms or connections that it cost.
-        whole: Whether every answer in progress came whole.
+        total_s: Seconds until service was restored.
+        detected_s: Seconds until the system reacted to the fault.
+        disruptions: New epochs, terms or connections, or refusals, that it caused.
+        complete: Whether the answer in progress was completed.
     """
 
     total_s: float
@@ -48,7 +48,7 @@
 
 
 async def _stream(cluster: Cluster) -> tuple[Answer, asyncio.Task]:
-    """Return a stream that has given its first tokens, and its task."""
+    """Start a stream and wait for its first tokens; return the answer and its task."""
     answer = Answer(tag=f"page-{time.monotonic_ns()}", max_tokens=TOKENS)
     task = asyncio.create_task(ask(cluster, "e1", answer=answer))
     await until(lambda: len(answer.texts) >= TOKENS_BEFORE_FAULT, "the first tokens")
@@ -56,7 +56,7 @@
 
 
 def _resumed_after_s(answer: Answer, fault_at: float) -> float:
-    """Return the seconds until the stream moved after its longest pause."""
+    """Return the seconds from the fault to the end of the stream's longest pause."""
     times = [fault_at] + [at for at in answer.arrived if at > fault_at]
     gaps = [after - before for before, after in zip(times, times[1:], strict=False)]
     longest = max(range(len(gaps)), key=gaps.__getitem__)
@@ -137,7 +137,7 @@
 
 
 async def _lost_service(cluster: Cluster) -> Sample:
-    """The entry finds the loss by itself and calls the other server at once."""
+    """Kill a plain backend server; the entry detects it and fails over itself."""
     fault_at = time.monotonic()
     await cluster.kill("s0")
     refused, answered = 0, 0
@@ -155,13 +155,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What is measured of one fault.
+    """One kind of fault.
 
     Attributes:
-        name: Of the figures.
-        run: Makes the fault once.
-        rounds: What a round is.
-        most: Most rounds that one fault may cost.
+        name: Name in the figures.
+        run: Injects the fault once.
+        disruption: What is counted as a disruption, for example ``"epochs"``.
+        max_disruptions: Most disruptions that one fault may cause.
     """
 
     name: str
@@ -217,10 +217,11 @@
 
 
 def measure() -> list[Figure]:
-    """Make each fault ``RUNS`` times.
+    """Inject each fault ``RUNS`` times.
 
     Returns:
-        Median and worst time, the share of detection and the rounds, per fault.
+        Per fault the median and worst time, the share of detection, the most
+        disruptions and the share of complete answers.
     """
     figures = []
     for fault in FAULTS:
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,7 +1,7 @@
-"""Cost of relaying: the entry beside a bare aiohttp relay, in the same run.
+"""Cost of relaying at the entry, compared with a minimal aiohttp relay.
 
-Every role is a process of its own on loopback, so that its processor time and
-memory can be read from the system. Callers are plain sockets in this process.
+Every role is a separate process on loopback, so that its processor time and memory can
+be read from ``/proc``. Callers are plain sockets in this process.
 """
 
 __all__ = ["measure"]
@@ -21,10 +21,11 @@
 
 STREAMS = 200
 ROUNDS = 3
-# What a bound is held against: pairs enough that a busy second does not decide.
+# Figures with a bound take more pairs, so that one busy second does not decide the
+# median.
 BOUND_ROUNDS = 5
 ONE_TOKEN_PER_WRITE = Load(streams=STREAMS, ticks=100, burst=1, interval_s=0.02)
-# Today's 40 engines make 13 pipelines of three; each sends one message a step.
+# The current 40 engines form 13 chains of three; each sends one message per step.
 THIRTEEN_PIPELINES = dataclasses.replace(ONE_TOKEN_PER_WRITE, messages=13)
 ONE_TOKEN_PER_MESSAGE = dataclasses.replace(
     ONE_TOKEN_PER_WRITE, messages=STREAMS, interval_s=0.05
@@ -42,19 +43,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Process:
-    """A role that serves."""
+    """A running role."""
 
     pid: int
     address: str
 
     def cpu_s(self) -> float:
-        """Return the processor seconds used so far, by user and system."""
+        """Return the processor seconds used so far, user and system."""
         with open(f"/proc/{self.pid}/stat") as file:
             fields = file.read().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
-        """Return the resident memory."""
+        """Return the resident memory in MB."""
         with open(f"/proc/{self.pid}/status") as file:
             line = next(line for line in file if line.startswith("VmRSS"))
         return int(line.split()[1]) / 1024
@@ -62,13 +63,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Cost:
-    """What one run cost.
+    """Cost of one run.
 
     Attributes:
-        entry_us: Entry or relay: microseconds per unit.
-        source_us: Agent or upstream: microseconds per unit.
-        idle_mb: Memory before the run.
-        busy_mb: Memory with all streams open.
+        entry_us: Processor time of entry or relay, in microseconds per unit.
+        source_us: Processor time of agent or upstream, in microseconds per unit.
+        idle_mb: Resident memory before the run, in MB.
+        busy_mb: Resident memory with all streams open, in MB.
     """
 
     entry_us: float
@@ -78,7 +79,7 @@
 
 
 def measure() -> list[Figure]:
-    """Measure the entry and the bare relay, and return the figures."""
+    """Return the figures of the entry and of the minimal relay."""
     figures: list[Figure] = []
     cases = [
         ("one token a write", ONE_TOKEN_PER_WRITE, MAX_CPU_RATIO_SINGLE),
@@ -135,7 +136,7 @@
 def _pair(
     run: Callable[[str, Load], _Cost], load: Load, number: int
 ) -> tuple[_Cost, _Cost]:
-    """Measure entry and bare relay one after the other, in turn the one first."""
+    """Measure the entry and the relay; odd runs measure the relay first."""
     if number % 2:
         bare = run("relay", load)
         return run("entry", load), bare
@@ -208,7 +209,7 @@
 
 
 def _check_complete(firsts: list[bytes], bodies: list[bytes], load: Load) -> None:
-    """A cheap answer that is not whole would be no figure at all."""
+    """Check that all answers are complete; the cost of partial ones means nothing."""
     expected = load.ticks * load.burst + 2
     for first, body in zip(firsts, bodies, strict=True):
         events = first.count(b"data: ") + body.count(b"data: ")
@@ -218,7 +219,7 @@
 
 @contextlib.contextmanager
 def _processes(role: str, load: Load) -> Iterator[tuple[_Process, _Process]]:
-    """Start a front and its source of tokens, and end both."""
+    """Start a role and its source of tokens; stop both at the end of the block."""
     source_role = {"entry": "agent", "relay": "upstream"}[role]
     with _process(source_role, load) as source:
         frontend_load = dataclasses.replace(load, address=source.address)
--- a/bench/relay_roles.py
+++ b/bench/relay_roles.py
@@ -1,7 +1,7 @@
-"""The processes of the relay benchmark, one a role.
+"""Processes of the relay benchmark, one per role.
 
-Usage: ``python -m bench.relay_roles ROLE JSON``. Prints its address, then serves
-until its standard input ends.
+Usage: ``python -m bench.relay_roles ROLE JSON``, where JSON holds the fields of
+:class:`Load`. Prints its address, then serves until standard input is closed.
 """
 
 __all__ = ["KEY", "MODEL", "TOKEN_TEXT", "Load", "main"]
@@ -45,15 +45,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What the source of tokens sends.
+    """Tokens that the source sends.
 
     Attributes:
-        streams: Streams that must be open before the first token is sent.
+        streams: Number of streams; the first token is sent when all are open.
         ticks: Writes per stream.
         burst: Tokens per write.
-        interval_s: Seconds between two writes of a stream.
-        messages: Messages per tick that together carry the tokens of all streams.
-        address: Where the tokens come from; empty for a source itself.
+        interval_s: Seconds between writes of a stream.
+        messages: Messages per tick, which together carry the tokens of all streams.
+        address: Address of the source; empty for a source.
     """
 
     streams: int
@@ -64,12 +64,12 @@
     address: str = ""
 
     def as_json(self) -> str:
-        """Return the load as an argument for a role."""
+        """Return the load as the JSON argument of a role."""
         return json.dumps(asdict(self))
 
 
 class _Barrier:
-    """Starts all streams together, round after round."""
+    """Releases waiting streams together once all of them wait; reusable."""
 
     def __init__(self, *, load: Load):
         self._load = load
@@ -86,7 +86,7 @@
 
 
 class _TokenAgent(wire_grpc.AgentServicer):
-    """An agent that sends tokens without making them."""
+    """An agent that sends constant tokens, without an engine."""
 
     def __init__(self, *, load: Load):
         self._load = load
@@ -123,7 +123,7 @@
 
 
 async def serve_agent(load: Load) -> tuple[str, object]:
-    """Serve tokens over gRPC."""
+    """Serve tokens over gRPC; return the address and the server."""
     server, address = new_server(LOOPBACK)
     wire_grpc.add_AgentServicer_to_server(_TokenAgent(load=load), server)
     await server.start()
@@ -131,7 +131,7 @@
 
 
 class _StaticControl:
-    """Rules and members that never change."""
+    """Control client with rules and members that never change."""
 
     entries = 1
 
@@ -151,7 +151,7 @@
 
 
 async def serve_entry(load: Load) -> tuple[str, object]:
-    """Serve callers by the entry's own code."""
+    """Serve callers with the entry's code; return the address and the server."""
     cfg = EntrySettings(
         name="e1", domain="d", http=LOOPBACK, listen=LOOPBACK, control=()
     )
@@ -163,7 +163,7 @@
 
 
 async def serve_upstream(load: Load) -> tuple[str, object]:
-    """Serve the same events by one HTTP response a caller."""
+    """Serve the same events as one HTTP response per caller."""
     barrier = _Barrier(load=load)
 
     async def stream(req: web.Request) -> web.StreamResponse:
@@ -184,7 +184,7 @@
 
 
 async def serve_relay(load: Load) -> tuple[str, object]:
-    """Relay by plain aiohttp: one upstream response a caller, nothing else."""
+    """Relay one upstream response per caller with aiohttp, and do nothing else."""
     http = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
     url = f"http://{load.address}/"
 
@@ -226,7 +226,7 @@
 
 
 def main(args: list[str]) -> None:
-    """Serve one role until standard input ends."""
+    """Serve one role until standard input is closed."""
     asyncio.run(_run(args[0], Load(**json.loads(args[1]))))
 
 
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -1,12 +1,12 @@
-"""Replicated log: syncs, messages and time per entry against plain variants.
+"""Replicated log: syncs, messages and time per entry, against simpler variants.
 
-Three replicas over gRPC on loopback with their logs on disk. Each of the two ideas
-taken from the MicroRaft article on log replication (Kahveci, "Log replication in
-MicroRaft", 2023) is measured against the log without it:
+Three replicas communicate over gRPC on loopback and keep their logs on disk. Two
+optimisations taken from the MicroRaft article on log replication (Kahveci, "Log
+replication in MicroRaft", 2023) are each compared with the log without it:
 
 * one outstanding append per follower, so that batches grow with the load, against
-  one entry an append;
-* the leader's sync beside replication, against a sync before sending.
+  one entry per append;
+* the leader's sync in parallel with replication, against a sync before sending.
 """
 
 __all__ = ["measure"]
@@ -37,8 +37,8 @@
 FOLLOWERS = len(NAMES) - 1
 ENTRY_DATA = bytes(300)
 ENTRIES = 500
-BUSY_PROPOSALS = 64  # proposals at once
-ROUNDS = 3  # of each variant, taken in turn; the median counts
+BUSY_PROPOSALS = 64  # concurrent proposals
+ROUNDS = 3  # variants alternate; the median of the rounds is reported
 MS_PER_S = 1000
 
 VARIANTS = {
@@ -50,13 +50,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RunCost:
-    """What one run of one variant cost.
+    """Cost of one run of one variant.
 
     Attributes:
         syncs: Syncs of the leader's log per entry.
         messages: Appends to each follower per entry.
-        commit_ms: Median time from proposal to answer, in milliseconds.
-        entries_s: Entries committed a second.
+        commit_ms: Median time from proposal to commit, in milliseconds.
+        entries_s: Entries committed per second.
     """
 
     syncs: float
@@ -66,10 +66,10 @@
 
 
 class CountingTransport:
-    """Links over gRPC that count the appends with entries.
+    """gRPC transport that counts the append requests.
 
     Attributes:
-        appends: Appends so far.
+        appends: Append requests so far.
     """
 
     def __init__(self):
@@ -77,7 +77,7 @@
         self.appends = 0
 
     def connect(self, address):
-        """Return a counting link to ip:port."""
+        """Return a link to ``ip:port`` whose appends are counted."""
         link = self._transport.connect(address)
         append = link.append
 
@@ -90,25 +90,25 @@
 
 
 class NullStateMachine:
-    """A state machine without a state."""
+    """A state machine without state."""
 
     def apply(self, index, term, data):
         """Return the index."""
         return index
 
     def snapshot(self):
-        """Return nothing."""
+        """Return an empty snapshot."""
         return b""
 
     def restore(self, data):
-        """Take nothing."""
+        """Ignore the snapshot."""
 
 
 def measure() -> list[Figure]:
     """Measure every variant idle (one proposal at a time) and busy.
 
     Returns:
-        Figures; bounds stand on counts only, times are reported.
+        Figures; only counts have bounds, times are reported.
     """
     figures = []
     for load, concurrency in (("idle", 1), ("busy", BUSY_PROPOSALS)):
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Figures of a benchmark and the bounds they are held against."""
+"""Benchmark figures, their bounds and their printed form."""
 
 __all__ = ["Figure", "print_figures", "violations"]
 
@@ -12,10 +12,10 @@
 
     Attributes:
         name: What was measured, for example ``"placement/hard/achieved"``.
-        value: The figure.
+        value: The measured value.
         unit: Its unit, for example ``"ratio"``, ``"us"`` or ``"MB"``.
-        low: Smallest value allowed, or None. Only for counts and ratios: times
-            are reported, never judged.
+        low: Smallest value allowed, or None. Only counts and ratios have bounds;
+            times depend on the machine and are only reported.
         high: Largest value allowed, or None.
     """
 
@@ -33,7 +33,7 @@
 
 
 def print_figures(figures: Iterable[Figure]) -> None:
-    """Print one line a figure, with its bounds and whether they hold."""
+    """Print one line per figure, with its bounds and whether it is within them."""
     for figure in figures:
         bounds = _bounds_text(figure)
         print(f"{figure.name:<58} {figure.value:>12.4g} {figure.unit:<10} {bounds}")
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,4 +1,4 @@
-"""Tail wait and prefix hit share of the choice of backend server, and its cost."""
+"""Tail wait, prefix hit rate and cost of the choice of backend server."""
 
 __all__ = ["measure"]
 
@@ -20,7 +20,7 @@
 
 MANY_ENTRIES = 5 * ENTRIES
 LOADS = (0.5, 0.8, 0.95)
-# From here on least connections itself makes requests wait.
+# From this load on requests wait under least connections too.
 HIGH_LOAD = 0.8
 LAGS_S = (0.0, 1.0, 5.0)
 MIN_COMPARED_WAIT_S = 0.25
@@ -40,7 +40,7 @@
 
 
 def _balance_figures() -> Iterator[Figure]:
-    # Without prefixes the bound is exact: all slots of all servers busy.
+    # Without prefixes the capacity is exact: all slots of all servers busy.
     for load in LOADS:
         baselines = {
             policy: run(policy, load, 0.0, prefixes=False) for policy in BASELINES
@@ -57,7 +57,8 @@
 
 
 def _prefix_figures() -> Iterator[Figure]:
-    # The bound is that with every prefix cached; misses alone may exceed it.
+    # Loads are shares of the capacity with every prefix cached; cache misses alone can
+    # push the work above that capacity.
     for load in LOADS:
         cold_load = load / (1.0 - PREFILL_SHARE)
         baselines = {
@@ -73,7 +74,7 @@
             yield Figure(f"{name}/hits", outcome.hit_rate(), "share", low=0.7)
             high = 1.0 if load < HIGH_LOAD else 0.1
             yield _tail_ratio(name, outcome, baselines["least-conn"], high)
-        # What cache events are worth.
+        # Baseline without cache events.
         name = f"prefix/{load:g}/own-without-events/lag1"
         outcome = run("own-without-events", cold_load, 1.0, prefixes=True)
         yield from _waits(name, outcome)
@@ -81,7 +82,8 @@
 
 
 def _many_entries_figures() -> Iterator[Figure]:
-    # The own part of a load is small here, so old words could do most harm.
+    # Each entry sends a small part of the load here, so outdated load reports have the
+    # largest effect.
     baseline = run("least-conn", LOADS[-1], 0.0, prefixes=False, entries=MANY_ENTRIES)
     yield from _waits(f"many-entries/{LOADS[-1]:g}/least-conn", baseline)
     for lag_s in LAGS_S:
@@ -124,7 +126,7 @@
 
 
 def _tail_ratio(name, outcome: Outcome, baseline: Outcome, high: float) -> Figure:
-    # Waits below the floor count as equal, else two tiny ones make any ratio.
+    # Waits below the minimum count as equal: the ratio of two tiny waits is noise.
     wait_s = max(MIN_COMPARED_WAIT_S, outcome.wait_percentile(0.99))
     baseline_s = max(MIN_COMPARED_WAIT_S, baseline.wait_percentile(0.99))
     return Figure(
--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -1,8 +1,8 @@
-"""Runs of the choice of backend server against a few small queues.
+"""Simulation of the choice of backend server, on queues with a virtual clock.
 
-The daemons' own :class:`Chooser` runs in several entries, against round robin
-and least connections of our own, on the same arrivals. A load report rides on
-each answer and is ``lag`` seconds old.
+The daemons' :class:`Chooser` runs in several entries; round robin and least
+connections (:mod:`bench.baselines`) run on the same arrivals. Each answer carries a
+load report of the server that is ``lag_s`` seconds old.
 """
 
 __all__ = ["DOMAINS", "ENTRIES", "PREFILL_SHARE", "SEED", "Outcome", "run"]
@@ -52,14 +52,14 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What one run gave."""
+    """Result of one run."""
 
     policy: str
     waits: list[float] = field(default_factory=list)
     hits: int = 0
 
     def wait_percentile(self, share: float) -> float:
-        """Return a percentile of the waits, in seconds."""
+        """Return the wait that ``share`` of the requests do not exceed, in seconds."""
         return percentile(self.waits, share)
 
     def hit_rate(self) -> float:
@@ -74,13 +74,13 @@
 
 
 class ChooserPolicy:
-    """The daemons' own choice."""
+    """Chooses with the daemons' :class:`Chooser`."""
 
     def __init__(self, *, table, rng, view):
         self._chooser = Chooser(table=table, rng=rng, view=view)
 
     def choose(self, prefix: bytes) -> Candidate:
-        """Return what the chooser gives."""
+        """Return the chosen candidate."""
         return self._chooser.choose(CANDIDATES, prefix=prefix)
 
 
@@ -99,14 +99,14 @@
 
 
 class Run:
-    """One policy at one load and one lag.
+    """One simulation of a policy.
 
     Args:
         policy: Name of the policy.
-        load: Share of the bound without any prefix cached.
+        load: Arriving work as a share of the capacity when no prefix is cached.
         lag_s: Age of a load report when it reaches an entry, in seconds.
         prefixes: Whether prompts share prefixes that servers cache.
-        entries: Entries, each with its own knowledge.
+        entries: Number of entries; each has its own load table and prefix view.
     """
 
     def __init__(
@@ -138,9 +138,9 @@
         self._arrival_rate = load * sum(SERVER_RATES) * SLOTS / SERVICE_S
 
     def outcome(self) -> Outcome:
-        """Run to the end."""
+        """Run the simulation and return its outcome."""
         self._clock.call_at(0.0, self._arrive)
-        # Run on until the last queue is empty: long waits must not drop out.
+        # Run until all queues are empty, so that the longest waits are counted too.
         self._clock.run(math.inf)
         return self._outcome
 
@@ -149,7 +149,7 @@
             return
         rng = self._rng
         work_s = rng.expovariate(1.0 / SERVICE_S)
-        # Few prefixes are popular, many are rare.
+        # Skewed popularity: few prefixes are common, many are rare.
         prefix = b"%d" % int(PREFIXES * rng.random() ** 3)
         req = Request(
             rng.randrange(len(self._policies)), work_s, prefix, self._clock.now()
--- a/bench/rules.py
+++ b/bench/rules.py
@@ -1,8 +1,8 @@
 """Cost of deciding a request and of changing one section, by document size.
 
-Work is counted in Python calls, which are the same in every run and are held
-against bounds; times stand beside. The plain baselines are a scan of all rules and
-a whole document read against the one in force.
+Bounds are on the number of Python calls, which is the same in every run; times are
+reported only. The baselines are a linear scan of all rules, and parsing the whole new
+document with the current one as its base.
 """
 
 __all__ = ["measure"]
@@ -35,7 +35,7 @@
 MEMORY_ORGANISATIONS = 3_000
 US_PER_S = 1e6
 NS_PER_US = 1e3
-# Growth allowed from the smallest to the largest size: a trie gets a level deeper.
+# Growth allowed from the smallest to the largest size; a trie gains one level.
 MAX_CALL_GROWTH = 1.5
 MAX_BYTE_GROWTH = 1.05
 MAX_BYTES_PER_ORGANISATION = 1_000
@@ -118,13 +118,13 @@
 def _size_sweep(
     name: str, documents: dict[int, Document], rules: int | None, key: str
 ) -> Iterator[Figure]:
-    """Yield the figures of one run of sizes.
+    """Yield the figures of a series of document sizes.
 
     Args:
         name: Prefix of the figures' names.
         documents: Document by size.
-        rules: Number of rules in each; None where the size is that number.
-        key: What the rules are keyed by.
+        rules: Number of rules in each document; None if the size is that number.
+        key: Condition by which the rules are looked up.
     """
     operations = {
         size: _operations(document, (rules or size) - 1, key)
@@ -147,8 +147,8 @@
 def _bytes_bound(documents: dict[int, Document], rules: int | None) -> float:
     if rules is not None:
         return MAX_BYTE_GROWTH
-    # The changed rule's own number has more digits in a longer document: in its
-    # name and condition, and in the name of the rule before it.
+    # In a longer document the number of the changed rule has more digits, in its name
+    # and condition and in the name of the rule before it.
     return MAX_BYTE_GROWTH + 0.1
 
 
@@ -199,7 +199,7 @@
 
 
 def _count_calls(operation: Callable[[], object]) -> int:
-    """Return the number of calls, of Python and of C functions, that work makes."""
+    """Return the number of Python and C function calls of an operation."""
     operation()
     count = 0
 
@@ -216,7 +216,7 @@
 
 
 def _time_us(operation: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Return the median processor time of one run, in microseconds."""
+    """Return the median processor time of an operation, in microseconds."""
     samples = []
     gc.disable()
     try:
@@ -258,8 +258,8 @@
 
 
 def _allocated(build: Callable[[], object]) -> int:
-    """Return the bytes that stay allocated while the built object lives."""
-    build()  # Caches that outlive the object are filled first.
+    """Return the bytes that remain allocated while the built object exists."""
+    build()  # Warm-up: fills caches that outlive the object.
     gc.collect()
     tracemalloc.start()
     try:
--- a/bench/shares.py
+++ b/bench/shares.py
@@ -1,7 +1,7 @@
-"""What dividing an organisation's limit over the entries costs.
+"""Cost of dividing an organisation's concurrency limit among the entries.
 
-The entries' own :class:`OrganisationLimits`, each with an equal share, against one
-that sees every request, on the same arrivals.
+Several :class:`OrganisationLimits` with equal shares, one per entry, are compared with
+a single one that sees every request, on the same arrivals.
 """
 
 __all__ = ["measure"]
@@ -25,7 +25,7 @@
 
 
 def measure() -> list[Figure]:
-    """Return the shares of requests let in."""
+    """Return the shares of requests that are admitted."""
     return list(_figures())
 
 
@@ -43,13 +43,13 @@
 
 
 def _admitted_share(limit: int, load: float, entries: int, first_share: float) -> float:
-    """Return the share of requests let in.
+    """Return the share of requests that are admitted.
 
     Args:
-        limit: Requests in progress allowed to the organisation.
-        load: Its mean requests in progress if all were let in, over the limit.
-        entries: Entries, each with an equal share of the limit.
-        first_share: Share of the requests that come to the first entry.
+        limit: Concurrent requests allowed to the organisation.
+        load: Mean concurrency if every request were admitted, divided by the limit.
+        entries: Number of entries; each has an equal share of the limit.
+        first_share: Share of the requests that arrive at the first entry.
     """
     clock = VirtualClock()
     rng = random.Random(SEED)
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,11 +1,12 @@
-r"""Compares ways of one decision: deployments x days x seeds x ways, in pairs.
+r"""Compares variants of the code in paired runs of the users' benchmark.
 
-A way is a commit, or a commit with other values of named constants, such as
-``HEAD:wigeonscale/direct/stalls.py:STALL_TIMEOUT_S=0.2``. Each way gets a checkout of
-its own below ``--work``; each play is one run of the users' bench (``--bench``), whose
-report becomes one JSON line in ``--rows``. A row that is there is not played again, so
-that a stopped comparison goes on where it was. The processor time of plays is not
-charged.
+A variant (``--way``) is a commit, or a commit in which named constants have other
+values, such as ``HEAD:wigeonscale/direct/stalls.py:STALL_TIMEOUT_S=0.2``. Every
+combination of deployment (``--site``), scenario day (``--day``), seed and variant is
+run once. Each variant has its own checkout in the folder ``--work``. Each run calls the
+users' benchmark (``--bench``) and appends its report to ``--rows`` as one JSON line.
+Runs that have a row already are skipped, so that an interrupted comparison can be
+resumed. Runs are not charged for processor time (``--no-cpu``).
 
 Example:
     python -m bench.ways --bench PATH --work ../ways --rows rows.jsonl \
@@ -38,7 +39,7 @@
 async def check_out(
     variant: Variant, repository: pathlib.Path, work: pathlib.Path
 ) -> None:
-    """Make the checkout of a way, unless it is there."""
+    """Create the checkout of a variant unless its folder exists."""
     folder = work / variant.name
     if folder.exists():
         return
@@ -54,7 +55,7 @@
 async def run_day(
     args: argparse.Namespace, variant: Variant, site: pathlib.Path, day: str, seed: int
 ) -> DayRun:
-    """Play one day and return it."""
+    """Run one day under one variant and return its result."""
     folder = args.work / variant.name
     report = (
         args.work / f"{variant.name}-{site.stem}-{pathlib.Path(day).stem}-{seed}.json"
@@ -80,14 +81,15 @@
     )
     _, errors = await process.communicate()
     if process.returncode:
-        # A day with a broken rule ends so, too; its report says which.
+        # A day in which a rule was broken also exits non-zero; its report names the
+        # rule.
         print(errors.decode(errors="replace")[-500:], file=sys.stderr)
 
 
 def copy_journals(
     work: pathlib.Path, variants: Iterable[Variant], journal: pathlib.Path
 ) -> None:
-    """Copy what the bench has noted in the checkouts of the ways."""
+    """Copy the journal entries that the benchmark wrote in the checkouts."""
     for variant in variants:
         for path in (work / variant.name / "journal").rglob("*"):
             target = journal / path.relative_to(work / variant.name / "journal")
@@ -97,7 +99,7 @@
 
 
 async def compare(args: argparse.Namespace) -> list[DayRun]:
-    """Play what is missing, and return all plays of the ways."""
+    """Run the missing combinations and return all runs of the variants."""
     args.work.mkdir(parents=True, exist_ok=True)
     for variant in args.way:
         await check_out(variant, args.repository, args.work)
@@ -134,7 +136,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(prog="python -m bench.ways", description=__doc__)
     parser.formatter_class = argparse.RawDescriptionHelpFormatter
     path = pathlib.Path
@@ -151,7 +153,7 @@
 
 
 def main() -> int:
-    """Compare, and print the tables."""
+    """Run the comparison and print its tables."""
     args = build_parser().parse_args()
     for name in ("bench", "repository", "work", "rows"):
         setattr(args, name, getattr(args, name).resolve())
