--- a/bench/paired_runs.py
+++ b/bench/paired_runs.py
@@ -124,7 +124,7 @@
             raise argparse.ArgumentTypeError(f"{setting!r} is not CONSTANT=VALUE")
         constants.append((file, name, value))
     if len(words) % 2:
-        raise argparse.ArgumentTypeError(f"{words[-1]!r}: a file without a constant")
+        raise argparse.ArgumentTypeError(f"{words[-1]!r}: file without CONSTANT=VALUE")
     return Variant(
         name=match["name"], revision=match["revision"], constants=tuple(constants)
     )
@@ -140,7 +140,7 @@
         rf"^{re.escape(name)} = .*$", f"{name} = {value}", source, flags=re.MULTILINE
     )
     if count != 1:
-        raise ValueError(f"{count} lines set {name}")
+        raise ValueError(f"{count} lines set {name}; expected exactly 1")
     return changed
 
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -180,7 +180,7 @@
         if again.chains == plan.chains:
             return plan, step
         plan = again
-    raise RuntimeError(f"plans go on changing after {MAX_REPLANS} rounds")
+    raise RuntimeError(f"the plan still changes after {MAX_REPLANS} rounds")
 
 
 def _repairs(spares: int) -> list[Figure]:
--- a/bench/planned_stops.py
+++ b/bench/planned_stops.py
@@ -117,7 +117,10 @@
                     wire.Command(apply_config=body), TIMEOUT_S
                 )
                 if result.revision != base + 1:
-                    raise RuntimeError(f"revision {result.revision} after {base}")
+                    raise RuntimeError(
+                        f"revision {result.revision} after {base}:"
+                        " a change was lost or applied twice"
+                    )
                 self.accepted.append(time.monotonic())
                 await asyncio.sleep(WRITE_PAUSE_S)
         finally:
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -203,7 +203,9 @@
     while not body.endswith(LAST_CHUNK):
         chunk = await reader.read(2**16)
         if not chunk:
-            raise ConnectionError(f"cut after {bytes(body[-200:])!r}")
+            raise ConnectionError(
+                f"connection closed before the last chunk, after {bytes(body[-200:])!r}"
+            )
         body += chunk
     return bytes(body)
 
@@ -214,7 +216,7 @@
     for first, body in zip(firsts, bodies, strict=True):
         events = first.count(b"data: ") + body.count(b"data: ")
         if events != expected:
-            raise ValueError(f"{events} events where {expected} were due")
+            raise ValueError(f"{events} events received; expected {expected}")
 
 
 @contextlib.contextmanager
--- a/bench/slopes/daemons.py
+++ b/bench/slopes/daemons.py
@@ -52,7 +52,7 @@
                 if (await self.status(number)).get("role") == "leader":
                     return number
             await asyncio.sleep(POLL_S)
-        raise TimeoutError("no replica leads")
+        raise TimeoutError("no control replica became the leader")
 
     def syncs(self, number: int) -> int:
         """Return the number of disk syncs of a replica so far."""
--- a/bench/slopes/processes.py
+++ b/bench/slopes/processes.py
@@ -71,7 +71,9 @@
         line = await self.proc.stdout.readline()
         if not line:
             tail = self.log.read_text()[-LOG_TAIL:]
-            raise RuntimeError(f"{self.name} ended at {question!r}:\n{tail}")
+            raise RuntimeError(
+                f"{self.name} exited before it answered {question!r}:\n{tail}"
+            )
         return json.loads(line)
 
     async def stop(self) -> None:
--- a/bench/slopes/streams.py
+++ b/bench/slopes/streams.py
@@ -154,7 +154,7 @@
     events = data.count(b"data: ")
     if DONE_EVENT not in data or events != tokens + 2:
         raise RuntimeError(
-            f"{events} events where {tokens + 2} were due: {data[-200:]}"
+            f"{events} events received; expected {tokens + 2}: {data[-200:]}"
         )
 
 
@@ -255,7 +255,7 @@
             received += len(item.tokens.texts)
             done += kind == "done"
     if received != count * tokens:
-        raise RuntimeError(f"{received} tokens where {count * tokens} were due")
+        raise RuntimeError(f"{received} tokens received; expected {count * tokens}")
 
 
 def _open(chain: wire.Chain, tokens: int) -> wire.Open:
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -140,15 +140,23 @@
     parser = argparse.ArgumentParser(prog="python -m bench.ways", description=__doc__)
     parser.formatter_class = argparse.RawDescriptionHelpFormatter
     path = pathlib.Path
-    parser.add_argument("--bench", required=True, type=path, help="the users' bench")
+    parser.add_argument(
+        "--bench", required=True, type=path, help="command of the users' benchmark"
+    )
     parser.add_argument("--repository", default=path.cwd(), type=path)
-    parser.add_argument("--work", required=True, type=path, help="folder of checkouts")
-    parser.add_argument("--rows", required=True, type=path, help="file of JSON lines")
+    parser.add_argument(
+        "--work", required=True, type=path, help="folder for the checkouts"
+    )
+    parser.add_argument(
+        "--rows", required=True, type=path, help="file for the results, as JSON lines"
+    )
     parser.add_argument("--site", required=True, action="append", type=path)
-    parser.add_argument("--day", required=True, action="append", help="name or file")
+    parser.add_argument(
+        "--day", required=True, action="append", help="name or file of a scenario day"
+    )
     parser.add_argument("--seed", required=True, action="append", type=int)
     parser.add_argument("--way", required=True, action="append", type=parse_variant)
-    parser.add_argument("--jobs", default=4, type=int, help="plays at a time")
+    parser.add_argument("--jobs", default=4, type=int, help="concurrent runs")
     return parser
 
 
