--- a/bench/slopes/tests/test_fit.py
+++ b/bench/slopes/tests/test_fit.py
@@ -3,7 +3,7 @@
 
 
 class FitTest(AsyncTestCase):
-    def test_points_on_a_line_give_it_without_residual(self):
+    def test_points_on_a_line_have_no_residual(self):
         slope = fit("x", "watcher", "us", [(0, 5.0), (10, 25.0), (30, 65.0)])
         self.assertAlmostEqual(2.0, slope.slope)
         self.assertAlmostEqual(5.0, slope.intercept)
--- a/bench/slopes/tests/test_page.py
+++ b/bench/slopes/tests/test_page.py
@@ -14,12 +14,12 @@
         page.write_text(text)
         return page
 
-    def test_only_what_stands_between_the_markers_changes(self):
+    def test_only_text_between_the_markers_is_replaced(self):
         page = self._page(f"before\n{BEGIN}\nold\n{END}\nafter\n")
         replace_between_markers(page, "new")
         self.assertEqual(f"before\n{BEGIN}\n\nnew\n\n{END}\nafter\n", page.read_text())
 
-    def test_a_page_without_both_markers_once_is_left_alone(self):
+    def test_page_without_each_marker_once_is_unchanged(self):
         broken = (
             "",
             BEGIN,
@@ -32,7 +32,7 @@
             self.assertRaises(ValueError, replace_between_markers, page, "new")
             self.assertEqual(text, page.read_text())
 
-    def test_the_table_names_command_points_and_fit(self):
+    def test_table_has_command_points_and_fit(self):
         slope = fit("entry: memory", "rule", "MB", [(0, 1.0), (10, 2.0), (20, 3.0)])
         text = table({"changes": [slope]}, "Run of today")
         row = "| entry: memory | 0: 1, 10: 2, 20: 3 | rule | 0.1 MB | 1 MB | 0 MB |"
--- a/bench/tests/test_queues.py
+++ b/bench/tests/test_queues.py
@@ -3,7 +3,7 @@
 
 
 class QueuesTest(AsyncTestCase):
-    def test_clock_does_what_is_due_in_order(self):
+    def test_clock_runs_due_actions_in_order(self):
         clock, done = VirtualClock(), []
         clock.call_at(2.0, lambda: done.append(("late", clock.now())))
         clock.call_later(1.0, lambda: done.append(("early", clock.now())))
@@ -12,7 +12,7 @@
         clock.run(3.0)
         self.assertEqual([("early", 1.0), ("late", 2.0)], done)
 
-    def test_server_serves_so_many_at_once_and_reports_its_past_load(self):
+    def test_server_limits_concurrency_and_reports_past_load(self):
         clock, ended = VirtualClock(), []
         server = CapacityServer(
             clock=clock,
@@ -28,7 +28,7 @@
         self.assertEqual((2, 1), (then.running, then.queued))
         self.assertEqual((1, 0), (now.running, now.queued))
 
-    def test_cache_drops_the_least_recently_used(self):
+    def test_cache_evicts_the_least_recently_used(self):
         cache = PrefixCache(size=2)
         self.assertEqual((False, None), cache.use(b"x"))
         self.assertEqual((False, None), cache.use(b"y"))
--- a/bench/tests/test_ways.py
+++ b/bench/tests/test_ways.py
@@ -19,7 +19,7 @@
 
 
 class WaysTest(AsyncTestCase):
-    def test_a_way_is_a_commit_with_other_constants(self):
+    def test_parse_variant_reads_commit_and_constants(self):
         way = parse_variant("new=abc:a/b.py:X_S=0.2:c.py:Y=(1, 2)")
         self.assertEqual(
             Variant(
@@ -31,16 +31,16 @@
         )
         self.assertEqual((), parse_variant("old=HEAD").constants)
 
-    def test_what_is_no_way_is_said(self):
+    def test_parse_variant_rejects_incomplete_texts(self):
         for text in ("HEAD", "a=HEAD:file.py", "a=HEAD:file.py:X"):
             self.assertRaises(argparse.ArgumentTypeError, parse_variant, text)
 
-    def test_a_constant_is_set_where_it_stands_once(self):
+    def test_set_constant_requires_exactly_one_assignment(self):
         source = "A_S = 1.0  # why\nBA_S = 2.0\n"
         self.assertEqual("A_S = 3\nBA_S = 2.0\n", set_constant(source, "A_S", "3"))
         self.assertRaises(ValueError, set_constant, source, "C", "3")
 
-    def test_differences_are_of_pairs_alone(self):
+    def test_differences_use_only_pairs(self):
         runs = [
             day_run("old", 0.50, seed=1),
             day_run("new", 0.60, seed=1),
@@ -49,18 +49,20 @@
             day_run("old", 0.10, seed=3),
             day_run("new", 0.90, site="t"),
         ]
-        of_site, of_all = differences(runs, ["old", "new"])
-        self.assertEqual(("s", "", 2), (of_site.site, of_all.site, of_all.pairs))
-        self.assertTrue(abs(of_all.mean - 0.11) < 1e-9)
-        self.assertTrue(abs(of_all.half_width - 12.71 * 0.01) < 1e-6, of_all.half_width)
-        self.assertFalse(of_all.is_significant)
+        by_site, overall = differences(runs, ["old", "new"])
+        self.assertEqual(("s", "", 2), (by_site.site, overall.site, overall.pairs))
+        self.assertTrue(abs(overall.mean - 0.11) < 1e-9)
+        self.assertTrue(
+            abs(overall.half_width - 12.71 * 0.01) < 1e-6, overall.half_width
+        )
+        self.assertFalse(overall.is_significant)
 
-    def test_one_pair_shows_nothing(self):
-        (of_site, _) = differences([day_run("a", 0.5), day_run("b", 0.9)], ["a", "b"])
-        self.assertTrue(math.isinf(of_site.half_width))
-        self.assertFalse(of_site.is_significant)
+    def test_difference_of_one_pair_is_not_significant(self):
+        (by_site, _) = differences([day_run("a", 0.5), day_run("b", 0.9)], ["a", "b"])
+        self.assertTrue(math.isinf(by_site.half_width))
+        self.assertFalse(by_site.is_significant)
 
-    def test_a_report_names_the_rules_that_were_broken(self):
+    def test_report_names_broken_rules(self):
         report = {
             "G": 0.7,
             "parts": [["whole day", 0.7, 0.9]],
