--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -204,8 +204,8 @@
         }
 
     def is_ready(self) -> bool:
-        whole = len(self.chains) == self.scenario.pipeline.replicas
-        return whole and len(self.serving()) == len(self.chains)
+        complete = len(self.chains) == self.scenario.pipeline.replicas
+        return complete and len(self.serving()) == len(self.chains)
 
     def is_stable(self) -> bool:
         """Return whether the plan stays as it is until an engine joins or leaves."""
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -101,18 +101,18 @@
 def _fairness_figures() -> Iterator[Figure]:
     for own in (True, False):
         name = "fairness/own" if own else "fairness/plain"
-        normal, flooded = (_with_large(own, large) for large in LARGE_LOADS)
+        normal, overloaded = (_with_large(own, large) for large in LARGE_LOADS)
         small_normal = normal.response_times(SMALL, WARM_UP_S)
-        small_flooded = flooded.response_times(SMALL, WARM_UP_S)
+        small_overloaded = overloaded.response_times(SMALL, WARM_UP_S)
         p95_normal = percentile(small_normal, 0.95)
-        p95_flooded = percentile(small_flooded, 0.95)
+        p95_overloaded = percentile(small_overloaded, 0.95)
         yield Figure(f"{name}/small-p95-calm", p95_normal, "s (virtual)")
-        yield Figure(f"{name}/small-p95-flooded", p95_flooded, "s (virtual)")
-        answered = len(small_flooded) / len(small_normal)
+        yield Figure(f"{name}/small-p95-flooded", p95_overloaded, "s (virtual)")
+        answered = len(small_overloaded) / len(small_normal)
         low = 0.98 if own else None
         yield Figure(f"{name}/small-answered", answered, "ratio", low=low)
         if own:
-            ratio = p95_flooded / p95_normal
+            ratio = p95_overloaded / p95_normal
             yield Figure(f"{name}/small-p95-ratio", ratio, "ratio", high=1.2)
 
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -44,13 +44,13 @@
 def _ratios(case: Case) -> list[Figure]:
     plan = _plan(case.pipeline, case.engines)
     bound = _bound(case.pipeline, case.engines)
-    across = _plan(case.pipeline, case.engines, domain_share=1.0)
+    across_domains = _plan(case.pipeline, case.engines, domain_share=1.0)
     equal = _equal_split(case.engines, case.pipeline)
     by_kind = sorted(case.engines, key=lambda engine: engine.layer_rate)
     return [
         Figure(f"placement/{case.name}/bound", bound, "steps/s"),
         _ratio(case.name, "achieved", _total(plan) / bound, MIN_RATIO),
-        _ratio(case.name, "across-domains", _total(across) / bound, MIN_RATIO),
+        _ratio(case.name, "across-domains", _total(across_domains) / bound, MIN_RATIO),
         _ratio(case.name, "equal-split", equal / bound, None),
         _ratio(
             case.name,
@@ -136,19 +136,19 @@
     case = hard_cases()[0]
     before = _plan(case.pipeline, case.engines)
     remaining = without_domain(_loaded(case.engines, before), JUTLAND_DOMAINS[0])
-    at_once = _plan(
+    immediate = _plan(
         case.pipeline,
         remaining,
         chains=before.chains,
         base_index=2,
         rebuild_serving=False,
     )
-    untouched = [chain for chain in at_once.chains if chain in before.chains]
-    after, steps = _plan_until_stable(case.pipeline, remaining, at_once)
+    untouched = [chain for chain in immediate.chains if chain in before.chains]
+    after, steps = _plan_until_stable(case.pipeline, remaining, immediate)
     bound = _bound(case.pipeline, remaining)
     name = "domain-lost-standing"
     return [
-        _ratio(name, "at-once", _total(at_once) / bound, None),
+        _ratio(name, "at-once", _total(immediate) / bound, None),
         _ratio(name, "in-the-end", _total(after) / bound, None),
         Figure(f"placement/{name}/chains-before", len(before.chains), "chains"),
         Figure(f"placement/{name}/chains-untouched", len(untouched), "chains"),
--- a/bench/prefill.py
+++ b/bench/prefill.py
@@ -53,25 +53,30 @@
 
 def measure() -> list[Figure]:
     """Return gaps, times to first token and throughput, with and without chunks."""
-    parts = asyncio.run(_gaps_beside_long_prompts())
+    chunked = asyncio.run(_gaps_beside_long_prompts())
     rate = asyncio.run(_many_prompts())
     change = asyncio.run(_planned_change())
-    whole_prompts = mock.patch.object(
+    unchunked_prompts = mock.patch.object(
         IterationCost,
         "positions_within",
         lambda cost, seconds: MAX_POSITIONS_PER_ITERATION,
     )
-    with whole_prompts:
-        whole = asyncio.run(_gaps_beside_long_prompts())
-        whole_rate = asyncio.run(_many_prompts())
+    with unchunked_prompts:
+        unchunked = asyncio.run(_gaps_beside_long_prompts())
+        unchunked_rate = asyncio.run(_many_prompts())
     return [
-        *_figures("prefill/parts", parts),
-        *_figures("prefill/whole", whole),
+        *_figures("prefill/parts", chunked),
+        *_figures("prefill/whole", unchunked),
         Figure(
-            "prefill/gap_p95_ratio", parts.gap_p95 / whole.gap_p95, "ratio", high=0.25
+            "prefill/gap_p95_ratio",
+            chunked.gap_p95 / unchunked.gap_p95,
+            "ratio",
+            high=0.25,
+        ),
+        Figure(
+            "prefill/gap_worst_ratio", chunked.gap_worst / unchunked.gap_worst, "ratio"
         ),
-        Figure("prefill/gap_worst_ratio", parts.gap_worst / whole.gap_worst, "ratio"),
-        Figure("prefill/rate_ratio", rate / whole_rate, "ratio", low=0.9),
+        Figure("prefill/rate_ratio", rate / unchunked_rate, "ratio", low=0.9),
         Figure("prefill/planned_change/gap_median", change * 1000, "ms"),
         Figure(
             "prefill/planned_change/gap_to_work",
--- a/bench/queues.py
+++ b/bench/queues.py
@@ -57,7 +57,7 @@
         self._size = size
         self._held: OrderedDict[bytes, None] = OrderedDict()
 
-    def use(self, digest: bytes) -> tuple[bool, bytes | None]:
+    def access(self, digest: bytes) -> tuple[bool, bytes | None]:
         """Look a prefix up and insert it.
 
         Returns:
@@ -117,8 +117,8 @@
 
     def load(self, lag_s: float) -> ServerLoad:
         """Return the load as it was ``lag_s`` seconds ago."""
-        then = self._clock.now() - lag_s
-        while len(self._past) > 1 and self._past[1].at <= then:
+        reported_at = self._clock.now() - lag_s
+        while len(self._past) > 1 and self._past[1].at <= reported_at:
             self._past.popleft()
         return self._past[0]
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -47,7 +47,7 @@
 Scenario = Callable[[Cluster], Awaitable[Sample]]
 
 
-async def _stream(cluster: Cluster) -> tuple[Answer, asyncio.Task]:
+async def _start_stream(cluster: Cluster) -> tuple[Answer, asyncio.Task]:
     """Start a stream and wait for its first tokens; return the answer and its task."""
     answer = Answer(tag=f"page-{time.monotonic_ns()}", max_tokens=TOKENS)
     task = asyncio.create_task(ask(cluster, "e1", answer=answer))
@@ -68,7 +68,7 @@
     return time.monotonic() - fault_at
 
 
-def _epoch(cluster: Cluster) -> int:
+def _max_epoch(cluster: Cluster) -> int:
     leader = cluster.leader()
     return max((chain.epoch for chain in leader.daemon.state.chains), default=0)
 
@@ -76,8 +76,8 @@
 async def _lost_stage(cluster: Cluster, *, isolated: bool) -> Sample:
     stage = cluster.chain()[1].agent_id
     members = cluster.leader().daemon.state.members
-    incarnation, epoch = cluster.agents[stage].state.incarnation, _epoch(cluster)
-    answer, task = await _stream(cluster)
+    incarnation, epoch = cluster.agents[stage].state.incarnation, _max_epoch(cluster)
+    answer, task = await _start_stream(cluster)
     fault_at = time.monotonic()
     if isolated:
         cluster.net.isolate(stage)
@@ -87,7 +87,7 @@
         lambda: not members.is_announced(stage, incarnation), fault_at
     )
     await task
-    disruptions = _epoch(cluster) - epoch
+    disruptions = _max_epoch(cluster) - epoch
     if isolated:
         cluster.net.heal(stage)
     else:
@@ -107,7 +107,7 @@
 async def _silent_connection(cluster: Cluster) -> Sample:
     head = cluster.chain()[0].agent_id
     [relay] = cluster.net.into(head)
-    answer, task = await _stream(cluster)
+    answer, task = await _start_stream(cluster)
     connections = relay.accepted
     fault_at = time.monotonic()
     relay.stall_standing()
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -104,13 +104,13 @@
     pairs = [_pair(run, load, number) for number in range(rounds)]
     entry_costs = [pair[0] for pair in pairs]
     entry_us = statistics.median(cost.entry_us for cost in entry_costs)
-    bare_us = statistics.median(cost.entry_us for _, cost in pairs)
+    relay_us = statistics.median(cost.entry_us for _, cost in pairs)
     ratio = statistics.median(
-        cost.entry_us / max(bare.entry_us, 1e-9) for cost, bare in pairs
+        cost.entry_us / max(relay_cost.entry_us, 1e-9) for cost, relay_cost in pairs
     )
     figures = [
         Figure(f"relay/{name}/entry cpu per {unit}", entry_us, "us"),
-        Figure(f"relay/{name}/bare relay cpu per {unit}", bare_us, "us"),
+        Figure(f"relay/{name}/bare relay cpu per {unit}", relay_us, "us"),
         Figure(f"relay/{name}/entry to bare relay", ratio, "ratio", high=bound),
         Figure(
             f"relay/{name}/token source over gRPC per {unit}",
@@ -138,8 +138,8 @@
 ) -> tuple[_Cost, _Cost]:
     """Measure the entry and the relay; odd runs measure the relay first."""
     if number % 2:
-        bare = run("relay", load)
-        return run("entry", load), bare
+        relay_cost = run("relay", load)
+        return run("entry", load), relay_cost
     return run("entry", load), run("relay", load)
 
 
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -162,7 +162,7 @@
             replicas.append(replica)
             tasks.append(asyncio.create_task(replica.run()))
         try:
-            return await _run_load(await _leader(replicas), transport, concurrency)
+            return await _run_load(await _wait_leader(replicas), transport, concurrency)
         finally:
             for server, _ in bound.values():
                 await server.stop(None)
@@ -171,7 +171,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _leader(replicas):
+async def _wait_leader(replicas):
     while True:
         for replica in replicas:
             if replica.role is Role.LEADER:
--- a/bench/routing_run.py
+++ b/bench/routing_run.py
@@ -166,7 +166,7 @@
         if not self._prefixes:
             return req.work_s / SERVER_RATES[server]
         digest = prefix_digest(req.prefix)
-        req.hit, evicted = self._caches[server].use(digest)
+        req.hit, evicted = self._caches[server].access(digest)
         if not req.hit:
             self._publish_event(server, digest, held=True)
         if evicted is not None:
--- a/bench/rules.py
+++ b/bench/rules.py
@@ -40,7 +40,7 @@
 MAX_BYTE_GROWTH = 1.05
 MAX_BYTES_PER_ORGANISATION = 1_000
 
-WHEN_BY_KEY = {
+CONDITION_BY_KEY = {
     "organisation": "organisation is o{n} and path under /v1/",
     "model": "model is m{n}",
     "path": "path under /v1/team{n}/",
@@ -52,7 +52,7 @@
     """Return the figures of decide, patch and the burn recorder."""
     figures: list[Figure] = []
     figures += _by_organisations()
-    for key in WHEN_BY_KEY:
+    for key in CONDITION_BY_KEY:
         figures += _by_rules(key)
     figures += _memory()
     return figures
@@ -70,7 +70,7 @@
 
 
 def _rule_text(number: int, key: str, limit: int = 8) -> str:
-    when = WHEN_BY_KEY[key].format(n=number)
+    when = CONDITION_BY_KEY[key].format(n=number)
     return (
         f"[rule r{number}]\nwhen = {when}\nthen = route pipeline p\nlimit = {limit}\n"
     )
@@ -105,10 +105,10 @@
     largest = documents[RULES[-1]]
     facts = _facts(RULES[-1] - 1)
     name = f"rules/keyed_by_{key}/decide/{RULES[-1]}/linear_scan"
-    yield Figure(name, _time_us(lambda: _scan(largest, facts)), "us")
+    yield Figure(name, _time_us(lambda: _linear_scan(largest, facts)), "us")
 
 
-def _scan(document: Document, facts: RequestFacts) -> object:
+def _linear_scan(document: Document, facts: RequestFacts) -> object:
     for rule in document.rules:
         if all(test(facts) for test in rule.tests):
             return rule.decision
--- a/bench/slopes/changes.py
+++ b/bench/slopes/changes.py
@@ -21,12 +21,12 @@
 HTTP_CHANGES = 2
 CHANGE_INTERVAL_S = 0.05
 POLL_S = 0.05
-PAGE_WHOLE = "cpu of one whole document by the operators' page"
-PAGE_CHANGED = "cpu of one changed section by the operators' page"
+HTTP_WHOLE_DOCUMENT = "cpu of one whole document by the operators' page"
+HTTP_CHANGED_SECTION = "cpu of one changed section by the operators' page"
 UNITS = {
     "cpu of one change": "us/change",
-    PAGE_WHOLE: "us/change",
-    PAGE_CHANGED: "us/change",
+    HTTP_WHOLE_DOCUMENT: "us/change",
+    HTTP_CHANGED_SECTION: "us/change",
     "memory": "MB",
     "memory at most": "MB",
     "cpu to take in the whole document": "ms",
@@ -63,7 +63,7 @@
                     changes = _commit_changes(group, revision, committed)
                     work = await measure_cpu(roles, changes)
                     revision += CHANGES
-                    after = await _all_reached(drivers, revision, count)
+                    after = await _wait_reached(drivers, revision, count)
                 us = work.us_per_item(CHANGES, idle)
                 cpu.append((count, us["control follower"]))
                 leader_cpu.append((count, us["control leader"]))
@@ -90,7 +90,7 @@
         await asyncio.sleep(CHANGE_INTERVAL_S)
 
 
-async def _all_reached(drivers: list[Child], revision: int, count: int) -> dict:
+async def _wait_reached(drivers: list[Child], revision: int, count: int) -> dict:
     async with asyncio.timeout(REACH_TIMEOUT_S):
         while True:
             counts = await total_counts(drivers)
@@ -128,7 +128,9 @@
             roles = _control_roles(group, await group.leader()) | others
             idle = await measure_cpu(roles, asyncio.sleep(IDLE_S))
             wait_s = IDLE_S + organisations * WAIT_S_PER_ORGANISATION
-            taken = await measure_cpu(roles, _apply_document(group, text, wait_s))
+            document_applied = await measure_cpu(
+                roles, _apply_document(group, text, wait_s)
+            )
             # The leader may have lost its leadership while it parsed a long document.
             leader = await group.leader()
             roles = _control_roles(group, leader) | others
@@ -139,11 +141,11 @@
             patched = await measure_cpu(roles, _patch_by_http(group, leader, base))
             usages = {role: child.usage() for role, child in roles.items()}
     figures = {("document", "length of the whole document"): float(len(text))}
-    for role, us in taken.us_per_item(1, idle).items():
+    for role, us in document_applied.us_per_item(1, idle).items():
         figures[role, "cpu to take in the whole document"] = us / 1e3
     for role, us in changed.us_per_item(CHANGES, idle_after).items():
         figures[role, "cpu of one change"] = us
-    for what, work in ((PAGE_WHOLE, applied), (PAGE_CHANGED, patched)):
+    for what, work in ((HTTP_WHOLE_DOCUMENT, applied), (HTTP_CHANGED_SECTION, patched)):
         leader_us = work.us_per_item(HTTP_CHANGES, idle_after)["control leader"]
         figures["control leader", what] = leader_us
     for role in roles:
--- a/bench/slopes/membership.py
+++ b/bench/slopes/membership.py
@@ -21,7 +21,7 @@
 CHANGES = 20
 CHANGE_INTERVAL_S = 0.05
 WATCHERS = 8
-CHANGES_PLANNED = 6
+CHANGES_WITH_PIPELINES = 6
 PLAN_CHANGE_INTERVAL_S = 0.5
 ATTACHED = (24, 49, 98)
 MODELS = 35
@@ -48,12 +48,14 @@
             leader = await group.leader()
             follower = (leader + 1) % len(group.replicas)
             # A replica derives orders only if agents are attached to it.
-            at = group.grpc[follower : follower + 1]
+            follower_address = group.grpc[follower : follower + 1]
             _, backend = await stack.enter_async_context(engine(folder, "engine", "m"))
             agent_child, _ = await stack.enter_async_context(
-                agent(folder, "agent", at, backend)
+                agent(folder, "agent", follower_address, backend)
+            )
+            entry_child, _ = await stack.enter_async_context(
+                entry(folder, "entry", follower_address)
             )
-            entry_child, _ = await stack.enter_async_context(entry(folder, "entry", at))
             roles = {
                 "control leader": group.replicas[leader],
                 "control follower": group.replicas[follower],
@@ -152,7 +154,7 @@
     idle = await measure_cpu(roles, asyncio.sleep(IDLE_S))
     placed = await measure_cpu(roles, _apply(group, document(10, pipelines=MODELS)))
     idle_after = await measure_cpu(roles, asyncio.sleep(IDLE_S))
-    names = [f"engine-{n}" for n in range(CHANGES_PLANNED)]
+    names = [f"engine-{n}" for n in range(CHANGES_WITH_PIPELINES)]
     changed = await measure_cpu(roles, _change_one_by_one(group, names))
     await _announce(group, [HOLDER])
     claimed = await measure_cpu(roles, _claim_one_by_one(group))
@@ -164,10 +166,10 @@
         figures |= {
             (name, "cpu to place all chains"): placed.us_per_item(1, idle)[role] / 1e3,
             (name, "cpu of one change"): changed.us_per_item(
-                CHANGES_PLANNED, idle_after
+                CHANGES_WITH_PIPELINES, idle_after
             )[role],
             (name, "cpu of one claim alone"): claimed.us_per_item(
-                CHANGES_PLANNED, idle_after
+                CHANGES_WITH_PIPELINES, idle_after
             )[role],
         }
     return figures
@@ -180,7 +182,7 @@
 
 
 async def _claim_one_by_one(group: ControlGroup) -> None:
-    for command in claims(f"c{time.monotonic()}", CHANGES_PLANNED):
+    for command in claims(f"c{time.monotonic()}", CHANGES_WITH_PIPELINES):
         await group.submit_all([command])
         await asyncio.sleep(PLAN_CHANGE_INTERVAL_S)
     await asyncio.sleep(IDLE_S)
--- a/bench/slopes/processes.py
+++ b/bench/slopes/processes.py
@@ -64,15 +64,15 @@
         rss_kb, peak_kb = (int(sizes[key].split()[0]) for key in ("VmRSS", "VmHWM"))
         return Usage(cpu_s, rss_kb / 1024, peak_kb / 1024)
 
-    async def ask(self, question: str) -> dict:
+    async def query(self, command: str) -> dict:
         """Send a line to a driver process and return its JSON answer."""
-        self.proc.stdin.write(f"{question}\n".encode())
+        self.proc.stdin.write(f"{command}\n".encode())
         await self.proc.stdin.drain()
         line = await self.proc.stdout.readline()
         if not line:
             tail = self.log.read_text()[-LOG_TAIL:]
             raise RuntimeError(
-                f"{self.name} exited before it answered {question!r}:\n{tail}"
+                f"{self.name} exited before it answered {command!r}:\n{tail}"
             )
         return json.loads(line)
 
--- a/bench/slopes/records.py
+++ b/bench/slopes/records.py
@@ -41,7 +41,7 @@
         for size in SIZES:
             options = json.dumps({"organisations": size})
             async with start_driver(folder, f"r{size}", MODULE, options) as driver:
-                for key, value in (await driver.ask("measure")).items():
+                for key, value in (await driver.query("measure")).items():
                     points.setdefault(key, []).append((size, value))
     return [
         fit(f"entry, records: {key}", "organisation in use", UNITS[key], line)
--- a/bench/slopes/snapshots.py
+++ b/bench/slopes/snapshots.py
@@ -40,7 +40,7 @@
             async with start_driver(
                 folder, f"s{size}", MODULE, json.dumps(options)
             ) as driver:
-                for key, value in (await driver.ask("measure")).items():
+                for key, value in (await driver.query("measure")).items():
                     points.setdefault(key, []).append((size, value))
     return [
         fit(f"control state: {key}", "claim kept", UNITS[key], line)
--- a/bench/slopes/watchers.py
+++ b/bench/slopes/watchers.py
@@ -101,7 +101,7 @@
 
 async def total_counts(drivers: list[Child]) -> dict:
     """Return the merged counts of several drivers."""
-    answers = [await driver.ask("counts") for driver in drivers]
+    answers = [await driver.query("counts") for driver in drivers]
     keys = ("streams", "bytes_in", "messages_in", "bytes_out", "messages_out")
     keys += ("config_bytes", "member_bytes", "large_bytes")
     total = {key: sum(answer[key] for answer in answers) for key in keys}
--- a/bench/tests/test_queues.py
+++ b/bench/tests/test_queues.py
@@ -30,10 +30,10 @@
 
     def test_cache_evicts_the_least_recently_used(self):
         cache = PrefixCache(size=2)
-        self.assertEqual((False, None), cache.use(b"x"))
-        self.assertEqual((False, None), cache.use(b"y"))
-        self.assertEqual((True, None), cache.use(b"x"))
-        self.assertEqual((False, b"y"), cache.use(b"z"))
+        self.assertEqual((False, None), cache.access(b"x"))
+        self.assertEqual((False, None), cache.access(b"y"))
+        self.assertEqual((True, None), cache.access(b"x"))
+        self.assertEqual((False, b"y"), cache.access(b"z"))
 
     def test_percentile(self):
         values = [float(value) for value in range(100)]
