--- a/bench/loads.py
+++ b/bench/loads.py
@@ -44,7 +44,7 @@
 
 
 def measure() -> list[Figure]:
-    """Return unserved work and waits of each order, as ratios to the first."""
+    """Return unserved work and waits of each order, relative to first-come-stage."""
     orders = {
         "first-come-stage": _first_come_stage,
         "first-come-chain": _first_come_chain,
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -25,7 +25,7 @@
 # median.
 BOUND_ROUNDS = 5
 ONE_TOKEN_PER_WRITE = Load(streams=STREAMS, ticks=100, burst=1, interval_s=0.02)
-# The current 40 engines form 13 chains of three; each sends one message per step.
+# The current 40 engines form 13 pipelines of three; each sends one message per step.
 THIRTEEN_PIPELINES = dataclasses.replace(ONE_TOKEN_PER_WRITE, messages=13)
 ONE_TOKEN_PER_MESSAGE = dataclasses.replace(
     ONE_TOKEN_PER_WRITE, messages=STREAMS, interval_s=0.05
--- a/bench/slopes/watchers.py
+++ b/bench/slopes/watchers.py
@@ -70,7 +70,7 @@
         count: Number of streams.
         role: Role that the streams report in their hello.
         name: Prefix of their node names.
-        **known: Fields of the hello that tell which state they have already.
+        **known: Hello fields for the state that they have from another replica.
     """
     async with contextlib.AsyncExitStack() as stack:
         drivers = []
