--- a/bench/planned_stops.py
+++ b/bench/planned_stops.py
@@ -1,9 +1,9 @@
-"""Planned stops of the leading control replica: pause, terms and commands.
+"""Planned stops of the control leader: write pause, terms, exit codes.
 
-Three control processes on loopback with their logs on disk; the leader gets a
-SIGTERM and is started again, twenty times, while changes of the rules document are
-submitted one after another. Bounds stand on terms, on what became of the changes
-and on exit codes; times are reported.
+Three control processes run on loopback with their logs on disk. The leader is stopped
+by SIGTERM and restarted, twenty times, while changes of the rules document are
+submitted one after another. Bounds are on terms and exit codes, and a lost or
+duplicated change is an error; times are only reported.
 """
 
 __all__ = ["measure"]
@@ -27,18 +27,18 @@
 STOPS = 20
 REPLICAS = 3
 WIGEOND = "wigeonscale.cli.wigeond"
-LIMIT_S = 60.0
+TIMEOUT_S = 60.0
 POLL_S = 0.02
 WRITE_PAUSE_S = 0.005
-SETTLE_S = 1.0  # of writing, before each stop and after it
-MS = 1000
+SETTLE_S = 1.0  # writing continues this long before and after each stop
+MS_PER_S = 1000
 
 
-class Group:
+class ControlGroup:
     """Control processes that replicate one log.
 
     Args:
-        folder: Settings, logs and data.
+        folder: Parent of the settings, logs and data.
     """
 
     def __init__(self, *, folder: pathlib.Path):
@@ -62,7 +62,7 @@
         self.children[number] = child
 
     async def status(self, number: int) -> dict:
-        """Return a replica's word on itself; empty when it does not answer."""
+        """Return a replica's status; empty if it does not answer."""
         url = f"http://{self._http[number]}/admin/status"
         try:
             async with aiohttp.ClientSession() as http, http.get(url) as answer:
@@ -71,26 +71,26 @@
             return {}
 
     async def leader(self) -> tuple[int, int]:
-        """Wait until all replicas follow one leader; return it and its term."""
-        async with asyncio.timeout(LIMIT_S):
+        """Wait until all replicas follow one leader; return its number and term."""
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
-                told = [await self.status(number) for number in self.children]
-                roles = [each.get("role") for each in told]
-                terms = {each.get("term") for each in told}
+                statuses = [await self.status(number) for number in self.children]
+                roles = [each.get("role") for each in statuses]
+                terms = {each.get("term") for each in statuses}
                 if roles.count("leader") == 1 and len(terms) == 1:
-                    if all(each["fresh"] for each in told):
+                    if all(each["fresh"] for each in statuses):
                         return roles.index("leader"), terms.pop()
                 await asyncio.sleep(POLL_S)
 
 
-class Writer:
-    """Submits one change of the document after another, and notes when.
+class ConfigWriter:
+    """Submits changes of the rules document one after another.
 
     Args:
         addresses: gRPC addresses of the replicas.
 
     Attributes:
-        accepted: Times at which a change was accepted.
+        accepted: Times at which changes were accepted, in monotonic seconds.
     """
 
     def __init__(self, *, addresses: list[str]):
@@ -100,7 +100,11 @@
         self.accepted: list[float] = []
 
     async def run(self) -> None:
-        """Write until cancelled; a change lost or doubled ends it by an error."""
+        """Submit changes until cancelled.
+
+        Raises:
+            RuntimeError: A change was lost or applied twice.
+        """
         try:
             while True:
                 base = len(self.accepted)
@@ -110,17 +114,20 @@
                     operator="bench",
                 )
                 result = await self._submitter.submit(
-                    wire.Command(apply_config=body), LIMIT_S
+                    wire.Command(apply_config=body), TIMEOUT_S
                 )
                 if result.revision != base + 1:
-                    raise RuntimeError(f"revision {result.revision} after {base}")
+                    raise RuntimeError(
+                        f"revision {result.revision} after {base}:"
+                        " a change was lost or applied twice"
+                    )
                 self.accepted.append(time.monotonic())
                 await asyncio.sleep(WRITE_PAUSE_S)
         finally:
             await self._submitter.close()
 
-    async def until_accepted(self, at: float) -> None:
-        """Wait until a change was accepted at or after an instant."""
+    async def wait_accepted(self, at: float) -> None:
+        """Wait until a change has been accepted at or after a time."""
         while not self.accepted or self.accepted[-1] < at:  # noqa: ASYNC110
             await asyncio.sleep(POLL_S)
 
@@ -131,16 +138,17 @@
 
 
 def measure() -> list[Figure]:
-    """Stop the leader as planned, again and again.
+    """Stop the leader by SIGTERM ``STOPS`` times.
 
     Returns:
-        Figures; the pause is without an accepted change, from the SIGTERM on.
+        Figures; a pause is the longest time without an accepted change, from the
+        SIGTERM on.
     """
     pauses, terms, codes = asyncio.run(_run())
     prefix = "planned-stop"
     return [
-        Figure(f"{prefix}/pause/median", statistics.median(pauses) * MS, "ms"),
-        Figure(f"{prefix}/pause/worst", max(pauses) * MS, "ms"),
+        Figure(f"{prefix}/pause/median", statistics.median(pauses) * MS_PER_S, "ms"),
+        Figure(f"{prefix}/pause/worst", max(pauses) * MS_PER_S, "ms"),
         Figure(f"{prefix}/terms", sum(terms) / STOPS, "per stop", high=1.0),
         Figure(f"{prefix}/failed-exits", sum(map(bool, codes)), "of stops", high=0),
     ]
@@ -148,32 +156,32 @@
 
 async def _run():
     with tempfile.TemporaryDirectory() as name:
-        group = Group(folder=pathlib.Path(name))
+        group = ControlGroup(folder=pathlib.Path(name))
         for number in range(REPLICAS):
             await group.start(number)
-        writer = Writer(addresses=group.grpc)
-        writing = asyncio.create_task(writer.run())
+        writer = ConfigWriter(addresses=group.grpc)
+        writer_task = asyncio.create_task(writer.run())
         try:
             results = [await _stop_leader(group, writer) for _ in range(STOPS)]
-            if writing.done():
-                writing.result()
+            if writer_task.done():
+                writer_task.result()
             return zip(*results, strict=True)
         finally:
-            writing.cancel()
-            await asyncio.gather(writing, return_exceptions=True)
+            writer_task.cancel()
+            await asyncio.gather(writer_task, return_exceptions=True)
             await stop_all(list(group.children.values()))
 
 
 async def _stop_leader(group, writer):
-    """Return the pause in seconds, the terms begun and the exit code."""
+    """Return the pause in seconds, the number of new terms and the exit code."""
     number, term = await group.leader()
     await asyncio.sleep(SETTLE_S)
     since = time.monotonic()
     child = group.children[number]
     child.proc.send_signal(signal.SIGTERM)
-    async with asyncio.timeout(LIMIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         code = await child.proc.wait()
-        await writer.until_accepted(since + SETTLE_S)
+        await writer.wait_accepted(since + SETTLE_S)
     pause = writer.longest_pause(since)
     await group.start(number)
     _, new_term = await group.leader()
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -1,12 +1,12 @@
-"""Replicated log: syncs, messages and time per entry against plain variants.
+"""Replicated log: syncs, messages and time per entry, against simpler variants.
 
-Three replicas over gRPC on loopback with their logs on disk. Each of the two ideas
-taken from the MicroRaft article on log replication (Kahveci, "Log replication in
-MicroRaft", 2023) is measured against the log without it:
+Three replicas communicate over gRPC on loopback and keep their logs on disk. Two
+optimisations taken from the MicroRaft article on log replication (Kahveci, "Log
+replication in MicroRaft", 2023) are each compared with the log without it:
 
 * one outstanding append per follower, so that batches grow with the load, against
-  one entry an append;
-* the leader's sync beside replication, against a sync before sending.
+  one entry per append;
+* the leader's sync in parallel with replication, against a sync before sending.
 """
 
 __all__ = ["measure"]
@@ -35,11 +35,11 @@
 
 NAMES = ("a", "b", "c")
 FOLLOWERS = len(NAMES) - 1
-ENTRY = bytes(300)
+ENTRY_DATA = bytes(300)
 ENTRIES = 500
-BUSY = 64  # proposals at once
-ROUNDS = 3  # of each variant, taken in turn; the median counts
-MS = 1000
+BUSY_PROPOSALS = 64  # concurrent proposals
+ROUNDS = 3  # variants alternate; the median of the rounds is reported
+MS_PER_S = 1000
 
 VARIANTS = {
     "kept": ReplicaOptions(),
@@ -49,14 +49,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
-    """What one run of one variant cost.
+class RunCost:
+    """Cost of one run of one variant.
 
     Attributes:
         syncs: Syncs of the leader's log per entry.
         messages: Appends to each follower per entry.
-        commit_ms: Median time from proposal to answer, in milliseconds.
-        entries_s: Entries committed a second.
+        commit_ms: Median time from proposal to commit, in milliseconds.
+        entries_s: Entries committed per second.
     """
 
     syncs: float
@@ -65,20 +65,20 @@
     entries_s: float
 
 
-class CountingLinks:
-    """Links over gRPC that count the appends with entries.
+class CountingTransport:
+    """gRPC transport that counts the append requests.
 
     Attributes:
-        appends: Appends so far.
+        appends: Append requests so far.
     """
 
     def __init__(self):
-        self._links = GrpcTransport()
+        self._transport = GrpcTransport()
         self.appends = 0
 
     def connect(self, address):
-        """Return a counting link to ip:port."""
-        link = self._links.connect(address)
+        """Return a link to ``ip:port`` whose appends are counted."""
+        link = self._transport.connect(address)
         append = link.append
 
         async def counted(req):
@@ -89,33 +89,33 @@
         return link
 
 
-class NullMachine:
-    """A state machine without a state."""
+class NullStateMachine:
+    """A state machine without state."""
 
     def apply(self, index, term, data):
         """Return the index."""
         return index
 
     def snapshot(self):
-        """Return nothing."""
+        """Return an empty snapshot."""
         return b""
 
     def restore(self, data):
-        """Take nothing."""
+        """Ignore the snapshot."""
 
 
 def measure() -> list[Figure]:
     """Measure every variant idle (one proposal at a time) and busy.
 
     Returns:
-        Figures; bounds stand on counts only, times are reported.
+        Figures; only counts have bounds, times are reported.
     """
     figures = []
-    for load, at_once in (("idle", 1), ("busy", BUSY)):
+    for load, concurrency in (("idle", 1), ("busy", BUSY_PROPOSALS)):
         runs = {name: [] for name in VARIANTS}
         for _ in range(ROUNDS):
             for name, options in VARIANTS.items():
-                runs[name].append(asyncio.run(_run(options, at_once)))
+                runs[name].append(asyncio.run(_run(options, concurrency)))
         for name in VARIANTS:
             figures += _figures(f"replication/{load}/{name}", runs[name], load, name)
     return figures
@@ -136,11 +136,11 @@
     return statistics.median(getattr(run, field) for run in runs)
 
 
-async def _run(options, at_once):
+async def _run(options, concurrency):
     with tempfile.TemporaryDirectory() as root:
         bound = {name: new_server("127.0.0.1:0") for name in NAMES}
         members = [Member(name, bound[name][1]) for name in NAMES]
-        links = CountingLinks()
+        transport = CountingTransport()
         replicas = []
         tasks = []
         for seed, name in enumerate(NAMES):
@@ -150,8 +150,8 @@
                 address=address,
                 voters=members,
                 folder=DiskFolder(path=f"{root}/{name}"),
-                machine=NullMachine(),
-                transport=links,
+                machine=NullStateMachine(),
+                transport=transport,
                 clock=SystemClock(),
                 options=options,
                 rng=random.Random(seed),
@@ -162,7 +162,7 @@
             replicas.append(replica)
             tasks.append(asyncio.create_task(replica.run()))
         try:
-            return await _load(await _leader(replicas), links, at_once)
+            return await _run_load(await _wait_leader(replicas), transport, concurrency)
         finally:
             for server, _ in bound.values():
                 await server.stop(None)
@@ -171,36 +171,36 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _leader(replicas):
+async def _wait_leader(replicas):
     while True:
         for replica in replicas:
             if replica.role is Role.LEADER:
                 try:
-                    await replica.propose(ENTRY)
+                    await replica.propose(ENTRY_DATA)
                 except NotLeaderError:
                     continue
                 return replica
         await asyncio.sleep(0.05)
 
 
-async def _load(leader, links, at_once):
+async def _run_load(leader, transport, concurrency):
     waits = []
-    left = iter(range(ENTRIES))
+    remaining = iter(range(ENTRIES))
 
     async def propose_in_turn():
-        for _ in left:
+        for _ in remaining:
             begin = time.perf_counter()
-            await leader.propose(ENTRY)
+            await leader.propose(ENTRY_DATA)
             waits.append(time.perf_counter() - begin)
 
     syncs = leader.syncs
-    appends = links.appends
+    appends = transport.appends
     begin = time.perf_counter()
-    await asyncio.gather(*(propose_in_turn() for _ in range(at_once)))
+    await asyncio.gather(*(propose_in_turn() for _ in range(concurrency)))
     elapsed = time.perf_counter() - begin
-    return Run(
+    return RunCost(
         syncs=(leader.syncs - syncs) / ENTRIES,
-        messages=(links.appends - appends) / ENTRIES / FOLLOWERS,
-        commit_ms=statistics.median(waits) * MS,
+        messages=(transport.appends - appends) / ENTRIES / FOLLOWERS,
+        commit_ms=statistics.median(waits) * MS_PER_S,
         entries_s=ENTRIES / elapsed,
     )
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Figures of a benchmark and the bounds they are held against."""
+"""Benchmark figures, their bounds and their printed form."""
 
 __all__ = ["Figure", "print_figures", "violations"]
 
@@ -12,10 +12,10 @@
 
     Attributes:
         name: What was measured, for example ``"placement/hard/achieved"``.
-        value: The figure.
+        value: The measured value.
         unit: Its unit, for example ``"ratio"``, ``"us"`` or ``"MB"``.
-        low: Smallest value allowed, or None. Only for counts and ratios: times
-            are reported, never judged.
+        low: Smallest value allowed, or None. Only counts and ratios have bounds;
+            times depend on the machine and are only reported.
         high: Largest value allowed, or None.
     """
 
@@ -25,7 +25,7 @@
     low: float | None = None
     high: float | None = None
 
-    def holds(self) -> bool:
+    def within_bounds(self) -> bool:
         """Return whether the figure is within its bounds."""
         above = self.low is None or self.value >= self.low
         below = self.high is None or self.value <= self.high
@@ -33,7 +33,7 @@
 
 
 def print_figures(figures: Iterable[Figure]) -> None:
-    """Print one line a figure, with its bounds and whether they hold."""
+    """Print one line per figure, with its bounds and whether it is within them."""
     for figure in figures:
         bounds = _bounds_text(figure)
         print(f"{figure.name:<58} {figure.value:>12.4g} {figure.unit:<10} {bounds}")
@@ -41,7 +41,7 @@
 
 def violations(figures: Iterable[Figure]) -> list[Figure]:
     """Return the figures outside their bounds."""
-    return [figure for figure in figures if not figure.holds()]
+    return [figure for figure in figures if not figure.within_bounds()]
 
 
 def _bounds_text(figure: Figure) -> str:
@@ -49,5 +49,5 @@
         return ""
     low = "" if figure.low is None else f"{figure.low:g} <= "
     high = "" if figure.high is None else f" <= {figure.high:g}"
-    verdict = "ok" if figure.holds() else "OUT OF BOUNDS"
+    verdict = "ok" if figure.within_bounds() else "OUT OF BOUNDS"
     return f"[{low}x{high}] {verdict}"
--- a/bench/slopes/members.py
+++ b/bench/slopes/members.py
@@ -1,6 +1,6 @@
-"""Backends and documents of any size."""
+"""Announcements of backend servers and rules documents of any size."""
 
-__all__ = ["announcements", "backend", "change", "document"]
+__all__ = ["announcements", "backend", "document", "rule_change"]
 
 import zlib
 from collections.abc import Iterable
@@ -15,11 +15,11 @@
 
 
 def backend(name: str, *, version: str = "") -> wire.Backend:
-    """Return what an engine's agent announces.
+    """Return the announcement of an engine's agent.
 
     Args:
-        name: Name of the backend server.
-        version: Model version; another one makes another announcement.
+        name: Name of the backend server, from which the other fields are derived.
+        version: Model version; a new version makes the announcement a change.
 
     Returns:
         The announcement.
@@ -46,7 +46,7 @@
 def announcements(
     names: Iterable[str], *, replica: str, version: str = ""
 ) -> list[wire.Command]:
-    """Return the commands that announce engines as attached to a replica."""
+    """Return commands that announce engines as attached to a control replica."""
     return [
         wire.Command(
             announce=wire.Announce(
@@ -74,13 +74,13 @@
         for n in range(rules)
     ]
     parts.append("[rule all]\nwhen = model is m\nthen = route pipeline p\n")
-    parts.append(change(0).text)
+    parts.append(rule_change(0).text)
     parts.append("[rule last]\nwhen = always\nthen = refuse because no rule\n")
     return "\n".join(parts)
 
 
-def change(number: int) -> wire.SectionChange:
-    """Return a change of one rule, different for each number."""
+def rule_change(number: int) -> wire.SectionChange:
+    """Return a change of the rule ``changing``; its text depends on the number."""
     text = (
         "[rule changing]\nwhen = model is changing and path under /v1/\n"
         f"then = refuse because change {number}\n"
--- a/bench/slopes/page.py
+++ b/bench/slopes/page.py
@@ -1,6 +1,6 @@
-"""The table of slopes on docs/CAPACITY.md."""
+"""The table of slopes in docs/CAPACITY.md."""
 
-__all__ = ["BEGIN", "END", "rewrite", "table"]
+__all__ = ["BEGIN", "END", "replace_between_markers", "table"]
 
 import pathlib
 from collections.abc import Iterable, Mapping
@@ -9,8 +9,8 @@
 
 BEGIN = "<!-- slopes:begin (rewritten by make slopes) -->"
 END = "<!-- slopes:end -->"
-HEAD = "| slope | points | per | slope | intercept | residual |"
-RULE = "| --- | --- | --- | ---: | ---: | ---: |"
+TABLE_HEADER = "| slope | points | per | slope | intercept | residual |"
+TABLE_DIVIDER = "| --- | --- | --- | ---: | ---: | ---: |"
 
 
 def table(families: Mapping[str, Iterable[Slope]], heading: str) -> str:
@@ -18,28 +18,28 @@
 
     Args:
         families: Slopes by the module that measured them.
-        heading: Line on when and how busy the machine was.
+        heading: Line with the time of the run and the load of the machine.
 
     Returns:
-        Markdown, one table a family, with the command that gives it.
+        Markdown with one table per family and the command that measures it.
     """
     parts = [heading]
     for family, slopes in families.items():
         rows = "\n".join(_row(slope) for slope in slopes)
         command = f"`python -m bench.slopes {family}`"
-        parts.append(f"{command}\n\n{HEAD}\n{RULE}\n{rows}")
+        parts.append(f"{command}\n\n{TABLE_HEADER}\n{TABLE_DIVIDER}\n{rows}")
     return "\n\n".join(parts)
 
 
-def rewrite(page: pathlib.Path, text: str) -> None:
-    """Put a text between the page's markers and leave the rest as it is.
+def replace_between_markers(page: pathlib.Path, text: str) -> None:
+    """Replace the text between the page's markers.
 
     Args:
         page: The page.
-        text: What shall stand between the markers.
+        text: New text between the markers.
 
     Raises:
-        ValueError: The page does not hold both markers once, in order.
+        ValueError: The page does not contain each marker exactly once, in order.
     """
     old = page.read_text()
     before, begin, rest = old.partition(BEGIN)
--- a/bench/slopes/snapshots.py
+++ b/bench/slopes/snapshots.py
@@ -1,7 +1,7 @@
-"""Cost of the claims that are kept, and of the snapshot that holds them.
+"""Cost of stored claims and of the snapshot that contains them.
 
-The state machine stands alone in a process of its own: a snapshot's cost is the
-same on every replica and needs no peer.
+The state machine runs alone in a separate process: the cost of a snapshot is the same
+on every replica and does not involve peers.
 
 Usage as a driver: ``python -m bench.slopes.snapshots JSON``.
 """
@@ -32,7 +32,7 @@
 
 
 async def measure() -> list[Slope]:
-    """Measure the state machine with more and more claims."""
+    """Measure the state machine with an increasing number of claims."""
     points: dict[str, list[tuple[float, float]]] = {}
     with run_folder() as folder:
         for size in SIZES:
@@ -40,7 +40,7 @@
             async with start_driver(
                 folder, f"s{size}", MODULE, json.dumps(options)
             ) as driver:
-                for key, value in (await driver.ask("measure")).items():
+                for key, value in (await driver.query("measure")).items():
                     points.setdefault(key, []).append((size, value))
     return [
         fit(f"control state: {key}", "claim kept", UNITS[key], line)
@@ -61,12 +61,12 @@
     began = time.perf_counter()
     data = state.snapshot()
     snapshot_s = time.perf_counter() - began
-    most = resident_kb("VmHWM")
+    peak_kb = resident_kb("VmHWM")
     began = time.perf_counter()
     ControlState().restore(data)
     restore_s = time.perf_counter() - began
     values = (memory, 1e6 * applied_s / index, len(data), 1e3 * snapshot_s)
-    return dict(zip(UNITS, (*values, most, 1e3 * restore_s), strict=True))
+    return dict(zip(UNITS, (*values, peak_kb, 1e3 * restore_s), strict=True))
 
 
 def _commands(count: int) -> Iterator[bytes]:
@@ -78,7 +78,7 @@
 
 
 def main(args: list[str]) -> None:
-    """Answer one line on standard input with the figures."""
+    """Print the figures as JSON after one line on standard input."""
     options = json.loads(args[0])
     sys.stdin.readline()
     print(json.dumps(_figures(options["claims"])), flush=True)
--- a/bench/tests/test_queues.py
+++ b/bench/tests/test_queues.py
@@ -3,16 +3,16 @@
 
 
 class QueuesTest(AsyncTestCase):
-    def test_clock_does_what_is_due_in_order(self):
+    def test_clock_runs_due_actions_in_order(self):
         clock, done = VirtualClock(), []
-        clock.at(2.0, lambda: done.append(("late", clock.now())))
-        clock.after(1.0, lambda: done.append(("early", clock.now())))
+        clock.call_at(2.0, lambda: done.append(("late", clock.now())))
+        clock.call_later(1.0, lambda: done.append(("early", clock.now())))
         clock.run(1.5)
         self.assertEqual([("early", 1.0)], done)
         clock.run(3.0)
         self.assertEqual([("early", 1.0), ("late", 2.0)], done)
 
-    def test_server_serves_so_many_at_once_and_reports_its_past_load(self):
+    def test_server_limits_concurrency_and_reports_past_load(self):
         clock, ended = VirtualClock(), []
         server = CapacityServer(
             clock=clock,
@@ -28,12 +28,12 @@
         self.assertEqual((2, 1), (then.running, then.queued))
         self.assertEqual((1, 0), (now.running, now.queued))
 
-    def test_cache_drops_the_least_recently_used(self):
+    def test_cache_evicts_the_least_recently_used(self):
         cache = PrefixCache(size=2)
-        self.assertEqual((False, None), cache.use(b"x"))
-        self.assertEqual((False, None), cache.use(b"y"))
-        self.assertEqual((True, None), cache.use(b"x"))
-        self.assertEqual((False, b"y"), cache.use(b"z"))
+        self.assertEqual((False, None), cache.access(b"x"))
+        self.assertEqual((False, None), cache.access(b"y"))
+        self.assertEqual((True, None), cache.access(b"x"))
+        self.assertEqual((False, b"y"), cache.access(b"z"))
 
     def test_percentile(self):
         values = [float(value) for value in range(100)]
