--- a/bench/replication.py
+++ b/bench/replication.py
@@ -148,7 +148,7 @@
             replica = Replica(
                 node_id=name,
                 address=address,
-                voters=members,
+                initial_members=members,
                 folder=DiskFolder(path=f"{root}/{name}"),
                 machine=NullMachine(),
                 transport=links,
--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -160,9 +160,9 @@
             await self._clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self.outcomes.flush()
 
-    async def cut(self) -> None:
+    async def abort(self) -> None:
         """Abort the work still in progress with an error to its callers."""
-        self.dispatcher.cut()
+        self.dispatcher.abort()
 
     async def close(self) -> None:
         """Cancel all tasks of this agent."""
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -239,7 +239,7 @@
         while self._table.live() or self._table.undelivered():
             await self._clock.sleep(SWEEP_INTERVAL_S)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort all open dispatches because the process is stopping."""
         # Queued dispatches first: a slot freed by a running one would start them.
         live = self._table.live()
--- a/wigeonscale/agent/tests/test_faults.py
+++ b/wigeonscale/agent/tests/test_faults.py
@@ -261,13 +261,13 @@
         await asyncio.gather(*drains)
         self.assertTrue(self.nodes[0].state.announcement().draining)
 
-    async def test_work_cut_at_stop_timeout_is_reported(self):
+    async def test_work_aborted_at_stop_timeout_is_reported(self):
         await self.start(slots=1)
         self.nodes[2].engine.fault_position = 0
         self.nodes[2].engine.on_fault = asyncio.Event().wait
         running, queued = await self.send(2)
         await until(lambda: self.nodes[2].engine.fault_position is None)
-        await self.nodes[0].agent.cut()
+        await self.nodes[0].agent.abort()
         states = [
             (await self.client.end(i)).refused.run_state for i in (running, queued)
         ]
--- a/wigeonscale/daemons/agent.py
+++ b/wigeonscale/daemons/agent.py
@@ -89,7 +89,7 @@
             },
             stop_steps=[
                 StopStep("leave", agent.stop_accepting),
-                StopStep("drain", agent.drain, agent.cut),
+                StopStep("drain", agent.drain, agent.abort),
             ],
             stop_timeout_s=cfg.stop_timeout_s,
         )
--- a/wigeonscale/daemons/control.py
+++ b/wigeonscale/daemons/control.py
@@ -205,7 +205,7 @@
         return Replica(
             node_id=cfg.name,
             address=next(p.address for p in cfg.peers if p.name == cfg.name),
-            voters=[Member(peer.name, peer.address) for peer in cfg.peers],
+            initial_members=[Member(peer.name, peer.address) for peer in cfg.peers],
             folder=DiskFolder(path=cfg.data),
             machine=self.state,
             transport=self._transport,
--- a/wigeonscale/daemons/direct_control.py
+++ b/wigeonscale/daemons/direct_control.py
@@ -78,7 +78,7 @@
         self.replica = Replica(
             node_id=address,
             address=address,
-            voters=[Member(seed, seed) for seed in seeds],
+            initial_members=[Member(seed, seed) for seed in seeds],
             folder=DiskFolder(path=cfg.data),
             machine=self.state,
             transport=GrpcTransport(
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -83,7 +83,7 @@
             },
             stop_steps=[
                 StopStep("stop accepting", server.stop_accepting),
-                StopStep("finish", server.finish, on_timeout=server.cut),
+                StopStep("finish", server.finish, on_timeout=server.abort),
                 StopStep("close", server.close),
             ],
             stop_timeout_s=cfg.stop_timeout_s,
@@ -145,7 +145,8 @@
         claims=claims,
         budget=RetryBudget(clock=clock, ratio=cfg.retry_ratio),
         crashes=CrashGuard(
-            book=crashes or new_crash_tracker(names, clock=clock), servers=names.ids_of
+            tracker=crashes or new_crash_tracker(names, clock=clock),
+            servers=names.ids_of,
         ),
         clock=clock,
         open_timeout_s=cfg.open_timeout_s,
--- a/wigeonscale/entry/app.py
+++ b/wigeonscale/entry/app.py
@@ -74,10 +74,10 @@
         """Wait until the answers in progress are complete."""
         await self._entry.wait_until_idle()
 
-    async def cut(self) -> None:
+    async def abort(self) -> None:
         """Abort the answers still in progress with an error event."""
         self._entry.stopping = True
-        self._entry.cut()
+        self._entry.abort()
         try:
             async with asyncio.timeout(CUT_GRACE_S):
                 await self._entry.wait_until_idle()
--- a/wigeonscale/entry/service.py
+++ b/wigeonscale/entry/service.py
@@ -135,7 +135,7 @@
         """Wait until no request is in progress."""
         await self._idle.wait()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort all answers in progress with an error that explains how to resume."""
         for stream in self._links.streams():
             stream.fail(EntryStoppingError(stream.dispatch_id))
--- a/wigeonscale/entry/tests/test_failures.py
+++ b/wigeonscale/entry/tests/test_failures.py
@@ -203,9 +203,9 @@
         await self.server.finish()
         self.assertEqual(list(WORDS[3:]), texts_of(await read_events(answer)))
 
-    async def test_stream_cut_at_stop_timeout_reports_its_request_id(self):
+    async def test_stream_aborted_at_stop_timeout_reports_its_request_id(self):
         answer = await self.begin_stream(self.agent)
-        await self.server.cut()
+        await self.server.abort()
         events = await read_events(answer)
         self.assertEqual("error", events[-1]["event"])
         error = events[-1]["data"]["error"]
--- a/wigeonscale/replication/member_log.py
+++ b/wigeonscale/replication/member_log.py
@@ -14,16 +14,18 @@
     """Changes of members in the log of one replica, committed or not.
 
     Args:
-        voters: Initial members, in effect until the first change.
+        initial_members: Members in effect until the first change.
 
     Notes:
         A change takes effect when it is appended (section 4.1 of the Raft
         dissertation), so it must be reverted if its entry is truncated.
     """
 
-    def __init__(self, *, voters: Sequence[Member]):
-        self._voters = tuple(voters)
-        self._changes: list[tuple[int, tuple[Member, ...]]] = [(0, self._voters)]
+    def __init__(self, *, initial_members: Sequence[Member]):
+        self._initial_members = tuple(initial_members)
+        self._changes: list[tuple[int, tuple[Member, ...]]] = [
+            (0, self._initial_members)
+        ]
 
     @property
     def latest(self) -> tuple[Member, ...]:
@@ -45,7 +47,7 @@
         if snapshot and snapshot.members:
             self._changes = [(snapshot.index, snapshot.members)]
         else:
-            self._changes = [(0, self._voters)]
+            self._changes = [(0, self._initial_members)]
         first = max(storage.base_index, self.index) + 1
         self.add(storage.entries(first, storage.last_index))
 
--- a/wigeonscale/replication/replica.py
+++ b/wigeonscale/replication/replica.py
@@ -60,7 +60,8 @@
     Args:
         node_id: Stable identifier of this replica.
         address: ip:port of its own gRPC server.
-        voters: Initial members of the cluster, including this replica.
+        initial_members: Members of the cluster, including this replica, in effect until
+            the first change in the log.
         folder: Data folder port, for example ``DiskFolder(path=...)``.
         machine: State machine that committed entries are applied to.
         transport: Transport to the peers, for example ``GrpcTransport()``.
@@ -93,7 +94,7 @@
         *,
         node_id: str,
         address: str,
-        voters: Sequence[Member],
+        initial_members: Sequence[Member],
         folder: Folder,
         machine: StateMachine,
         transport: Transport,
@@ -106,7 +107,7 @@
         self._state = ReplicaState(
             node_id=node_id,
             address=address,
-            voters=voters,
+            initial_members=initial_members,
             storage=LogStorage(folder=folder),
             machine=machine,
             transport=transport,
--- a/wigeonscale/replication/state.py
+++ b/wigeonscale/replication/state.py
@@ -81,7 +81,7 @@
     Args:
         node_id: Identifier of this replica.
         address: ip:port of its gRPC server.
-        voters: Initial members of the cluster.
+        initial_members: Members of the cluster until the first change in the log.
         storage: Durable storage.
         machine: State machine.
         transport: Transport port.
@@ -97,7 +97,7 @@
         *,
         node_id: str,
         address: str,
-        voters: Sequence[Member],
+        initial_members: Sequence[Member],
         storage: LogStorage,
         machine: StateMachine,
         transport: Transport,
@@ -145,7 +145,7 @@
         self.snapshot_due = asyncio.Event()
         self.on_applied: Subject = Subject()
         self.start_peer: Callable[[PeerState], asyncio.Task] | None = None
-        self.member_log = MemberLog(voters=voters)
+        self.member_log = MemberLog(initial_members=initial_members)
 
     # ------------------------------------------------------------- derived values
 
--- a/wigeonscale/replication/tests/support.py
+++ b/wigeonscale/replication/tests/support.py
@@ -57,7 +57,7 @@
             replica = Replica(
                 node_id=name,
                 address=name,
-                voters=members or self.members,
+                initial_members=members or self.members,
                 folder=self.folders[name],
                 machine=self.machines[name],
                 transport=self.network.transport(name),
--- a/wigeonscale/replication/tests/test_member_log.py
+++ b/wigeonscale/replication/tests/test_member_log.py
@@ -22,7 +22,7 @@
         storage = LogStorage(folder=MemoryFolder())
         await storage.load("disk")
         await storage.save_snapshot(Snapshot(5, 1, SECOND, b""), 6)
-        log = MemberLog(voters=FIRST)
+        log = MemberLog(initial_members=FIRST)
         log.load(storage)
         self.assertEqual((5, SECOND), (log.index, log.latest))
         storage.append([change(6, THIRD)])
@@ -31,7 +31,7 @@
         await storage.close()
 
     def test_truncated_changes_are_reverted_down_to_the_initial_members(self):
-        log = MemberLog(voters=FIRST)
+        log = MemberLog(initial_members=FIRST)
         log.add([change(3, SECOND), change(4, THIRD)])
         log.drop_from(4)
         self.assertEqual((3, SECOND), (log.index, log.latest))
--- a/wigeonscale/replication/tests/test_transport.py
+++ b/wigeonscale/replication/tests/test_transport.py
@@ -99,7 +99,7 @@
             replica = Replica(
                 node_id=name,
                 address=self.relays[name].address,
-                voters=members,
+                initial_members=members,
                 folder=DiskFolder(path=f"{self.root}/{name}"),
                 machine=self.machines[name],
                 transport=GrpcTransport(),
