--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -116,7 +116,7 @@
             load=self.current_load,
             clock=clock,
             prefixes=self.prefixes,
-            entry_silence_s=max(
+            entry_timeout_s=max(
                 ENTRY_TIMEOUT_S, MAX_MISSED_HEARTBEATS * cfg.heartbeat_s
             ),
         )
--- a/wigeonscale/agent/orders.py
+++ b/wigeonscale/agent/orders.py
@@ -39,7 +39,7 @@
     ):
         self._state = state
         self._engine = engine
-        self._ask_floor = floor
+        self._query_floor = floor
         self._metrics = metrics
         self._floor: tuple[int, int] | None = None
         self._lock = asyncio.Lock()
@@ -61,7 +61,7 @@
 
     async def _check_fence(self, order: wire.Order) -> None:
         if self._floor is None:
-            self._floor = tuple(await self._ask_floor())
+            self._floor = tuple(await self._query_floor())
         token = (order.term, order.sequence)
         if token < self._floor:
             raise WigeonscaleError(
--- a/wigeonscale/agent/servicer.py
+++ b/wigeonscale/agent/servicer.py
@@ -29,7 +29,7 @@
         load: Returns the current load word.
         clock: Clock port.
         prefixes: Cache events of the engine; None for a plain service.
-        entry_silence_s: Seconds without a message after which an entry no longer
+        entry_timeout_s: Seconds without a message after which an entry no longer
             counts as a live reader.
     """
 
@@ -41,14 +41,14 @@
         load: Callable[[], wire.LoadWord],
         clock: Clock,
         prefixes: PrefixFeed | None = None,
-        entry_silence_s: float = ENTRY_TIMEOUT_S,
+        entry_timeout_s: float = ENTRY_TIMEOUT_S,
     ):
         self._dispatcher = dispatcher
         self._stage = stage
         self._load = load
         self._clock = clock
         self._prefixes = prefixes
-        self._entry_silence_s = entry_silence_s
+        self._entry_timeout_s = entry_timeout_s
         self._streams: set[EntryStream] = set()
         self._steps: set[asyncio.Task] = set()
 
@@ -70,7 +70,7 @@
             load=self._load,
             clock=self._clock,
             prefixes=outbox,
-            silence_s=self._entry_silence_s,
+            entry_timeout_s=self._entry_timeout_s,
         )
         writer = asyncio.create_task(stream.write(context.write))
         self._streams.add(stream)
--- a/wigeonscale/agent/stream.py
+++ b/wigeonscale/agent/stream.py
@@ -25,8 +25,8 @@
         load: Returns the load word that is sent with every message.
         clock: Clock port.
         prefixes: Cache events for this stream; None for a plain service.
-        silence_s: Seconds without a message after which the entry no longer counts
-            as alive.
+        entry_timeout_s: Seconds without a message after which the entry no longer
+            counts as a live reader.
 
     Attributes:
         name: Name of the entry; empty until its ``EntryHello``.
@@ -38,13 +38,13 @@
         load: Callable[[], wire.LoadWord],
         clock: Clock,
         prefixes: PrefixOutbox | None = None,
-        silence_s: float = ENTRY_TIMEOUT_S,
+        entry_timeout_s: float = ENTRY_TIMEOUT_S,
     ):
         self.name = ""
         self._load = load
         self._clock = clock
         self._prefixes = prefixes
-        self._silence_s = silence_s
+        self._entry_timeout_s = entry_timeout_s
         self._last_activity = clock.now()
         self._readers: dict[str, Reader] = {}
         self._dirty: dict[Reader, None] = {}
@@ -79,7 +79,7 @@
 
     def is_alive(self) -> bool:
         """Return whether a message from the entry has arrived recently."""
-        return self._clock.now() - self._last_activity < self._silence_s
+        return self._clock.now() - self._last_activity < self._entry_timeout_s
 
     def detach(self, dispatch_id: str) -> None:
         """Stop reading an answer."""
--- a/wigeonscale/agent/tests/test_orders.py
+++ b/wigeonscale/agent/tests/test_orders.py
@@ -34,9 +34,11 @@
         await self.state.probe()
 
     def new_executor(self):
-        return OrderExecutor(state=self.state, engine=self.engine, floor=self.ask_floor)
+        return OrderExecutor(
+            state=self.state, engine=self.engine, floor=self.query_floor
+        )
 
-    async def ask_floor(self):
+    async def query_floor(self):
         if self.floor is None:
             raise WigeonscaleError(ErrorKind.NO_QUORUM, "no majority")
         return self.floor
--- a/wigeonscale/dispatch/links.py
+++ b/wigeonscale/dispatch/links.py
@@ -42,7 +42,7 @@
         *,
         entry_id: str,
         clock: Clock,
-        on_load: OnLoad = lambda agent_id, word: None,
+        on_load: OnLoad = lambda agent_id, load: None,
         on_prefixes: OnPrefixes = lambda agent_id, events: None,
         on_gone: OnGone = lambda target: None,
         limits: KeepaliveLimits | None = None,
--- a/wigeonscale/dispatch/tests/fake_agent.py
+++ b/wigeonscale/dispatch/tests/fake_agent.py
@@ -41,7 +41,7 @@
         self.accept = True
         self.hold: int | None = None
         self.resume = asyncio.Event()
-        self.deaf = False
+        self.ignores_messages = False
         self.muted: set[int] = set()
         self.streams = 0
         self.once_effects: list[str] = []
@@ -107,7 +107,7 @@
 
     async def _receive(self, requests, number: int) -> None:
         async for req in requests:
-            if self.deaf or number in self.muted:
+            if self.ignores_messages or number in self.muted:
                 continue
             name = req.WhichOneof("body")
             body = getattr(req, name)
--- a/wigeonscale/entry/app.py
+++ b/wigeonscale/entry/app.py
@@ -19,7 +19,7 @@
 # Time given to the load balancer to notice that the entry is not ready.
 UNREADY_GRACE_S = 1.0
 # Time given to aborted answers to write their error event.
-CUT_GRACE_S = 0.5
+ABORT_GRACE_S = 0.5
 
 
 class CallerServer:
@@ -54,7 +54,7 @@
             access_log=None,
             handle_signals=False,
             handler_cancellation=True,
-            shutdown_timeout=CUT_GRACE_S,
+            shutdown_timeout=ABORT_GRACE_S,
         )
         await self._runner.setup()
         host, _, port = self._address.rpartition(":")
@@ -79,7 +79,7 @@
         self._entry.stopping = True
         self._entry.abort()
         try:
-            async with asyncio.timeout(CUT_GRACE_S):
+            async with asyncio.timeout(ABORT_GRACE_S):
                 await self._entry.wait_until_idle()
         except TimeoutError:
             return
@@ -95,12 +95,12 @@
 def _application(entry: EntryService) -> web.Application:
     app = web.Application(client_max_size=entry.limits.body_limit_bytes)
 
-    async def close_when_leaving(req: web.Request, resp: web.StreamResponse) -> None:
+    async def close_when_draining(req: web.Request, resp: web.StreamResponse) -> None:
         if entry.draining:
             resp.headers[hdrs.CONNECTION] = "close"
             resp.force_close()
 
-    app.on_response_prepare.append(close_when_leaving)
+    app.on_response_prepare.append(close_when_draining)
     app.router.add_post(
         "/v1/completions", make_handler(entry, completions_handler(Shape.COMPLETION))
     )
--- a/wigeonscale/entry/tests/test_member_selector.py
+++ b/wigeonscale/entry/tests/test_member_selector.py
@@ -67,16 +67,16 @@
         leaves = wire.Backend(agent_id="a", incarnation=1, draining=True)
         restarted = wire.Backend(agent_id="a", incarnation=2)
         for back in (stays, restarted):
-            self.see(stays)
+            self.set_backend(stays)
             self.table.update_load("a", wire.LoadWord(leaving=True))
-            self.see(stays)  # unrelated update: the load word is newer
+            self.set_backend(stays)  # unrelated update: the load word is newer
             self.assertTrue(self.table.leaving("a"))
-            self.see(leaves)
+            self.set_backend(leaves)
             self.assertTrue(self.table.leaving("a"))
-            self.see(back)
+            self.set_backend(back)
             self.assertFalse(self.table.leaving("a"))
 
-    def see(self, backend):
+    def set_backend(self, backend):
         """Make one backend server the only member and update the selector."""
         index = self.members.index + 1
         update = wire.MembersUpdate(full=True, index=index, backends=[backend])
--- a/wigeonscale/entry/tests/test_once.py
+++ b/wigeonscale/entry/tests/test_once.py
@@ -57,7 +57,7 @@
         self.service.hold = 0
         first = asyncio.create_task(self.note())
         await self.service.until(lambda agent: agent.once_effects)
-        self.service.deaf = True
+        self.service.ignores_messages = True
         self.service.mute_open_streams()
         status, run, text = await first
         self.assertEqual((409, "unknown"), (status, run), text)
--- a/wigeonscale/pipelines/head.py
+++ b/wigeonscale/pipelines/head.py
@@ -145,19 +145,19 @@
     def __init__(self, *, head: ChainHead, chain: wire.Chain):
         self.chain = chain
         self._head = head
-        self._members: set[Generation] = set()
+        self._generations: set[Generation] = set()
         self._ready: deque[Generation] = deque()
         self._cancelled_ids: list[str] = []
         self._iterations: set[asyncio.Task] = set()
 
     def add(self, generation: Generation) -> None:
-        self._members.add(generation)
+        self._generations.add(generation)
         self._ready.append(generation)
         self.schedule()
 
     def remove(self, generation: Generation) -> None:
-        if generation in self._members:
-            self._members.discard(generation)
+        if generation in self._generations:
+            self._generations.discard(generation)
             self._cancelled_ids.append(generation.sequence_id)
             self.schedule()
 
@@ -170,7 +170,7 @@
             if not batch and not self._has_unsent_cancellations():
                 break
             self._start_iteration(batch)
-        if not self._members and not self._iterations:
+        if not self._generations and not self._iterations:
             self._head.discard_driver(self)
 
     async def close(self) -> None:
@@ -185,15 +185,15 @@
             return
         ready, self._ready = self._ready, deque()
         for generation in ready:
-            if generation in self._members:
-                self._members.discard(generation)
+            if generation in self._generations:
+                self._generations.discard(generation)
                 self._cancelled_ids.append(generation.restart())
                 self._head.start(generation, newer)
 
     def _depth(self) -> int:
         """Return the pipeline depth: how many iterations should be in flight."""
         stages = len(self.chain.stages)
-        fixed_share = self._head.fixed_cost_share(len(self._members) // stages)
+        fixed_share = self._head.fixed_cost_share(len(self._generations) // stages)
         return (
             stages if fixed_share > MAX_FIXED_COST_SHARE else stages + EXTRA_ITERATIONS
         )
@@ -201,13 +201,13 @@
     def _next_batch(self, depth: int) -> list[tuple[Generation, int]]:
         """Return generations for one iteration, each with its position limit."""
         # Iterations of even size, so that each stage has one to run.
-        size = -(-len(self._members) // depth)
+        size = -(-len(self._generations) // depth)
         size = max(1, min(size, MAX_SEQUENCES_PER_ITERATION))
         batch: list[tuple[Generation, int]] = []
         prefill_budget = self._prefill_budget(depth)
         for _ in range(len(self._ready)):
             generation = self._ready.popleft()
-            if generation not in self._members:
+            if generation not in self._generations:
                 continue
             remaining = generation.remaining_positions
             over_budget = remaining > 1 and prefill_budget < min(
@@ -231,7 +231,7 @@
         generation, which delays no other.
         """
         max_positions = MAX_POSITIONS_PER_ITERATION - MAX_SEQUENCES_PER_ITERATION
-        if len(self._members) == 1:
+        if len(self._generations) == 1:
             return max_positions
         return min(
             max_positions, self._head.positions_within(MAX_PREFILL_DELAY_S / depth)
@@ -282,7 +282,7 @@
         failed_agents: set[str] = set()
         unreachable: set[str] = set()
         for generation in batch:
-            if generation not in self._members:
+            if generation not in self._generations:
                 continue
             result = results.get(generation.sequence_id, wire.StepResult(kind="lost"))
             if result.kind:
@@ -290,7 +290,7 @@
                 failed_agents.add(result.failed_agent)
                 if result.unreachable:
                     unreachable.add(result.failed_agent)
-                self._members.discard(generation)
+                self._generations.discard(generation)
                 self._cancelled_ids.append(generation.restart())
                 continue
             self._apply_token(generation, result)
@@ -309,7 +309,7 @@
         if not generation.ended:
             self._ready.append(generation)
             return
-        self._members.discard(generation)
+        self._generations.discard(generation)
         if result.end:
             self._cancelled_ids.append(generation.sequence_id)
 
--- a/wigeonscale/replication/admission.py
+++ b/wigeonscale/replication/admission.py
@@ -66,7 +66,7 @@
     vote = state.storage.vote
     if vote.admission is not Admission.AWAITING:
         return
-    names_disk = any(
+    names_this_disk = any(
         member.node_id == state.node_id and _is_admitted(member, vote.storage_id)
         for member in state.member_log.at(state.applied_index)
     )
@@ -74,7 +74,7 @@
         member.node_id == state.node_id and not member.voting
         for member in state.member_log.at(state.applied_index)
     )
-    if names_disk or is_new:
+    if names_this_disk or is_new:
         logger.info("replica %s was admitted and may vote", state.node_id)
         await state.storage.save_vote(replace(vote, admission=Admission.ADMITTED))
 
@@ -116,12 +116,13 @@
         for member in members
         if member.voting and member.node_id != state.node_id
     ]
-    heard = [
+    reachable = [
         peer
         for peer in peers
-        if peer.admitted and now - peer.heard_at < state.options.election_timeout_s
+        if peer.admitted
+        and now - peer.last_contact_at < state.options.election_timeout_s
     ]
-    return 1 + len(heard) >= quorum_size(members)
+    return 1 + len(reachable) >= quorum_size(members)
 
 
 def can_change_members(state: ReplicaState) -> bool:
--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -48,7 +48,7 @@
         state.election_timer_start = state.clock.now()
         retry_s = state.options.election_timeout_s * RETRY_TIMEOUT_SHARE
         timeout = _add_jitter(state, state.options.election_timeout_s)
-        if not state.leading and not state.heard_leader_recently:
+        if not state.leading and not state.has_recent_leader_contact:
             timeout = _add_jitter(state, retry_s)
 
 
@@ -106,7 +106,7 @@
     check_term(req.term)
     async with state.lock:
         if req.node_id in state.peers:
-            state.peers[req.node_id].heard_at = state.clock.now()
+            state.peers[req.node_id].last_contact_at = state.clock.now()
         granted = await _decide_vote(state, req)
         return wire.VoteReply(
             node_id=state.node_id,
@@ -121,7 +121,7 @@
         return False
     # A returning or removed replica must not depose a leader that is still heard. A
     # leadership transfer, which the leader itself requested, is exempt.
-    if state.heard_leader_recently and not req.transfer:
+    if state.has_recent_leader_contact and not req.transfer:
         return False
     if req.pre_vote:
         return req.term > state.term and _is_up_to_date(state, req)
@@ -268,7 +268,7 @@
     except (TimeoutError, ConnectionError):
         await peer.client.reset()
         return False
-    peer.heard_at = state.clock.now()
+    peer.last_contact_at = state.clock.now()
     await adopt_term_of_reply(state, reply.term)
     return reply.granted and (req.pre_vote or reply.term == req.term)
 
--- a/wigeonscale/replication/follower.py
+++ b/wigeonscale/replication/follower.py
@@ -72,7 +72,7 @@
 def _validate_entry(entry: wire.LogEntry) -> None:
     if entry.kind not in REPLICATED_KINDS:
         _reject(f"entry {entry.index} has the unknown kind {entry.kind}")
-    if entry.kind == EntryKind.MEMBERS and not _names_members(entry.data):
+    if entry.kind == EntryKind.MEMBERS and not _contains_members(entry.data):
         _reject(f"entry {entry.index} contains no valid list of members")
 
 
@@ -83,7 +83,7 @@
         _reject(f"snapshot at entry {chunk.last_index} contains no members")
 
 
-def _names_members(data: bytes) -> bool:
+def _contains_members(data: bytes) -> bool:
     try:
         return bool(wire.VoterSet.FromString(data).voters)
     except DecodeError:
@@ -105,10 +105,10 @@
         step_down(state, f"{req.leader_id} is the leader of term {req.term}")
     state.leader_id = req.leader_id
     state.leader_address = req.leader_address
-    state.leader_heard_at = state.clock.now()
-    state.election_timer_start = state.leader_heard_at
+    state.leader_contact_at = state.clock.now()
+    state.election_timer_start = state.leader_contact_at
     if req.leader_id in state.peers:
-        state.peers[req.leader_id].heard_at = state.leader_heard_at
+        state.peers[req.leader_id].last_contact_at = state.leader_contact_at
 
 
 def _reply(
--- a/wigeonscale/replication/replica.py
+++ b/wigeonscale/replication/replica.py
@@ -281,12 +281,12 @@
         """Return the seconds since the last message of a leader; 0 while leading."""
         if self._state.leading:
             return 0.0
-        return self._state.clock.now() - self._state.leader_heard_at
+        return self._state.clock.now() - self._state.leader_contact_at
 
     def seconds_since_peer_contact(self, node_id: str) -> float:
         """Return the seconds since the last message of a peer; inf if none arrived."""
         peer = self._state.peers.get(node_id)
-        return self._state.clock.now() - peer.heard_at if peer else math.inf
+        return self._state.clock.now() - peer.last_contact_at if peer else math.inf
 
     # ------------------------------------------------------------- peers
 
--- a/wigeonscale/replication/replicate.py
+++ b/wigeonscale/replication/replicate.py
@@ -67,7 +67,7 @@
         peer.echo_us = 0
         peer.outgoing_snapshot = None
         return False
-    peer.heard_at = state.clock.now()
+    peer.last_contact_at = state.clock.now()
     await adopt_term_of_reply(state, reply.term)
     same_term = req.term == reply.term == state.term
     if state.leading and same_term and reply.echo_us == req.round_us:
--- a/wigeonscale/replication/state.py
+++ b/wigeonscale/replication/state.py
@@ -42,7 +42,7 @@
             term.
         acked_at: Local time at which the newest append that it acknowledged was
             sent.
-        heard_at: Local time of its last message.
+        last_contact_at: Local time of its last message.
         admitted: Whether its acknowledgements count towards a majority.
         storage_id: Storage id in its last reply.
         echo_us: Timestamp in its last reply, by its own clock; sent back to it.
@@ -55,7 +55,7 @@
     def __init__(self, *, member: Member, client: PeerClient):
         self.member = member
         self.client = client
-        self.heard_at = -math.inf
+        self.last_contact_at = -math.inf
         self.wake = asyncio.Event()
         self.task: asyncio.Task | None = None
         self.reset_progress(last_index=0)
@@ -122,7 +122,7 @@
         self.role = Role.FOLLOWER
         self.leader_id = ""
         self.leader_address = ""
-        self.leader_heard_at = -math.inf
+        self.leader_contact_at = -math.inf
         self.election_timer_start = clock.now()
         # The newest local time at which a majority followed this leader.
         self.majority_acked_at = -math.inf
@@ -170,9 +170,9 @@
         return self.may_vote and not self.stopping
 
     @property
-    def heard_leader_recently(self) -> bool:
+    def has_recent_leader_contact(self) -> bool:
         """Whether a leader was heard within the minimum election timeout."""
-        at = self.majority_acked_at if self.leading else self.leader_heard_at
+        at = self.majority_acked_at if self.leading else self.leader_contact_at
         return self.clock.now() - at < self.options.election_timeout_s
 
     @property
