--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -35,7 +35,7 @@
 """Interval at which a drain checks whether pipeline steps are still in use."""
 
 MAX_MISSED_HEARTBEATS = 6
-"""Heartbeat intervals without a message after which an entry counts as silent."""
+"""Heartbeat intervals without a message after which an entry has timed out."""
 
 STOPPING_GRACE_S = 0.5
 """Time during which a stopping agent still refuses messages in transit as not run.
@@ -123,7 +123,7 @@
         control.changes.subscribe(self._on_change)
 
     def current_load(self) -> wire.LoadWord:
-        """Return the current load."""
+        """Return the current load report."""
         return wire.LoadWord(
             running=self.admission.running,
             queued=self.admission.queued,
@@ -148,7 +148,7 @@
                 group.create_task(self.prefixes.watch())
 
     async def stop_accepting(self) -> None:
-        """Refuse new work, and keep refusing messages in transit for a short time."""
+        """Refuse new work, including messages in transit for ``STOPPING_GRACE_S``."""
         self.state.set_stopping()
         await self._clock.sleep(STOPPING_GRACE_S)
 
--- a/wigeonscale/agent/backend.py
+++ b/wigeonscale/agent/backend.py
@@ -167,7 +167,7 @@
         self.draining = draining
         self.check_leaving()
         if changed:
-            # Entries are notified at once by a load word.
+            # Entries are notified at once by a load report.
             self.on_changed()
 
     def set_stopping(self) -> None:
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -129,7 +129,7 @@
         if dispatch.has_live_reader:
             # Either the caller has reconnected through another connection or entry,
             # or the reader is an older connection of this entry that has not yet
-            # been silent long enough. In the second case the sweep cancels it.
+            # timed out. In the second case the sweep cancels it after the timeout.
             dispatch.cancel_requested = not dispatch.has_other_live_reader(stream.name)
             return
         self._cancel(dispatch)
--- a/wigeonscale/agent/orders.py
+++ b/wigeonscale/agent/orders.py
@@ -19,13 +19,14 @@
     """Executes orders one at a time after checking their fencing tokens.
 
     The agent checks the fencing token (term, sequence) because some engines ignore
-    it. A restarted agent has no previous token, so it first asks a majority of
+    it. A restarted agent has no previous token, so it first queries a majority of
     control replicas for the lowest token that is still valid.
 
     Args:
         state: State of the backend server.
         engine: The engine; None for a plain service.
-        floor: Asks a majority of control replicas for the newest (term, index).
+        floor: Queries a majority of control replicas for the newest (term, index),
+            which is that lowest token.
         metrics: Counts orders.
     """
 
--- a/wigeonscale/agent/servicer.py
+++ b/wigeonscale/agent/servicer.py
@@ -26,7 +26,7 @@
     Args:
         dispatcher: Handles the messages of entries.
         stage: Executes pipeline steps; None for a plain service.
-        load: Returns the current load word.
+        load: Returns the current load report.
         clock: Clock port.
         prefixes: Cache events of the engine; None for a plain service.
         entry_timeout_s: Seconds without a message after which an entry no longer
@@ -53,7 +53,7 @@
         self._steps: set[asyncio.Task] = set()
 
     def announce_load(self) -> None:
-        """Send the load word on all dispatch streams."""
+        """Send the load report on all dispatch streams."""
         for stream in self._streams:
             stream.wake()
 
--- a/wigeonscale/agent/stream.py
+++ b/wigeonscale/agent/stream.py
@@ -22,7 +22,7 @@
     and does not delay other entries.
 
     Args:
-        load: Returns the load word that is sent with every message.
+        load: Returns the load report that is sent with every message.
         clock: Clock port.
         prefixes: Cache events for this stream; None for a plain service.
         entry_timeout_s: Seconds without a message after which the entry no longer
@@ -107,7 +107,7 @@
         self._wake.set()
 
     def wake(self) -> None:
-        """Schedule a message with the load word, even without items."""
+        """Schedule a message with the load report, even without items."""
         self._wake.set()
 
     async def write(self, send: Callable[[wire.DispatchEvent], Awaitable]) -> None:
--- a/wigeonscale/agent/tests/test_orders.py
+++ b/wigeonscale/agent/tests/test_orders.py
@@ -89,7 +89,7 @@
         self.assertEqual([(4, 20, "load")], self.engine.orders)
 
     async def test_superseded_leader_is_refused_after_a_restart(self):
-        # A new executor has no previous token and asks the majority for it.
+        # A new executor has no previous token and queries the majority for it.
         self.floor = (4, 20)
         stale = await self.execute(load_order(3, 99), self.new_executor())
         self.assertEqual((False, ErrorKind.STALE_TERM), stale)
@@ -109,7 +109,7 @@
             announced_before = len(self.changes)
             self.assertEqual((True, ""), await self.execute(order))
             self.assertEqual(draining, self.state.leaving)
-            # Entries are notified by the load word.
+            # Entries are notified by a load report.
             self.assertEqual(announced_before + 1, len(self.changes))
             # Control ordered the drain; announcing it back would make it permanent.
             self.assertFalse(self.state.announcement().draining)
--- a/wigeonscale/dispatch/attempts.py
+++ b/wigeonscale/dispatch/attempts.py
@@ -25,7 +25,7 @@
 from wigeonscale.wire import wire_pb2 as wire
 
 DEFAULT_RETRY_AFTER_S = 1.0
-# No limit of its own (one day): the deadline of the work applies.
+# One day, which is no limit in practice: the deadline of the work applies.
 NO_LIMIT_S = 86400.0
 REPAIR_WAIT_S = 10.0
 REPAIR_POLL_INTERVAL_S = 0.05
@@ -42,8 +42,8 @@
         crashes: Refuses work that crashes backend servers.
         clock: Clock port.
         open_timeout_s: Longest wait for a dispatch to be accepted, in seconds.
-        repair_wait_s: Longest wait of work in progress for an agent to continue on,
-            in seconds. New work is refused at once instead.
+        repair_wait_s: Longest time for which work in progress waits for an agent that
+            can continue it, in seconds. New work is refused at once instead.
     """
 
     def __init__(
--- a/wigeonscale/dispatch/claims.py
+++ b/wigeonscale/dispatch/claims.py
@@ -22,12 +22,11 @@
 # attach that finds nothing is retried.
 MAX_ATTACH_ATTEMPTS = 3
 ATTACH_RETRY_INTERVAL_S = 0.1
-# Claim attempts of one request: the first, and another after each released claim.
+# Claim attempts of one request: the first, and one after each release of a claim.
 MAX_CLAIMS = 3
 # Dispatch id of a claim that only checks whether the key is held.
 PROBE_DISPATCH_ID = "none"
 
-
 # An agent, and the chain that it heads, if any.
 Selection = tuple[Target, wire.Chain | None]
 
--- a/wigeonscale/dispatch/crashing.py
+++ b/wigeonscale/dispatch/crashing.py
@@ -25,7 +25,7 @@
 
     Args:
         tracker: Crashes known to this entry.
-        servers: Returns the current names of the backend servers of the given
+        servers: Returns the ids of the current backend server instances of the given
             agents.
     """
 
@@ -93,7 +93,7 @@
     ) -> None:
         if exc.run_state is RunState.NOT_RUN:
             return
-        # Servers that turn out to be still up are removed from the record later.
+        # Instances that turn out to be still running are removed from the record later.
         lost = [
             name for name in servers if self.tracker.note_lost(work.fingerprint, name)
         ]
--- a/wigeonscale/entry/app.py
+++ b/wigeonscale/entry/app.py
@@ -16,9 +16,9 @@
 from wigeonscale.entry.sse import Shape
 
 BACKLOG = 1024
-# Time given to the load balancer to notice that the entry is not ready.
+# Time for the load balancer to notice that the entry is not ready.
 UNREADY_GRACE_S = 1.0
-# Time given to aborted answers to write their error event.
+# Time for aborted answers to write their error event.
 ABORT_GRACE_S = 0.5
 
 
@@ -42,7 +42,7 @@
         return bound_address(self._runner)
 
     async def start(self) -> None:
-        """Start to listen.
+        """Start listening.
 
         Raises:
             OSError: If the address cannot be bound.
@@ -62,7 +62,7 @@
         await self._site.start()
 
     async def stop_accepting(self) -> None:
-        """Become unready, then stop to accept connections.
+        """Become unready, then stop accepting connections.
 
         Open connections are still served; each is closed after its next response.
         """
--- a/wigeonscale/entry/error_responses.py
+++ b/wigeonscale/entry/error_responses.py
@@ -22,7 +22,8 @@
         request_id: Id of the request if its work was dispatched, else empty.
 
     Returns:
-        Status, headers and JSON body as defined by ``wigeonscale.errors.ANSWERS``.
+        Status, headers and JSON body, as ``wigeonscale.errors.ERROR_RESPONSES`` defines
+        them.
     """
     answer = ERROR_RESPONSES[exc.kind]
     headers = {RUN_HEADER: exc.run_state.value}
--- a/wigeonscale/entry/member_selector.py
+++ b/wigeonscale/entry/member_selector.py
@@ -106,8 +106,8 @@
             for agent_id, backend in members.backends.items()
         }
         for agent_id, state in states.items():
-            # Once the agent is announced again without draining, an earlier load word
-            # with leaving set no longer applies.
+            # Once the agent is announced again without draining, an earlier load
+            # report with leaving set no longer applies.
             if not state[1] and state != self._backend_states.get(agent_id, state):
                 self._chooser.clear_leaving(agent_id)
         self._backend_states = states
--- a/wigeonscale/entry/requests.py
+++ b/wigeonscale/entry/requests.py
@@ -43,7 +43,7 @@
 
 
 class CompletionBody(pydantic.BaseModel):
-    """Body of ``POST /v1/completions``; other members are not validated."""
+    """Body of ``POST /v1/completions``; other fields are not validated."""
 
     model: ModelName
     prompt: str
@@ -167,7 +167,7 @@
 
     Raises:
         WigeonscaleError: ``UNSUPPORTED_MEDIA_TYPE``, or ``BAD_REQUEST`` with the
-            invalid members.
+            invalid fields.
     """
     if req.content_type != "application/json":
         raise WigeonscaleError(
--- a/wigeonscale/entry/service.py
+++ b/wigeonscale/entry/service.py
@@ -22,7 +22,7 @@
 from wigeonscale.ports import Clock
 from wigeonscale.reports import BurnRecorder
 
-# Time in which a disconnected caller can resume its answer before the work is
+# Time for which a disconnected caller can resume its answer before the work is
 # cancelled.
 RESUME_GRACE_S = 10.0
 
--- a/wigeonscale/entry/tests/test_member_selector.py
+++ b/wigeonscale/entry/tests/test_member_selector.py
@@ -69,7 +69,7 @@
         for back in (stays, restarted):
             self.set_backend(stays)
             self.table.update_load("a", wire.LoadWord(leaving=True))
-            self.set_backend(stays)  # unrelated update: the load word is newer
+            self.set_backend(stays)  # unrelated update: the load report is newer
             self.assertTrue(self.table.leaving("a"))
             self.set_backend(leaves)
             self.assertTrue(self.table.leaving("a"))
--- a/wigeonscale/pipelines/links.py
+++ b/wigeonscale/pipelines/links.py
@@ -168,7 +168,7 @@
                     return
                 continue
             now = self._clock.now()
-            # Time during which this process was paused does not count as peer silence.
+            # Time for which this process was paused does not count against the peer.
             paused_s = max(0.0, now - last_check_at - self._probe_after_s)
             self.last_message_at = min(now, self.last_message_at + paused_s)
             last_check_at = now
--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -33,7 +33,7 @@
 
 
 async def run_elections(state: ReplicaState) -> None:
-    """Start an election when no leader is heard; step down when the lease expires."""
+    """Start elections on election timeouts; step down when the lease expires."""
     timeout = _add_jitter(state, state.options.election_timeout_s)
     while True:
         if state.leading:
@@ -119,8 +119,8 @@
 async def _decide_vote(state: ReplicaState, req: wire.VoteRequest) -> bool:
     if not state.may_vote:
         return False
-    # A returning or removed replica must not depose a leader that is still heard. A
-    # leadership transfer, which the leader itself requested, is exempt.
+    # A returning or removed replica must not depose a leader that still sends messages.
+    # A leadership transfer, which the leader itself requested, is exempt.
     if state.has_recent_leader_contact and not req.transfer:
         return False
     if req.pre_vote:
@@ -163,8 +163,8 @@
     if not await _collect_votes(state, _vote_request(state, term, pre_vote=True)):
         return
     async with state.lock:
-        # Give up if a leader was heard or a vote was granted during the pre-vote, or
-        # if this replica is stopping.
+        # Do not become a candidate if a leader sent a message or a vote was granted
+        # during the pre-vote, or if this replica is stopping.
         superseded = (
             state.election_timer_start != election_timer_start or state.term + 1 != term
         )
--- a/wigeonscale/replication/replica.py
+++ b/wigeonscale/replication/replica.py
@@ -47,8 +47,8 @@
 STORAGE_ID_BITS = 128
 # Share of the first election timeout that a replica skips after its start. When all
 # replicas start together there is no leader and callers wait for an election. When the
-# others already run, the shorter timeout does no harm: the replica hears the leader in
-# time, or the pre-vote fails because the others hear it.
+# others already run, the shorter timeout does no harm: the leader's message arrives in
+# time, or the pre-vote fails because the others are in contact with the leader.
 STARTUP_REDUCTION_SHARE = 0.75
 
 Handler = Callable[[ReplicaState, Message], Awaitable[Message]]
--- a/wigeonscale/replication/snapshots.py
+++ b/wigeonscale/replication/snapshots.py
@@ -11,9 +11,8 @@
 from wigeonscale.replication.voters import members_from_wire, members_to_wire
 from wigeonscale.wire import wire_pb2 as wire
 
-RETAINED_ENTRIES_DIVISOR = (
-    4  # a quarter of the entries is retained for lagging followers
-)
+# A quarter of the entries of a snapshot interval is retained for lagging followers.
+RETAINED_ENTRIES_DIVISOR = 4
 CHUNK_BYTES = 256 * 1024
 
 logger = logging.getLogger(__name__)
--- a/wigeonscale/replication/state.py
+++ b/wigeonscale/replication/state.py
@@ -171,7 +171,7 @@
 
     @property
     def has_recent_leader_contact(self) -> bool:
-        """Whether a leader was heard within the minimum election timeout."""
+        """Whether a leader was in contact within the minimum election timeout."""
         at = self.majority_acked_at if self.leading else self.leader_contact_at
         return self.clock.now() - at < self.options.election_timeout_s
 
--- a/wigeonscale/replication/transfer.py
+++ b/wigeonscale/replication/transfer.py
@@ -2,9 +2,9 @@
 
 The leader rejects new proposals, waits until those in flight are committed and
 answered, and asks a voter that has its complete log to campaign immediately. The voter
-skips the pre-vote, and the others grant their votes although they still hear the
-leader, because the request carries the leader's consent. After section 3.10 of the
-Raft dissertation (Ongaro, 2014).
+skips the pre-vote, and the others grant their votes although they are still in contact
+with the leader, because the vote request is marked as a transfer that the leader
+requested. After section 3.10 of the Raft dissertation (Ongaro, 2014).
 """
 
 __all__ = ["handle_campaign", "transfer_leadership"]
