--- a/bench/slopes/records.py
+++ b/bench/slopes/records.py
@@ -54,8 +54,8 @@
     before = resident_kb("VmRSS")
     for number in range(count):
         log = RequestLog(organisation=f"organisation-{number}", started=0.0, kind=OK)
-        log.note_tokens(1, FIRST_TOKEN_S)
-        log.note_tokens(1, FIRST_TOKEN_S + GAP_S)
+        log.record_write(1, FIRST_TOKEN_S)
+        log.record_write(1, FIRST_TOKEN_S + GAP_S)
         record(log, 1.0, recorder)
     memory = resident_kb("VmRSS") - before
     began = time.process_time()
--- a/wigeonscale/entry/records.py
+++ b/wigeonscale/entry/records.py
@@ -66,7 +66,7 @@
         """Id with which the answer can be resumed; empty before a dispatch."""
         return self.dispatch_ids[-1] if self.dispatch_ids else ""
 
-    def note_tokens(self, count: int, now: float) -> None:
+    def record_write(self, count: int, now: float) -> None:
         """Record a write of tokens.
 
         Args:
--- a/wigeonscale/entry/streams.py
+++ b/wigeonscale/entry/streams.py
@@ -91,7 +91,7 @@
 ) -> web.Response:
     try:
         while texts := await answer.read():
-            log.note_tokens(len(texts), entry.clock.now())
+            log.record_write(len(texts), entry.clock.now())
     except WigeonscaleError:
         answer.close()
         raise
@@ -194,7 +194,7 @@
         elif not self._write_via_aiohttp(events):
             return False
         self._has_written = True
-        self._log.note_tokens(len(texts), self._entry.clock.now())
+        self._log.record_write(len(texts), self._entry.clock.now())
         return self._transport.get_write_buffer_size() <= WRITE_BUFFER_BYTES
 
     def _write_via_aiohttp(self, events: bytes) -> bool:
