--- a/wigeonscale/agent/tests/test_agent.py
+++ b/wigeonscale/agent/tests/test_agent.py
@@ -42,8 +42,8 @@
             self.assertEqual(
                 (12, "length"), (last.done.tokens, last.done.finish_reason)
             )
-            want = expected_tokens(f"find person {n}", LAYERS, 12)
-            self.assertEqual(want, client.texts(dispatch_id))
+            expected = expected_tokens(f"find person {n}", LAYERS, 12)
+            self.assertEqual(expected, client.texts(dispatch_id))
             self.assertEqual("accepted", client.kinds(dispatch_id)[0])
 
 
--- a/wigeonscale/agent/tests/test_dispatch.py
+++ b/wigeonscale/agent/tests/test_dispatch.py
@@ -34,7 +34,7 @@
         refused = (await self.client.end(dispatch_id)).refused
         return refused.kind, refused.run_state
 
-    def want(self, prompt, count, layers=2):
+    def expected_texts(self, prompt, count, layers=2):
         return expected_tokens(prompt, layers, count)
 
 
@@ -56,8 +56,8 @@
         self.assertEqual(INITIAL_CREDIT_TOKENS, len(self.client.texts(slow)))
         await self.client.send(credits=_credits(slow, 50))
         await self.client.end(slow)
-        want = self.want("slow", INITIAL_CREDIT_TOKENS + 50)
-        self.assertEqual(want, self.client.texts(slow))
+        expected = self.expected_texts("slow", INITIAL_CREDIT_TOKENS + 50)
+        self.assertEqual(expected, self.client.texts(slow))
 
     async def test_drain_waits_until_slow_reader_has_the_answer(self):
         await self.start()
@@ -122,7 +122,7 @@
         await other.send(attach=attach)
         last = await other.end(first)
         self.assertEqual(10, last.done.tokens)
-        self.assertEqual(self.want("p", 10)[4:], other.texts(first))
+        self.assertEqual(self.expected_texts("p", 10)[4:], other.texts(first))
 
     async def test_answer_continues_after_the_entry_disconnects(self):
         await self.start()
@@ -134,7 +134,7 @@
         await other.send(attach=wire.Attach(dispatch_id=first, organisation="o1"))
         gate.set()
         await other.end(first)
-        self.assertEqual(self.want("p", 10), other.texts(first))
+        self.assertEqual(self.expected_texts("p", 10), other.texts(first))
 
     async def test_other_organisation_gets_nothing(self):
         await self.start()
@@ -147,7 +147,7 @@
 
     async def test_generation_continues_after_the_given_prefix(self):
         await self.start()
-        whole = self.want("p", 8)
+        whole = self.expected_texts("p", 8)
         prefix = [wire.Token(text=text) for text in whole[:3]]
         first = await self.client.generate(self.chain, b"p", 8, prefix=prefix)
         last = await self.client.end(first)
--- a/wigeonscale/agent/tests/test_faults.py
+++ b/wigeonscale/agent/tests/test_faults.py
@@ -44,8 +44,8 @@
         for n, dispatch_id in enumerate(ids):
             last = await self.client.end(dispatch_id)
             self.assertEqual(TOKENS, last.done.tokens, last)
-            want = expected_tokens(PROMPT.format(n), LAYERS, TOKENS)
-            self.assertEqual(want, self.client.texts(dispatch_id))
+            expected = expected_tokens(PROMPT.format(n), LAYERS, TOKENS)
+            self.assertEqual(expected, self.client.texts(dispatch_id))
         finished = dict.fromkeys(ids, PIECES + TOKENS - 1)
         found = layer_order_violations(self.trace, layers=LAYERS, finished=finished)
         self.assertEqual([], [str(v) for v in found])
@@ -103,8 +103,8 @@
         ids.append(await self.client.generate(self.chain, prompt, TOKENS))
         for dispatch_id, text in zip(ids, (b"page", prompt), strict=True):
             await self.client.end(dispatch_id)
-            want = expected_tokens(text, LAYERS, TOKENS)
-            self.assertEqual(want, self.client.texts(dispatch_id))
+            expected = expected_tokens(text, LAYERS, TOKENS)
+            self.assertEqual(expected, self.client.texts(dispatch_id))
         found = layer_order_violations(
             self.trace,
             layers=LAYERS,
@@ -132,7 +132,7 @@
         self.repair_with(*([n0, spare, n2] for spare in spares))
         lost = []
 
-        def crash_under(node):
+        def crash_at_first_step(node):
             async def crash():
                 lost.append(node.name)
                 await node.kill()
@@ -141,7 +141,7 @@
             node.engine.on_fault = crash
 
         for node in (n1, *spares):
-            crash_under(node)
+            crash_at_first_step(node)
         (dispatch_id,) = await self.send(1)
         refused = (await self.client.end(dispatch_id)).refused
         self.assertEqual(ErrorKind.BACKEND_FAILED, refused.kind)
@@ -165,11 +165,11 @@
         await self.start(spares=1, spare_stage=0)
         n0, n1, n2, spare = self.nodes
 
-        async def die():
+        async def fail_engine():
             n0.engine.failing = True
 
         n0.engine.fault_position = PIECES + 2
-        n0.engine.on_fault = die
+        n0.engine.on_fault = fail_engine
         ids = await self.send()
         await until(lambda: n0.state.unreachable)
         self.assertTrue(n0.state.announcement().draining)
@@ -180,7 +180,7 @@
         await self.start()
 
         async def fail():
-            raise WigeonscaleError(ErrorKind.BACKEND_FAILED, "planted")
+            raise WigeonscaleError(ErrorKind.BACKEND_FAILED, "injected")
 
         self.nodes[1].engine.fault_position = PIECES + 2
         self.nodes[1].engine.on_fault = fail
--- a/wigeonscale/entry/tests/test_backend_instances.py
+++ b/wigeonscale/entry/tests/test_backend_instances.py
@@ -9,10 +9,10 @@
         super().setUp()
         self.members = MembersView()
         self.instances = BackendInstances(members=lambda: self.members)
-        self.show()
+        self.announce()
         (self.instance_id,) = self.instances.ids_of(["a/1", "unknown"])
 
-    def show(self, **fields):
+    def announce(self, **fields):
         backend = wire.Backend(agent_id="a/1", **{"incarnation": 7, **fields})
         index = self.members.index + 1
         self.members.apply(wire.MembersUpdate(index=index, backends=[backend]))
@@ -26,18 +26,18 @@
         self.assertEqual((True, False), self.status())
 
     def test_instance_lost_and_replaced(self):
-        self.show(losses=1, draining=True)
+        self.announce(losses=1, draining=True)
         self.assertEqual((True, True), self.status())
-        self.show(losses=1)
+        self.announce(losses=1)
         self.assertEqual((True, True), self.status())
         self.assertNotEqual((self.instance_id,), self.instances.ids_of(["a/1"]))
 
     def test_draining_agent(self):
-        self.show(draining=True)
+        self.announce(draining=True)
         self.assertEqual((False, False), self.status())
 
     def test_agent_restarted_or_removed(self):
-        self.show(incarnation=8)
+        self.announce(incarnation=8)
         self.assertEqual((False, True), self.status())
         index = self.members.index + 1
         self.members.apply(wire.MembersUpdate(index=index, removed_backends=["a/1"]))
--- a/wigeonscale/entry/tests/test_crashing.py
+++ b/wigeonscale/entry/tests/test_crashing.py
@@ -20,14 +20,14 @@
         self.crashes = 0
         await self.start_agent("a2")
         for agent in (self.agent, self.service):
-            self.crash_under(agent)
+            self.crash_backend_of(agent)
 
     async def start_agent(self, agent_id, kind=wire.ENGINE):
         agent = await super().start_agent(agent_id, kind)
-        self.crash_under(agent)
+        self.crash_backend_of(agent)
         return agent
 
-    def crash_under(self, agent):
+    def crash_backend_of(self, agent):
         """Make the backend server of an agent crash on requests with "crash"."""
         usual = type(agent).on_open
 
--- a/wigeonscale/entry/tests/test_member_selector.py
+++ b/wigeonscale/entry/tests/test_member_selector.py
@@ -47,9 +47,9 @@
         self.assertEqual("a", self.choose()[0].agent_id)
 
     def test_data_about_removed_agents_is_discarded(self):
-        word = wire.LoadWord(running=9, slots=4)
+        load = wire.LoadWord(running=9, slots=4)
         for agent_id in ("a", "gone", "gone but used"):
-            self.table.update_load(agent_id, word)
+            self.table.update_load(agent_id, load)
             self.view.apply_event(agent_id, 1, b"x", held=True)
         self.table.started("gone but used")
         self.choose()
--- a/wigeonscale/pipelines/tests/test_stage.py
+++ b/wigeonscale/pipelines/tests/test_stage.py
@@ -209,10 +209,10 @@
         await self.stage.run(
             request(step(), rest=[THIS_STAGE, NEXT_STAGE], cancelled=["old#1"])
         )
-        onward = self.links.requests[0]
-        self.assertEqual(["old#1"], list(onward.cancelled))
-        self.assertEqual(["a1"], [s.agent_id for s in onward.rest])
-        self.assertNotEqual(step().hidden, onward.steps[0].hidden)
+        forwarded = self.links.requests[0]
+        self.assertEqual(["old#1"], list(forwarded.cancelled))
+        self.assertEqual(["a1"], [s.agent_id for s in forwarded.rest])
+        self.assertNotEqual(step().hidden, forwarded.steps[0].hidden)
 
     async def test_lost_next_stage_is_reported(self):
         self.links.lost = True
--- a/wigeonscale/replication/tests/test_transfer.py
+++ b/wigeonscale/replication/tests/test_transfer.py
@@ -14,9 +14,9 @@
     async def prepare(self):
         await super().prepare()
         self.asked = []  # voters that were asked to campaign, in order
-        self.cluster.network.before_campaign = self.note_campaign
+        self.cluster.network.before_campaign = self.record_campaign
 
-    async def note_campaign(self, sender, receiver, req):
+    async def record_campaign(self, sender, receiver, req):
         self.asked.append(receiver)
 
     async def transfer_leadership(self, name):
@@ -46,10 +46,10 @@
         term = old.term
         votes = []
 
-        async def note_vote(sender, receiver, req):
+        async def record_vote(sender, receiver, req):
             votes.append((receiver, req.pre_vote))
 
-        self.cluster.network.before_vote = note_vote
+        self.cluster.network.before_vote = record_vote
         gate.set()
         for _ in range(10):
             await self.cluster.clock.advance(0)
@@ -79,10 +79,10 @@
         await self.cluster.stop(*self.cluster.leaders())
         candidates = set()
 
-        async def note_vote(sender, receiver, req):
+        async def record_vote(sender, receiver, req):
             candidates.add(sender)
 
-        self.cluster.network.before_vote = note_vote
+        self.cluster.network.before_vote = record_vote
         await self.cluster.clock.advance(20)
         self.assertEqual(set(self.cluster.replicas) - {self.leader}, candidates)
 
@@ -140,8 +140,8 @@
         )
     ]
 
-    async def note_campaign(self, sender, receiver, req):
-        await super().note_campaign(sender, receiver, req)
+    async def record_campaign(self, sender, receiver, req):
+        await super().record_campaign(sender, receiver, req)
         if len(self.asked) > 1:
             return
         if self.fault == "dead":
@@ -183,7 +183,7 @@
         await self.cluster.propose(b"1")
         began = self.cluster.clock.now()
         self.stops = []
-        self.cluster.network.before_vote = self.note_vote
+        self.cluster.network.before_vote = self.record_vote
         transfer = await self.transfer_leadership(self.leader)
         if self.at == "together":
             self.stops += [
@@ -204,13 +204,13 @@
         for _ in range(20):
             await self.cluster.clock.advance(0)
 
-    async def note_campaign(self, sender, receiver, req):
-        await super().note_campaign(sender, receiver, req)
+    async def record_campaign(self, sender, receiver, req):
+        await super().record_campaign(sender, receiver, req)
         if self.at == "asked" and not self.stops:
             self.stops.append(await self.transfer_leadership(receiver))
             await asyncio.sleep(0)
 
-    async def note_vote(self, sender, receiver, req):
+    async def record_vote(self, sender, receiver, req):
         if self.at == "candidate" and not self.stops:
             self.stops.append(await self.transfer_leadership(sender))
 
