--- a/bench/overload_server.py
+++ b/bench/overload_server.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 from bench.queues import VirtualClock
-from wigeonscale.agent.admission import Admission
+from wigeonscale.agent.admission import AdmissionController
 from wigeonscale.limits import ConcurrencyGuard
 
 SLOTS = 16
@@ -60,7 +60,7 @@
         self._guard = guard
         self._generation = itertools.count()
         self._running: dict[Request, tuple[int, int]] = {}
-        self.admission = Admission(
+        self.admission = AdmissionController(
             clock=clock,
             slots=SLOTS,
             queue_limit=QUEUE_LIMIT,
--- a/wigeonscale/agent/admission.py
+++ b/wigeonscale/agent/admission.py
@@ -1,6 +1,6 @@
 """Admission control: a bounded queue and the slots of the backend server."""
 
-__all__ = ["Admission"]
+__all__ = ["AdmissionController"]
 
 import random
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from wigeonscale.ports import Clock
 
 
-class Admission:
+class AdmissionController:
     """Starts dispatches when slots become free, by priority and fair share.
 
     Args:
--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -9,10 +9,10 @@
 
 import grpc
 
-from wigeonscale.agent.admission import Admission
+from wigeonscale.agent.admission import AdmissionController
 from wigeonscale.agent.answers import Dispatch
 from wigeonscale.agent.backend import BackendState
-from wigeonscale.agent.dispatch import Dispatcher
+from wigeonscale.agent.dispatch import DispatchHandler
 from wigeonscale.agent.outcomes import OutcomeReporter
 from wigeonscale.agent.prefixes import PrefixFeed
 from wigeonscale.agent.servicer import AgentServicer
@@ -85,7 +85,7 @@
         self.outcomes = OutcomeReporter(
             submit=control.submit, clock=clock, on_reported=self.table.history.unpin
         )
-        self.dispatcher = Dispatcher(
+        self.dispatch_handler = DispatchHandler(
             agent_id=cfg.name,
             incarnations=state.incarnations,
             table=self.table,
@@ -95,23 +95,23 @@
             begin=self._begin,
             outcomes=self.outcomes,
         )
-        self.admission = Admission(
+        self.admission = AdmissionController(
             clock=clock,
             slots=cfg.slots,
             queue_limit=cfg.queue_limit,
             share=self._share,
-            begin=self.dispatcher.begin,
-            expire=self.dispatcher.expire,
+            begin=self.dispatch_handler.begin,
+            expire=self.dispatch_handler.expire,
             rng=random.Random(),
         )
-        self.dispatcher.admission = self.admission
+        self.dispatch_handler.admission = self.admission
         self.stage: StageRunner | None = None
         self.head: ChainHead | None = None
         self.prefixes: PrefixFeed | None = None
         if engine is not None:
             self._make_pipeline(engine)
         self.servicer = AgentServicer(
-            dispatcher=self.dispatcher,
+            dispatch_handler=self.dispatch_handler,
             stage=self.stage,
             load=self.current_load,
             clock=clock,
@@ -143,7 +143,7 @@
     async def run(self) -> None:
         """Run until cancelled: enforce deadlines and limits, forward cache events."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.dispatcher.sweep())
+            group.create_task(self.dispatch_handler.sweep())
             if self.prefixes is not None:
                 group.create_task(self.prefixes.watch())
 
@@ -155,14 +155,14 @@
     async def drain(self) -> None:
         """Refuse new work, then wait until the work in progress has finished."""
         self.state.set_stopping()
-        await self.dispatcher.wait_drained()
+        await self.dispatch_handler.wait_drained()
         while self.stage is not None and self.stage.recently_used():
             await self._clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self.outcomes.flush()
 
     async def abort(self) -> None:
         """Abort the work still in progress with an error to its callers."""
-        self.dispatcher.abort()
+        self.dispatch_handler.abort()
 
     async def close(self) -> None:
         """Cancel all tasks of this agent."""
@@ -284,9 +284,9 @@
             dispatch,
             chain=newest if usable and newest.epoch > work.chain.epoch else work.chain,
             head=self.head,
-            on_token=self.dispatcher.add_token,
-            on_end=self.dispatcher.finish,
-            on_failed=self.dispatcher.fail,
+            on_token=self.dispatch_handler.add_token,
+            on_end=self.dispatch_handler.finish,
+            on_failed=self.dispatch_handler.fail,
         )
 
     def _begin_call(self, dispatch: Dispatch) -> None:
@@ -295,14 +295,14 @@
             service=self._service,
             clock=self._clock,
             timeout_s=self._service_timeout_s(),
-            on_end=self.dispatcher.finish,
+            on_end=self.dispatch_handler.finish,
             on_failed=self._call_failed,
         )
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
 
     def _call_failed(self, dispatch: Dispatch, exc: WigeonscaleError) -> None:
-        self.dispatcher.fail(dispatch, exc)
+        self.dispatch_handler.fail(dispatch, exc)
         # A failed call can mean that the service is unreachable or has crashed.
         self.state.probe_soon()
 
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -1,6 +1,6 @@
 """Handles the dispatch protocol: open, attach, cancel, seal and end."""
 
-__all__ = ["Dispatcher"]
+__all__ = ["DispatchHandler"]
 
 import logging
 from collections.abc import Callable, Iterable
@@ -8,7 +8,7 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.adapters.metrics import METRICS, OK, Metrics
 from wigeonscale.agent import refusals
-from wigeonscale.agent.admission import Admission
+from wigeonscale.agent.admission import AdmissionController
 from wigeonscale.agent.answers import Dispatch, DispatchState, refused_item
 from wigeonscale.agent.outcomes import OutcomeReporter
 from wigeonscale.agent.stream import EntryStream
@@ -30,7 +30,7 @@
 """Unsent tokens above which a generation pauses while the table is full."""
 
 
-class Dispatcher:
+class DispatchHandler:
     """Handles dispatch messages; the work of a dispatch id starts at most once.
 
     Args:
@@ -61,7 +61,7 @@
         outcomes: OutcomeReporter,
         metrics: Metrics = METRICS,
     ):
-        self.admission: Admission | None = None
+        self.admission: AdmissionController | None = None
         self._agent_id = agent_id
         self._incarnations = incarnations
         self._table = table
--- a/wigeonscale/agent/servicer.py
+++ b/wigeonscale/agent/servicer.py
@@ -8,7 +8,7 @@
 
 import grpc
 
-from wigeonscale.agent.dispatch import Dispatcher
+from wigeonscale.agent.dispatch import DispatchHandler
 from wigeonscale.agent.prefixes import PrefixFeed
 from wigeonscale.agent.stream import EntryStream
 from wigeonscale.pipelines.constants import ENTRY_TIMEOUT_S
@@ -36,14 +36,14 @@
     def __init__(
         self,
         *,
-        dispatcher: Dispatcher,
+        dispatch_handler: DispatchHandler,
         stage: StageRunner | None,
         load: Callable[[], wire.LoadWord],
         clock: Clock,
         prefixes: PrefixFeed | None = None,
         entry_timeout_s: float = ENTRY_TIMEOUT_S,
     ):
-        self._dispatcher = dispatcher
+        self._dispatch_handler = dispatch_handler
         self._stage = stage
         self._load = load
         self._clock = clock
@@ -120,6 +120,6 @@
     def _handle(self, req: wire.DispatchRequest, stream: EntryStream) -> None:
         stream.record_activity()
         try:
-            self._dispatcher.handle(req, stream)
+            self._dispatch_handler.handle(req, stream)
         except Exception:
             logger.exception("handling a message from entry %s failed", stream.name)
--- a/wigeonscale/agent/tests/test_fuzz.py
+++ b/wigeonscale/agent/tests/test_fuzz.py
@@ -91,7 +91,7 @@
 
         writers = [asyncio.create_task(s.write(collect)) for s in streams]
         for message, move, second in script:
-            agent.dispatcher.handle(message, streams[second])
+            agent.dispatch_handler.handle(message, streams[second])
             if move == "answer":
                 service.gate.set()
             elif move == "wait":
@@ -99,7 +99,7 @@
             elif move:
                 control.has_lease = move == "get lease"
             await asyncio.sleep(0)
-            agent.dispatcher.sweep_once()
+            agent.dispatch_handler.sweep_once()
         service.gate.set()
         for _ in range(20):
             await asyncio.sleep(0)
--- a/wigeonscale/control/tests/test_probe.py
+++ b/wigeonscale/control/tests/test_probe.py
@@ -26,7 +26,10 @@
     async def test_agent_answers(self):
         server, address = new_server("127.0.0.1:0")
         servicer = AgentServicer(
-            dispatcher=_PongOnly(), stage=None, load=wire.LoadWord, clock=SystemClock()
+            dispatch_handler=_PongOnly(),
+            stage=None,
+            load=wire.LoadWord,
+            clock=SystemClock(),
         )
         wire_pb2_grpc.add_AgentServicer_to_server(servicer, server)
         await server.start()
