--- a/wigeonscale/agent/tests/test_cancel.py
+++ b/wigeonscale/agent/tests/test_cancel.py
@@ -44,8 +44,8 @@
         for _ in range(10):
             await self.clock.jump(ENTRY_TIMEOUT_S / 2)
             await second.send(ping=wire.Ping(sent_us=8))
-            heard = len(second.events)
-            await second.wait(lambda heard=heard: len(second.events) > heard)
+            received = len(second.events)
+            await second.wait(lambda received=received: len(second.events) > received)
         self.held.release()
         await second.end(dispatch_id)
         self.assertEqual(expected_tokens("page one", 6, 8), second.texts(dispatch_id))
--- a/wigeonscale/entry/calls.py
+++ b/wigeonscale/entry/calls.py
@@ -80,7 +80,7 @@
     """
     await answer.read()
     response = answer.stream.response
-    headers = CIMultiDict(_kept(response.headers, _NOT_RETURNED))
+    headers = CIMultiDict(_filter_headers(response.headers, _NOT_RETURNED))
     headers[REQUEST_HEADER] = answer.request_id
     return web.Response(status=response.status, headers=headers, body=response.body)
 
@@ -90,14 +90,14 @@
         wire.Header(name=name, value=value) for name, value in req.headers.items()
     )
     call = wire.Call(method=req.method, path=req.path_qs, body=raw)
-    for name, value in _kept(headers, _NOT_FORWARDED):
+    for name, value in _filter_headers(headers, _NOT_FORWARDED):
         call.headers.add(name=name, value=value)
     return admission.work(
         service=admission.decision.service, call=call, req=req, raw=raw
     )
 
 
-def _kept(
+def _filter_headers(
     headers: Iterable[wire.Header], dropped: frozenset[str]
 ) -> list[tuple[str, str]]:
     return [
--- a/wigeonscale/entry/flow.py
+++ b/wigeonscale/entry/flow.py
@@ -125,7 +125,7 @@
             logger.exception(
                 "request failed", extra=log_fields(request_id=log.request_id)
             )
-            return error_response(_internal(log), log.request_id)
+            return error_response(_internal_error(log), log.request_id)
         finally:
             if entered:
                 entry.end_request()
@@ -204,7 +204,7 @@
             f"rule {decision.rule} requires the header Idempotency-Key because its work"
             " must not be repeated",
         )
-    _take_permits(entry, log, caller.organisation, decision)
+    _acquire_permits(entry, log, caller.organisation, decision)
     requested = caller.options.priority
     return Admission(
         caller=caller,
@@ -215,7 +215,7 @@
     )
 
 
-def _take_permits(
+def _acquire_permits(
     entry: EntryService, log: RequestLog, organisation: Organisation, decision: Decision
 ) -> None:
     limits = entry.organisation_limits
@@ -243,7 +243,7 @@
     return min(limits)
 
 
-def _internal(log: RequestLog) -> WigeonscaleError:
+def _internal_error(log: RequestLog) -> WigeonscaleError:
     state = RunState.UNKNOWN if log.request_id else RunState.NOT_RUN
     return WigeonscaleError(
         ErrorKind.INTERNAL, "internal error in the entry", run_state=state
--- a/wigeonscale/entry/malformed_http.py
+++ b/wigeonscale/entry/malformed_http.py
@@ -43,7 +43,7 @@
         message: str | None = None,
     ) -> web.StreamResponse:
         """Return the response to a request that reached no handler, and close."""
-        error = _error(status, message or "")
+        error = _error_for_status(status, message or "")
         METRICS.requests.add(organisation="", kind=error.kind)
         if status >= web.HTTPInternalServerError.status_code:
             self.log_exception("request outside any handler failed", exc_info=exc)
@@ -54,7 +54,7 @@
         return resp
 
 
-def _error(status: int, message: str) -> WigeonscaleError:
+def _error_for_status(status: int, message: str) -> WigeonscaleError:
     if status >= web.HTTPInternalServerError.status_code:
         return WigeonscaleError(
             ErrorKind.INTERNAL,
--- a/wigeonscale/replication/tests/test_election.py
+++ b/wigeonscale/replication/tests/test_election.py
@@ -38,7 +38,7 @@
         await self.cluster.stop(self.leader, self.followers[1])
         await self.cluster.clock.advance(3)
 
-    async def test_no_vote_while_the_leader_is_heard(self):
+    async def test_no_vote_while_the_leader_is_in_contact(self):
         term = self.voter.term
         for pre_vote in (True, False):
             self.assertFalse(await self.ask(term + 5, pre_vote=pre_vote))
@@ -81,18 +81,18 @@
 
     async def test_higher_term_seen_during_the_pre_vote_is_kept(self):
         await self.cluster.stop(self.leader)
-        heard = []
+        senders = []
 
         async def raise_term(sender, receiver, req):
-            if req.pre_vote and not heard:
-                heard.append(sender)
+            if req.pre_vote and not senders:
+                senders.append(sender)
                 newer = wire.AppendRequest(leader_id="x", term=50)
                 await self.cluster.replicas[sender].handle_append(newer)
 
         self.cluster.network.before_vote = raise_term
-        await self.cluster.wait_until(lambda: heard)
+        await self.cluster.wait_until(lambda: senders)
         await self.cluster.clock.advance(0)
-        self.assertTrue(self.cluster.replicas[heard[0]].term >= 50)
+        self.assertTrue(self.cluster.replicas[senders[0]].term >= 50)
 
 
 class SlowVoteFileTest(ClusterCase):
