--- a/wigeonscale/agent/admission.py
+++ b/wigeonscale/agent/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: a bounded queue and the slots of the backend server."""
+"""Admission control of the agent: a bounded queue, and the backend server's slots."""
 
 __all__ = ["AdmissionController"]
 
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -1,4 +1,4 @@
-"""Handles the dispatch protocol: open, attach, cancel, seal and end."""
+"""The agent's side of the dispatch protocol: open, attach, cancel, seal and end."""
 
 __all__ = ["DispatchHandler"]
 
--- a/wigeonscale/agent/servicer.py
+++ b/wigeonscale/agent/servicer.py
@@ -24,7 +24,7 @@
     """Implements the gRPC service ``Agent``.
 
     Args:
-        dispatcher: Handles the messages of entries.
+        dispatch_handler: Handles the dispatch messages of entries.
         stage: Executes pipeline steps; None for a plain service.
         load: Returns the current load report.
         clock: Clock port.
--- a/wigeonscale/agent/tests/support.py
+++ b/wigeonscale/agent/tests/support.py
@@ -242,7 +242,7 @@
         return self.items(dispatch_id)[-1]
 
     def on_item(self, item):
-        """Called with each received item, for subclasses to override."""
+        """Process a received item; for subclasses to override."""
 
     async def close(self):
         self._reader.cancel()
--- a/wigeonscale/dispatch/keepalive.py
+++ b/wigeonscale/dispatch/keepalive.py
@@ -19,10 +19,10 @@
         interval_s: Seconds between two checks.
         max_missed_pings: Consecutive unanswered pings after which the connection
             counts as dead.
-        max_checks_without_ping: Checks after which a ping tells the agent that this
-            entry is still there, even while the agent keeps sending.
-        reconnect_checks: Checks that wait for the first event on a new connection
-            before the agent itself counts as gone.
+        max_checks_without_ping: Checks after which a ping is sent even while the agent
+            keeps sending, so that the agent knows that this entry is alive.
+        reconnect_checks: Checks without an event on a new connection after which the
+            agent itself counts as unreachable.
     """
 
     interval_s: float = 0.25
--- a/wigeonscale/pipelines/records.py
+++ b/wigeonscale/pipelines/records.py
@@ -135,7 +135,7 @@
             self._ended.popitem(last=False)
 
     def expire_idle(self) -> None:
-        """End sequences without a step for ``SEQUENCE_IDLE_S``: their head is gone."""
+        """End sequences without a step for ``SEQUENCE_IDLE_S``; their head is lost."""
         now = self._clock.now()
         if now - self._last_expiry_at < SEQUENCE_IDLE_S / 4:
             return
--- a/wigeonscale/pipelines/recovery.py
+++ b/wigeonscale/pipelines/recovery.py
@@ -16,7 +16,7 @@
 logger = logging.getLogger(__name__)
 
 MAX_BACKOFF_S = 2.0
-# Number of chain epochs lost before the first token at which a sequence fails. The
+# A sequence fails when its chain has lost this many epochs before its first token: the
 # sequence itself may crash the engines, as may any other that starts together with it.
 # The entry knows about other attempts and decides whether to retry on another chain.
 # Without the limit, one dispatch crashes five engines if its chain is repaired four
--- a/wigeonscale/placement/planner.py
+++ b/wigeonscale/placement/planner.py
@@ -88,7 +88,7 @@
 
 
 def _drop_surplus(chains, by_name, by_id):
-    """Return the chains without the slowest beyond the wanted number of replicas."""
+    """Return the chains without the slowest of each pipeline that has too many."""
     serving = [chain for chain in chains if not is_leaving(chain, by_id)]
     counts = Counter(chain.pipeline for chain in serving)
     surplus = set()
--- a/wigeonscale/placement/regroup.py
+++ b/wigeonscale/placement/regroup.py
@@ -255,7 +255,7 @@
 
 
 def _frees_memory(before, after, free):
-    """Return whether rebuilding one chain frees engines without using other chains'."""
+    """Return whether the rebuilt chain uses fewer engines, all its own or free."""
     own = {stage.agent_id for stage in before.stages}
     used = {stage.agent_id for stage in after.stages}
     return len(used) < len(own) and used <= own | free
--- a/wigeonscale/replication/files.py
+++ b/wigeonscale/replication/files.py
@@ -39,8 +39,8 @@
 class Admission(StrEnum):
     """Whether a replica may vote."""
 
-    NEW = "new"  # empty folder: not known yet whether bootstrap or a lost disk
-    AWAITING = "awaiting"  # lost what it acknowledged, so it may not vote
+    NEW = "new"  # empty folder: either bootstrap or a lost disk, not yet known
+    AWAITING = "awaiting"  # lost what it acknowledged; may not vote until admitted
     ADMITTED = "admitted"
 
 
