--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -35,7 +35,7 @@
 """Interval at which a drain checks whether pipeline steps are still in use."""
 
 MAX_MISSED_HEARTBEATS = 6
-"""Heartbeat intervals without a message after which an entry has timed out."""
+"""Heartbeat intervals without a message after which an entry is not a live reader."""
 
 STOPPING_GRACE_S = 0.5
 """Time during which a stopping agent still refuses messages in transit as not run.
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -45,7 +45,7 @@
         metrics: Counts ended dispatches.
 
     Attributes:
-        admission: Admission control; set after construction.
+        admission: Queue and slots of the backend server; set after construction.
     """
 
     def __init__(
--- a/wigeonscale/dispatch/crashing.py
+++ b/wigeonscale/dispatch/crashing.py
@@ -59,7 +59,7 @@
     def track_start(
         self, work: Work, target: Target, chain: wire.Chain | None
     ) -> Iterator[None]:
-        """Track a dispatch until its answer has begun, and record lost servers.
+        """Track a dispatch until its answer has begun, and record lost backend servers.
 
         Args:
             work: The work.
--- a/wigeonscale/dispatch/keepalive.py
+++ b/wigeonscale/dispatch/keepalive.py
@@ -18,7 +18,7 @@
     Attributes:
         interval_s: Seconds between two checks.
         max_missed_pings: Consecutive unanswered pings after which the connection
-            counts as dead.
+            counts as unresponsive.
         max_checks_without_ping: Checks after which a ping is sent even while the agent
             keeps sending, so that the agent knows that this entry is alive.
         reconnect_checks: Checks without an event on a new connection after which the
--- a/wigeonscale/entry/error_responses.py
+++ b/wigeonscale/entry/error_responses.py
@@ -22,8 +22,8 @@
         request_id: Id of the request if its work was dispatched, else empty.
 
     Returns:
-        Status, headers and JSON body, as ``wigeonscale.errors.ERROR_RESPONSES`` defines
-        them.
+        Status, headers and JSON body according to
+        ``wigeonscale.errors.ERROR_RESPONSES``.
     """
     answer = ERROR_RESPONSES[exc.kind]
     headers = {RUN_HEADER: exc.run_state.value}
--- a/wigeonscale/pipelines/constants.py
+++ b/wigeonscale/pipelines/constants.py
@@ -35,7 +35,7 @@
 """
 
 ENTRY_TIMEOUT_S = 3.0
-"""Seconds without a message after which an entry no longer counts as a reader.
+"""Seconds without a message after which an entry no longer counts as a live reader.
 
 Entries that wait for answers send a ping about once a second.
 """
--- a/wigeonscale/pipelines/recovery.py
+++ b/wigeonscale/pipelines/recovery.py
@@ -98,7 +98,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _recover(self, waiting: list[Generation], chain: wire.Chain) -> None:
-        retry_at = self._clock.now() + self._pause_s(waiting)
+        retry_at = self._clock.now() + self._next_backoff_s(waiting)
         while waiting := self._fail_overdue(waiting, chain):
             changed = self._changed
             newest = self._chains(chain.chain_id)
@@ -129,7 +129,7 @@
             )
         return remaining
 
-    def _pause_s(self, waiting: list[Generation]) -> float:
+    def _next_backoff_s(self, waiting: list[Generation]) -> float:
         failures = min(generation.failures for generation in waiting)
         return min(self._backoff_s * 2 ** (failures - 1), MAX_BACKOFF_S)
 
--- a/wigeonscale/pipelines/tokens.py
+++ b/wigeonscale/pipelines/tokens.py
@@ -13,7 +13,7 @@
         prompt: UTF-8 text; invalid bytes are replaced.
 
     Returns:
-        The pieces; a prompt without any gives one empty piece.
+        The pieces; one empty piece if the prompt is empty or only whitespace.
 
     Example:
         >>> tokenise(b"find  Jana")
