--- a/wigeonscale/agent/agent.py
+++ b/wigeonscale/agent/agent.py
@@ -9,10 +9,10 @@
 
 import grpc
 
-from wigeonscale.agent.admission import Admission
+from wigeonscale.agent.admission import AdmissionController
 from wigeonscale.agent.answers import Dispatch
 from wigeonscale.agent.backend import BackendState
-from wigeonscale.agent.dispatch import Dispatcher
+from wigeonscale.agent.dispatch import DispatchHandler
 from wigeonscale.agent.outcomes import OutcomeReporter
 from wigeonscale.agent.prefixes import PrefixFeed
 from wigeonscale.agent.servicer import AgentServicer
@@ -35,7 +35,7 @@
 """Interval at which a drain checks whether pipeline steps are still in use."""
 
 MAX_MISSED_HEARTBEATS = 6
-"""Heartbeat intervals without a message after which an entry counts as silent."""
+"""Heartbeat intervals without a message after which an entry is not a live reader."""
 
 STOPPING_GRACE_S = 0.5
 """Time during which a stopping agent still refuses messages in transit as not run.
@@ -85,7 +85,7 @@
         self.outcomes = OutcomeReporter(
             submit=control.submit, clock=clock, on_reported=self.table.history.unpin
         )
-        self.dispatcher = Dispatcher(
+        self.dispatch_handler = DispatchHandler(
             agent_id=cfg.name,
             incarnations=state.incarnations,
             table=self.table,
@@ -95,35 +95,35 @@
             begin=self._begin,
             outcomes=self.outcomes,
         )
-        self.admission = Admission(
+        self.admission = AdmissionController(
             clock=clock,
             slots=cfg.slots,
             queue_limit=cfg.queue_limit,
             share=self._share,
-            begin=self.dispatcher.begin,
-            expire=self.dispatcher.expire,
+            begin=self.dispatch_handler.begin,
+            expire=self.dispatch_handler.expire,
             rng=random.Random(),
         )
-        self.dispatcher.admission = self.admission
+        self.dispatch_handler.admission = self.admission
         self.stage: StageRunner | None = None
         self.head: ChainHead | None = None
         self.prefixes: PrefixFeed | None = None
         if engine is not None:
             self._make_pipeline(engine)
         self.servicer = AgentServicer(
-            dispatcher=self.dispatcher,
+            dispatch_handler=self.dispatch_handler,
             stage=self.stage,
             load=self.current_load,
             clock=clock,
             prefixes=self.prefixes,
-            entry_silence_s=max(
+            entry_timeout_s=max(
                 ENTRY_TIMEOUT_S, MAX_MISSED_HEARTBEATS * cfg.heartbeat_s
             ),
         )
         control.changes.subscribe(self._on_change)
 
     def current_load(self) -> wire.LoadWord:
-        """Return the current load."""
+        """Return the current load report."""
         return wire.LoadWord(
             running=self.admission.running,
             queued=self.admission.queued,
@@ -143,26 +143,26 @@
     async def run(self) -> None:
         """Run until cancelled: enforce deadlines and limits, forward cache events."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.dispatcher.sweep())
+            group.create_task(self.dispatch_handler.sweep())
             if self.prefixes is not None:
                 group.create_task(self.prefixes.watch())
 
     async def stop_accepting(self) -> None:
-        """Refuse new work, and keep refusing messages in transit for a short time."""
+        """Refuse new work, including messages in transit for ``STOPPING_GRACE_S``."""
         self.state.set_stopping()
         await self._clock.sleep(STOPPING_GRACE_S)
 
     async def drain(self) -> None:
         """Refuse new work, then wait until the work in progress has finished."""
         self.state.set_stopping()
-        await self.dispatcher.wait_drained()
+        await self.dispatch_handler.wait_drained()
         while self.stage is not None and self.stage.recently_used():
             await self._clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self.outcomes.flush()
 
-    async def cut(self) -> None:
+    async def abort(self) -> None:
         """Abort the work still in progress with an error to its callers."""
-        self.dispatcher.cut()
+        self.dispatch_handler.abort()
 
     async def close(self) -> None:
         """Cancel all tasks of this agent."""
@@ -284,9 +284,9 @@
             dispatch,
             chain=newest if usable and newest.epoch > work.chain.epoch else work.chain,
             head=self.head,
-            on_token=self.dispatcher.add_token,
-            on_end=self.dispatcher.finish,
-            on_failed=self.dispatcher.fail,
+            on_token=self.dispatch_handler.add_token,
+            on_end=self.dispatch_handler.finish,
+            on_failed=self.dispatch_handler.fail,
         )
 
     def _begin_call(self, dispatch: Dispatch) -> None:
@@ -295,14 +295,14 @@
             service=self._service,
             clock=self._clock,
             timeout_s=self._service_timeout_s(),
-            on_end=self.dispatcher.finish,
+            on_end=self.dispatch_handler.finish,
             on_failed=self._call_failed,
         )
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
 
     def _call_failed(self, dispatch: Dispatch, exc: WigeonscaleError) -> None:
-        self.dispatcher.fail(dispatch, exc)
+        self.dispatch_handler.fail(dispatch, exc)
         # A failed call can mean that the service is unreachable or has crashed.
         self.state.probe_soon()
 
--- a/wigeonscale/agent/dispatch.py
+++ b/wigeonscale/agent/dispatch.py
@@ -1,6 +1,6 @@
-"""Handles the dispatch protocol: open, attach, cancel, seal and end."""
+"""The agent's side of the dispatch protocol: open, attach, cancel, seal and end."""
 
-__all__ = ["Dispatcher"]
+__all__ = ["DispatchHandler"]
 
 import logging
 from collections.abc import Callable, Iterable
@@ -8,7 +8,7 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.adapters.metrics import METRICS, OK, Metrics
 from wigeonscale.agent import refusals
-from wigeonscale.agent.admission import Admission
+from wigeonscale.agent.admission import AdmissionController
 from wigeonscale.agent.answers import Dispatch, DispatchState, refused_item
 from wigeonscale.agent.outcomes import OutcomeReporter
 from wigeonscale.agent.stream import EntryStream
@@ -30,7 +30,7 @@
 """Unsent tokens above which a generation pauses while the table is full."""
 
 
-class Dispatcher:
+class DispatchHandler:
     """Handles dispatch messages; the work of a dispatch id starts at most once.
 
     Args:
@@ -45,7 +45,7 @@
         metrics: Counts ended dispatches.
 
     Attributes:
-        admission: Admission control; set after construction.
+        admission: Queue and slots of the backend server; set after construction.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         outcomes: OutcomeReporter,
         metrics: Metrics = METRICS,
     ):
-        self.admission: Admission | None = None
+        self.admission: AdmissionController | None = None
         self._agent_id = agent_id
         self._incarnations = incarnations
         self._table = table
@@ -129,7 +129,7 @@
         if dispatch.has_live_reader:
             # Either the caller has reconnected through another connection or entry,
             # or the reader is an older connection of this entry that has not yet
-            # been silent long enough. In the second case the sweep cancels it.
+            # timed out. In the second case the sweep cancels it after the timeout.
             dispatch.cancel_requested = not dispatch.has_other_live_reader(stream.name)
             return
         self._cancel(dispatch)
@@ -239,7 +239,7 @@
         while self._table.live() or self._table.undelivered():
             await self._clock.sleep(SWEEP_INTERVAL_S)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort all open dispatches because the process is stopping."""
         # Queued dispatches first: a slot freed by a running one would start them.
         live = self._table.live()
--- a/wigeonscale/agent/orders.py
+++ b/wigeonscale/agent/orders.py
@@ -19,13 +19,14 @@
     """Executes orders one at a time after checking their fencing tokens.
 
     The agent checks the fencing token (term, sequence) because some engines ignore
-    it. A restarted agent has no previous token, so it first asks a majority of
+    it. A restarted agent has no previous token, so it first queries a majority of
     control replicas for the lowest token that is still valid.
 
     Args:
         state: State of the backend server.
         engine: The engine; None for a plain service.
-        floor: Asks a majority of control replicas for the newest (term, index).
+        floor: Queries a majority of control replicas for the newest (term, index),
+            which is that lowest token.
         metrics: Counts orders.
     """
 
@@ -39,7 +40,7 @@
     ):
         self._state = state
         self._engine = engine
-        self._ask_floor = floor
+        self._query_floor = floor
         self._metrics = metrics
         self._floor: tuple[int, int] | None = None
         self._lock = asyncio.Lock()
@@ -61,7 +62,7 @@
 
     async def _check_fence(self, order: wire.Order) -> None:
         if self._floor is None:
-            self._floor = tuple(await self._ask_floor())
+            self._floor = tuple(await self._query_floor())
         token = (order.term, order.sequence)
         if token < self._floor:
             raise WigeonscaleError(
--- a/wigeonscale/agent/servicer.py
+++ b/wigeonscale/agent/servicer.py
@@ -8,7 +8,7 @@
 
 import grpc
 
-from wigeonscale.agent.dispatch import Dispatcher
+from wigeonscale.agent.dispatch import DispatchHandler
 from wigeonscale.agent.prefixes import PrefixFeed
 from wigeonscale.agent.stream import EntryStream
 from wigeonscale.pipelines.constants import ENTRY_TIMEOUT_S
@@ -24,36 +24,36 @@
     """Implements the gRPC service ``Agent``.
 
     Args:
-        dispatcher: Handles the messages of entries.
+        dispatch_handler: Handles the dispatch messages of entries.
         stage: Executes pipeline steps; None for a plain service.
-        load: Returns the current load word.
+        load: Returns the current load report.
         clock: Clock port.
         prefixes: Cache events of the engine; None for a plain service.
-        entry_silence_s: Seconds without a message after which an entry no longer
+        entry_timeout_s: Seconds without a message after which an entry no longer
             counts as a live reader.
     """
 
     def __init__(
         self,
         *,
-        dispatcher: Dispatcher,
+        dispatch_handler: DispatchHandler,
         stage: StageRunner | None,
         load: Callable[[], wire.LoadWord],
         clock: Clock,
         prefixes: PrefixFeed | None = None,
-        entry_silence_s: float = ENTRY_TIMEOUT_S,
+        entry_timeout_s: float = ENTRY_TIMEOUT_S,
     ):
-        self._dispatcher = dispatcher
+        self._dispatch_handler = dispatch_handler
         self._stage = stage
         self._load = load
         self._clock = clock
         self._prefixes = prefixes
-        self._entry_silence_s = entry_silence_s
+        self._entry_timeout_s = entry_timeout_s
         self._streams: set[EntryStream] = set()
         self._steps: set[asyncio.Task] = set()
 
     def announce_load(self) -> None:
-        """Send the load word on all dispatch streams."""
+        """Send the load report on all dispatch streams."""
         for stream in self._streams:
             stream.wake()
 
@@ -70,7 +70,7 @@
             load=self._load,
             clock=self._clock,
             prefixes=outbox,
-            silence_s=self._entry_silence_s,
+            entry_timeout_s=self._entry_timeout_s,
         )
         writer = asyncio.create_task(stream.write(context.write))
         self._streams.add(stream)
@@ -120,6 +120,6 @@
     def _handle(self, req: wire.DispatchRequest, stream: EntryStream) -> None:
         stream.record_activity()
         try:
-            self._dispatcher.handle(req, stream)
+            self._dispatch_handler.handle(req, stream)
         except Exception:
             logger.exception("handling a message from entry %s failed", stream.name)
--- a/wigeonscale/entry/service.py
+++ b/wigeonscale/entry/service.py
@@ -22,7 +22,7 @@
 from wigeonscale.ports import Clock
 from wigeonscale.reports import BurnRecorder
 
-# Time in which a disconnected caller can resume its answer before the work is
+# Time for which a disconnected caller can resume its answer before the work is
 # cancelled.
 RESUME_GRACE_S = 10.0
 
@@ -135,7 +135,7 @@
         """Wait until no request is in progress."""
         await self._idle.wait()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort all answers in progress with an error that explains how to resume."""
         for stream in self._links.streams():
             stream.fail(EntryStoppingError(stream.dispatch_id))
--- a/wigeonscale/entry/tests/test_member_selector.py
+++ b/wigeonscale/entry/tests/test_member_selector.py
@@ -47,9 +47,9 @@
         self.assertEqual("a", self.choose()[0].agent_id)
 
     def test_data_about_removed_agents_is_discarded(self):
-        word = wire.LoadWord(running=9, slots=4)
+        load = wire.LoadWord(running=9, slots=4)
         for agent_id in ("a", "gone", "gone but used"):
-            self.table.update_load(agent_id, word)
+            self.table.update_load(agent_id, load)
             self.view.apply_event(agent_id, 1, b"x", held=True)
         self.table.started("gone but used")
         self.choose()
@@ -67,16 +67,16 @@
         leaves = wire.Backend(agent_id="a", incarnation=1, draining=True)
         restarted = wire.Backend(agent_id="a", incarnation=2)
         for back in (stays, restarted):
-            self.see(stays)
+            self.set_backend(stays)
             self.table.update_load("a", wire.LoadWord(leaving=True))
-            self.see(stays)  # unrelated update: the load word is newer
+            self.set_backend(stays)  # unrelated update: the load report is newer
             self.assertTrue(self.table.leaving("a"))
-            self.see(leaves)
+            self.set_backend(leaves)
             self.assertTrue(self.table.leaving("a"))
-            self.see(back)
+            self.set_backend(back)
             self.assertFalse(self.table.leaving("a"))
 
-    def see(self, backend):
+    def set_backend(self, backend):
         """Make one backend server the only member and update the selector."""
         index = self.members.index + 1
         update = wire.MembersUpdate(full=True, index=index, backends=[backend])
--- a/wigeonscale/pipelines/recovery.py
+++ b/wigeonscale/pipelines/recovery.py
@@ -16,7 +16,7 @@
 logger = logging.getLogger(__name__)
 
 MAX_BACKOFF_S = 2.0
-# Number of chain epochs lost before the first token at which a sequence fails. The
+# A sequence fails when its chain has lost this many epochs before its first token: the
 # sequence itself may crash the engines, as may any other that starts together with it.
 # The entry knows about other attempts and decides whether to retry on another chain.
 # Without the limit, one dispatch crashes five engines if its chain is repaired four
@@ -98,7 +98,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _recover(self, waiting: list[Generation], chain: wire.Chain) -> None:
-        retry_at = self._clock.now() + self._pause_s(waiting)
+        retry_at = self._clock.now() + self._next_backoff_s(waiting)
         while waiting := self._fail_overdue(waiting, chain):
             changed = self._changed
             newest = self._chains(chain.chain_id)
@@ -129,7 +129,7 @@
             )
         return remaining
 
-    def _pause_s(self, waiting: list[Generation]) -> float:
+    def _next_backoff_s(self, waiting: list[Generation]) -> float:
         failures = min(generation.failures for generation in waiting)
         return min(self._backoff_s * 2 ** (failures - 1), MAX_BACKOFF_S)
 
--- a/wigeonscale/replication/election.py
+++ b/wigeonscale/replication/election.py
@@ -33,7 +33,7 @@
 
 
 async def run_elections(state: ReplicaState) -> None:
-    """Start an election when no leader is heard; step down when the lease expires."""
+    """Start elections on election timeouts; step down when the lease expires."""
     timeout = _add_jitter(state, state.options.election_timeout_s)
     while True:
         if state.leading:
@@ -48,7 +48,7 @@
         state.election_timer_start = state.clock.now()
         retry_s = state.options.election_timeout_s * RETRY_TIMEOUT_SHARE
         timeout = _add_jitter(state, state.options.election_timeout_s)
-        if not state.leading and not state.heard_leader_recently:
+        if not state.leading and not state.has_recent_leader_contact:
             timeout = _add_jitter(state, retry_s)
 
 
@@ -106,7 +106,7 @@
     check_term(req.term)
     async with state.lock:
         if req.node_id in state.peers:
-            state.peers[req.node_id].heard_at = state.clock.now()
+            state.peers[req.node_id].last_contact_at = state.clock.now()
         granted = await _decide_vote(state, req)
         return wire.VoteReply(
             node_id=state.node_id,
@@ -119,9 +119,9 @@
 async def _decide_vote(state: ReplicaState, req: wire.VoteRequest) -> bool:
     if not state.may_vote:
         return False
-    # A returning or removed replica must not depose a leader that is still heard. A
-    # leadership transfer, which the leader itself requested, is exempt.
-    if state.heard_leader_recently and not req.transfer:
+    # A returning or removed replica must not depose a leader that still sends messages.
+    # A leadership transfer, which the leader itself requested, is exempt.
+    if state.has_recent_leader_contact and not req.transfer:
         return False
     if req.pre_vote:
         return req.term > state.term and _is_up_to_date(state, req)
@@ -163,8 +163,8 @@
     if not await _collect_votes(state, _vote_request(state, term, pre_vote=True)):
         return
     async with state.lock:
-        # Give up if a leader was heard or a vote was granted during the pre-vote, or
-        # if this replica is stopping.
+        # Do not become a candidate if a leader sent a message or a vote was granted
+        # during the pre-vote, or if this replica is stopping.
         superseded = (
             state.election_timer_start != election_timer_start or state.term + 1 != term
         )
@@ -268,7 +268,7 @@
     except (TimeoutError, ConnectionError):
         await peer.client.reset()
         return False
-    peer.heard_at = state.clock.now()
+    peer.last_contact_at = state.clock.now()
     await adopt_term_of_reply(state, reply.term)
     return reply.granted and (req.pre_vote or reply.term == req.term)
 
--- a/wigeonscale/replication/replica.py
+++ b/wigeonscale/replication/replica.py
@@ -47,8 +47,8 @@
 STORAGE_ID_BITS = 128
 # Share of the first election timeout that a replica skips after its start. When all
 # replicas start together there is no leader and callers wait for an election. When the
-# others already run, the shorter timeout does no harm: the replica hears the leader in
-# time, or the pre-vote fails because the others hear it.
+# others already run, the shorter timeout does no harm: the leader's message arrives in
+# time, or the pre-vote fails because the others are in contact with the leader.
 STARTUP_REDUCTION_SHARE = 0.75
 
 Handler = Callable[[ReplicaState, Message], Awaitable[Message]]
@@ -60,7 +60,8 @@
     Args:
         node_id: Stable identifier of this replica.
         address: ip:port of its own gRPC server.
-        voters: Initial members of the cluster, including this replica.
+        initial_members: Members of the cluster, including this replica, in effect until
+            the first change in the log.
         folder: Data folder port, for example ``DiskFolder(path=...)``.
         machine: State machine that committed entries are applied to.
         transport: Transport to the peers, for example ``GrpcTransport()``.
@@ -93,7 +94,7 @@
         *,
         node_id: str,
         address: str,
-        voters: Sequence[Member],
+        initial_members: Sequence[Member],
         folder: Folder,
         machine: StateMachine,
         transport: Transport,
@@ -106,7 +107,7 @@
         self._state = ReplicaState(
             node_id=node_id,
             address=address,
-            voters=voters,
+            initial_members=initial_members,
             storage=LogStorage(folder=folder),
             machine=machine,
             transport=transport,
@@ -280,12 +281,12 @@
         """Return the seconds since the last message of a leader; 0 while leading."""
         if self._state.leading:
             return 0.0
-        return self._state.clock.now() - self._state.leader_heard_at
+        return self._state.clock.now() - self._state.leader_contact_at
 
     def seconds_since_peer_contact(self, node_id: str) -> float:
         """Return the seconds since the last message of a peer; inf if none arrived."""
         peer = self._state.peers.get(node_id)
-        return self._state.clock.now() - peer.heard_at if peer else math.inf
+        return self._state.clock.now() - peer.last_contact_at if peer else math.inf
 
     # ------------------------------------------------------------- peers
 
--- a/wigeonscale/replication/state.py
+++ b/wigeonscale/replication/state.py
@@ -42,7 +42,7 @@
             term.
         acked_at: Local time at which the newest append that it acknowledged was
             sent.
-        heard_at: Local time of its last message.
+        last_contact_at: Local time of its last message.
         admitted: Whether its acknowledgements count towards a majority.
         storage_id: Storage id in its last reply.
         echo_us: Timestamp in its last reply, by its own clock; sent back to it.
@@ -55,7 +55,7 @@
     def __init__(self, *, member: Member, client: PeerClient):
         self.member = member
         self.client = client
-        self.heard_at = -math.inf
+        self.last_contact_at = -math.inf
         self.wake = asyncio.Event()
         self.task: asyncio.Task | None = None
         self.reset_progress(last_index=0)
@@ -81,7 +81,7 @@
     Args:
         node_id: Identifier of this replica.
         address: ip:port of its gRPC server.
-        voters: Initial members of the cluster.
+        initial_members: Members of the cluster until the first change in the log.
         storage: Durable storage.
         machine: State machine.
         transport: Transport port.
@@ -97,7 +97,7 @@
         *,
         node_id: str,
         address: str,
-        voters: Sequence[Member],
+        initial_members: Sequence[Member],
         storage: LogStorage,
         machine: StateMachine,
         transport: Transport,
@@ -122,7 +122,7 @@
         self.role = Role.FOLLOWER
         self.leader_id = ""
         self.leader_address = ""
-        self.leader_heard_at = -math.inf
+        self.leader_contact_at = -math.inf
         self.election_timer_start = clock.now()
         # The newest local time at which a majority followed this leader.
         self.majority_acked_at = -math.inf
@@ -145,7 +145,7 @@
         self.snapshot_due = asyncio.Event()
         self.on_applied: Subject = Subject()
         self.start_peer: Callable[[PeerState], asyncio.Task] | None = None
-        self.member_log = MemberLog(voters=voters)
+        self.member_log = MemberLog(initial_members=initial_members)
 
     # ------------------------------------------------------------- derived values
 
@@ -170,9 +170,9 @@
         return self.may_vote and not self.stopping
 
     @property
-    def heard_leader_recently(self) -> bool:
-        """Whether a leader was heard within the minimum election timeout."""
-        at = self.majority_acked_at if self.leading else self.leader_heard_at
+    def has_recent_leader_contact(self) -> bool:
+        """Whether a leader was in contact within the minimum election timeout."""
+        at = self.majority_acked_at if self.leading else self.leader_contact_at
         return self.clock.now() - at < self.options.election_timeout_s
 
     @property
