--- a/bench/shares.py
+++ b/bench/shares.py
@@ -32,7 +32,7 @@
 def _figures() -> Iterator[Figure]:
     for limit in LIMITS:
         for load in LOADS:
-            pooled = _admitted(limit, load, entries=1, first_share=1.0)
+            pooled = _admitted(limit, load, entry_count=1, first_share=1.0)
             even = _admitted(limit, load, ENTRIES, 1.0 / ENTRIES)
             skewed = _admitted(limit, load, ENTRIES, SKEWED_SHARE)
             name = f"limit{limit}/load{load:g}"
@@ -42,19 +42,20 @@
             yield Figure(f"{name}/equal-shares-skewed", skewed, "share let in")
 
 
-def _admitted(limit: int, load: float, entries: int, first_share: float) -> float:
+def _admitted(limit: int, load: float, entry_count: int, first_share: float) -> float:
     """Return the share of requests let in.
 
     Args:
         limit: Requests in progress allowed to the organisation.
         load: Its mean requests in progress if all were let in, over the limit.
-        entries: Entries, each with an equal share of the limit.
+        entry_count: Number of entries, each with an equal share of the limit.
         first_share: Share of the requests that come to the first entry.
     """
     clock = VirtualClock()
     rng = random.Random(SEED)
     gates = [
-        OrganisationLimits(clock=clock, entries=lambda: entries) for _ in range(entries)
+        OrganisationLimits(clock=clock, entry_count=lambda: entry_count)
+        for _ in range(entry_count)
     ]
     asked = admitted = 0
     rate = load * limit / HOLD_S
@@ -62,8 +63,8 @@
     def arrive() -> None:
         nonlocal asked, admitted
         clock.after(rng.expovariate(rate), arrive)
-        to_first = entries == 1 or rng.random() < first_share
-        gate = gates[0] if to_first else gates[rng.randrange(1, entries)]
+        to_first = entry_count == 1 or rng.random() < first_share
+        gate = gates[0] if to_first else gates[rng.randrange(1, entry_count)]
         hold_s = rng.expovariate(1.0 / HOLD_S)
         asked += 1
         try:
--- a/wigeonscale/crashes/__init__.py
+++ b/wigeonscale/crashes/__init__.py
@@ -10,7 +10,7 @@
     "KnownCrashes",
     "refusal_s_among",
     "next_to_evict",
-    "refusal_of",
+    "crash_refusal",
     "refusal_s",
     "report_crashes",
     "request_fingerprint",
@@ -29,6 +29,6 @@
     retention_s,
 )
 from wigeonscale.crashes.records import CrashReport, KnownCrashes
-from wigeonscale.crashes.refusal import refusal_of
+from wigeonscale.crashes.refusal import crash_refusal
 from wigeonscale.crashes.reporter import report_crashes
 from wigeonscale.crashes.tracker import CrashTracker
--- a/wigeonscale/crashes/refusal.py
+++ b/wigeonscale/crashes/refusal.py
@@ -1,12 +1,12 @@
 """The error for a request that has crashed too many backend servers."""
 
-__all__ = ["refusal_of"]
+__all__ = ["crash_refusal"]
 
 from wigeonscale.crashes.tracker import CrashTracker
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
 
 
-def refusal_of(
+def crash_refusal(
     tracker: CrashTracker, fingerprint: bytes, *, run_state: RunState = RunState.NOT_RUN
 ) -> WigeonscaleError | None:
     """Return the error with which a request is refused, or None if it may be sent.
--- a/wigeonscale/crashes/tests/test_tracker.py
+++ b/wigeonscale/crashes/tests/test_tracker.py
@@ -34,7 +34,7 @@
 
     def crash(self, *names, fingerprint=FINGERPRINT):
         for name in names:
-            self.tracker.note_lost(fingerprint, name)
+            self.tracker.note_aborted_start(fingerprint, name)
         self.ended.update(names)
         self.tracker.confirm_crashes()
 
@@ -79,7 +79,7 @@
 
     async def test_an_abort_without_a_crash_does_not_count(self):
         for name in ("s1", "s2", "s3"):
-            self.tracker.note_lost(FINGERPRINT, name)
+            self.tracker.note_aborted_start(FINGERPRINT, name)
         # At first it is not known whether they have ended.
         self.assertEqual(3.0, self.tracker.refusal_remaining_s(FINGERPRINT))
         await self.clock.advance(3.1)
@@ -104,7 +104,7 @@
     async def test_a_completed_run_clears_the_request(self):
         self.tracker.apply_records([self.known_crashes("s1", "s2")])
         self.crash("s3")
-        self.tracker.note_ran(FINGERPRINT)
+        self.tracker.clear_suspect(FINGERPRINT)
         self.assertEqual(0.0, self.tracker.refusal_remaining_s(FINGERPRINT))
         self.assertEqual(CrashReport((), (FINGERPRINT,)), self.tracker.take_report())
 
@@ -131,14 +131,14 @@
         self.assertEqual(0.0, self.tracker.refusal_remaining_s(FINGERPRINT))
 
     async def test_not_sent_again_before_the_outcome_is_known(self):
-        self.tracker.note_lost(FINGERPRINT, "s4")
+        self.tracker.note_aborted_start(FINGERPRINT, "s4")
         self.assertEqual(3.0, self.tracker.refusal_remaining_s(FINGERPRINT))
         self.ended.add("s4")
         self.assertEqual(refusal_s(4), self.tracker.refusal_remaining_s(FINGERPRINT))
 
     async def test_allowed_after_a_completed_run(self):
         self.tracker.note_sent(FINGERPRINT)
-        self.tracker.note_ran(FINGERPRINT)
+        self.tracker.clear_suspect(FINGERPRINT)
         self.assertEqual(0.0, self.tracker.refusal_remaining_s(FINGERPRINT))
 
     async def test_other_requests_are_not_limited(self):
@@ -177,7 +177,7 @@
 
 class ReportTest(CrashTrackerCase):
     async def test_crashes_are_reported_once(self):
-        self.tracker.note_lost(FINGERPRINT, "s1")
+        self.tracker.note_aborted_start(FINGERPRINT, "s1")
         self.crash("s2")
         self.assertEqual(
             CrashReport(((FINGERPRINT, "s2"),), ()), self.tracker.take_report()
@@ -217,7 +217,7 @@
 
     async def test_own_suspicions_are_bounded(self):
         for number in range(2 * MAX_TRACKED_REQUESTS):
-            self.tracker.note_lost(b"%d" % number, "s1")
+            self.tracker.note_aborted_start(b"%d" % number, "s1")
         known = [
             self.tracker.is_suspect(b"%d" % n) for n in range(2 * MAX_TRACKED_REQUESTS)
         ]
--- a/wigeonscale/crashes/tracker.py
+++ b/wigeonscale/crashes/tracker.py
@@ -153,7 +153,7 @@
         if len(self._confirmed_backends(fingerprint)) >= CRASHES_TO_REFUSE:
             self._retried_at[fingerprint] = self._clock.now()
 
-    def note_lost(self, fingerprint: bytes, backend_id: str) -> bool:
+    def note_aborted_start(self, fingerprint: bytes, backend_id: str) -> bool:
         """Record that a backend server aborted a run that had just started.
 
         Args:
@@ -184,8 +184,8 @@
         """Return whether a server had started to abort runs by a local instant."""
         return self._abort_times.was_aborting(backend_id, before=before)
 
-    def note_ran(self, fingerprint: bytes) -> None:
-        """Record that a request completed without a crash, which clears it."""
+    def clear_suspect(self, fingerprint: bytes) -> None:
+        """Clear a request that ran without a crash, and drop its crash records."""
         if not self.is_suspect(fingerprint):
             return
         backends = self._confirmed_backends(fingerprint)
--- a/wigeonscale/daemons/direct_entry.py
+++ b/wigeonscale/daemons/direct_entry.py
@@ -157,7 +157,7 @@
     clock = SystemClock()
     tracker = BackendTracker(clock=clock)
     limits = BackendRateLimits(
-        name=cfg.name, clock=clock, entries=lambda: control.entries
+        name=cfg.name, clock=clock, entry_count=lambda: control.entries
     )
     notices = Notices(clock=clock, limits=limits)
     budget = SharedRetryBudget(
@@ -165,7 +165,7 @@
         ratio=cfg.retry_ratio,
         slack=cfg.retry_slack,
         window_s=cfg.retry_window_s,
-        entries=lambda: control.entries,
+        entry_count=lambda: control.entries,
     )
     crashes = CrashTracker(
         clock=clock,
@@ -209,7 +209,7 @@
         fleet=lambda: view.fleet,
         suspect=suspect,
         hint=functools.partial(suspect, is_hint=True),
-        reach=check_reachable,
+        check_reachable=check_reachable,
         delay_s=lambda domain: view.table.delay_ms(cfg.domain, domain) / MS_PER_S,
     )
     control.changes.subscribe(lambda change: stalls.check())
@@ -220,7 +220,7 @@
         clock=clock,
         domain=cfg.domain,
         fleet=lambda: view.fleet,
-        entries=lambda: control.entries,
+        entry_count=lambda: control.entries,
         suspect=suspect,
         rng=random.Random(),
         orders=orders,
@@ -233,7 +233,7 @@
     service = DirectService(
         ctx=ctx,
         table=lambda: view.table,
-        known=view.is_complete,
+        config_received=view.is_complete,
         may_serve=may_serve,
         rng=random.Random(),
     )
--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -145,7 +145,8 @@
         claims=claims,
         budget=RetryBudget(clock=clock, ratio=cfg.retry_ratio),
         crashes=CrashGuard(
-            book=crashes or new_crash_tracker(names, clock=clock), servers=names.ids_of
+            tracker=crashes or new_crash_tracker(names, clock=clock),
+            servers=names.ids_of,
         ),
         clock=clock,
         open_timeout_s=cfg.open_timeout_s,
@@ -157,7 +158,7 @@
         claims=claims,
         selector=selector,
         organisation_limits=OrganisationLimits(
-            clock=clock, entries=lambda: control.entries
+            clock=clock, entry_count=lambda: control.entries
         ),
         clock=clock,
         recorder=BurnRecorder(clock=clock),
--- a/wigeonscale/daemons/load_exchange.py
+++ b/wigeonscale/daemons/load_exchange.py
@@ -65,4 +65,4 @@
         )
         for each in totals.limits
     ]
-    ctx.limits.apply_reports(limits, tellers=totals.tellers)
+    ctx.limits.apply_reports(limits, reporting_entries=totals.tellers)
--- a/wigeonscale/daemons/tests/rate_limit_cluster.py
+++ b/wigeonscale/daemons/tests/rate_limit_cluster.py
@@ -102,7 +102,7 @@
         for number in range(count):
             harness = EntryHarness(
                 *engines,
-                entries=count,
+                entry_count=count,
                 domain=DOMAINS[number % len(DOMAINS)],
                 clock=self.clock,
                 name=f"entry-{number}",
--- a/wigeonscale/direct/admission.py
+++ b/wigeonscale/direct/admission.py
@@ -105,7 +105,7 @@
         engine,
         job.req.generation,
         tracker=ctx.tracker,
-        entries=ctx.entries(),
+        entry_count=ctx.entry_count(),
     )
     path = choose_path(servers, engine, costs, domain=ctx.domain, lost=lost)
     fleet = ctx.fleet()
@@ -153,7 +153,7 @@
         job.service.engine,
         job.req.generation,
         tracker=ctx.tracker,
-        entries=ctx.entries(),
+        entry_count=ctx.entry_count(),
     )
     domain = fleet.by_id[first].domain
     near = [
@@ -209,7 +209,7 @@
         servers,
         tracker=ctx.tracker,
         domain=ctx.domain,
-        entries=ctx.entries(),
+        entry_count=ctx.entry_count(),
         tried=lost,
     )
     return [Part(server.backend_id, LayerRange(0, 0))] if server else None
--- a/wigeonscale/direct/backend_tracker.py
+++ b/wigeonscale/direct/backend_tracker.py
@@ -105,14 +105,14 @@
             if state.runs
         }
 
-    def load_of(self, backend_id: str, entries: int) -> tuple[float, float]:
+    def load_of(self, backend_id: str, entry_count: int) -> tuple[float, float]:
         """Return what all entries have in progress on a backend server.
 
         Args:
             backend_id: Name of the incarnation.
-            entries: Number of entries with similar traffic, this one included. If the
-                totals are stale, each other entry is assumed to have the same load as
-                this one. Before the first totals nothing is assumed.
+            entry_count: Number of entries with similar traffic, this one included. If
+                the totals are stale, each other entry is assumed to have the same load
+                as this one. Before the first totals nothing is assumed.
 
         Returns:
             Number of sends, and tokens times layers.
@@ -125,13 +125,13 @@
             # all at once, so the own load must not be extrapolated.
             return running, token_layers
         if self._clock.now() - self._totals_at > TOTALS_MAX_AGE_S:
-            return running * entries, token_layers * entries
+            return running * entry_count, token_layers * entry_count
         baseline_running, baseline_layers = self._baseline.get(backend_id, (0, 0.0))
         others = self._others.get(backend_id, (0, 0.0))
         # Totals are up to a second old, and all entries act on the same ones: they
         # would fill an idle server together and then leave it together. So each entry
         # assumes that the others changed their load since then as it did itself.
-        other_entries = entries - 1
+        other_entries = entry_count - 1
         return (
             max(0, running + others[0] + other_entries * (running - baseline_running)),
             max(
--- a/wigeonscale/direct/choice.py
+++ b/wigeonscale/direct/choice.py
@@ -63,7 +63,7 @@
     *,
     tracker: BackendTracker,
     domain: str,
-    entries: int,
+    entry_count: int,
     tried: Container[str] = (),
 ) -> BackendServer | None:
     """Return the backend server of a plain service for one send, or None.
@@ -72,12 +72,12 @@
         servers: Servers of the service.
         tracker: Their load and health.
         domain: The entry's own failure domain.
-        entries: Number of entries with similar traffic.
+        entry_count: Number of entries with similar traffic.
         tried: Incarnations to which this request was already sent.
     """
 
     def rank(server: BackendServer) -> tuple[float, str]:
-        running, _ = tracker.load_of(server.backend_id, entries)
+        running, _ = tracker.load_of(server.backend_id, entry_count)
         failure_rate = tracker.lookup(server.backend_id).failure_rate
         cost = running / server.slots + FAILURE_RATE_PENALTY * failure_rate
         if server.domain != domain:
@@ -133,7 +133,7 @@
     generation: GenerationSize,
     *,
     tracker: BackendTracker,
-    entries: int,
+    entry_count: int,
 ) -> PathCosts:
     """Return the cost functions of one generation.
 
@@ -141,7 +141,7 @@
         engine: Engine profile of the service.
         generation: Sizes of the request.
         tracker: Load and health of the engines.
-        entries: Number of entries with similar traffic; see
+        entry_count: Number of entries with similar traffic; see
             :meth:`BackendTracker.load_of`.
 
     Notes:
@@ -180,7 +180,7 @@
         kind = engine.accelerators.get(server.accelerator)
         if kind is None:
             return _EngineCosts(0.0, 0.0, AVOIDED_PENALTY_MS, -1.0)
-        others, used = tracker.load_of(server.backend_id, entries)
+        others, used = tracker.load_of(server.backend_id, entry_count)
         step_ms = (
             engine.step_ms
             + engine.sequence_ms * (others + 1)
--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -11,7 +11,7 @@
     "backends_with_other_suspects",
     "note_aborted_run",
     "note_broken_run",
-    "note_ran",
+    "clear_suspect",
     "raise_if_crashing",
 ]
 
@@ -19,7 +19,7 @@
 from collections.abc import Iterable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.crashes import START_CRASH_WINDOW_S, refusal_of
+from wigeonscale.crashes import START_CRASH_WINDOW_S, crash_refusal
 from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.runs import Run
 from wigeonscale.errors import RunState
@@ -41,7 +41,7 @@
         WigeonscaleError: ``CRASHES_BACKENDS``, with a Retry-After.
     """
     run_state = RunState.UNKNOWN if may_have_run else RunState.NOT_RUN
-    refusal = refusal_of(ctx.crashes, job.fingerprint, run_state=run_state)
+    refusal = crash_refusal(ctx.crashes, job.fingerprint, run_state=run_state)
     if refusal is not None:
         raise refusal
 
@@ -84,9 +84,9 @@
 def _note_lost(ctx: EntryContext, job: Job, run: Run, backend_id: str) -> bool:
     """Return whether a run is a new suspect for the loss of a server."""
     if not _is_starting(run):
-        note_ran(ctx, job)
+        clear_suspect(ctx, job)
         return False
-    if not ctx.crashes.note_lost(job.fingerprint, backend_id):
+    if not ctx.crashes.note_aborted_start(job.fingerprint, backend_id):
         return False
     logger.info(
         "run lost as it began",
@@ -101,9 +101,9 @@
     return True
 
 
-def note_ran(ctx: EntryContext, job: Job) -> None:
-    """Record that a run of a request went on well after its start."""
-    ctx.crashes.note_ran(job.fingerprint)
+def clear_suspect(ctx: EntryContext, job: Job) -> None:
+    """Clear a request whose run continued for long enough after its start."""
+    ctx.crashes.clear_suspect(job.fingerprint)
 
 
 def backends_with_other_suspects(ctx: EntryContext, job: Job) -> set[str]:
--- a/wigeonscale/direct/job.py
+++ b/wigeonscale/direct/job.py
@@ -31,7 +31,7 @@
         clock: Clock port.
         domain: The entry's own failure domain.
         fleet: Returns the current backend servers.
-        entries: Returns the number of entries with similar traffic.
+        entry_count: Returns the number of entries with similar traffic.
         suspect: Reports to control that a backend server does not respond.
         rng: Source of randomness for jitter of Retry-After.
         orders: Port for orders to engines.
@@ -48,7 +48,7 @@
     clock: Clock
     domain: str
     fleet: Callable[[], Fleet]
-    entries: Callable[[], int]
+    entry_count: Callable[[], int]
     suspect: Callable[[str], None]
     rng: random.Random
     orders: EngineOrders
--- a/wigeonscale/direct/plain.py
+++ b/wigeonscale/direct/plain.py
@@ -11,8 +11,8 @@
 from wigeonscale.direct.choice import choose_server
 from wigeonscale.direct.crashing import (
     backends_with_other_suspects,
+    clear_suspect,
     note_broken_run,
-    note_ran,
     raise_if_crashing,
 )
 from wigeonscale.direct.fleet import BackendServer
@@ -97,7 +97,7 @@
                 ctx.fleet().by_service.get(job.service.name, ()),
                 tracker=ctx.tracker,
                 domain=ctx.domain,
-                entries=ctx.entries(),
+                entry_count=ctx.entry_count(),
                 tried=tried,
             )
             if server is None or ctx.notices.may_send(server.backend_id):
@@ -130,7 +130,7 @@
         async with asyncio.timeout(limit_s):
             answer = await ctx.exchange.call(call)
         note_notice(answer.head.notice)
-        note_ran(ctx, job)
+        clear_suspect(ctx, job)
         return answer
     except ExchangeError as exc:
         note_notice(exc.notice)
--- a/wigeonscale/direct/probing.py
+++ b/wigeonscale/direct/probing.py
@@ -42,7 +42,7 @@
     """Probes engines in rounds and reports the lost ones.
 
     Args:
-        reach: Checks whether the VM of an engine responds.
+        check_reachable: Checks whether the VM of an engine responds.
         clock: Clock port.
         fleet: Returns the current backend servers.
         delay_s: Returns the one-way delay to a failure domain, in seconds.
@@ -55,7 +55,7 @@
     def __init__(
         self,
         *,
-        reach: ReachabilityCheck,
+        check_reachable: ReachabilityCheck,
         clock: Clock,
         fleet: Callable[[], Fleet],
         delay_s: Callable[[str], float],
@@ -63,7 +63,7 @@
         has_event_since: Callable[[float], bool],
         on_lost: Callable[[str], None],
     ):
-        self._reach = reach
+        self._check_reachable = check_reachable
         self._clock = clock
         self._fleet = fleet
         self._delay_s = delay_s
@@ -157,6 +157,6 @@
     async def _probe_once(self, server: BackendServer, delay_s: float) -> ProbeResult:
         await self._clock.sleep(delay_s)
         round_trip_s = ONE_WAY_DELAYS_PER_PROBE * self._delay_s(server.domain)
-        return await self._reach(
+        return await self._check_reachable(
             server.address, PROBE_TIMEOUT_S + round_trip_s - delay_s
         )
--- a/wigeonscale/direct/rate_limits.py
+++ b/wigeonscale/direct/rate_limits.py
@@ -90,7 +90,7 @@
     Args:
         name: Name of this entry.
         clock: Clock port.
-        entries: Returns the number of entries with similar traffic.
+        entry_count: Returns the number of entries with similar traffic.
 
     Notes:
         No cost for a backend server without a limit, and a few bytes per report for
@@ -98,16 +98,18 @@
 
     Example:
         >>> from wigeonscale.testing import ManualClock
-        >>> limits = BackendRateLimits(name="e", clock=ManualClock(), entries=lambda: 1)
+        >>> limits = BackendRateLimits(
+        ...     name="e", clock=ManualClock(), entry_count=lambda: 1
+        ... )
         >>> limits.note("i-1", 1.0, sent_at=1000.0)
         >>> limits.may_send("i-1"), limits.may_send("i-2")
         (False, True)
     """
 
-    def __init__(self, *, name: str, clock: Clock, entries: Callable[[], int]):
+    def __init__(self, *, name: str, clock: Clock, entry_count: Callable[[], int]):
         self._name = name
         self._clock = clock
-        self._entries = entries
+        self._entry_count = entry_count
         self._limits: dict[str, _Limit] = {}
         # Time of the last totals that covered nearly all entries.
         self._totals_at = -math.inf
@@ -189,7 +191,9 @@
             if (demand := self._demand(limit)) or limit.is_own
         ]
 
-    def apply_reports(self, limits: Iterable[NamedLimit], *, tellers: int) -> None:
+    def apply_reports(
+        self, limits: Iterable[NamedLimit], *, reporting_entries: int
+    ) -> None:
         """Apply the merged reports of the entries, this one included.
 
         Demands are ignored unless nearly all entries have reported. While control has
@@ -198,12 +202,12 @@
 
         Args:
             limits: One report for each limit.
-            tellers: Number of entries whose reports are included.
+            reporting_entries: Number of entries whose reports are included.
         """
         reports = {each.backend_id: each for each in limits}
         for report in reports.values():
             self._apply_value(report)
-        if tellers < MIN_REPORTING_FRACTION * self._entries():
+        if reporting_entries < MIN_REPORTING_FRACTION * self._entry_count():
             return
         self._totals_at = self._clock.now()
         for backend_id, limit in self._limits.items():
@@ -293,7 +297,7 @@
         return sum(limit.shares.values()) / weight / _used_per_s(limit.per_s)
 
     def _fair_interval_s(self, limit: _Limit) -> float:
-        return max(1, self._entries()) / _used_per_s(limit.per_s)
+        return max(1, self._entry_count()) / _used_per_s(limit.per_s)
 
 
 def _used_per_s(per_s: float) -> float:
--- a/wigeonscale/direct/retry_budget.py
+++ b/wigeonscale/direct/retry_budget.py
@@ -47,12 +47,16 @@
         ratio: Retries as a fraction of requests.
         slack: Additional retries of all entries together.
         window_s: Length of the window, in seconds.
-        entries: Returns the number of entries that share the slack.
+        entry_count: Returns the number of entries that share the slack.
 
     Example:
         >>> from wigeonscale.testing import ManualClock
         >>> budget = SharedRetryBudget(
-        ...     clock=ManualClock(), ratio=0.0, slack=3, window_s=10, entries=lambda: 1
+        ...     clock=ManualClock(),
+        ...     ratio=0.0,
+        ...     slack=3,
+        ...     window_s=10,
+        ...     entry_count=lambda: 1,
         ... )
         >>> [budget.try_spend("s") for _ in range(3)]
         [True, True, False]
@@ -65,13 +69,13 @@
         ratio: float,
         slack: float,
         window_s: float,
-        entries: Callable[[], int],
+        entry_count: Callable[[], int],
     ):
         self._clock = clock
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
-        self._entries = entries
+        self._entry_count = entry_count
         self._requests: dict[str, deque[float]] = {}
         self._retries: dict[str, deque[float]] = {}
         self._reported: dict[str, tuple[int, int]] = {}
@@ -145,7 +149,7 @@
     def _guaranteed(self, service: str, part: float) -> float:
         """Return this entry's equal share of the retries, times a fraction."""
         requests = len(self._recent(self._requests, service))
-        slack = self._slack / max(1, self._entries())
+        slack = self._slack / max(1, self._entry_count())
         return USABLE_FRACTION * part * (self._ratio * requests + slack)
 
     def _pool_share(self, service: str) -> float:
@@ -154,7 +158,7 @@
         requests = others.requests + len(self._recent(self._requests, service))
         spent = others.retries + self._retries_at_totals.get(service, 0)
         left = USABLE_FRACTION * (self._ratio * requests + self._slack) - spent
-        return max(0.0, left) / max(1, self._entries()) / POOL_ROUNDS
+        return max(0.0, left) / max(1, self._entry_count()) / POOL_ROUNDS
 
     def _recent(self, counts: dict[str, deque[float]], service: str) -> deque[float]:
         recent = counts.setdefault(service, deque())
--- a/wigeonscale/direct/service.py
+++ b/wigeonscale/direct/service.py
@@ -40,7 +40,7 @@
     Args:
         ctx: Context of the entry.
         table: Returns the current route table; its number is 0 before the first.
-        known: Set once the route table and the backend servers are known.
+        config_received: Set once the route table and the backend servers are known.
         may_serve: Returns whether the configuration is valid without a newer one.
         rng: Source of randomness for weighted shares.
     """
@@ -50,13 +50,13 @@
         *,
         ctx: EntryContext,
         table: Callable[[], RouteTable],
-        known: asyncio.Event,
+        config_received: asyncio.Event,
         may_serve: Callable[[], bool],
         rng: random.Random,
     ):
         self._around = ctx
         self._table = table
-        self._known = known
+        self._config_received = config_received
         self._may_serve = may_serve
         self._rng = rng
 
@@ -71,7 +71,7 @@
             WigeonscaleError: Its kind and run state determine the error response. If
                 the response has begun, the connection must be cut instead.
         """
-        if not self._known.is_set():
+        if not self._config_received.is_set():
             await self._wait_for_config(req)
         if not self._may_serve():
             raise WigeonscaleError(
@@ -121,7 +121,7 @@
             wait_s = min(wait_s, req.deadline_s * STARTUP_WAIT_FRACTION)
         try:
             async with asyncio.timeout(wait_s):
-                await self._known.wait()
+                await self._config_received.wait()
         except TimeoutError:
             raise WigeonscaleError(
                 ErrorKind.LEASE_EXPIRED,
--- a/wigeonscale/direct/stalls.py
+++ b/wigeonscale/direct/stalls.py
@@ -79,7 +79,7 @@
         fleet: Returns the current backend servers.
         suspect: Reports an engine to control as lost.
         hint: Reports an engine to control as one of several possible causes of a stall.
-        reach: Checks whether the VM of an engine responds.
+        check_reachable: Checks whether the VM of an engine responds.
         delay_s: Returns the one-way delay to a failure domain, in seconds.
     """
 
@@ -92,7 +92,7 @@
         fleet: Callable[[], Fleet],
         suspect: Callable[[str], None],
         hint: Callable[[str], None],
-        reach: ReachabilityCheck,
+        check_reachable: ReachabilityCheck,
         delay_s: Callable[[str], float] = lambda domain: 0.0,
     ):
         self._tracker = tracker
@@ -107,7 +107,7 @@
         self._queries: set[asyncio.Task] = set()
         self._lagging_until = float("-inf")
         self._prober = EngineProber(
-            reach=reach,
+            check_reachable=check_reachable,
             clock=clock,
             fleet=fleet,
             delay_s=delay_s,
--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -15,9 +15,9 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.admission import PathChoice
 from wigeonscale.direct.crashing import (
+    clear_suspect,
     note_aborted_run,
     note_broken_run,
-    note_ran,
     raise_if_crashing,
 )
 from wigeonscale.direct.detour import change_path, kv_cache_demand
@@ -141,7 +141,7 @@
         ctx.tracker.note_outcome(first, failed=False)
         if call.after_event is None:
             ctx.admission_queue.note_response_time(ctx.clock.now() - now)
-        note_ran(ctx, job)
+        clear_suspect(ctx, job)
         return is_whole
     except ExchangeError as exc:
         note_notice(exc.notice)
--- a/wigeonscale/direct/tests/fakes.py
+++ b/wigeonscale/direct/tests/fakes.py
@@ -94,7 +94,7 @@
         self.is_whole = False
 
 
-class FakeReach:
+class FakeReachabilityCheck:
     """Returns the probe results that a test sets."""
 
     def __init__(self, clock):
--- a/wigeonscale/direct/tests/support.py
+++ b/wigeonscale/direct/tests/support.py
@@ -16,7 +16,12 @@
 )
 from wigeonscale.direct.job import Job
 from wigeonscale.direct.stream import relay_stream
-from wigeonscale.direct.tests.fakes import FakeExchange, FakeOrders, FakeReach, FakeSink
+from wigeonscale.direct.tests.fakes import (
+    FakeExchange,
+    FakeOrders,
+    FakeReachabilityCheck,
+    FakeSink,
+)
 from wigeonscale.errors import WigeonscaleError
 from wigeonscale.layers import LayerRange
 from wigeonscale.ports.exchange import (
@@ -105,13 +110,13 @@
     """An entry with fake backend servers and control, in manual time."""
 
     def __init__(
-        self, *servers, slack=100, entries=1, domain="a", clock=None, name="entry"
+        self, *servers, slack=100, entry_count=1, domain="a", clock=None, name="entry"
     ):
         self.clock = clock or ManualClock()
         self.exchange = FakeExchange()
         self.tracker = BackendTracker(clock=self.clock)
         self.orders = FakeOrders()
-        self.reach = FakeReach(self.clock)
+        self.check_reachable = FakeReachabilityCheck(self.clock)
         self.suspected = []
         self.hinted = []
         self.fleet = fleet(*servers)
@@ -124,10 +129,12 @@
             fleet=lambda: self.fleet,
             suspect=self.suspected.append,
             hint=self.hinted.append,
-            reach=self.reach,
+            check_reachable=self.check_reachable,
             delay_s=lambda domain: self.delays_s.get(domain, 0.0),
         )
-        limits = BackendRateLimits(name=name, clock=self.clock, entries=lambda: entries)
+        limits = BackendRateLimits(
+            name=name, clock=self.clock, entry_count=lambda: entry_count
+        )
         self.ctx = EntryContext(
             exchange=self.exchange,
             tracker=self.tracker,
@@ -136,12 +143,12 @@
                 ratio=0.0,
                 slack=slack,
                 window_s=10.0,
-                entries=lambda: entries,
+                entry_count=lambda: entry_count,
             ),
             clock=self.clock,
             domain=domain,
             fleet=lambda: self.fleet,
-            entries=lambda: entries,
+            entry_count=lambda: entry_count,
             suspect=self.suspected.append,
             rng=random.Random(1),
             orders=self.orders,
--- a/wigeonscale/direct/tests/test_backend_tracker.py
+++ b/wigeonscale/direct/tests/test_backend_tracker.py
@@ -82,7 +82,7 @@
         number = self.rng.randrange(self.ENTRIES)
         tracker = self.entries[number]
         costs = path_costs(
-            self.engine, self.SIZES, tracker=tracker, entries=self.ENTRIES
+            self.engine, self.SIZES, tracker=tracker, entry_count=self.ENTRIES
         )
         path = choose_path(self.servers, self.engine, costs, domain="abc"[number % 3])
         run = Run(tuple(part.backend_id for part in path), {})
@@ -121,24 +121,24 @@
         tracker.apply_totals({"s": (4, 100.0), "t": (2, 7.0)})
         # Three runs of others, two own ones by now; own runs from before the first
         # totals are not extrapolated.
-        self.assertEqual((5, 105.0), tracker.load_of("s", entries=9))
+        self.assertEqual((5, 105.0), tracker.load_of("s", entry_count=9))
         tracker.report_loads()
         tracker.begin(Run(("s",), {"s": 5.0}))
         tracker.apply_totals({"s": (5, 105.0), "t": (2, 7.0)})
         # Three runs of others, three own ones by now, and one assumed new run of each
         # other entry since the report.
-        self.assertEqual((6 + 8, 110.0 + 8 * 5.0), tracker.load_of("s", entries=9))
-        self.assertEqual((2, 7.0), tracker.load_of("t", entries=9))
-        self.assertEqual((0, 0.0), tracker.load_of("u", entries=9))
+        self.assertEqual((6 + 8, 110.0 + 8 * 5.0), tracker.load_of("s", entry_count=9))
+        self.assertEqual((2, 7.0), tracker.load_of("t", entry_count=9))
+        self.assertEqual((0, 0.0), tracker.load_of("u", entry_count=9))
 
     async def test_stale_totals_are_replaced_by_own_load(self):
         clock = ManualClock()
         tracker = BackendTracker(clock=clock)
         tracker.begin(Run(("s",), {"s": 30.0}))
         # Before the first totals, nothing is assumed about the others.
-        self.assertEqual((1, 30.0), tracker.load_of("s", entries=9))
+        self.assertEqual((1, 30.0), tracker.load_of("s", entry_count=9))
         tracker.report_loads()
         tracker.apply_totals({"s": (1, 30.0)})
-        self.assertEqual((1, 30.0), tracker.load_of("s", entries=9))
+        self.assertEqual((1, 30.0), tracker.load_of("s", entry_count=9))
         await clock.advance(5)
-        self.assertEqual((9, 270.0), tracker.load_of("s", entries=9))
+        self.assertEqual((9, 270.0), tracker.load_of("s", entry_count=9))
--- a/wigeonscale/direct/tests/test_choice.py
+++ b/wigeonscale/direct/tests/test_choice.py
@@ -24,7 +24,7 @@
         self.servers = [server("near"), server("far", domain="b")]
 
     def chosen(self, **fields):
-        fields.setdefault("entries", 1)
+        fields.setdefault("entry_count", 1)
         got = choose_server(self.servers, tracker=self.tracker, domain="a", **fields)
         return got and got.backend_id
 
@@ -41,8 +41,8 @@
         self.tracker.apply_totals({})
         await self.clock.advance(5)
         self.tracker.begin(Run(("near",)))
-        self.assertEqual("near", self.chosen(entries=1))
-        self.assertEqual("far", self.chosen(entries=4))
+        self.assertEqual("near", self.chosen(entry_count=1))
+        self.assertEqual("far", self.chosen(entry_count=4))
 
     def test_failing_server_is_avoided(self):
         for _ in range(5):
@@ -75,7 +75,7 @@
         ]
 
     def chosen(self, **fields):
-        costs = path_costs(ENGINE, SIZES, tracker=self.tracker, entries=1)
+        costs = path_costs(ENGINE, SIZES, tracker=self.tracker, entry_count=1)
         path = choose_path(self.servers, ENGINE, costs, domain="a", **fields)
         return path and [part.backend_id for part in path]
 
@@ -96,7 +96,7 @@
         self.assertEqual(["b0", "b1"], self.chosen())
 
     def test_costs_of_a_part_add_up_by_layers(self):
-        costs = path_costs(ENGINE, SIZES, tracker=self.tracker, entries=1)
+        costs = path_costs(ENGINE, SIZES, tracker=self.tracker, entry_count=1)
         server = self.servers[0]
         # All 10 layers: 20 tokens of 1.01 ms and 1 ms of prefill; 20 hops of 0.1 ms.
         self.assertAlmostEqual(0.5 * 21.2 + 2.0, costs.part(server, 5))
@@ -152,7 +152,7 @@
             for each in self.servers
         ]
         sizes = GenerationSize(prompt_tokens=100, max_tokens=400, expected_tokens=100)
-        costs = path_costs(engine, sizes, tracker=self.tracker, entries=1)
+        costs = path_costs(engine, sizes, tracker=self.tracker, entry_count=1)
         path = choose_path(servers, engine, costs, domain="a")
         self.assertEqual(["a0", "a1"], [part.backend_id for part in path])
 
--- a/wigeonscale/direct/tests/test_cold_start.py
+++ b/wigeonscale/direct/tests/test_cold_start.py
@@ -33,7 +33,7 @@
             for first in (0, LAYERS)
         ]
         self.entries = [
-            EntryHarness(*servers, entries=ENTRIES, domain="ab"[number % 2])
+            EntryHarness(*servers, entry_count=ENTRIES, domain="ab"[number % 2])
             for number in range(ENTRIES)
         ]
         rng = random.Random(3)
--- a/wigeonscale/direct/tests/test_probing.py
+++ b/wigeonscale/direct/tests/test_probing.py
@@ -36,7 +36,7 @@
             for gates in self.gates:
                 gates[number].set_result(None)
             await self.harness.clock.advance(0)
-        self.harness.reach.unreachable = {name}
+        self.harness.check_reachable.unreachable = {name}
         return self.harness.clock.now()
 
     async def end(self):
@@ -62,18 +62,20 @@
         self.assertEqual([], self.harness.suspected)
         self.assertEqual(5, len(self.exchange.calls))
         # One probe for each engine, not one for each check and stream.
-        self.assertEqual(["a1:80", "a2:80"], sorted(self.harness.reach.probed))
+        self.assertEqual(
+            ["a1:80", "a2:80"], sorted(self.harness.check_reachable.probed)
+        )
 
     async def test_no_engine_is_lost_if_none_responds(self):
         await self.stall_streams("a1:80")
-        self.harness.reach.unreachable = {"a1:80", "a2:80"}
+        self.harness.check_reachable.unreachable = {"a1:80", "a2:80"}
         await self.harness.clock.advance(0.22)
         await self.end()
         self.assertEqual([], self.harness.suspected)
 
     async def test_all_engines_of_a_path_lost_while_others_get_events(self):
         stalled_at = await self.stall_streams("a1:80", streams=1)
-        self.harness.reach.unreachable = {"a1:80", "a2:80"}
+        self.harness.check_reachable.unreachable = {"a1:80", "a2:80"}
         other = Run(("b1", "b2"), events=1)
         self.harness.stalls.add(other)
         while (
@@ -89,7 +91,7 @@
         for delay_s, blamed in ((0.05, []), (0.0, ["a2"])):
             await self.prepare()
             await self.stall_streams("nobody")
-            self.harness.reach.answer_s["a2:80"] = 0.105
+            self.harness.check_reachable.answer_s["a2:80"] = 0.105
             self.harness.delays_s["a"] = delay_s
             await self.harness.clock.advance(0.25)
             await self.end()
@@ -108,21 +110,23 @@
         await self.harness.clock.advance(0.1)
         self.harness.stalls.check()
         await self.harness.clock.advance(0.1)
-        self.assertIn("dark:80", self.harness.reach.probed)
-        self.assertEqual(MAX_PROBED_PER_ROUND, len(set(self.harness.reach.probed)))
+        self.assertIn("dark:80", self.harness.check_reachable.probed)
+        self.assertEqual(
+            MAX_PROBED_PER_ROUND, len(set(self.harness.check_reachable.probed))
+        )
 
     async def test_lost_packet_does_not_mark_engine_lost(self):
         await self.stall_streams("a2:80")
         # The packet of the first probe is lost; the next probe gets a response.
-        await self.until(lambda: "a2:80" in self.harness.reach.probed)
-        self.harness.reach.unreachable = set()
+        await self.until(lambda: "a2:80" in self.harness.check_reachable.probed)
+        self.harness.check_reachable.unreachable = set()
         await self.harness.clock.advance(0.12)
         await self.end()
         self.assertEqual([], self.harness.suspected)
 
     async def test_event_during_the_probe_keeps_the_engine(self):
         await self.stall_streams("a2:80")
-        await self.until(lambda: "a2:80" in self.harness.reach.probed)
+        await self.until(lambda: "a2:80" in self.harness.check_reachable.probed)
         for run in self.harness.tracker.runs_on("a2"):
             run.note_progress(self.harness.clock.now() + 0.09)
         await self.harness.clock.advance(0.12)
@@ -131,7 +135,7 @@
 
     async def test_refused_connection_marks_engine_lost_at_once(self):
         stalled_at = await self.stall_streams("nobody")
-        self.harness.reach.answers["a2:80"] = ProbeResult.REFUSED
+        self.harness.check_reachable.answers["a2:80"] = ProbeResult.REFUSED
         await self.until(lambda: all(task.done() for task in self.tasks))
         waited_s = self.harness.clock.now() - stalled_at
         await self.end()
@@ -141,7 +145,7 @@
     async def test_engine_lost_before_the_first_event(self):
         self.exchange.script("a1", [HANG])
         self.exchange.script("b1", [event(1)])
-        self.harness.reach.unreachable = {"a1:80"}
+        self.harness.check_reachable.unreachable = {"a1:80"}
         task = asyncio.create_task(self.relay())
         watch = asyncio.create_task(self.harness.stalls.run())
         began_at = self.harness.clock.now()
@@ -157,7 +161,7 @@
         await self.stall_streams("nobody")
         await self.harness.clock.advance(3.0)
         await self.end()
-        asked = len(self.harness.reach.probed)
+        asked = len(self.harness.check_reachable.probed)
         # Two engines, each probed at most once a second.
         self.assertTrue(2 <= asked <= 8, asked)
 
@@ -168,14 +172,14 @@
             run.note_progress(self.harness.clock.now())
             self.harness.stalls.add(run)
         await self.harness.clock.advance(0.2)
-        self.harness.reach.unreachable = {"a2:80"}
+        self.harness.check_reachable.unreachable = {"a2:80"}
         self.harness.stalls.check()
         self.harness.stalls.note_lag(0.2)
         await self.harness.clock.advance(0.12)
         self.assertEqual([], self.harness.suspected)
         # It starts no new probes either.
-        asked = len(self.harness.reach.probed)
+        asked = len(self.harness.check_reachable.probed)
         await self.harness.clock.advance(0.5)
         self.harness.stalls.check()
         await self.harness.clock.advance(0.12)
-        self.assertEqual(asked, len(self.harness.reach.probed))
+        self.assertEqual(asked, len(self.harness.check_reachable.probed))
--- a/wigeonscale/direct/tests/test_rate_limits.py
+++ b/wigeonscale/direct/tests/test_rate_limits.py
@@ -19,8 +19,10 @@
         self.clock = ManualClock()
         self.limits = self.new("one")
 
-    def new(self, name, *, entries=4):
-        return BackendRateLimits(name=name, clock=self.clock, entries=lambda: entries)
+    def new(self, name, *, entry_count=4):
+        return BackendRateLimits(
+            name=name, clock=self.clock, entry_count=lambda: entry_count
+        )
 
     def receive_limit(self, per_s):
         self.limits.note("i", per_s, sent_at=self.clock.now())
@@ -31,7 +33,7 @@
         for step in range(round(seconds / step_s)):
             if demands is not None and step % round(REPORT_INTERVAL_S / step_s) == 0:
                 self.limits.apply_reports(
-                    [report(None, age_s=None, demands=demands)], tellers=4
+                    [report(None, age_s=None, demands=demands)], reporting_entries=4
                 )
             if self.limits.may_send("i"):
                 self.limits.note_sent("i")
@@ -55,7 +57,8 @@
         await self.sent_in(1.0, demands=equal_demands("one"))
         await self.clock.advance(1.0)
         self.limits.apply_reports(
-            [report(None, age_s=None, demands=equal_demands("one"))], tellers=4
+            [report(None, age_s=None, demands=equal_demands("one"))],
+            reporting_entries=4,
         )
         for _ in range(5):
             self.assertTrue(self.limits.may_send("i"))
@@ -74,7 +77,7 @@
         for name in names:
             limits = self.new(name)
             limits.apply_reports(
-                [report(1.0, demands=equal_demands(*names))], tellers=4
+                [report(1.0, demands=equal_demands(*names))], reporting_entries=4
             )
             owners += limits.send_delay_s("i") < 100.0
         self.assertEqual(2, owners)
@@ -87,11 +90,11 @@
     async def test_larger_share_shortens_the_wait(self):
         self.receive_limit(2.0)
         self.limits.apply_reports(
-            [report(2.0, demands={"one": 1, "two": 63})], tellers=4
+            [report(2.0, demands={"one": 1, "two": 63})], reporting_entries=4
         )
         self.assertTrue(self.limits.send_delay_s("i") > 20.0)
         self.limits.apply_reports(
-            [report(2.0, demands={"one": 64, "two": 1})], tellers=4
+            [report(2.0, demands={"one": 64, "two": 1})], reporting_entries=4
         )
         self.assertTrue(self.limits.send_delay_s("i") < 1.0)
 
@@ -104,7 +107,7 @@
         # Entries without a share must not all start to send at once.
         self.receive_limit(2.0)
         self.limits.apply_reports(
-            [report(2.0, demands=equal_demands("two"))], tellers=4
+            [report(2.0, demands=equal_demands("two"))], reporting_entries=4
         )
         self.assertEqual(0, await self.sent_in(2.5))
         await self.clock.advance(0.1)
@@ -114,15 +117,15 @@
     async def test_incomplete_reports_do_not_change_shares(self):
         self.receive_limit(2.0)
         everybody = equal_demands("one", "two", "three", "four")
-        self.limits.apply_reports([report(2.0, demands=everybody)], tellers=4)
+        self.limits.apply_reports([report(2.0, demands=everybody)], reporting_entries=4)
         before_s = self.limits.send_delay_s("i")
         self.limits.apply_reports(
-            [report(2.0, demands=equal_demands("one"))], tellers=3
+            [report(2.0, demands=equal_demands("one"))], reporting_entries=3
         )
         self.assertEqual(before_s, self.limits.send_delay_s("i"))
         await self.clock.advance(3.0)
         self.limits.apply_reports(
-            [report(2.0, demands=equal_demands("one"))], tellers=3
+            [report(2.0, demands=equal_demands("one"))], reporting_entries=3
         )
         # By then it uses an equal share among all entries.
         self.assertTrue(self.limits.send_delay_s("i") >= 1.9)
@@ -130,12 +133,13 @@
     async def test_new_sharer_waits_one_interval(self):
         self.receive_limit(2.0)
         self.limits.apply_reports(
-            [report(2.0, demands=equal_demands("two", "three"))], tellers=4
+            [report(2.0, demands=equal_demands("two", "three"))], reporting_entries=4
         )
         await self.clock.advance(1.0)
         self.assertFalse(self.limits.may_send("i"))
         self.limits.apply_reports(
-            [report(2.0, demands=equal_demands("one", "two", "three"))], tellers=4
+            [report(2.0, demands=equal_demands("one", "two", "three"))],
+            reporting_entries=4,
         )
         self.assertFalse(self.limits.may_send("i"))
         self.assertTrue(1.8 <= self.limits.send_delay_s("i") <= 1.9)
@@ -157,7 +161,7 @@
         self.assertFalse(self.limits.may_send("i"))
 
     async def test_reports_start_and_end_a_limit(self):
-        self.limits.apply_reports([report(1.0, age_s=0.3)], tellers=4)
+        self.limits.apply_reports([report(1.0, age_s=0.3)], reporting_entries=4)
         self.assertFalse(self.limits.may_send("i"))
         # It has no response of its own to report, only its demand.
         self.assertEqual([], self.limits.report())
@@ -165,15 +169,15 @@
         (reported,) = self.limits.report()
         self.assertEqual((None, {"one": 1}), (reported.age_s, reported.demands))
         await self.clock.advance(1.0)
-        self.limits.apply_reports([report(None, age_s=0.1)], tellers=4)
+        self.limits.apply_reports([report(None, age_s=0.1)], reporting_entries=4)
         self.assertTrue(self.limits.may_send("i"))
 
     async def test_older_report_is_ignored(self):
         self.receive_limit(None)
-        self.limits.apply_reports([report(None, age_s=0.1)], tellers=4)
+        self.limits.apply_reports([report(None, age_s=0.1)], reporting_entries=4)
         self.receive_limit(1.0)
         await self.clock.advance(1.0)
-        self.limits.apply_reports([report(None, age_s=5.0)], tellers=4)
+        self.limits.apply_reports([report(None, age_s=5.0)], reporting_entries=4)
         self.assertFalse(self.limits.may_send("i"))
 
     async def test_limit_of_zero_is_probed(self):
--- a/wigeonscale/direct/tests/test_retry_budget.py
+++ b/wigeonscale/direct/tests/test_retry_budget.py
@@ -10,7 +10,7 @@
             ratio=ratio,
             slack=slack,
             window_s=10.0,
-            entries=lambda: entries,
+            entry_count=lambda: entries,
         )
 
     async def test_all_entries_together_stay_below_ratio_and_slack(self):
@@ -52,7 +52,7 @@
                 ratio=self.RATIO,
                 slack=self.SLACK,
                 window_s=10.0,
-                entries=lambda: count,
+                entry_count=lambda: count,
             )
             for _ in range(count)
         ]
--- a/wigeonscale/direct/tests/test_service.py
+++ b/wigeonscale/direct/tests/test_service.py
@@ -43,14 +43,14 @@
         self.harness = EntryHarness(server("one"))
         self.exchange = self.harness.exchange
         self.table = TABLE
-        self.known = asyncio.Event()
-        self.known.set()
+        self.config_received = asyncio.Event()
+        self.config_received.set()
         self.confirmed = True
         self.sink = FakeSink()
         self.service = DirectService(
             ctx=self.harness.ctx,
             table=lambda: self.table,
-            known=self.known,
+            config_received=self.config_received,
             may_serve=lambda: self.confirmed,
             rng=random.Random(1),
         )
@@ -162,7 +162,7 @@
 
     async def prepare(self):
         await super().prepare()
-        self.known.clear()
+        self.config_received.clear()
         self.table = RouteTable()
 
     async def test_waits_for_the_configuration(self):
@@ -172,7 +172,7 @@
         self.table = TABLE
         await asyncio.sleep(0)
         self.assertEqual([], self.exchange.calls)
-        self.known.set()
+        self.config_received.set()
         await task
         self.assertEqual(answer(), self.sink.answer)
 
--- a/wigeonscale/direct/tests/test_stalls.py
+++ b/wigeonscale/direct/tests/test_stalls.py
@@ -244,7 +244,7 @@
         self.harness.stalls.note_lag(0.065)
         self.harness.stalls.check()
         await self.harness.clock.advance(0)
-        self.assertEqual([], self.harness.reach.probed)
+        self.assertEqual([], self.harness.check_reachable.probed)
         self.assertEqual([], self.harness.hinted)
         self.assertFalse(self.harness.stalls.is_lagging)
 
--- a/wigeonscale/dispatch/attempts.py
+++ b/wigeonscale/dispatch/attempts.py
@@ -83,13 +83,13 @@
         self._budget.record()
         stream = await self._open(work, AnswerRecord(), frozenset())
         if stream.response is not None:
-            self._crashes.note_ran(work)
+            self._crashes.clear_suspect(work)
         return Answer(
             stream=stream,
             transport=self._transport,
             work=work,
             reopen=self._open,
-            on_complete=functools.partial(self._crashes.note_ran, work),
+            on_complete=functools.partial(self._crashes.clear_suspect, work),
         )
 
     async def attach(
--- a/wigeonscale/dispatch/crashing.py
+++ b/wigeonscale/dispatch/crashing.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager
 
 from wigeonscale.adapters import log_fields
-from wigeonscale.crashes import CrashTracker, refusal_of
+from wigeonscale.crashes import CrashTracker, crash_refusal
 from wigeonscale.dispatch.targets import Target
 from wigeonscale.dispatch.work import Work
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
@@ -24,7 +24,7 @@
     """Applies and updates this entry's record of crashing requests.
 
     Args:
-        book: Crashes known to this entry.
+        tracker: Crashes known to this entry.
         servers: Returns the current names of the backend servers of the given
             agents.
     """
@@ -32,21 +32,21 @@
     def __init__(
         self,
         *,
-        book: CrashTracker,
+        tracker: CrashTracker,
         servers: Callable[[Iterable[str]], tuple[str, ...]],
     ):
-        self.book = book
+        self.tracker = tracker
         self._servers = servers
         # Agents on which suspects wait for their first token, by fingerprint.
         self._starting_at: dict[bytes, set[str]] = {}
 
     def refusal(self, work: Work) -> WigeonscaleError | None:
         """Return the error if work must not be dispatched, else None."""
-        return refusal_of(self.book, work.fingerprint)
+        return crash_refusal(self.tracker, work.fingerprint)
 
     def agents_of_other_suspects(self, work: Work) -> frozenset[str]:
         """Return the agents on which other suspects start, if this is a suspect."""
-        if not self.book.is_suspect(work.fingerprint):
+        if not self.tracker.is_suspect(work.fingerprint):
             return frozenset()
         return frozenset(
             agent_id
@@ -70,8 +70,8 @@
         if chain is not None:
             agent_ids = {stage.agent_id for stage in chain.stages}
         servers = self._servers(sorted(agent_ids))
-        self.book.note_sent(work.fingerprint)
-        is_suspect = self.book.is_suspect(work.fingerprint)
+        self.tracker.note_sent(work.fingerprint)
+        is_suspect = self.tracker.is_suspect(work.fingerprint)
         if is_suspect:
             self._starting_at.setdefault(work.fingerprint, set()).update(agent_ids)
         try:
@@ -84,9 +84,9 @@
             if is_suspect:
                 self._starting_at.pop(work.fingerprint, None)
 
-    def note_ran(self, work: Work) -> None:
-        """Record that work was answered completely."""
-        self.book.note_ran(work.fingerprint)
+    def clear_suspect(self, work: Work) -> None:
+        """Clear work that was answered completely."""
+        self.tracker.clear_suspect(work.fingerprint)
 
     def _note_lost(
         self, work: Work, servers: Iterable[str], exc: WigeonscaleError
@@ -94,7 +94,11 @@
         if exc.run_state is RunState.NOT_RUN:
             return
         # Servers that turn out to be still up are removed from the record later.
-        lost = [name for name in servers if self.book.note_lost(work.fingerprint, name)]
+        lost = [
+            name
+            for name in servers
+            if self.tracker.note_aborted_start(work.fingerprint, name)
+        ]
         logger.info(
             "backend server failed before the first token",
             extra=log_fields(fingerprint=work.fingerprint.hex(), backends=lost),
--- a/wigeonscale/lab/simulation.py
+++ b/wigeonscale/lab/simulation.py
@@ -210,7 +210,7 @@
             self._scenario.model,
             req.declared_size,
             tracker=req.entry.tracker,
-            entries=len(self._entries),
+            entry_count=len(self._entries),
         )
         path = choose_path(
             self._known_servers,
--- a/wigeonscale/limits/organisations.py
+++ b/wigeonscale/limits/organisations.py
@@ -67,7 +67,7 @@
 
     Args:
         clock: Clock port.
-        entries: Returns the number of entries that serve callers.
+        entry_count: Returns the number of entries that serve callers.
 
     Notes:
         Amortised constant time per request. Memory is one record per organisation
@@ -75,9 +75,9 @@
         idle ones.
     """
 
-    def __init__(self, *, clock: Clock, entries: Callable[[], int] = lambda: 1):
+    def __init__(self, *, clock: Clock, entry_count: Callable[[], int] = lambda: 1):
         self._clock = clock
-        self._entries = entries
+        self._entry_count = entry_count
         self._usages: dict[str, _Usage] = {}
         self._sweep_at = MIN_RECORDS_TO_SWEEP
 
@@ -100,9 +100,9 @@
         """
         now = self._clock.now()
         usage = self._usage(organisation, now)
-        entries = max(1, self._entries())
-        self._check_concurrency(organisation, usage, concurrency, entries)
-        self._check_rate(organisation, usage, rate, entries, now)
+        entry_count = max(1, self._entry_count())
+        self._check_concurrency(organisation, usage, concurrency, entry_count)
+        self._check_rate(organisation, usage, rate, entry_count, now)
         usage.in_progress += 1
         return Permit(release=lambda: self._release(usage, now))
 
@@ -133,13 +133,13 @@
         self._sweep_at = max(MIN_RECORDS_TO_SWEEP, 2 * len(self._usages))
 
     def _check_concurrency(
-        self, organisation: str, usage: _Usage, concurrency: int, entries: int
+        self, organisation: str, usage: _Usage, concurrency: int, entry_count: int
     ) -> None:
         if concurrency <= 0:
             return
         # Rounded up: the total may exceed the limit by less than the number of
         # entries, but no entry refuses all requests of the organisation.
-        local_limit = math.ceil(concurrency / entries)
+        local_limit = math.ceil(concurrency / entry_count)
         if usage.in_progress >= local_limit:
             raise WigeonscaleError(
                 ErrorKind.LIMIT_EXCEEDED,
@@ -149,11 +149,16 @@
             )
 
     def _check_rate(
-        self, organisation: str, usage: _Usage, rate: float, entries: int, now: float
+        self,
+        organisation: str,
+        usage: _Usage,
+        rate: float,
+        entry_count: int,
+        now: float,
     ) -> None:
         if rate <= 0.0:
             return
-        local_limit = rate / entries
+        local_limit = rate / entry_count
         burst = max(1.0, local_limit * BURST_S)
         usage.rate = local_limit
         usage.drain(now)
--- a/wigeonscale/limits/tests/test_organisations.py
+++ b/wigeonscale/limits/tests/test_organisations.py
@@ -7,8 +7,10 @@
     def setUp(self):
         super().setUp()
         self.clock = ManualClock()
-        self.entries = 2
-        self.limits = OrganisationLimits(clock=self.clock, entries=lambda: self.entries)
+        self.entry_count = 2
+        self.limits = OrganisationLimits(
+            clock=self.clock, entry_count=lambda: self.entry_count
+        )
 
     def refused(self, **kwargs):
         exc = self.assertRaises(WigeonscaleError, self.limits.acquire, "org", **kwargs)
@@ -24,11 +26,11 @@
     def test_share_follows_count_of_entries(self):
         for _ in range(2):
             self.limits.acquire("org", concurrency=4)
-        self.entries = 1
+        self.entry_count = 1
         self.limits.acquire("org", concurrency=4)
 
     def test_limit_below_entries_still_admits_one(self):
-        self.entries = 5
+        self.entry_count = 5
         self.limits.acquire("org", concurrency=2)
         self.refused(concurrency=2)
 
