--- a/wigeonscale/direct/choice.py
+++ b/wigeonscale/direct/choice.py
@@ -39,7 +39,7 @@
 # the entries of all domains overload the domain with the fastest engines, because their
 # load data is half a second old, while their own engines are idle. The higher the cost,
 # the fewer requests engines refuse in such a rush.
-FAR_START_ANSWERS = 4.0
+FAR_START_RESPONSES = 4.0
 FAR_START_MS = 300.0
 # A hop between domains inside a path sends the activations of a prompt, 45 MB, over the
 # link that all domains share. It is meant for times when no domain holds all layers. If
@@ -259,7 +259,7 @@
     if not paces:
         return FAR_START_MS
     answer_ms = engine.usual_answer * engine.step_ms * sum(paces) / len(paces)
-    return max(FAR_START_MS, FAR_START_ANSWERS * answer_ms)
+    return max(FAR_START_MS, FAR_START_RESPONSES * answer_ms)
 
 
 def kv_cache_capacity(
--- a/wigeonscale/lab/tests/test_simulation.py
+++ b/wigeonscale/lab/tests/test_simulation.py
@@ -87,7 +87,7 @@
         self.assertTrue(turned_away <= 2, turned_away)
         self.assertTrue(in_time > 0.98, in_time)
         # They do if a path in any domain that is 300 ms faster is preferred.
-        with override_constant("direct.choice.FAR_START_ANSWERS", 0.0):
+        with override_constant("direct.choice.FAR_START_RESPONSES", 0.0):
             turned_away, _ = self.simulate_seeds()
         self.assertTrue(turned_away >= 20, turned_away)
 
