--- a/wigeonscale/daemons/entry.py
+++ b/wigeonscale/daemons/entry.py
@@ -49,8 +49,8 @@
     """
     setup_logging(cfg.log_level, cfg.name)
     clock = SystemClock()
-    names = BackendInstances(members=lambda: control.members)
-    crashes = new_crash_tracker(names, clock=clock)
+    instances = BackendInstances(members=lambda: control.members)
+    crashes = new_crash_tracker(instances, clock=clock)
     control = ControlClient(
         node_id=cfg.name,
         role="entry",
@@ -138,15 +138,15 @@
     claims = Claims(
         control=control, transport=transport, selector=selector, clock=clock
     )
-    names = BackendInstances(members=lambda: control.members)
+    instances = BackendInstances(members=lambda: control.members)
     dispatcher = Dispatcher(
         transport=transport,
         selector=selector,
         claims=claims,
         budget=RetryBudget(clock=clock, ratio=cfg.retry_ratio),
         crashes=CrashGuard(
-            tracker=crashes or new_crash_tracker(names, clock=clock),
-            servers=names.ids_of,
+            tracker=crashes or new_crash_tracker(instances, clock=clock),
+            servers=instances.ids_of,
         ),
         clock=clock,
         open_timeout_s=cfg.open_timeout_s,
@@ -170,17 +170,17 @@
     )
 
 
-def new_crash_tracker(names: BackendInstances, *, clock: Clock) -> CrashTracker:
+def new_crash_tracker(instances: BackendInstances, *, clock: Clock) -> CrashTracker:
     """Return a crash tracker for the backend servers of agents.
 
     Args:
-        names: Maps agents to the names of their backend servers.
+        instances: Maps agents to the names of their backend server instances.
         clock: Clock port.
     """
     return CrashTracker(
         clock=clock,
-        is_serving=names.is_serving,
-        has_ended=names.has_ended,
+        is_serving=instances.is_serving,
+        has_ended=instances.has_ended,
         rng=random.Random(),
     )
 
--- a/wigeonscale/direct/choice.py
+++ b/wigeonscale/direct/choice.py
@@ -149,16 +149,16 @@
         up. An engine processes all its requests in a batch; the larger the batch, the
         longer a step takes.
     """
-    prompt = generation.prompt_tokens or engine.usual_prompt
-    answer = generation.expected_tokens or engine.usual_answer
-    tokens = prompt + answer
+    prompt_tokens = generation.prompt_tokens or engine.usual_prompt
+    response_tokens = generation.expected_tokens or engine.usual_answer
+    tokens = prompt_tokens + response_tokens
     # Capacity is checked with the mean size for every request. With its own size, a
     # large request would be rejected far more often than a small one.
     usual_tokens = engine.usual_prompt + engine.usual_answer
-    prefill_ms = 1000.0 * prompt / engine.read_tokens_per_s
+    prefill_ms = 1000.0 * prompt_tokens / engine.read_tokens_per_s
     transfer_ms = (
         1000.0
-        * prompt
+        * prompt_tokens
         * engine.activation_bytes
         * BITS_PER_BYTE
         / (engine.pipe_mbps * MEGA)
@@ -198,8 +198,9 @@
             free = -1.0
         return _EngineCosts(
             token_ms,
-            token_ms * answer + server.slowness * loaded_prefill_ms / engine.layers,
-            NEAR_HOP_MS * answer + (AVOIDED_PENALTY_MS if is_avoided else 0.0),
+            token_ms * response_tokens
+            + server.slowness * loaded_prefill_ms / engine.layers,
+            NEAR_HOP_MS * response_tokens + (AVOIDED_PENALTY_MS if is_avoided else 0.0),
             free / usual_tokens if usual_tokens else math.inf,
         )
 
@@ -217,7 +218,11 @@
     def hop(here: str, there: str) -> float:
         if here == there:
             return 0.0
-        return FAR_HOP_BASE_MS + engine.delay_ms(here, there) * answer + transfer_ms
+        return (
+            FAR_HOP_BASE_MS
+            + engine.delay_ms(here, there) * response_tokens
+            + transfer_ms
+        )
 
     return PathCosts(part, hop, token, has_capacity, _far_start_ms(engine))
 
@@ -258,8 +263,8 @@
     paces = [kind.pace for kind in engine.accelerators.values()]
     if not paces:
         return FAR_START_MS
-    answer_ms = engine.usual_answer * engine.step_ms * sum(paces) / len(paces)
-    return max(FAR_START_MS, FAR_START_RESPONSES * answer_ms)
+    response_ms = engine.usual_answer * engine.step_ms * sum(paces) / len(paces)
+    return max(FAR_START_MS, FAR_START_RESPONSES * response_ms)
 
 
 def kv_cache_capacity(
--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -56,7 +56,7 @@
     """
     first = run.backend_ids[0]
     ctx.crashes.note_abort(first)
-    if _note_lost(ctx, job, run, first):
+    if _note_aborted_start(ctx, job, run, first):
         # Control probes the server and finds out whether it has crashed.
         ctx.suspect(first)
 
@@ -78,10 +78,10 @@
     """
     for backend_id in backend_ids:
         if not ctx.crashes.was_aborting(backend_id, before=run.sent_at):
-            _note_lost(ctx, job, run, backend_id)
+            _note_aborted_start(ctx, job, run, backend_id)
 
 
-def _note_lost(ctx: EntryContext, job: Job, run: Run, backend_id: str) -> bool:
+def _note_aborted_start(ctx: EntryContext, job: Job, run: Run, backend_id: str) -> bool:
     """Return whether a run is a new suspect for the loss of a server."""
     if not _is_starting(run):
         clear_suspect(ctx, job)
@@ -95,7 +95,7 @@
             fingerprint=job.fingerprint.hex(),
             backend=backend_id,
             events=run.events,
-            went_on_s=round(run.went_on_s, 3),
+            went_on_s=round(run.event_span_s, 3),
         ),
     )
     return True
@@ -134,4 +134,4 @@
 
 
 def _is_starting(run: Run) -> bool:
-    return run.went_on_s < START_CRASH_WINDOW_S
+    return run.event_span_s < START_CRASH_WINDOW_S
--- a/wigeonscale/direct/notices.py
+++ b/wigeonscale/direct/notices.py
@@ -90,12 +90,12 @@
         if self.is_leaving(backend_id):
             return math.inf
         retry_at = self._retry_at.get(backend_id, -math.inf)
-        rest_s = max(0.0, retry_at - self._clock.now())
-        return max(rest_s, self._limits.send_delay_s(backend_id))
+        remaining_s = max(0.0, retry_at - self._clock.now())
+        return max(remaining_s, self._limits.send_delay_s(backend_id))
 
-    def _note_retry_after(self, backend_id: str, rest_s: float) -> None:
-        if rest_s > 0.0:
-            until = self._clock.now() + rest_s
+    def _note_retry_after(self, backend_id: str, retry_after_s: float) -> None:
+        if retry_after_s > 0.0:
+            until = self._clock.now() + retry_after_s
             known = self._retry_at.get(backend_id, until)
             self._retry_at[backend_id] = max(until, known)
 
--- a/wigeonscale/direct/plain.py
+++ b/wigeonscale/direct/plain.py
@@ -57,7 +57,7 @@
         tried.add(server.backend_id)
         attempts += 1
         try:
-            answer = await _send(ctx, job, server)
+            response = await _send(ctx, job, server)
         except ExchangeError as exc:
             _note_failure(ctx, job, server, exc)
             if exc.outcome is CallOutcome.NOT_SENT:
@@ -67,24 +67,24 @@
             if may_have_run and not job.route.is_idempotent:
                 break
             continue
-        is_failure = answer.head.status >= 500
+        is_failure = response.head.status >= 500
         ctx.tracker.note_outcome(server.backend_id, failed=is_failure)
         if not is_failure:
-            return answer
+            return response
         logger.info(
             "backend server returned an error",
             extra=log_fields(
                 request_id=job.req.request_id,
                 backend=server.backend_id,
-                status=answer.head.status,
+                status=response.head.status,
                 attempts=attempts,
                 failures=round(ctx.tracker.lookup(server.backend_id).failure_rate, 3),
                 outcome="may go on" if job.route.is_idempotent else "handed on",
             ),
         )
-        failed, may_have_run = answer, True
+        failed, may_have_run = response, True
         if not job.route.is_idempotent:
-            return answer
+            return response
     if failed is not None:
         return failed
     raise _final_error(ctx, job, may_have_run)
@@ -128,10 +128,10 @@
     )
     try:
         async with asyncio.timeout(limit_s):
-            answer = await ctx.exchange.call(call)
-        note_notice(answer.head.notice)
+            response = await ctx.exchange.call(call)
+        note_notice(response.head.notice)
         clear_suspect(ctx, job)
-        return answer
+        return response
     except ExchangeError as exc:
         note_notice(exc.notice)
         if exc.outcome is CallOutcome.UNKNOWN:
--- a/wigeonscale/direct/probing.py
+++ b/wigeonscale/direct/probing.py
@@ -106,19 +106,19 @@
 
     async def _round(self, servers: list[BackendServer]) -> None:
         began_at = self._clock.now()
-        answers = await asyncio.gather(
+        probe_results = await asyncio.gather(
             *[self._probe_server(server) for server in servers]
         )
-        results = dict(zip(servers, answers, strict=True))
+        results = dict(zip(servers, probe_results, strict=True))
         lost = [
             server.backend_id
-            for server, answer in results.items()
-            if answer is not ProbeResult.ANSWERED
+            for server, result in results.items()
+            if result is not ProbeResult.ANSWERED
             and not self._has_progress(server.backend_id)
         ]
         # If no engine responds, this entry may be the one that is cut off.
         is_cut_off = not self._has_event_since(began_at) and all(
-            answer is ProbeResult.NO_ANSWER for answer in answers
+            result is ProbeResult.NO_ANSWER for result in probe_results
         )
         logger.info(
             "engines of stalled paths probed",
@@ -145,9 +145,9 @@
         ]
         try:
             for probe in asyncio.as_completed(probes):
-                answer = await probe
-                if answer is not ProbeResult.NO_ANSWER:
-                    return answer
+                result = await probe
+                if result is not ProbeResult.NO_ANSWER:
+                    return result
             return ProbeResult.NO_ANSWER
         finally:
             for probe in probes:
--- a/wigeonscale/direct/runs.py
+++ b/wigeonscale/direct/runs.py
@@ -61,7 +61,7 @@
         return (self.progress_at - self.first_event_at) / (self.events - 1)
 
     @property
-    def went_on_s(self) -> float:
+    def event_span_s(self) -> float:
         """Time from the first event to the latest; 0 before the second."""
         if self.first_event_at is None:
             return 0.0
--- a/wigeonscale/direct/service.py
+++ b/wigeonscale/direct/service.py
@@ -54,7 +54,7 @@
         may_serve: Callable[[], bool],
         rng: random.Random,
     ):
-        self._around = ctx
+        self._ctx = ctx
         self._table = table
         self._config_received = config_received
         self._may_serve = may_serve
@@ -80,7 +80,7 @@
                 retry_after=NOT_READY_RETRY_AFTER_S,
             )
         job = self._job(req)
-        ctx = self._around
+        ctx = self._ctx
         left_s = job.deadline_at - ctx.clock.now()
         ctx.budget.record(job.service.name)
         limit = asyncio.timeout(left_s)
@@ -111,8 +111,8 @@
     async def _run(self, job: Job, sink: ResponseSink) -> dict[str, object]:
         """Handle a request; return log fields about its response."""
         if job.route.repeat is Repeat.STREAM:
-            return _pause_fields(job, await relay_stream(self._around, job, sink))
-        await sink.send(await call_plain(self._around, job))
+            return _pause_fields(job, await relay_stream(self._ctx, job, sink))
+        await sink.send(await call_plain(self._ctx, job))
         return {}
 
     async def _wait_for_config(self, req: CallerRequest) -> None:
--- a/wigeonscale/direct/tests/fakes.py
+++ b/wigeonscale/direct/tests/fakes.py
@@ -120,18 +120,18 @@
 
     def __init__(self):
         self.held_up_by = {}
-        self.asked = []
+        self.queried = []
         self.limits = []
-        self.moved = []
-        self.move_outcome = OrderOutcome.REFUSED
+        self.rerouted = []
+        self.reroute_outcome = OrderOutcome.REFUSED
 
     async def change_path(self, address, *, request_id, path, addresses):
-        self.moved.append((address, request_id, [part.backend_id for part in path]))
-        return self.move_outcome
+        self.rerouted.append((address, request_id, [part.backend_id for part in path]))
+        return self.reroute_outcome
 
     async def status(self, address, *, timeout_s):
         self.limits.append(timeout_s)
-        self.asked.append(address)
+        self.queried.append(address)
         held_up_by = self.held_up_by.get(address, ())
         if held_up_by is None:
             return None
--- a/wigeonscale/direct/tests/test_backend_tracker.py
+++ b/wigeonscale/direct/tests/test_backend_tracker.py
@@ -62,18 +62,18 @@
         ]
         self.entries = [BackendTracker(clock=self.clock) for _ in range(self.ENTRIES)]
         self.due = [self.rng.random() * self.REPORT_INTERVAL_S for _ in self.entries]
-        self.told = [{} for _ in self.entries]
+        self.reported = [{} for _ in self.entries]
         self.running = []
 
-    def tell(self, elapsed_s):
+    def exchange_totals(self, elapsed_s):
         for number, tracker in enumerate(self.entries):
             if elapsed_s < self.due[number]:
                 continue
             self.due[number] += self.REPORT_INTERVAL_S
-            self.told[number] = dict(tracker.report_loads())
+            self.reported[number] = dict(tracker.report_loads())
             totals = {}
-            for told in self.told:
-                for name, (running, layers) in told.items():
+            for reported in self.reported:
+                for name, (running, layers) in reported.items():
                     before = totals.get(name, (0, 0.0))
                     totals[name] = before[0] + running, before[1] + layers
             tracker.apply_totals(totals)
@@ -96,7 +96,7 @@
             while self.running and self.running[0][0] <= now:
                 _, tracker, run = self.running.pop(0)
                 tracker.end(run)
-            self.tell(step / self.PER_SECOND)
+            self.exchange_totals(step / self.PER_SECOND)
             self.send(now)
             await self.clock.advance(1.0 / self.PER_SECOND)
             if step > 5 * self.PER_SECOND:
--- a/wigeonscale/direct/tests/test_choice.py
+++ b/wigeonscale/direct/tests/test_choice.py
@@ -91,8 +91,8 @@
         self.assertEqual(["a0", "b1"], self.chosen(lost=lost))
 
     def test_other_domain_when_engines_are_full(self):
-        room = FULL_SHARE * (5000 - 500) * 1e6 / 1e5
-        self.tracker.begin(Run(("a0",), {"a0": room}))
+        capacity = FULL_SHARE * (5000 - 500) * 1e6 / 1e5
+        self.tracker.begin(Run(("a0",), {"a0": capacity}))
         self.assertEqual(["b0", "b1"], self.chosen())
 
     def test_costs_of_a_part_add_up_by_layers(self):
--- a/wigeonscale/direct/tests/test_cold_start.py
+++ b/wigeonscale/direct/tests/test_cold_start.py
@@ -58,5 +58,5 @@
         served = sum(self.send(harness) for harness in self.receivers)
         self.assertEqual(RETURNING_REQUESTS, served)
         free_mb = ENGINE.accelerators["k"].size_mb - LAYERS * ENGINE.layer_mb
-        room = free_mb * 1e6 / (ENGINE.token_bytes / ENGINE.layers)
-        self.assertTrue(max(self.used.values()) <= FULL_SHARE * room)
+        capacity = free_mb * 1e6 / (ENGINE.token_bytes / ENGINE.layers)
+        self.assertTrue(max(self.used.values()) <= FULL_SHARE * capacity)
--- a/wigeonscale/direct/tests/test_crashing.py
+++ b/wigeonscale/direct/tests/test_crashing.py
@@ -146,7 +146,7 @@
         await self.until(task.done)
         exc = await task
         self.assertEqual(ErrorKind.CRASHES_BACKENDS, exc.kind)
-        self.assertEqual([], self.harness.orders.moved)
+        self.assertEqual([], self.harness.orders.rerouted)
 
 
 class IsolatedSuspectsTest(EndEnginesMixin, StreamCase):
@@ -233,9 +233,9 @@
         job = self.harness.job()
         for name in self.harness.fleet.by_id:
             self.exchange.script(name, answer(500, b"why"), unknown())
-        book = self.harness.ctx.crashes
+        tracker = self.harness.ctx.crashes
         # Control reports the request as crashing while the first server runs it.
-        book.refusal_remaining_s = lambda _: 5.0 if self.exchange.calls else 0.0
+        tracker.refusal_remaining_s = lambda _: 5.0 if self.exchange.calls else 0.0
         got = await call_plain(self.harness.ctx, job)
         self.assertEqual(answer(500, b"why"), got)
 
--- a/wigeonscale/direct/tests/test_crashing_load.py
+++ b/wigeonscale/direct/tests/test_crashing_load.py
@@ -33,7 +33,7 @@
 
     def __init__(self, harness):
         self.crashed = []
-        self._parts = harness
+        self._harness = harness
         self._ends = {name: asyncio.Event() for _, name in ENGINES}
 
     @asynccontextmanager
@@ -42,7 +42,7 @@
         if end.is_set():
             raise unknown()
         if call.req.body == CRASHING:
-            await self._parts.clock.sleep(CRASH_S)
+            await self._harness.clock.sleep(CRASH_S)
             self._crash(call.backend_id)
         yield FakeStream(self._events(end))
 
@@ -56,19 +56,19 @@
         return asyncio.ensure_future(self._until_next(end))
 
     async def _until_next(self, end):
-        until = self._parts.clock.now() + EVENT_S
-        while self._parts.clock.now() < until:
+        until = self._harness.clock.now() + EVENT_S
+        while self._harness.clock.now() < until:
             if end.is_set():
                 raise unknown()
-            await self._parts.clock.sleep(EVENT_S / 10)
+            await self._harness.clock.sleep(EVENT_S / 10)
 
     def _crash(self, name):
         self.crashed.append(name)
         self._ends[name].set()
-        old = self._parts.fleet.by_id[name]
+        old = self._harness.fleet.by_id[name]
         gone = engine(name, 0, 10, domain=old.domain, is_silent=True)
-        self._parts.fleet.by_id[name] = gone
-        servers = self._parts.fleet.by_service
+        self._harness.fleet.by_id[name] = gone
+        servers = self._harness.fleet.by_service
         servers["model"] = tuple(
             gone if each.backend_id == name else each for each in servers["model"]
         )
--- a/wigeonscale/direct/tests/test_full_engines.py
+++ b/wigeonscale/direct/tests/test_full_engines.py
@@ -19,8 +19,8 @@
     """Engines without capacity for one more request."""
 
     def fill(self, *names):
-        room = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
-        runs = [Run((name,), {name: room}) for name in names]
+        capacity = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
+        runs = [Run((name,), {name: capacity}) for name in names]
         for run in runs:
             self.harness.tracker.begin(run)
         return runs
@@ -121,10 +121,10 @@
         self.assertEqual([1], self.got())
 
     async def test_large_requests_are_admitted_like_small_ones(self):
-        room = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
+        capacity = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
         usual = 5 * (ENGINE.usual_prompt + ENGINE.usual_answer)
         for name in ("a1", "b1"):
-            self.harness.tracker.begin(Run((name,), {name: room - usual}))
+            self.harness.tracker.begin(Run((name,), {name: capacity - usual}))
         self.exchange.script("a1", [event(1)])
         await self.relay(
             generation=GenerationSize(
--- a/wigeonscale/direct/tests/test_probing.py
+++ b/wigeonscale/direct/tests/test_probing.py
@@ -88,14 +88,14 @@
 
     async def test_timeout_grows_with_the_delay(self):
         # With a one-way delay of 50 ms, a connection takes 100 ms.
-        for delay_s, blamed in ((0.05, []), (0.0, ["a2"])):
+        for delay_s, at_fault in ((0.05, []), (0.0, ["a2"])):
             await self.prepare()
             await self.stall_streams("nobody")
             self.harness.check_reachable.answer_s["a2:80"] = 0.105
             self.harness.delays_s["a"] = delay_s
             await self.harness.clock.advance(0.25)
             await self.end()
-            self.assertEqual(blamed, self.harness.suspected)
+            self.assertEqual(at_fault, self.harness.suspected)
 
     async def test_probes_per_round_are_bounded(self):
         """Half of the runs pass an unreachable engine; it is in the first round."""
@@ -161,9 +161,9 @@
         await self.stall_streams("nobody")
         await self.harness.clock.advance(3.0)
         await self.end()
-        asked = len(self.harness.check_reachable.probed)
+        probe_count = len(self.harness.check_reachable.probed)
         # Two engines, each probed at most once a second.
-        self.assertTrue(2 <= asked <= 8, asked)
+        self.assertTrue(2 <= probe_count <= 8, probe_count)
 
     async def test_no_probes_while_the_entry_lags(self):
         runs = [Run(("a1", "a2"), expected_interval_s=0.04) for _ in range(3)]
@@ -178,8 +178,8 @@
         await self.harness.clock.advance(0.12)
         self.assertEqual([], self.harness.suspected)
         # It starts no new probes either.
-        asked = len(self.harness.check_reachable.probed)
+        probe_count = len(self.harness.check_reachable.probed)
         await self.harness.clock.advance(0.5)
         self.harness.stalls.check()
         await self.harness.clock.advance(0.12)
-        self.assertEqual(asked, len(self.harness.check_reachable.probed))
+        self.assertEqual(probe_count, len(self.harness.check_reachable.probed))
--- a/wigeonscale/direct/tests/test_retry_after.py
+++ b/wigeonscale/direct/tests/test_retry_after.py
@@ -26,15 +26,15 @@
 from wigeonscale.routes import Repeat
 from wigeonscale.testing import AsyncTestCase
 
-REST_S = 3.0
+RETRY_AFTER_S = 3.0
 REQUESTS = 40
 STEP_S = 0.1
 # Requests that are in flight during the refusal are allowed.
-MAX_SENDS_DURING_REST = 2
+MAX_SENDS_DURING_RETRY_AFTER = 2
 
 
-def refused_with_rest():
-    return not_run(notice=ServerNotice(retry_after_s=REST_S))
+def refused_with_retry_after():
+    return not_run(notice=ServerNotice(retry_after_s=RETRY_AFTER_S))
 
 
 class RetryAfterTest(AsyncTestCase):
@@ -44,9 +44,11 @@
             await harness.clock.advance(STEP_S)
             await asyncio.gather(asking, return_exceptions=True)
 
-    def sends_during_rest(self, harness, name, sent_at):
+    def sends_during_retry_after(self, harness, name, sent_at):
         first = next(at for at, to in sent_at if to == name)
-        return sum(to == name and first < at < first + REST_S for at, to in sent_at)
+        return sum(
+            to == name and first < at < first + RETRY_AFTER_S for at, to in sent_at
+        )
 
     def prepare_entry(self, *servers):
         harness = EntryHarness(*servers)
@@ -64,7 +66,9 @@
         harness, sent_at = self.prepare_entry(
             engine("a", 0, 10), engine("b", 0, 10, domain="b")
         )
-        harness.exchange.script("a", *[refused_with_rest() for _ in range(REQUESTS)])
+        harness.exchange.script(
+            "a", *[refused_with_retry_after() for _ in range(REQUESTS)]
+        )
         harness.exchange.script("b", *[[event(1)] for _ in range(REQUESTS)])
 
         async def flow():
@@ -72,15 +76,15 @@
             await relay_stream(harness.ctx, job, FakeSink())
 
         await self.ask(harness, flow)
-        sends = self.sends_during_rest(harness, "a", sent_at)
+        sends = self.sends_during_retry_after(harness, "a", sent_at)
         self.assertTrue(
-            sends <= MAX_SENDS_DURING_REST, f"{sends} sends while it rested"
+            sends <= MAX_SENDS_DURING_RETRY_AFTER, f"{sends} sends while it rested"
         )
         self.assertEqual(REQUESTS, sum(to == "b" for _, to in sent_at))
 
-    async def test_only_engine_rests_longer_than_callers_wait(self):
+    async def test_retry_after_longer_than_callers_wait(self):
         harness, _ = self.prepare_entry(engine("a", 0, 10))
-        harness.exchange.script("a", refused_with_rest())
+        harness.exchange.script("a", refused_with_retry_after())
         sink = FakeSink()
         for _ in range(2):
             job = harness.job(Repeat.STREAM, service=MODEL, resumable=True, left_s=20.0)
@@ -92,9 +96,9 @@
         self.assertEqual(
             (ErrorKind.OVERLOADED, RunState.NOT_RUN), (refused.kind, refused.run_state)
         )
-        self.assertTrue(refused.retry_after >= REST_S)
+        self.assertTrue(refused.retry_after >= RETRY_AFTER_S)
 
-    async def test_only_engine_rests_briefly(self):
+    async def test_short_retry_after_of_the_only_engine(self):
         harness, sent_at = self.prepare_entry(engine("a", 0, 10))
         moment = not_run(notice=ServerNotice(retry_after_s=0.5))
         harness.exchange.script("a", moment, [event(1)])
@@ -108,19 +112,24 @@
         (first, _), (second, _) = sent_at[:2]
         self.assertTrue(second - first >= 0.5)
 
-    async def test_shorter_rest_does_not_replace_longer_one(self):
+    async def test_shorter_retry_after_does_not_replace_longer_one(self):
         harness, _ = self.prepare_entry(engine("a", 0, 10))
-        for rest_s in (REST_S, 0.1):
+        for retry_after_s in (RETRY_AFTER_S, 0.1):
             harness.ctx.notices.note(
-                "a", ServerNotice(retry_after_s=rest_s), request_id="r", sent_at=0.0
+                "a",
+                ServerNotice(retry_after_s=retry_after_s),
+                request_id="r",
+                sent_at=0.0,
             )
-        self.assertEqual(REST_S, harness.ctx.notices.send_delay_s("a"))
-        await harness.clock.advance(REST_S)
+        self.assertEqual(RETRY_AFTER_S, harness.ctx.notices.send_delay_s("a"))
+        await harness.clock.advance(RETRY_AFTER_S)
         self.assertTrue(harness.ctx.notices.may_send("a"))
 
     async def test_the_only_plain_server(self):
         harness, sent_at = self.prepare_entry(server("p"))
-        harness.exchange.script("p", *[refused_with_rest() for _ in range(REQUESTS)])
+        harness.exchange.script(
+            "p", *[refused_with_retry_after() for _ in range(REQUESTS)]
+        )
         harness.exchange.script("p", *[answer() for _ in range(REQUESTS)])
         refusals = []
 
@@ -131,10 +140,10 @@
                 refusals.append(exc)
 
         await self.ask(harness, flow)
-        sends = self.sends_during_rest(harness, "p", sent_at)
+        sends = self.sends_during_retry_after(harness, "p", sent_at)
         self.assertTrue(
-            sends <= MAX_SENDS_DURING_REST, f"{sends} sends while it rested"
+            sends <= MAX_SENDS_DURING_RETRY_AFTER, f"{sends} sends while it rested"
         )
         # Each caller gets a Retry-After that covers the rest of the server.
         first = refusals[0].retry_after
-        self.assertTrue(0.9 * REST_S <= first <= REST_S, first)
+        self.assertTrue(0.9 * RETRY_AFTER_S <= first <= RETRY_AFTER_S, first)
--- a/wigeonscale/direct/tests/test_service.py
+++ b/wigeonscale/direct/tests/test_service.py
@@ -141,8 +141,8 @@
             await self.serve()
         self.assertEqual(event(1).data, self.sink.data)
         self.assertTrue(self.sink.is_whole)
-        told = logs.records[-1].fields
-        self.assertEqual((0.0, 1), (told["first_event_s"], told["sends"]))
+        fields = logs.records[-1].fields
+        self.assertEqual((0.0, 1), (fields["first_event_s"], fields["sends"]))
 
 
 class ProgressTest(AsyncTestCase):
--- a/wigeonscale/direct/tests/test_stalls.py
+++ b/wigeonscale/direct/tests/test_stalls.py
@@ -28,7 +28,7 @@
             self.assertEqual(b"id: 1\n\nid: 2\n\nid: 3\n\n", sink.data)
             self.assertTrue(sink.is_whole)
         # One query for all streams; the engine is reported to control.
-        self.assertEqual(["a1:80"], self.harness.orders.asked)
+        self.assertEqual(["a1:80"], self.harness.orders.queried)
         self.assertEqual(["a2"], self.harness.suspected)
         waited_s = self.harness.clock.now() - 1000.0
         self.assertTrue(waited_s < 1.0, waited_s)
@@ -118,7 +118,7 @@
         await self.until(task.done)
         await task
         self.assertEqual([1, 2], self.got())
-        self.assertEqual([], self.harness.orders.asked)
+        self.assertEqual([], self.harness.orders.queried)
 
 
 class DetourTest(StreamCase):
@@ -159,25 +159,25 @@
         self.assertTrue(self.sink.is_whole)
 
     async def test_rerouted_within_the_same_run(self):
-        self.harness.orders.move_outcome = OrderOutcome.STARTED
+        self.harness.orders.reroute_outcome = OrderOutcome.STARTED
         await self.lose("a2")
-        self.assertEqual([("a1:80", "r1", ["a1", "a3"])], self.harness.orders.moved)
+        self.assertEqual([("a1:80", "r1", ["a1", "a3"])], self.harness.orders.rerouted)
         self.assertEqual(["a1"], self.exchange.sent_to)
         # The load is removed from all engines that ran it.
         for name in ("a1", "a2", "a3"):
             self.assertEqual((0, 0.0), self.harness.tracker.load_of(name, 1))
 
     async def test_retried_if_the_engine_refuses_the_reroute(self):
-        self.harness.orders.move_outcome = OrderOutcome.CONFLICT
+        self.harness.orders.reroute_outcome = OrderOutcome.CONFLICT
         self.exchange.script("a1", [event(2)])
         await self.lose("a2")
         paths = [[p.backend_id for p in call.path] for call in self.exchange.calls]
         self.assertEqual([["a1", "a2"], ["a1", "a3"]], paths)
 
     async def test_retried_if_the_first_engine_is_lost(self):
-        self.harness.orders.move_outcome = OrderOutcome.STARTED
+        self.harness.orders.reroute_outcome = OrderOutcome.STARTED
         await self.lose("a1")
-        self.assertEqual([], self.harness.orders.moved)
+        self.assertEqual([], self.harness.orders.rerouted)
         self.assertEqual(["a1", "b1"], self.exchange.sent_to)
 
 
@@ -229,7 +229,7 @@
         self.harness.stalls.check()
         await self.harness.clock.advance(0)
         self.assertEqual([], self.harness.hinted)
-        self.assertEqual([], self.harness.orders.asked)
+        self.assertEqual([], self.harness.orders.queried)
         self.assertFalse(self.harness.tracker.is_avoided("a1"))
 
     async def test_short_lag_does_not_count_as_a_stall(self):
@@ -258,7 +258,7 @@
         await self.harness.clock.advance(0.3)
         self.harness.stalls.check()
         await self.harness.clock.advance(0)
-        self.assertEqual(["a1:80"], self.harness.orders.asked)
+        self.assertEqual(["a1:80"], self.harness.orders.queried)
 
     async def test_check_in_time_changes_nothing(self):
         run = Run(("a1", "a2"))
--- a/wigeonscale/direct/tests/test_stream.py
+++ b/wigeonscale/direct/tests/test_stream.py
@@ -170,9 +170,9 @@
         self.exchange.script("b1", *[not_run()] * 9)
         task = asyncio.create_task(self.refused())
         await self.until(lambda: self.exchange.calls)
-        room = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
+        capacity = FULL_SHARE * (5000 - 5 * 100) * 1e6 / 1e5
         for name in ("a1", "b1"):
-            self.harness.tracker.begin(Run((name,), {name: room}))
+            self.harness.tracker.begin(Run((name,), {name: capacity}))
         gate.set_result(None)
         await self.until(task.done)
         exc = await task
--- a/wigeonscale/limits/fair_queue.py
+++ b/wigeonscale/limits/fair_queue.py
@@ -79,7 +79,7 @@
             WigeonscaleError: ``OVERLOADED`` if the queue is full, or if the
                 organisation occupies too much of it.
         """
-        self._check_room(organisation)
+        self._check_space(organisation)
         entry = QueueEntry(item, organisation, priority, cost)
         if priority not in self._schedulers:
             self._schedulers[priority] = FairScheduler(quantum=self._quantum)
@@ -134,12 +134,12 @@
         scheduler = self._schedulers.get(priority)
         return higher + (scheduler.ahead(organisation, share) if scheduler else 0)
 
-    def _check_room(self, organisation: str) -> None:
-        room = self._limit - len(self._entries)
+    def _check_space(self, organisation: str) -> None:
+        free_places = self._limit - len(self._entries)
         held = self._held.get(organisation, 0)
-        if room <= 0:
+        if free_places <= 0:
             reason = f"the queue is full with {self._limit} requests"
-        elif held >= DYNAMIC_THRESHOLD_FACTOR * room:
+        elif held >= DYNAMIC_THRESHOLD_FACTOR * free_places:
             reason = (
                 f"organisation {organisation} holds {held} of the queue's "
                 f"{self._limit} places"
--- a/wigeonscale/routes/model.py
+++ b/wigeonscale/routes/model.py
@@ -218,5 +218,5 @@
     def delay_ms(self, here: str, there: str) -> float:
         """Return the longest delay that any service configures between two domains."""
         engines = [service.engine for service in self.services.values()]
-        told = [engine.delay_ms(here, there) for engine in engines if engine]
-        return max(told, default=0.0)
+        delays = [engine.delay_ms(here, there) for engine in engines if engine]
+        return max(delays, default=0.0)
