--- a/wigeonscale/daemons/early_listener.py
+++ b/wigeonscale/daemons/early_listener.py
@@ -8,8 +8,8 @@
 the entry runs.
 
 If other entries are serving, refusing the connection is better, because the caller's
-retry reaches one of them. The process cannot know this yet; if control responds, the
-process was started alone and the others are assumed to serve.
+retry reaches one of them. The process cannot check this yet. If control responds,
+only this process was started, and the others are assumed to serve.
 """
 
 __all__ = ["EarlyListener", "listen_early"]
--- a/wigeonscale/daemons/load_exchange.py
+++ b/wigeonscale/daemons/load_exchange.py
@@ -13,7 +13,7 @@
 
 
 def build_load_report(ctx: EntryContext) -> wire.Loads:
-    """Return this entry's load and recent sends, and record them as reported.
+    """Return this entry's load, sends and rate limits, and record them as reported.
 
     Args:
         ctx: Components that the requests of the entry share.
--- a/wigeonscale/daemons/tests/test_backend_rate_limits.py
+++ b/wigeonscale/daemons/tests/test_backend_rate_limits.py
@@ -1,11 +1,12 @@
 """Guards against entries exceeding a rate limit that a backend server declares.
 
 A first-stage engine declared a limit of one request a second, and within 4 s got 15
-requests from entries that had seen the limit, where 11 were allowed. No entry read the
-header with the limit, and no entry knows by itself what the others send. The engine
+requests from entries that had received the limit, where 11 were allowed. No entry read
+the header with the limit, and no entry knows by itself what the others send. The engine
 answered every request and was as near and as idle as before, so the only entry of its
-failure domain started every path there (8 sends from 38.65 to 42.51 s), and an entry of
-another domain sent 2 more, at 38.80 and 40.50 s.
+failure domain started every path there (8 sends, at 38.65, 38.67, 38.74, 39.79, 40.90,
+40.91, 41.26 and 42.51 s), and an entry of another domain sent 2 more, at 38.80 and
+40.50 s.
 """
 
 from wigeonscale.daemons.tests.rate_limit_cluster import EntryCluster
--- a/wigeonscale/direct/admission.py
+++ b/wigeonscale/direct/admission.py
@@ -89,7 +89,7 @@
         server
         for server in ctx.fleet().by_service.get(job.service.name, ())
         if server.backend_id not in throttled
-        # An engine that shuts down would cut off the request at any place in a path.
+        # An engine that shuts down would cut off the request at any position of a path.
         and not ctx.notices.is_leaving(server.backend_id)
     ]
     if len(ran_on) >= job.route.max_attempts:
--- a/wigeonscale/direct/admission_queue.py
+++ b/wigeonscale/direct/admission_queue.py
@@ -40,8 +40,8 @@
 MIN_RESPONSE_TIME_S = 0.1
 # EWMA weight of the newest outcome in the admitted rate; covers about five outcomes.
 ADMITTED_RATE_EWMA_WEIGHT = 0.2
-# Below this share of admitted requests the queue gets shorter, so that requests do not
-# wait in vain under sustained overload.
+# Below this share of admitted requests the queue gets shorter, so that under sustained
+# overload requests do not wait only to be rejected.
 MIN_ADMITTED_RATE = 0.5
 # Most requests in the queue, whatever is in progress; it only bounds memory.
 MAX_WAITING = 32
--- a/wigeonscale/direct/backend_tracker.py
+++ b/wigeonscale/direct/backend_tracker.py
@@ -10,7 +10,7 @@
 from wigeonscale.ports import Clock
 
 # An unreachable or stalled backend server is avoided for this long; control marks a
-# dead server silent within about four seconds.
+# crashed server as silent within about four seconds.
 AVOID_LOST_S = 4.0
 # A server that refused a request is short of capacity or is unloading layers, and may
 # accept requests again soon.
--- a/wigeonscale/direct/choice.py
+++ b/wigeonscale/direct/choice.py
@@ -34,11 +34,11 @@
 MEGA = 1e6
 BITS_PER_BYTE = 8
 # Cost of a path that begins in another failure domain than the entry's own: this many
-# mean responses on engines of mean speed, and at least FAR_START_MS. The engines do not
-# care where a path begins, but the response then crosses domains. With a lower cost,
-# the entries of all domains overload the domain with the fastest engines, because their
-# load data is half a second old, while their own engines are idle. The higher the cost,
-# the fewer requests engines refuse in such a rush.
+# mean responses on engines of mean speed, and at least FAR_START_MS. It makes no
+# difference to the engines where a path begins, but the response then crosses domains.
+# With a lower cost, the entries of all domains overload the domain with the fastest
+# engines, because their load data is half a second old, while their own engines are
+# idle. The higher the cost, the fewer requests the overloaded engines refuse.
 FAR_START_RESPONSES = 4.0
 FAR_START_MS = 300.0
 # A hop between domains inside a path sends the activations of a prompt, 45 MB, over the
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PathCosts:
-    """Cost functions of a path, in milliseconds of the whole request.
+    """Cost functions of a path, in milliseconds for the whole request.
 
     Attributes:
         part: Returns the cost of running a number of layers on an engine.
@@ -192,8 +192,8 @@
         loaded_prefill_ms = kind.read_factor * prefill_ms * (1 + others / 8)
         is_avoided = server.is_silent or tracker.is_avoided(server.backend_id)
         free = FULL_SHARE * kv_cache_capacity(engine, server, kind.size_mb) - used
-        # All requests of a domain pass through few first engines, which run as many as
-        # they have slots and queue the rest, whatever memory is free.
+        # All requests of a domain pass through a few first engines, which run as many
+        # as they have slots and queue the others, even if they have free memory.
         if server.layers.first == 0 and engine.slots and others >= engine.slots:
             free = -1.0
         return _EngineCosts(
--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -82,7 +82,7 @@
 
 
 def _note_aborted_start(ctx: EntryContext, job: Job, run: Run, backend_id: str) -> bool:
-    """Return whether a run is a new suspect for the loss of a server."""
+    """Record the abort of a run; return whether it is a new suspicion of a crash."""
     if not _is_starting(run):
         clear_suspect(ctx, job)
         return False
--- a/wigeonscale/direct/detour.py
+++ b/wigeonscale/direct/detour.py
@@ -41,7 +41,8 @@
     lost = [part.backend_id for part in path if part.backend_id not in kept]
     note_aborted_run(ctx, job, run, lost)
     if ctx.crashes.refusal_remaining_s(job.fingerprint):
-        # The request crashes engines: it gets no new ones, and relay_stream rejects it.
+        # The request crashes engines, so it must not start on another one; relay_stream
+        # rejects it.
         return False
     fleet = ctx.fleet()
     outcome = await ctx.orders.change_path(
--- a/wigeonscale/direct/fleet.py
+++ b/wigeonscale/direct/fleet.py
@@ -21,7 +21,7 @@
         accelerator: Kind of accelerator; empty for a plain service.
         layers: Layers that it holds; empty for none.
         slots: Number of requests that it runs concurrently.
-        is_silent: Whether control lacks recent heartbeats of it.
+        is_silent: Whether control has received no recent heartbeat from it.
         incarnation: Number of its incarnation, as counted by control.
         started_ms: Its start time in Unix milliseconds; 0 if unknown.
         slowness: Factor by which it is slower than usual.
--- a/wigeonscale/direct/notices.py
+++ b/wigeonscale/direct/notices.py
@@ -85,7 +85,8 @@
     def send_delay_s(self, backend_id: str) -> float:
         """Return the time until a request may be sent, in seconds.
 
-        Infinite if it is unknown.
+        It is infinite if the server has announced its shutdown, or if other entries use
+        its whole rate limit.
         """
         if self.is_leaving(backend_id):
             return math.inf
--- a/wigeonscale/direct/probing.py
+++ b/wigeonscale/direct/probing.py
@@ -18,8 +18,8 @@
 from wigeonscale.ports import Clock, ProbeResult, ReachabilityCheck
 
 # Start times of the probes of one engine. A connection opens within about 2 ms, but a
-# lost packet delays it by a second. A second and a third connection keep packet loss
-# from making a healthy engine look lost.
+# lost packet delays it by a second. A second and a third connection are
+# opened, so that packet loss does not make a healthy engine appear lost.
 PROBE_DELAYS_S = (0.0, 0.02, 0.035)
 # Timeout from the first probe on. The path has been stalled for about 70 ms by then,
 # and the switch to another path takes the rest of the time until a pause is late.
@@ -46,8 +46,8 @@
         clock: Clock port.
         fleet: Returns the current backend servers.
         delay_s: Returns the one-way delay to a failure domain, in seconds.
-        has_progress: Returns whether runs through an engine get events, or whether its
-            state cannot be judged; called after the probes have ended.
+        has_progress: Returns whether runs through an engine get events; also True if
+            this process lacked processor time and cannot tell. Called after the probes.
         has_event_since: Returns whether any run got an event after a given time.
         on_lost: Called with the name of each lost engine.
     """
--- a/wigeonscale/direct/rate_limits.py
+++ b/wigeonscale/direct/rate_limits.py
@@ -13,7 +13,7 @@
 from wigeonscale.limits import share_weights
 from wigeonscale.ports import Clock
 
-# Fraction of a limit that is used, because entries learn of each other's demand late.
+# Fraction of a limit that is used, because entries receive each other's demand late.
 USABLE_FRACTION = 0.8
 # A burst may hold the requests that an entry's share allows in this time. If that is
 # less than one request, requests are evenly spaced.
@@ -29,7 +29,7 @@
 # start and stop.
 MIN_REPORTING_FRACTION = 0.9
 # Lower limits count as this rate, so that a backend server that accepts no requests is
-# still tried now and then.
+# still tried occasionally.
 MIN_RATE_PER_S = 0.2
 
 logger = logging.getLogger(__name__)
@@ -141,7 +141,7 @@
     def send_delay_s(self, backend_id: str) -> float:
         """Return the time until a request may be sent, in seconds.
 
-        Infinite if other entries use the whole limit.
+        It is infinite if other entries use the whole limit.
         """
         limit = self._limits.get(backend_id)
         if limit is None or limit.per_s is None:
--- a/wigeonscale/direct/runs.py
+++ b/wigeonscale/direct/runs.py
@@ -62,7 +62,7 @@
 
     @property
     def event_span_s(self) -> float:
-        """Time from the first event to the latest; 0 before the second."""
+        """Time from the first event to the latest, in seconds; 0 before the second."""
         if self.first_event_at is None:
             return 0.0
         return self.latest_event_at - self.first_event_at
--- a/wigeonscale/direct/service.py
+++ b/wigeonscale/direct/service.py
@@ -40,7 +40,7 @@
     Args:
         ctx: Context of the entry.
         table: Returns the current route table; its number is 0 before the first.
-        config_received: Set once the route table and the backend servers are known.
+        config_received: Set once the route table and the backend servers are received.
         may_serve: Returns whether the configuration is valid without a newer one.
         rng: Source of randomness for weighted shares.
     """
--- a/wigeonscale/direct/stalls.py
+++ b/wigeonscale/direct/stalls.py
@@ -4,7 +4,7 @@
 The other engines cut off such streams only after two or three seconds, but callers
 disconnect after two seconds without an event. So all runs are checked fifty times a
 second. The first engine of a stalled path is queried once, however many of its runs are
-stalled, and all runs through the engine that it blames are rerouted or retried at once.
+stalled, and all runs through the engines that it names are rerouted or retried at once.
 Probes of all engines of the path detect most unreachable engines before that query.
 """
 
@@ -29,9 +29,10 @@
 # a pause of more than 200 ms is already late.
 STALL_TIMEOUT_S = 0.25
 FIRST_EVENT_STALL_TIMEOUT_S = 0.4
-# The engines of a path are hinted to control and probed after a pause of this many mean
-# event intervals of the run, and at least this time. The probe, its report and the
-# switch to another path take the rest of the 200 or 300 ms after which a pause is late.
+# The engines of a path are reported to control as hints and probed after a pause of
+# this many mean event intervals of the run, and at least this time. The probe, its
+# report and the switch to another path take the rest of the 200 or 300 ms after which a
+# pause is late.
 HINT_AFTER_INTERVALS = 1.5
 MIN_HINT_STALL_S = 0.06
 # The same before the first event. First events take 60 ms, 120 ms at the 99th
--- a/wigeonscale/direct/tests/test_retry_after.py
+++ b/wigeonscale/direct/tests/test_retry_after.py
@@ -78,7 +78,8 @@
         await self.ask(harness, flow)
         sends = self.sends_during_retry_after(harness, "a", sent_at)
         self.assertTrue(
-            sends <= MAX_SENDS_DURING_RETRY_AFTER, f"{sends} sends while it rested"
+            sends <= MAX_SENDS_DURING_RETRY_AFTER,
+            f"{sends} sends during the Retry-After",
         )
         self.assertEqual(REQUESTS, sum(to == "b" for _, to in sent_at))
 
@@ -142,8 +143,9 @@
         await self.ask(harness, flow)
         sends = self.sends_during_retry_after(harness, "p", sent_at)
         self.assertTrue(
-            sends <= MAX_SENDS_DURING_RETRY_AFTER, f"{sends} sends while it rested"
+            sends <= MAX_SENDS_DURING_RETRY_AFTER,
+            f"{sends} sends during the Retry-After",
         )
-        # Each caller gets a Retry-After that covers the rest of the server.
+        # The Retry-After of each caller ends with that of the server.
         first = refusals[0].retry_after
         self.assertTrue(0.9 * RETRY_AFTER_S <= first <= RETRY_AFTER_S, first)
--- a/wigeonscale/limits/fair_queue.py
+++ b/wigeonscale/limits/fair_queue.py
@@ -10,8 +10,8 @@
 from wigeonscale.limits.fair_scheduler import FairScheduler, Item, QueueEntry
 from wigeonscale.ports import Clock, SystemClock
 
-# An organisation may occupy at most this many times the free space of the queue, so
-# that a long backlog always leaves space for other organisations.
+# An organisation may hold at most this many times the free places of the queue, so that
+# a long backlog always leaves places for other organisations.
 DYNAMIC_THRESHOLD_FACTOR = 8.0
 
 
@@ -77,7 +77,7 @@
 
         Raises:
             WigeonscaleError: ``OVERLOADED`` if the queue is full, or if the
-                organisation occupies too much of it.
+                organisation holds too many of its places.
         """
         self._check_space(organisation)
         entry = QueueEntry(item, organisation, priority, cost)
--- a/wigeonscale/limits/sharing.py
+++ b/wigeonscale/limits/sharing.py
@@ -23,11 +23,11 @@
 
     The result depends on the arguments only, so all processes compute the same one.
 
-    Load pattern: one process has most of the requests, many others send one now and
-    then. Weights therefore follow demand, and if there are too many processes, those
-    with far less demand get no share. Among processes of similar demand the choice is
-    stable over time (by hash), because a new sharer must wait until the previous ones
-    have sent the requests that they had ready.
+    Load pattern: one process has most of the requests, many others send one
+    occasionally. Weights therefore follow demand, and if there are too many processes,
+    those with far less demand get no share. Among processes of similar demand the
+    choice is stable over time (by hash), because a new sharer must wait until the
+    previous ones have sent the requests that they had ready.
 
     Args:
         limit_id: Identifies the limit; seeds the choice among processes of similar
--- a/wigeonscale/routing/load.py
+++ b/wigeonscale/routing/load.py
@@ -59,8 +59,8 @@
     A load word reports the load from all entries at the time it was made. The load
     from this entry is always known exactly; the load from other entries is taken from
     the load word while that is recent. With the age of the load word the estimate
-    moves to the own requests in flight times the mean ratio of the other entries'
-    load to the own: all entries see similar traffic, so their loads change together,
+    approaches the own requests in flight times the mean ratio of the other entries'
+    load to the own: all entries get similar traffic, so their loads change together,
     and this is a better estimate than an old report.
 
     Args:
--- a/wigeonscale/routing/subset.py
+++ b/wigeonscale/routing/subset.py
@@ -35,7 +35,7 @@
     Args:
         seed: Identifies the chooser, or the key to be placed.
         key: Name of the candidate.
-        rate: Capacity of the candidate; it wins in proportion.
+        rate: Capacity of the candidate; it is selected in proportion to it.
 
     Returns:
         A weight; the candidate with the highest weight is selected.
