--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -89,7 +89,7 @@
     if not ctx.crashes.note_aborted_start(job.fingerprint, backend_id):
         return False
     logger.info(
-        "run lost as it began",
+        "backend server aborted a run that had just started",
         extra=log_fields(
             request_id=job.req.request_id,
             fingerprint=job.fingerprint.hex(),
