--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -240,20 +240,20 @@
     if exc.outcome is CallOutcome.UNKNOWN:
         # It may have run there even if no response head was received.
         progress.ran_on.add(path[0].backend_id)
-    blamed = _engine_at_fault(ctx, path, exc)
-    if blamed and exc.outcome is CallOutcome.NOT_RUN and not exc.is_other_incarnation:
-        ctx.tracker.note_refused(blamed)
+    at_fault = _engine_at_fault(ctx, path, exc)
+    if at_fault and exc.outcome is CallOutcome.NOT_RUN and not exc.is_other_incarnation:
+        ctx.tracker.note_refused(at_fault)
         if exc.failed_address:
             # It may lack capacity or be lost; a probe by control finds out.
-            ctx.suspect(blamed)
-    elif blamed and exc.outcome is CallOutcome.NOT_SENT and ctx.stalls.is_lagging:
+            ctx.suspect(at_fault)
+    elif at_fault and exc.outcome is CallOutcome.NOT_SENT and ctx.stalls.is_lagging:
         # This process may have been too slow to see the connection open.
-        ctx.tracker.note_refused(blamed)
-    elif blamed:
-        ctx.tracker.note_lost(blamed)
-        ctx.suspect(blamed)
-    if blamed:
-        progress.lost.add(blamed)
+        ctx.tracker.note_refused(at_fault)
+    elif at_fault:
+        ctx.tracker.note_lost(at_fault)
+        ctx.suspect(at_fault)
+    if at_fault:
+        progress.lost.add(at_fault)
     logger.info(
         "generation broke: %s",
         exc.message,
@@ -262,7 +262,7 @@
             outcome=exc.outcome,
             status=exc.status,
             last_event=progress.last_id,
-            blamed=blamed,
+            blamed=at_fault,
         ),
     )
 
