--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -102,7 +102,7 @@
 
 
 def clear_suspect(ctx: EntryContext, job: Job) -> None:
-    """Clear a request whose run continued for long enough after its start."""
+    """Clear a request that completed, or whose run continued well after its start."""
     ctx.crashes.clear_suspect(job.fingerprint)
 
 
