--- a/wigeonscale/daemons/tests/rate_limit_cluster.py
+++ b/wigeonscale/daemons/tests/rate_limit_cluster.py
@@ -23,7 +23,7 @@
 STEP_S = 0.05
 DOMAINS = ("a", "b", "c")
 # The users' rule: in any window of WINDOW_S that ends at least CHECKED_AFTER_S after a
-# server declared its limit, it may get LIMIT_FACTOR times the limit plus
+# server announced its limit, it may get LIMIT_FACTOR times the limit plus
 # SLACK_REQUESTS. A request counts only if its entry relayed an answer with the limit at
 # least ENTRY_REACTION_S before.
 CHECKED_AFTER_S = 3.0
@@ -34,7 +34,7 @@
 
 
 class RateLimitingServers:
-    """Engines that answer after a constant delay and declare limits set by a test.
+    """Engines that answer after a constant delay and announce limits set by a test.
 
     Attributes:
         notices: Notice that each engine adds to its answers.
@@ -167,13 +167,13 @@
         """Return the number of requests that an engine received so far."""
         return sum(name == backend_id for _, _, name in self.servers.sends)
 
-    def max_excess(self, backend_id, limit_per_s, declared_at):
+    def max_excess(self, backend_id, limit_per_s, announced_at):
         """Return by how many requests the worst window exceeds the allowed number.
 
         Args:
             backend_id: The engine.
-            limit_per_s: The limit that it declares throughout.
-            declared_at: Time from which it declares the limit.
+            limit_per_s: The limit that it announces throughout.
+            announced_at: Time from which it announces the limit.
         """
         counted = [
             at
@@ -184,7 +184,7 @@
         counts = [
             sum(end - WINDOW_S < at <= end for at in counted)
             for end in counted
-            if end >= declared_at + CHECKED_AFTER_S
+            if end >= announced_at + CHECKED_AFTER_S
         ]
         return max(counts, default=0) - (
             LIMIT_FACTOR * WINDOW_S * limit_per_s + SLACK_REQUESTS
--- a/wigeonscale/daemons/tests/test_backend_rate_limits.py
+++ b/wigeonscale/daemons/tests/test_backend_rate_limits.py
@@ -1,6 +1,6 @@
-"""Guards against entries exceeding a rate limit that a backend server declares.
+"""Guards against entries exceeding a rate limit that a backend server announces.
 
-A first-stage engine declared a limit of one request a second, and within 4 s got 15
+A first-stage engine announced a limit of one request a second, and within 4 s got 15
 requests from entries that had received the limit, where 11 were allowed. No entry read
 the header with the limit, and no entry knows by itself what the others send. The engine
 answered every request and was as near and as idle as before, so the only entry of its
@@ -23,12 +23,12 @@
         self.addCleanup(self.cluster.close)
         await self.cluster.run(2.0)
         self.cluster.servers.notices[LIMITED] = ServerNotice(limit_per_s=limit_per_s)
-        self.declared_at = self.cluster.clock.now()
+        self.announced_at = self.cluster.clock.now()
         await self.cluster.run(12.0)
         self.check_limit(limit_per_s)
 
     def check_limit(self, limit_per_s):
-        over = self.cluster.max_excess(LIMITED, limit_per_s, self.declared_at)
+        over = self.cluster.max_excess(LIMITED, limit_per_s, self.announced_at)
         self.assertTrue(over <= 0, f"{over} requests over the limit")
         self.assertEqual([], self.cluster.refusals)
 
@@ -77,11 +77,11 @@
         await self.run_with_limit(entries=4, requests_per_s=0.2, limit_per_s=1.0)
         for name in ("i-a", "i-b", "i-c"):
             self.cluster.servers.notices[name] = ServerNotice(limit_per_s=1.0)
-        declared_at = self.cluster.clock.now()
+        announced_at = self.cluster.clock.now()
         self.cluster.requests_per_s = 4.0
         await self.cluster.run(12.0)
         for name in ("i-a", "i-b", "i-c"):
-            over = self.cluster.max_excess(name, 1.0, declared_at)
+            over = self.cluster.max_excess(name, 1.0, announced_at)
             self.assertTrue(over <= 0, f"{over} requests over the limit of {name}")
         # Excess requests are rejected at once, as not run and with a Retry-After.
         self.assertTrue(self.cluster.refusals)
