--- a/bench/shares.py
+++ b/bench/shares.py
@@ -32,7 +32,7 @@
 def _figures() -> Iterator[Figure]:
     for limit in LIMITS:
         for load in LOADS:
-            pooled = _admitted_share(limit, load, entries=1, first_share=1.0)
+            pooled = _admitted_share(limit, load, entry_count=1, first_share=1.0)
             even = _admitted_share(limit, load, ENTRIES, 1.0 / ENTRIES)
             skewed = _admitted_share(limit, load, ENTRIES, SKEWED_FIRST_SHARE)
             name = f"limit{limit}/load{load:g}"
@@ -42,7 +42,9 @@
             yield Figure(f"{name}/equal-shares-skewed", skewed, "share let in")
 
 
-def _admitted_share(limit: int, load: float, entries: int, first_share: float) -> float:
+def _admitted_share(
+    limit: int, load: float, entry_count: int, first_share: float
+) -> float:
     """Return the share of requests that are admitted.
 
     Args:
@@ -54,7 +56,8 @@
     clock = VirtualClock()
     rng = random.Random(SEED)
     limiters = [
-        OrganisationLimits(clock=clock, entries=lambda: entries) for _ in range(entries)
+        OrganisationLimits(clock=clock, entry_count=lambda: entry_count)
+        for _ in range(entry_count)
     ]
     requested = admitted = 0
     rate = load * limit / MEAN_HOLD_S
@@ -62,8 +65,8 @@
     def arrive() -> None:
         nonlocal requested, admitted
         clock.call_later(rng.expovariate(rate), arrive)
-        to_first = entries == 1 or rng.random() < first_share
-        limiter = limiters[0] if to_first else limiters[rng.randrange(1, entries)]
+        to_first = entry_count == 1 or rng.random() < first_share
+        limiter = limiters[0] if to_first else limiters[rng.randrange(1, entry_count)]
         hold_s = rng.expovariate(1.0 / MEAN_HOLD_S)
         requested += 1
         try:
--- a/wigeonscale/direct/choice.py
+++ b/wigeonscale/direct/choice.py
@@ -34,12 +34,12 @@
 MEGA = 1e6
 BITS_PER_BYTE = 8
 # Cost of a path that begins in another failure domain than the entry's own: this many
-# mean responses on engines of mean speed, and at least FAR_START_MS. The engines do not
-# care where a path begins, but the response then crosses domains. With a lower cost,
-# the entries of all domains overload the domain with the fastest engines, because their
-# load data is half a second old, while their own engines are idle. The higher the cost,
-# the fewer requests engines refuse in such a rush.
-FAR_START_ANSWERS = 4.0
+# mean responses on engines of mean speed, and at least FAR_START_MS. It makes no
+# difference to the engines where a path begins, but the response then crosses domains.
+# With a lower cost, the entries of all domains overload the domain with the fastest
+# engines, because their load data is half a second old, while their own engines are
+# idle. The higher the cost, the fewer requests the overloaded engines refuse.
+FAR_START_RESPONSES = 4.0
 FAR_START_MS = 300.0
 # A hop between domains inside a path sends the activations of a prompt, 45 MB, over the
 # link that all domains share. It is meant for times when no domain holds all layers. If
@@ -63,7 +63,7 @@
     *,
     tracker: BackendTracker,
     domain: str,
-    entries: int,
+    entry_count: int,
     tried: Container[str] = (),
 ) -> BackendServer | None:
     """Return the backend server of a plain service for one send, or None.
@@ -72,12 +72,12 @@
         servers: Servers of the service.
         tracker: Their load and health.
         domain: The entry's own failure domain.
-        entries: Number of entries with similar traffic.
+        entry_count: Number of entries with similar traffic.
         tried: Incarnations to which this request was already sent.
     """
 
     def rank(server: BackendServer) -> tuple[float, str]:
-        running, _ = tracker.load_of(server.backend_id, entries)
+        running, _ = tracker.load_of(server.backend_id, entry_count)
         failure_rate = tracker.lookup(server.backend_id).failure_rate
         cost = running / server.slots + FAILURE_RATE_PENALTY * failure_rate
         if server.domain != domain:
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PathCosts:
-    """Cost functions of a path, in milliseconds of the whole request.
+    """Cost functions of a path, in milliseconds for the whole request.
 
     Attributes:
         part: Returns the cost of running a number of layers on an engine.
@@ -133,7 +133,7 @@
     generation: GenerationSize,
     *,
     tracker: BackendTracker,
-    entries: int,
+    entry_count: int,
 ) -> PathCosts:
     """Return the cost functions of one generation.
 
@@ -141,7 +141,7 @@
         engine: Engine profile of the service.
         generation: Sizes of the request.
         tracker: Load and health of the engines.
-        entries: Number of entries with similar traffic; see
+        entry_count: Number of entries with similar traffic; see
             :meth:`BackendTracker.load_of`.
 
     Notes:
@@ -149,16 +149,16 @@
         up. An engine processes all its requests in a batch; the larger the batch, the
         longer a step takes.
     """
-    prompt = generation.prompt_tokens or engine.usual_prompt
-    answer = generation.expected_tokens or engine.usual_answer
-    tokens = prompt + answer
+    prompt_tokens = generation.prompt_tokens or engine.usual_prompt
+    response_tokens = generation.expected_tokens or engine.usual_answer
+    tokens = prompt_tokens + response_tokens
     # Capacity is checked with the mean size for every request. With its own size, a
     # large request would be rejected far more often than a small one.
     usual_tokens = engine.usual_prompt + engine.usual_answer
-    prefill_ms = 1000.0 * prompt / engine.read_tokens_per_s
+    prefill_ms = 1000.0 * prompt_tokens / engine.read_tokens_per_s
     transfer_ms = (
         1000.0
-        * prompt
+        * prompt_tokens
         * engine.activation_bytes
         * BITS_PER_BYTE
         / (engine.pipe_mbps * MEGA)
@@ -180,7 +180,7 @@
         kind = engine.accelerators.get(server.accelerator)
         if kind is None:
             return _EngineCosts(0.0, 0.0, AVOIDED_PENALTY_MS, -1.0)
-        others, used = tracker.load_of(server.backend_id, entries)
+        others, used = tracker.load_of(server.backend_id, entry_count)
         step_ms = (
             engine.step_ms
             + engine.sequence_ms * (others + 1)
@@ -192,14 +192,15 @@
         loaded_prefill_ms = kind.read_factor * prefill_ms * (1 + others / 8)
         is_avoided = server.is_silent or tracker.is_avoided(server.backend_id)
         free = FULL_SHARE * kv_cache_capacity(engine, server, kind.size_mb) - used
-        # All requests of a domain pass through few first engines, which run as many as
-        # they have slots and queue the rest, whatever memory is free.
+        # All requests of a domain pass through a few first engines, which run as many
+        # as they have slots and queue the others, even if they have free memory.
         if server.layers.first == 0 and engine.slots and others >= engine.slots:
             free = -1.0
         return _EngineCosts(
             token_ms,
-            token_ms * answer + server.slowness * loaded_prefill_ms / engine.layers,
-            NEAR_HOP_MS * answer + (AVOIDED_PENALTY_MS if is_avoided else 0.0),
+            token_ms * response_tokens
+            + server.slowness * loaded_prefill_ms / engine.layers,
+            NEAR_HOP_MS * response_tokens + (AVOIDED_PENALTY_MS if is_avoided else 0.0),
             free / usual_tokens if usual_tokens else math.inf,
         )
 
@@ -217,7 +218,11 @@
     def hop(here: str, there: str) -> float:
         if here == there:
             return 0.0
-        return FAR_HOP_BASE_MS + engine.delay_ms(here, there) * answer + transfer_ms
+        return (
+            FAR_HOP_BASE_MS
+            + engine.delay_ms(here, there) * response_tokens
+            + transfer_ms
+        )
 
     return PathCosts(part, hop, token, has_capacity, _far_start_ms(engine))
 
@@ -258,8 +263,8 @@
     paces = [kind.pace for kind in engine.accelerators.values()]
     if not paces:
         return FAR_START_MS
-    answer_ms = engine.usual_answer * engine.step_ms * sum(paces) / len(paces)
-    return max(FAR_START_MS, FAR_START_ANSWERS * answer_ms)
+    response_ms = engine.usual_answer * engine.step_ms * sum(paces) / len(paces)
+    return max(FAR_START_MS, FAR_START_RESPONSES * response_ms)
 
 
 def kv_cache_capacity(
--- a/wigeonscale/direct/crashing.py
+++ b/wigeonscale/direct/crashing.py
@@ -11,7 +11,7 @@
     "backends_with_other_suspects",
     "note_aborted_run",
     "note_broken_run",
-    "note_ran",
+    "clear_suspect",
     "raise_if_crashing",
 ]
 
@@ -19,7 +19,7 @@
 from collections.abc import Iterable
 
 from wigeonscale.adapters.logs import log_fields
-from wigeonscale.crashes import START_CRASH_WINDOW_S, refusal_of
+from wigeonscale.crashes import START_CRASH_WINDOW_S, crash_refusal
 from wigeonscale.direct.job import EntryContext, Job
 from wigeonscale.direct.runs import Run
 from wigeonscale.errors import RunState
@@ -41,7 +41,7 @@
         WigeonscaleError: ``CRASHES_BACKENDS``, with a Retry-After.
     """
     run_state = RunState.UNKNOWN if may_have_run else RunState.NOT_RUN
-    refusal = refusal_of(ctx.crashes, job.fingerprint, run_state=run_state)
+    refusal = crash_refusal(ctx.crashes, job.fingerprint, run_state=run_state)
     if refusal is not None:
         raise refusal
 
@@ -56,7 +56,7 @@
     """
     first = run.backend_ids[0]
     ctx.crashes.note_abort(first)
-    if _note_lost(ctx, job, run, first):
+    if _note_aborted_start(ctx, job, run, first):
         # Control probes the server and finds out whether it has crashed.
         ctx.suspect(first)
 
@@ -78,32 +78,32 @@
     """
     for backend_id in backend_ids:
         if not ctx.crashes.was_aborting(backend_id, before=run.sent_at):
-            _note_lost(ctx, job, run, backend_id)
+            _note_aborted_start(ctx, job, run, backend_id)
 
 
-def _note_lost(ctx: EntryContext, job: Job, run: Run, backend_id: str) -> bool:
-    """Return whether a run is a new suspect for the loss of a server."""
+def _note_aborted_start(ctx: EntryContext, job: Job, run: Run, backend_id: str) -> bool:
+    """Record the abort of a run; return whether it is a new suspicion of a crash."""
     if not _is_starting(run):
-        note_ran(ctx, job)
+        clear_suspect(ctx, job)
         return False
-    if not ctx.crashes.note_lost(job.fingerprint, backend_id):
+    if not ctx.crashes.note_aborted_start(job.fingerprint, backend_id):
         return False
     logger.info(
-        "run lost as it began",
+        "backend server aborted a run that had just started",
         extra=log_fields(
             request_id=job.req.request_id,
             fingerprint=job.fingerprint.hex(),
             backend=backend_id,
             events=run.events,
-            went_on_s=round(run.went_on_s, 3),
+            went_on_s=round(run.event_span_s, 3),
         ),
     )
     return True
 
 
-def note_ran(ctx: EntryContext, job: Job) -> None:
-    """Record that a run of a request went on well after its start."""
-    ctx.crashes.note_ran(job.fingerprint)
+def clear_suspect(ctx: EntryContext, job: Job) -> None:
+    """Clear a request that completed, or whose run continued well after its start."""
+    ctx.crashes.clear_suspect(job.fingerprint)
 
 
 def backends_with_other_suspects(ctx: EntryContext, job: Job) -> set[str]:
@@ -134,4 +134,4 @@
 
 
 def _is_starting(run: Run) -> bool:
-    return run.went_on_s < START_CRASH_WINDOW_S
+    return run.event_span_s < START_CRASH_WINDOW_S
--- a/wigeonscale/direct/plain.py
+++ b/wigeonscale/direct/plain.py
@@ -11,8 +11,8 @@
 from wigeonscale.direct.choice import choose_server
 from wigeonscale.direct.crashing import (
     backends_with_other_suspects,
+    clear_suspect,
     note_broken_run,
-    note_ran,
     raise_if_crashing,
 )
 from wigeonscale.direct.fleet import BackendServer
@@ -57,7 +57,7 @@
         tried.add(server.backend_id)
         attempts += 1
         try:
-            answer = await _send(ctx, job, server)
+            response = await _send(ctx, job, server)
         except ExchangeError as exc:
             _note_failure(ctx, job, server, exc)
             if exc.outcome is CallOutcome.NOT_SENT:
@@ -67,24 +67,24 @@
             if may_have_run and not job.route.is_idempotent:
                 break
             continue
-        is_failure = answer.head.status >= 500
+        is_failure = response.head.status >= 500
         ctx.tracker.note_outcome(server.backend_id, failed=is_failure)
         if not is_failure:
-            return answer
+            return response
         logger.info(
             "backend server returned an error",
             extra=log_fields(
                 request_id=job.req.request_id,
                 backend=server.backend_id,
-                status=answer.head.status,
+                status=response.head.status,
                 attempts=attempts,
                 failures=round(ctx.tracker.lookup(server.backend_id).failure_rate, 3),
                 outcome="may go on" if job.route.is_idempotent else "handed on",
             ),
         )
-        failed, may_have_run = answer, True
+        failed, may_have_run = response, True
         if not job.route.is_idempotent:
-            return answer
+            return response
     if failed is not None:
         return failed
     raise _final_error(ctx, job, may_have_run)
@@ -97,7 +97,7 @@
                 ctx.fleet().by_service.get(job.service.name, ()),
                 tracker=ctx.tracker,
                 domain=ctx.domain,
-                entries=ctx.entries(),
+                entry_count=ctx.entry_count(),
                 tried=tried,
             )
             if server is None or ctx.notices.may_send(server.backend_id):
@@ -128,10 +128,10 @@
     )
     try:
         async with asyncio.timeout(limit_s):
-            answer = await ctx.exchange.call(call)
-        note_notice(answer.head.notice)
-        note_ran(ctx, job)
-        return answer
+            response = await ctx.exchange.call(call)
+        note_notice(response.head.notice)
+        clear_suspect(ctx, job)
+        return response
     except ExchangeError as exc:
         note_notice(exc.notice)
         if exc.outcome is CallOutcome.UNKNOWN:
--- a/wigeonscale/direct/probing.py
+++ b/wigeonscale/direct/probing.py
@@ -18,8 +18,8 @@
 from wigeonscale.ports import Clock, ProbeResult, ReachabilityCheck
 
 # Start times of the probes of one engine. A connection opens within about 2 ms, but a
-# lost packet delays it by a second. A second and a third connection keep packet loss
-# from making a healthy engine look lost.
+# lost packet delays it by a second. A second and a third connection are
+# opened, so that packet loss does not make a healthy engine appear lost.
 PROBE_DELAYS_S = (0.0, 0.02, 0.035)
 # Timeout from the first probe on. The path has been stalled for about 70 ms by then,
 # and the switch to another path takes the rest of the time until a pause is late.
@@ -42,12 +42,12 @@
     """Probes engines in rounds and reports the lost ones.
 
     Args:
-        reach: Checks whether the VM of an engine responds.
+        check_reachable: Checks whether the VM of an engine responds.
         clock: Clock port.
         fleet: Returns the current backend servers.
         delay_s: Returns the one-way delay to a failure domain, in seconds.
-        has_progress: Returns whether runs through an engine get events, or whether its
-            state cannot be judged; called after the probes have ended.
+        has_progress: Returns whether runs through an engine get events; also True if
+            this process lacked processor time and cannot tell. Called after the probes.
         has_event_since: Returns whether any run got an event after a given time.
         on_lost: Called with the name of each lost engine.
     """
@@ -55,7 +55,7 @@
     def __init__(
         self,
         *,
-        reach: ReachabilityCheck,
+        check_reachable: ReachabilityCheck,
         clock: Clock,
         fleet: Callable[[], Fleet],
         delay_s: Callable[[str], float],
@@ -63,7 +63,7 @@
         has_event_since: Callable[[float], bool],
         on_lost: Callable[[str], None],
     ):
-        self._reach = reach
+        self._check_reachable = check_reachable
         self._clock = clock
         self._fleet = fleet
         self._delay_s = delay_s
@@ -106,19 +106,19 @@
 
     async def _round(self, servers: list[BackendServer]) -> None:
         began_at = self._clock.now()
-        answers = await asyncio.gather(
+        probe_results = await asyncio.gather(
             *[self._probe_server(server) for server in servers]
         )
-        results = dict(zip(servers, answers, strict=True))
+        results = dict(zip(servers, probe_results, strict=True))
         lost = [
             server.backend_id
-            for server, answer in results.items()
-            if answer is not ProbeResult.ANSWERED
+            for server, result in results.items()
+            if result is not ProbeResult.ANSWERED
             and not self._has_progress(server.backend_id)
         ]
         # If no engine responds, this entry may be the one that is cut off.
         is_cut_off = not self._has_event_since(began_at) and all(
-            answer is ProbeResult.NO_ANSWER for answer in answers
+            result is ProbeResult.NO_ANSWER for result in probe_results
         )
         logger.info(
             "engines of stalled paths probed",
@@ -145,9 +145,9 @@
         ]
         try:
             for probe in asyncio.as_completed(probes):
-                answer = await probe
-                if answer is not ProbeResult.NO_ANSWER:
-                    return answer
+                result = await probe
+                if result is not ProbeResult.NO_ANSWER:
+                    return result
             return ProbeResult.NO_ANSWER
         finally:
             for probe in probes:
@@ -157,6 +157,6 @@
     async def _probe_once(self, server: BackendServer, delay_s: float) -> ProbeResult:
         await self._clock.sleep(delay_s)
         round_trip_s = ONE_WAY_DELAYS_PER_PROBE * self._delay_s(server.domain)
-        return await self._reach(
+        return await self._check_reachable(
             server.address, PROBE_TIMEOUT_S + round_trip_s - delay_s
         )
--- a/wigeonscale/direct/rate_limits.py
+++ b/wigeonscale/direct/rate_limits.py
@@ -13,7 +13,7 @@
 from wigeonscale.limits import share_weights
 from wigeonscale.ports import Clock
 
-# Fraction of a limit that is used, because entries learn of each other's demand late.
+# Fraction of a limit that is used, because entries receive each other's demand late.
 USABLE_FRACTION = 0.8
 # A burst may hold the requests that an entry's share allows in this time. If that is
 # less than one request, requests are evenly spaced.
@@ -29,7 +29,7 @@
 # start and stop.
 MIN_REPORTING_FRACTION = 0.9
 # Lower limits count as this rate, so that a backend server that accepts no requests is
-# still tried now and then.
+# still tried occasionally.
 MIN_RATE_PER_S = 0.2
 
 logger = logging.getLogger(__name__)
@@ -90,7 +90,7 @@
     Args:
         name: Name of this entry.
         clock: Clock port.
-        entries: Returns the number of entries with similar traffic.
+        entry_count: Returns the number of entries with similar traffic.
 
     Notes:
         No cost for a backend server without a limit, and a few bytes per report for
@@ -98,16 +98,18 @@
 
     Example:
         >>> from wigeonscale.testing import ManualClock
-        >>> limits = BackendRateLimits(name="e", clock=ManualClock(), entries=lambda: 1)
+        >>> limits = BackendRateLimits(
+        ...     name="e", clock=ManualClock(), entry_count=lambda: 1
+        ... )
         >>> limits.note("i-1", 1.0, sent_at=1000.0)
         >>> limits.may_send("i-1"), limits.may_send("i-2")
         (False, True)
     """
 
-    def __init__(self, *, name: str, clock: Clock, entries: Callable[[], int]):
+    def __init__(self, *, name: str, clock: Clock, entry_count: Callable[[], int]):
         self._name = name
         self._clock = clock
-        self._entries = entries
+        self._entry_count = entry_count
         self._limits: dict[str, _Limit] = {}
         # Time of the last totals that covered nearly all entries.
         self._totals_at = -math.inf
@@ -139,7 +141,7 @@
     def send_delay_s(self, backend_id: str) -> float:
         """Return the time until a request may be sent, in seconds.
 
-        Infinite if other entries use the whole limit.
+        It is infinite if other entries use the whole limit.
         """
         limit = self._limits.get(backend_id)
         if limit is None or limit.per_s is None:
@@ -189,7 +191,9 @@
             if (demand := self._demand(limit)) or limit.is_own
         ]
 
-    def apply_reports(self, limits: Iterable[NamedLimit], *, tellers: int) -> None:
+    def apply_reports(
+        self, limits: Iterable[NamedLimit], *, reporting_entries: int
+    ) -> None:
         """Apply the merged reports of the entries, this one included.
 
         Demands are ignored unless nearly all entries have reported. While control has
@@ -198,12 +202,12 @@
 
         Args:
             limits: One report for each limit.
-            tellers: Number of entries whose reports are included.
+            reporting_entries: Number of entries whose reports are included.
         """
         reports = {each.backend_id: each for each in limits}
         for report in reports.values():
             self._apply_value(report)
-        if tellers < MIN_REPORTING_FRACTION * self._entries():
+        if reporting_entries < MIN_REPORTING_FRACTION * self._entry_count():
             return
         self._totals_at = self._clock.now()
         for backend_id, limit in self._limits.items():
@@ -293,7 +297,7 @@
         return sum(limit.shares.values()) / weight / _used_per_s(limit.per_s)
 
     def _fair_interval_s(self, limit: _Limit) -> float:
-        return max(1, self._entries()) / _used_per_s(limit.per_s)
+        return max(1, self._entry_count()) / _used_per_s(limit.per_s)
 
 
 def _used_per_s(per_s: float) -> float:
--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -15,9 +15,9 @@
 from wigeonscale.adapters.logs import log_fields
 from wigeonscale.direct.admission import PathChoice
 from wigeonscale.direct.crashing import (
+    clear_suspect,
     note_aborted_run,
     note_broken_run,
-    note_ran,
     raise_if_crashing,
 )
 from wigeonscale.direct.detour import change_path, kv_cache_demand
@@ -141,7 +141,7 @@
         ctx.tracker.note_outcome(first, failed=False)
         if call.after_event is None:
             ctx.admission_queue.note_response_time(ctx.clock.now() - now)
-        note_ran(ctx, job)
+        clear_suspect(ctx, job)
         return is_whole
     except ExchangeError as exc:
         note_notice(exc.notice)
@@ -240,20 +240,26 @@
     if exc.outcome is CallOutcome.UNKNOWN:
         # It may have run there even if no response head was received.
         progress.ran_on.add(path[0].backend_id)
-    blamed = _engine_at_fault(ctx, path, exc)
-    if blamed and exc.outcome is CallOutcome.NOT_RUN and not exc.is_other_incarnation:
-        ctx.tracker.note_refused(blamed)
+    failed_address = _engine_at_fault(ctx, path, exc)
+    if (
+        failed_address
+        and exc.outcome is CallOutcome.NOT_RUN
+        and not exc.is_other_incarnation
+    ):
+        ctx.tracker.note_refused(failed_address)
         if exc.failed_address:
             # It may lack capacity or be lost; a probe by control finds out.
-            ctx.suspect(blamed)
-    elif blamed and exc.outcome is CallOutcome.NOT_SENT and ctx.stalls.is_lagging:
+            ctx.suspect(failed_address)
+    elif (
+        failed_address and exc.outcome is CallOutcome.NOT_SENT and ctx.stalls.is_lagging
+    ):
         # This process may have been too slow to see the connection open.
-        ctx.tracker.note_refused(blamed)
-    elif blamed:
-        ctx.tracker.note_lost(blamed)
-        ctx.suspect(blamed)
-    if blamed:
-        progress.lost.add(blamed)
+        ctx.tracker.note_refused(failed_address)
+    elif failed_address:
+        ctx.tracker.note_lost(failed_address)
+        ctx.suspect(failed_address)
+    if failed_address:
+        progress.lost.add(failed_address)
     logger.info(
         "generation broke: %s",
         exc.message,
@@ -262,7 +268,7 @@
             outcome=exc.outcome,
             status=exc.status,
             last_event=progress.last_id,
-            blamed=blamed,
+            blamed=failed_address,
         ),
     )
 
--- a/wigeonscale/direct/tests/test_cold_start.py
+++ b/wigeonscale/direct/tests/test_cold_start.py
@@ -33,7 +33,7 @@
             for first in (0, LAYERS)
         ]
         self.entries = [
-            EntryHarness(*servers, entries=ENTRIES, domain="ab"[number % 2])
+            EntryHarness(*servers, entry_count=ENTRIES, domain="ab"[number % 2])
             for number in range(ENTRIES)
         ]
         rng = random.Random(3)
@@ -58,5 +58,5 @@
         served = sum(self.send(harness) for harness in self.receivers)
         self.assertEqual(RETURNING_REQUESTS, served)
         free_mb = ENGINE.accelerators["k"].size_mb - LAYERS * ENGINE.layer_mb
-        room = free_mb * 1e6 / (ENGINE.token_bytes / ENGINE.layers)
-        self.assertTrue(max(self.used.values()) <= FULL_SHARE * room)
+        capacity = free_mb * 1e6 / (ENGINE.token_bytes / ENGINE.layers)
+        self.assertTrue(max(self.used.values()) <= FULL_SHARE * capacity)
--- a/wigeonscale/dispatch/crashing.py
+++ b/wigeonscale/dispatch/crashing.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager
 
 from wigeonscale.adapters import log_fields
-from wigeonscale.crashes import CrashTracker, refusal_of
+from wigeonscale.crashes import CrashTracker, crash_refusal
 from wigeonscale.dispatch.targets import Target
 from wigeonscale.dispatch.work import Work
 from wigeonscale.errors import ErrorKind, RunState, WigeonscaleError
@@ -42,7 +42,7 @@
 
     def refusal(self, work: Work) -> WigeonscaleError | None:
         """Return the error if work must not be dispatched, else None."""
-        return refusal_of(self.tracker, work.fingerprint)
+        return crash_refusal(self.tracker, work.fingerprint)
 
     def agents_of_other_suspects(self, work: Work) -> frozenset[str]:
         """Return the agents on which other suspects start, if this is a suspect."""
@@ -84,9 +84,9 @@
             if is_suspect:
                 self._starting_at.pop(work.fingerprint, None)
 
-    def note_ran(self, work: Work) -> None:
+    def clear_suspect(self, work: Work) -> None:
         """Record that work was answered completely."""
-        self.tracker.note_ran(work.fingerprint)
+        self.tracker.clear_suspect(work.fingerprint)
 
     def _note_lost(
         self, work: Work, servers: Iterable[str], exc: WigeonscaleError
@@ -95,7 +95,9 @@
             return
         # Instances that turn out to be still running are removed from the record later.
         lost = [
-            name for name in servers if self.tracker.note_lost(work.fingerprint, name)
+            name
+            for name in servers
+            if self.tracker.note_aborted_start(work.fingerprint, name)
         ]
         logger.info(
             "backend server failed before the first token",
