--- a/bench/shares.py
+++ b/bench/shares.py
@@ -50,7 +50,7 @@
     Args:
         limit: Concurrent requests allowed to the organisation.
         load: Mean concurrency if every request were admitted, divided by the limit.
-        entries: Number of entries; each has an equal share of the limit.
+        entry_count: Number of entries; each has an equal share of the limit.
         first_share: Share of the requests that arrive at the first entry.
     """
     clock = VirtualClock()
--- a/wigeonscale/direct/stream.py
+++ b/wigeonscale/direct/stream.py
@@ -240,26 +240,20 @@
     if exc.outcome is CallOutcome.UNKNOWN:
         # It may have run there even if no response head was received.
         progress.ran_on.add(path[0].backend_id)
-    failed_address = _engine_at_fault(ctx, path, exc)
-    if (
-        failed_address
-        and exc.outcome is CallOutcome.NOT_RUN
-        and not exc.is_other_incarnation
-    ):
-        ctx.tracker.note_refused(failed_address)
+    at_fault = _engine_at_fault(ctx, path, exc)
+    if at_fault and exc.outcome is CallOutcome.NOT_RUN and not exc.is_other_incarnation:
+        ctx.tracker.note_refused(at_fault)
         if exc.failed_address:
             # It may lack capacity or be lost; a probe by control finds out.
-            ctx.suspect(failed_address)
-    elif (
-        failed_address and exc.outcome is CallOutcome.NOT_SENT and ctx.stalls.is_lagging
-    ):
+            ctx.suspect(at_fault)
+    elif at_fault and exc.outcome is CallOutcome.NOT_SENT and ctx.stalls.is_lagging:
         # This process may have been too slow to see the connection open.
-        ctx.tracker.note_refused(failed_address)
-    elif failed_address:
-        ctx.tracker.note_lost(failed_address)
-        ctx.suspect(failed_address)
-    if failed_address:
-        progress.lost.add(failed_address)
+        ctx.tracker.note_refused(at_fault)
+    elif at_fault:
+        ctx.tracker.note_lost(at_fault)
+        ctx.suspect(at_fault)
+    if at_fault:
+        progress.lost.add(at_fault)
     logger.info(
         "generation broke: %s",
         exc.message,
@@ -268,7 +262,7 @@
             outcome=exc.outcome,
             status=exc.status,
             last_event=progress.last_id,
-            blamed=failed_address,
+            blamed=at_fault,
         ),
     )
 
--- a/wigeonscale/direct/tests/test_probing.py
+++ b/wigeonscale/direct/tests/test_probing.py
@@ -88,14 +88,14 @@
 
     async def test_timeout_grows_with_the_delay(self):
         # With a one-way delay of 50 ms, a connection takes 100 ms.
-        for delay_s, failed_address in ((0.05, []), (0.0, ["a2"])):
+        for delay_s, at_fault in ((0.05, []), (0.0, ["a2"])):
             await self.prepare()
             await self.stall_streams("nobody")
             self.harness.check_reachable.answer_s["a2:80"] = 0.105
             self.harness.delays_s["a"] = delay_s
             await self.harness.clock.advance(0.25)
             await self.end()
-            self.assertEqual(failed_address, self.harness.suspected)
+            self.assertEqual(at_fault, self.harness.suspected)
 
     async def test_probes_per_round_are_bounded(self):
         """Half of the runs pass an unreachable engine; it is in the first round."""
